--- a/packages/daemon/jobs_task.c
+++ b/packages/daemon/jobs_runner.c
@@ -1,4 +1,4 @@
-#include "jobs_task.h"
+#include "jobs_runner.h"
 
 #include <glib.h>
 #include <stdio.h>
@@ -9,7 +9,7 @@
 #include "aq_json.h"
 #include "aq_log.h"
 #include "operators.h"
-#include "planner_task.h"
+#include "planner_runner.h"
 #include "task_client.h"
 
 enum {
--- a/packages/daemon/operators.c
+++ b/packages/daemon/operators.c
@@ -8,7 +8,7 @@
 #include "aq_log.h"
 #include "burn_sync.h"
 #include "commits.h"
-#include "jobs_task.h"
+#include "jobs_runner.h"
 #include "status.h"
 
 enum {
--- a/packages/daemon/planner_task.c
+++ b/packages/daemon/planner_runner.c
@@ -1,4 +1,4 @@
-#include "planner_task.h"
+#include "planner_runner.h"
 
 #include <stdio.h>
 #include <stdlib.h>
--- a/packages/daemon/lending.c
+++ b/packages/daemon/slot_leasing.c
@@ -1,4 +1,4 @@
-#include "lending.h"
+#include "slot_leasing.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/packages/daemon/status.c
+++ b/packages/daemon/status.c
@@ -5,7 +5,7 @@
 #include "aq_store_http.h"
 #include "endpoints.h"
 #include "peers.h"
-#include "planner_task.h"
+#include "planner_runner.h"
 
 static json_t *
 describe_pools(const Daemon *daemon)
--- a/packages/daemon/task_client.c
+++ b/packages/daemon/task_client.c
@@ -6,7 +6,7 @@
 
 #include "aq_json.h"
 #include "aq_log.h"
-#include "planner_task.h"
+#include "planner_runner.h"
 
 enum {
     LEASE_MS = 10000,
--- a/packages/daemon/vm_list.c
+++ b/packages/daemon/vm_list.c
@@ -6,7 +6,7 @@
 #include <string.h>
 
 #include "aq_json.h"
-#include "planner_task.h"
+#include "planner_runner.h"
 
 enum {
     WAIT_S = 30,
--- a/packages/pool/answers.c
+++ b/packages/pool/caller_responses.c
@@ -1,4 +1,4 @@
-#include "answers.h"
+#include "caller_responses.h"
 
 #include <stdbool.h>
 
--- a/packages/pool/duty.c
+++ b/packages/pool/fenced_order.c
@@ -1,11 +1,11 @@
-#include "duty.h"
+#include "fenced_order.h"
 
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
 #include "aq_log.h"
-#include "keys.h"
+#include "store_keys.h"
 
 enum {
     /* An order leaves so soon after its claim that no later holder can have
--- a/packages/pool/duty.h
+++ b/packages/pool/fenced_order.h
@@ -5,7 +5,8 @@
 #include "node.h"
 
 /* Orders for VMs: moves between pools and upkeep.  One node gives them all,
- * the owner of the duty; the owners of the pools ask it (machine_desk.c).
+ * the owner of the duty; the owners of the pools ask it
+ * (machine_coordinator.c).
  *
  * Each order is claimed first by one write that requires the duty, the asking
  * owner's pool and the VM's last claim; its index is the order's fence.  So
--- a/packages/pool/forwarder.c
+++ b/packages/pool/forwarder.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "answers.h"
+#include "caller_responses.h"
 #include "aq_log.h"
 
 enum {
--- a/packages/pool/front.c
+++ b/packages/pool/job_api.c
@@ -1,14 +1,14 @@
-#include "front.h"
+#include "job_api.h"
 
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
-#include "answers.h"
+#include "caller_responses.h"
 #include "aq_log.h"
 #include "aq_platform.h"
 #include "aq_scheduler.h"
-#include "keys.h"
+#include "store_keys.h"
 
 enum {
     DEFAULT_DEADLINE_MS = 2500, /* of a request that names none */
--- a/packages/pool/machine_desk.c
+++ b/packages/pool/machine_coordinator.c
@@ -1,12 +1,12 @@
-#include "machine_desk.h"
+#include "machine_coordinator.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-#include "aq_asks.h"
+#include "aq_machine_requests.h"
 #include "aq_log.h"
-#include "duty.h"
-#include "keys.h"
+#include "fenced_order.h"
+#include "store_keys.h"
 #include "owner_writer.h"
 #include "prefix_view.h"
 
--- a/packages/pool/member.c
+++ b/packages/pool/member.c
@@ -6,7 +6,7 @@
 
 #include "aq_hash.h"
 #include "aq_log.h"
-#include "keys.h"
+#include "store_keys.h"
 #include "prefix_view.h"
 
 enum {
--- a/packages/pool/node.h
+++ b/packages/pool/node.h
@@ -11,7 +11,7 @@
 #include "aq_settings.h"
 #include "aq_site_config.h"
 #include "aq_store.h"
-#include "aq_worker_calls.h"
+#include "aq_worker_client.h"
 #include "store_health.h"
 
 /* What the parts of a node share; each part gets what it needs from here and
--- a/packages/pool/owner_writer.c
+++ b/packages/pool/owner_writer.c
@@ -6,7 +6,7 @@
 #include <string.h>
 
 #include "aq_log.h"
-#include "keys.h"
+#include "store_keys.h"
 
 enum {
     RETRY_MS = 150 /* of reading the lane */
--- a/packages/pool/pool_machines.h
+++ b/packages/pool/pool_machines.h
@@ -2,10 +2,10 @@
 #define POOL_MACHINES_H
 
 #include "pool_owner.h"
-#include "wave_book.h"
+#include "wave_table.h"
 
 /* The VMs of one owned pool: their upkeep, and how many of them the pool
- * keeps.  Orders go out through duty.c. */
+ * keeps.  Orders go out through fenced_order.c. */
 
 typedef struct PoolMachines PoolMachines;
 
--- a/packages/pool/pool_machines_private.h
+++ b/packages/pool/pool_machines_private.h
@@ -1,16 +1,16 @@
 #ifndef POOL_MACHINES_PRIVATE_H
 #define POOL_MACHINES_PRIVATE_H
 
-#include "aq_asks.h"
-#include "keys.h"
+#include "aq_machine_requests.h"
+#include "store_keys.h"
 #include "pool_machines.h"
 #include "prefix_view.h"
 
 /* Shared by the files of a pool's machines:
  * pool_machines.c  what is there, plans, the platform's list, rounds
- * pool_asks.c      what is asked of the machine duty, and its answers
- * pool_upkeep.c    waves
- * pool_sizes.c     VMs given to other pools and taken */
+ * pool_machine_requests.c      what is asked of the machine duty, and its
+ * answers pool_maintenance.c    waves pool_sizing.c     VMs given to other
+ * pools and taken */
 
 enum {
     MACHINES_RETRY_MS = 150 /* of a write that was not accepted */
@@ -106,16 +106,16 @@
 const AqMachine *machines_find_listed(const PoolMachines *self,
                                       const char *machine);
 
-/* ---- pool_asks.c */
+/* ---- pool_machine_requests.c */
 void machines_ask(PoolMachines *self, Plan *plan);
 void machines_write_asks(PoolMachines *self);
 void machines_watch_answers(PoolMachines *self);
 
-/* ---- pool_upkeep.c */
+/* ---- pool_maintenance.c */
 void machines_upkeep_round(PoolMachines *self);
 GArray *machines_new_wave_changes(void);
 
-/* ---- pool_sizes.c */
+/* ---- pool_sizing.c */
 void machines_sizes_round(PoolMachines *self, AqScheduler *s);
 
 #endif
--- a/packages/pool/pool_owner.c
+++ b/packages/pool/pool_owner.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 #include "aq_log.h"
-#include "keys.h"
+#include "store_keys.h"
 #include "owner_writer.h"
 #include "prefix_view.h"
 
--- a/packages/pool/keys.c
+++ b/packages/pool/store_keys.c
@@ -1,4 +1,4 @@
-#include "keys.h"
+#include "store_keys.h"
 
 #include <stdio.h>
 #include <string.h>
--- a/packages/pool/tests/test_front.c
+++ b/packages/pool/tests/test_job_api.c
@@ -8,8 +8,8 @@
 #include "aq_platform.h"
 #include "fake_store.h"
 #include "forwarder.h"
-#include "front.h"
-#include "keys.h"
+#include "job_api.h"
+#include "store_keys.h"
 #include "platform_samples.h"
 
 enum {
--- a/packages/pool/tests/test_pool.c
+++ b/packages/pool/tests/test_pool.c
@@ -2,12 +2,12 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "aq_asks.h"
+#include "aq_machine_requests.h"
 #include "aq_log.h"
 #include "aq_platform.h"
 #include "fake_store.h"
-#include "keys.h"
-#include "machine_desk.h"
+#include "store_keys.h"
+#include "machine_coordinator.h"
 #include "owner_writer.h"
 #include "pool_machines.h"
 #include "pool_owner.h"
--- a/packages/pool/wave_book.c
+++ b/packages/pool/wave_table.c
@@ -1,11 +1,11 @@
-#include "wave_book.h"
+#include "wave_table.h"
 
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
 #include "aq_log.h"
-#include "keys.h"
+#include "store_keys.h"
 #include "prefix_view.h"
 
 struct WaveBook {
--- a/packages/scheduler/Include/aq_machines.h
+++ b/packages/scheduler/Include/aq_machines.h
@@ -6,7 +6,7 @@
 #include <stdint.h>
 
 #include "aq_clock.h"
-#include "aq_worker_calls.h"
+#include "aq_worker_client.h"
 
 /* The platform's list of VMs and the orders that move them between pools or
  * take them down for upkeep, and the operator's waves of upkeep. */
--- a/packages/scheduler/Include/aq_scheduler.h
+++ b/packages/scheduler/Include/aq_scheduler.h
@@ -9,7 +9,7 @@
 #include "aq_clock.h"
 #include "aq_job_spec.h"
 #include "aq_site_config.h"
-#include "aq_worker_calls.h"
+#include "aq_worker_client.h"
 
 /* Decisions of the one owner of a pool: which task runs on which VM, when it
  * is started again, and what has to be stored before a VM may forget an end.
--- a/packages/scheduler/asks.c
+++ b/packages/scheduler/machine_requests.c
@@ -1,4 +1,4 @@
-#include "aq_asks.h"
+#include "aq_machine_requests.h"
 
 #include <msgpack.h>
 #include <stdlib.h>
--- a/packages/scheduler/names.c
+++ b/packages/scheduler/names.c
@@ -3,7 +3,7 @@
 
 #include "aq_machines.h"
 #include "aq_scheduler.h"
-#include "aq_worker_calls.h"
+#include "aq_worker_client.h"
 
 const char *
 AqOrderResult_Name(AqOrderResult result)
--- a/packages/scheduler/scheduler_internal.h
+++ b/packages/scheduler/scheduler_internal.h
@@ -9,11 +9,11 @@
 /* Shared by the files of the scheduler.  Each file owns one decision:
  * scheduler.c   jobs, steps and time
  * vms.c         what is believed of each VM, leases and silence
- * roster.c      which VMs later owners have to hear from
+ * used_vms.c      which VMs later owners have to hear from
  * replies.c     what a reply means for tasks
  * ranking.c     which job comes first
  * placement.c   which VM a task goes to
- * lasting.c     lasting tasks: moves off a VM, pacing of fillers
+ * perpetual.c     lasting tasks: moves off a VM, pacing of fillers
  * progress.c    the stored record of a job */
 
 typedef enum {
@@ -253,7 +253,7 @@
 void placement_run(AqScheduler *s);
 void placement_send_start(AqScheduler *s, Task *task);
 
-/* ---- lasting.c */
+/* ---- perpetual.c */
 void lasting_tick(AqScheduler *s);
 
 /* ---- progress.c */
--- a/packages/scheduler/tests/test_records.c
+++ b/packages/scheduler/tests/test_records.c
@@ -2,7 +2,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "aq_asks.h"
+#include "aq_machine_requests.h"
 #include "aq_job_spec.h"
 #include "aq_random.h"
 #include "aq_scheduler.h"
