--- a/packages/claims/Include/aq_claims.h
+++ b/packages/claims/Include/aq_claims.h
@@ -24,7 +24,7 @@
     AQ_CLAIMS_READ,
     AQ_CLAIMS_CREATE,
     AQ_CLAIMS_REMOVE
-} AqClaimsCall;
+} AqClaimsStoreCall;
 
 typedef struct {
     /* Starts a store call.  READ lists the keys under "key" (a prefix) or
@@ -33,7 +33,7 @@
      * that start with "key".
      * "key" and "value" are borrowed for the call.  "token" comes back with
      * the result, exactly once. */
-    void (*store_call)(void *context, uint64_t token, AqClaimsCall call,
+    void (*store_call)(void *context, uint64_t token, AqClaimsStoreCall call,
                        bool is_prefix, const char *key, const void *value,
                        size_t size);
     /* The verdict on a claim that AqClaims_Submit took. */
@@ -44,14 +44,14 @@
  * the mechanism prevents.  Zero outside of tests. */
 typedef enum {
     /* An existing key counts as written, as if writes were unconditional. */
-    AQ_CLAIMS_WITHOUT_CREATE_ONLY = 1,
+    AQ_CLAIMS_DISABLE_CREATE_ONLY = 1,
     /* A create without a reply counts as written. */
-    AQ_CLAIMS_WITHOUT_READ_BACK = 2,
+    AQ_CLAIMS_DISABLE_READ_BACK = 2,
     /* The age of the last confirmed read is not looked at. */
-    AQ_CLAIMS_WITHOUT_REREAD = 4,
+    AQ_CLAIMS_DISABLE_REREAD = 4,
     /* A release removes the claim of any nonce. */
-    AQ_CLAIMS_WITHOUT_RELEASE_NONCE = 8
-} AqClaimsWithout;
+    AQ_CLAIMS_DISABLE_RELEASE_NONCE = 8
+} AqClaimsDisabled;
 
 /* A zero time stands for its default. */
 typedef struct {
@@ -62,7 +62,7 @@
                               * waits at most three times as long */
     bool prefix_removal;     /* the adapter can delete by prefix: old batches
                               * go 16 at a time, with one call */
-    unsigned without;        /* AqClaimsWithout bits, for tests only */
+    unsigned disabled;       /* AqClaimsDisabled bits, for tests only */
 } AqClaimsConfig;
 
 /* One entry read from the store; "value" borrowed. */
@@ -73,12 +73,12 @@
 } AqClaimsItem;
 
 typedef enum {
-    AQ_CLAIMS_DONE,
-    AQ_CLAIMS_ABSENT,
-    AQ_CLAIMS_EXISTS, /* CREATE: somebody else was first */
-    AQ_CLAIMS_DOWN,   /* certainly no effect */
-    AQ_CLAIMS_LOST    /* may or may not have had an effect */
-} AqClaimsResult;
+    AQ_CLAIMS_STORE_OK,
+    AQ_CLAIMS_STORE_ABSENT,
+    AQ_CLAIMS_STORE_EXISTS,      /* CREATE: somebody else was first */
+    AQ_CLAIMS_STORE_UNAVAILABLE, /* certainly no effect */
+    AQ_CLAIMS_STORE_UNKNOWN      /* may or may not have had an effect */
+} AqClaimsStoreResult;
 
 AqClaims *AqClaims_Create(const char *self, const AqClaimsConfig *config,
                           const AqClaimsOps *ops, void *context,
@@ -108,7 +108,7 @@
                      uint64_t request);
 
 void AqClaims_StoreDone(AqClaims *claims, AqTime now, AqTime wall_ms,
-                        uint64_t token, AqClaimsResult result,
+                        uint64_t token, AqClaimsStoreResult result,
                         const AqClaimsItem *items, size_t count);
 
 /* Writes batches that are due, drops old ones. */
--- a/packages/claims/bench/bench_claims.c
+++ b/packages/claims/bench/bench_claims.c
@@ -48,7 +48,7 @@
 } Bench;
 
 static SimFate
-steady_store(Sim *sim, SimNode *node, AqClaimsCall call)
+steady_store(Sim *sim, SimNode *node, AqClaimsStoreCall call)
 {
     (void)node;
     Bench *bench = sim->user;
@@ -193,12 +193,12 @@
 
 typedef struct {
     uint64_t token;
-    AqClaimsCall call;
+    AqClaimsStoreCall call;
 } Pending;
 
 static void
-hold_call(void *context, uint64_t token, AqClaimsCall call, bool is_prefix,
-          const char *key, const void *value, size_t size)
+hold_call(void *context, uint64_t token, AqClaimsStoreCall call,
+          bool is_prefix, const char *key, const void *value, size_t size)
 {
     (void)is_prefix;
     (void)key;
@@ -240,9 +240,9 @@
         for (int i = 0; i < 4; i++) {
             uint64_t token = pending.token;
             pending.token = 0;
-            AqClaimsResult result = pending.call == AQ_CLAIMS_READ
-                                        ? AQ_CLAIMS_ABSENT
-                                        : AQ_CLAIMS_DONE;
+            AqClaimsStoreResult result = pending.call == AQ_CLAIMS_READ
+                                             ? AQ_CLAIMS_STORE_ABSENT
+                                             : AQ_CLAIMS_STORE_OK;
             AqClaims_StoreDone(claims, now, SIM_WALL_START + now, token,
                                result, NULL, 0);
             now += 40;
--- a/packages/claims/claims.c
+++ b/packages/claims/claims.c
@@ -84,7 +84,7 @@
 }
 
 static AqClaimEntry *
-new_entry(const AqMsgClaim *claim, int op, AqMoment at)
+new_entry(const AqMsgClaim *claim, int op, AqClockReading at)
 {
     AqClaimEntry *entry = calloc(1, sizeof(*entry));
     if (entry == NULL) {
@@ -103,7 +103,7 @@
 }
 
 static void
-queue_release(AqClaims *claims, const AqMsgClaim *claim, AqMoment at)
+queue_release(AqClaims *claims, const AqMsgClaim *claim, AqClockReading at)
 {
     AqPartition *part = partition_of(claims, claim->hash);
     AqPartition_Queue(part, new_entry(claim, AQ_BATCH_RELEASE, at));
@@ -124,7 +124,7 @@
 AqClaims_Submit(AqClaims *claims, AqTime now, AqTime wall_ms, uint64_t request,
                 const AqMsgClaim *claim)
 {
-    AqMoment at = {now, wall_ms};
+    AqClockReading at = {now, wall_ms};
     AqPartition *part = partition_of(claims, claim->hash);
     AqClaimEntry *entry = new_entry(claim, AQ_BATCH_CLAIM, at);
     entry->request = request;
@@ -146,7 +146,7 @@
 AqClaims_Release(AqClaims *claims, AqTime now, AqTime wall_ms,
                  const AqMsgClaim *claim)
 {
-    AqMoment at = {now, wall_ms};
+    AqClockReading at = {now, wall_ms};
     AqPartition *part = partition_of(claims, claim->hash);
     AqPartition_Withdraw(claims, part, at, claim);
     queue_release(claims, claim, at);
@@ -168,7 +168,7 @@
 
 /* Forgets a claim whose verdict was reached but not passed on. */
 static bool
-forget_decided(AqClaims *claims, AqMoment at, uint64_t request)
+forget_decided(AqClaims *claims, AqClockReading at, uint64_t request)
 {
     AqClaimEntry *entry = find_request(&claims->decided, request);
     if (entry == NULL) {
@@ -195,7 +195,7 @@
 void
 AqClaims_Forget(AqClaims *claims, AqTime now, AqTime wall_ms, uint64_t request)
 {
-    AqMoment at = {now, wall_ms};
+    AqClockReading at = {now, wall_ms};
     if (forget_decided(claims, at, request)) {
         return;
     }
@@ -219,10 +219,10 @@
 
 void
 AqClaims_StoreDone(AqClaims *claims, AqTime now, AqTime wall_ms,
-                   uint64_t token, AqClaimsResult result,
+                   uint64_t token, AqClaimsStoreResult result,
                    const AqClaimsItem *items, size_t count)
 {
-    AqMoment at = {now, wall_ms};
+    AqClockReading at = {now, wall_ms};
     AqPartition *part = &claims->partitions[token % AQ_CLAIM_PARTITIONS];
     if (token != 0 && token == part->removal) {
         AqPartition_RemoveDone(part, now, result);
@@ -249,12 +249,12 @@
 void
 AqClaims_Tick(AqClaims *claims, AqTime now, AqTime wall_ms)
 {
-    AqMoment at = {now, wall_ms};
+    AqClockReading at = {now, wall_ms};
     for (int i = 0; i < AQ_CLAIM_PARTITIONS; i++) {
         AqPartition *part = &claims->partitions[i];
         AqPartition_Expire(claims, part, at);
         AqPartition_Advance(claims, part, at);
-        AqPartition_Retain(claims, part, at);
+        AqPartition_ApplyRetention(claims, part, at);
     }
     pass_on(claims);
 }
--- a/packages/claims/partition.c
+++ b/packages/claims/partition.c
@@ -102,7 +102,7 @@
 }
 
 void
-AqPartition_FailPending(AqClaims *claims, AqPartition *part, AqMoment at)
+AqPartition_FailPending(AqClaims *claims, AqPartition *part, AqClockReading at)
 {
     fail_pending(claims, part, at.wall, AQ_TIME_NEVER);
     part->not_before = at.now + RETRY_MS;
@@ -135,15 +135,15 @@
 }
 
 static void
-dissolve_if_unwanted(AqClaims *claims, AqPartition *part, AqMoment at)
+dissolve_if_unwanted(AqClaims *claims, AqPartition *part, AqClockReading at)
 {
     if (part->in_doubt && part->token == 0 && !batch_has_waiting(part)) {
-        AqPartition_DissolveBatch(claims, part, at);
+        AqPartition_AbandonBatch(claims, part, at);
     }
 }
 
 void
-AqPartition_Expire(AqClaims *claims, AqPartition *part, AqMoment at)
+AqPartition_Expire(AqClaims *claims, AqPartition *part, AqClockReading at)
 {
     fail_pending(claims, part, at.wall, at.now);
     AqList_ForEach(link, &part->batch)
@@ -164,7 +164,7 @@
 }
 
 void
-AqPartition_Withdraw(AqClaims *claims, AqPartition *part, AqMoment at,
+AqPartition_Withdraw(AqClaims *claims, AqPartition *part, AqClockReading at,
                      const AqMsgClaim *claim)
 {
     AqList_ForEachSafe(link, after, &part->pending)
@@ -207,7 +207,7 @@
 }
 
 void
-AqPartition_GrantBatch(AqClaims *claims, AqPartition *part, AqMoment at)
+AqPartition_GrantBatch(AqClaims *claims, AqPartition *part, AqClockReading at)
 {
     for (AqLink *link; (link = AqList_PopFirst(&part->batch)) != NULL;) {
         AqClaimEntry *entry = AqList_Entry(link, AqClaimEntry, link);
@@ -252,7 +252,8 @@
 }
 
 void
-AqPartition_DissolveBatch(AqClaims *claims, AqPartition *part, AqMoment at)
+AqPartition_AbandonBatch(AqClaims *claims, AqPartition *part,
+                         AqClockReading at)
 {
     AqList_ForEach(link, &part->batch)
     {
@@ -336,7 +337,7 @@
 /* Moves pending entries to the batch and decides the claims that need no
  * write.  Sets part->need when a claim needs a read instead. */
 static void
-build_batch(AqClaims *claims, AqPartition *part, AqMoment at)
+build_batch(AqClaims *claims, AqPartition *part, AqClockReading at)
 {
     AqIdTable taken = {0};
     size_t count = 0;
@@ -385,7 +386,7 @@
 }
 
 void
-AqPartition_Advance(AqClaims *claims, AqPartition *part, AqMoment at)
+AqPartition_Advance(AqClaims *claims, AqPartition *part, AqClockReading at)
 {
     bool idle = AqList_IsEmpty(&part->pending) && AqList_IsEmpty(&part->batch);
     if (part->token != 0 || at.now < part->not_before || idle) {
@@ -395,7 +396,7 @@
         part->need = AQ_NEED_ALL;
     }
     if (part->need == AQ_NEED_ALL) {
-        AqPartition_DissolveBatch(claims, part, at);
+        AqPartition_AbandonBatch(claims, part, at);
     }
     if (part->need != AQ_NEED_NOTHING) {
         AqPartition_StartRead(claims, part, at.now);
@@ -417,14 +418,14 @@
 }
 
 static void
-created(AqClaims *claims, AqPartition *part, AqMoment at)
+created(AqClaims *claims, AqPartition *part, AqClockReading at)
 {
     /* The entries below "seq" may have been deleted since they were read, and
      * "seq" with them: then this create took the place of a deleted batch,
      * and newer batches were never read. */
     if (AqPartition_IsStale(claims, part, at.now)) {
         part->need = AQ_NEED_ALL;
-        AqPartition_DissolveBatch(claims, part, at);
+        AqPartition_AbandonBatch(claims, part, at);
         return;
     }
     int64_t newest = at.wall;
@@ -442,26 +443,27 @@
 }
 
 void
-AqPartition_CreateDone(AqClaims *claims, AqPartition *part, AqMoment at,
-                       AqClaimsResult result)
+AqPartition_CreateDone(AqClaims *claims, AqPartition *part, AqClockReading at,
+                       AqClaimsStoreResult result)
 {
-    unsigned without = claims->config.without;
-    bool done = result == AQ_CLAIMS_DONE ||
-                (result == AQ_CLAIMS_EXISTS &&
-                 (without & AQ_CLAIMS_WITHOUT_CREATE_ONLY) != 0) ||
-                (result == AQ_CLAIMS_LOST &&
-                 (without & AQ_CLAIMS_WITHOUT_READ_BACK) != 0);
+    unsigned disabled = claims->config.disabled;
+    bool done = result == AQ_CLAIMS_STORE_OK ||
+                (result == AQ_CLAIMS_STORE_EXISTS &&
+                 (disabled & AQ_CLAIMS_DISABLE_CREATE_ONLY) != 0) ||
+                (result == AQ_CLAIMS_STORE_UNKNOWN &&
+                 (disabled & AQ_CLAIMS_DISABLE_READ_BACK) != 0);
     if (done) {
         created(claims, part, at);
     }
-    else if (result == AQ_CLAIMS_EXISTS) {
+    else if (result == AQ_CLAIMS_STORE_EXISTS) {
         part->need = AQ_NEED_NEXT;
     }
-    else if (result == AQ_CLAIMS_LOST || part->in_doubt) {
+    else if (result == AQ_CLAIMS_STORE_UNKNOWN || part->in_doubt) {
         part->in_doubt = true;
         part->need = AQ_NEED_NEXT;
-        part->not_before =
-            result == AQ_CLAIMS_LOST ? part->not_before : at.now + RETRY_MS;
+        part->not_before = result == AQ_CLAIMS_STORE_UNKNOWN
+                               ? part->not_before
+                               : at.now + RETRY_MS;
     }
     else {
         AqPartition_RequeueBatch(part);
--- a/packages/claims/partition.h
+++ b/packages/claims/partition.h
@@ -68,7 +68,7 @@
     bool in_doubt;      /* an attempt to write it has no known result */
 
     uint64_t token; /* of the read or create in flight; 0 for none */
-    AqClaimsCall call;
+    AqClaimsStoreCall call;
     bool reads_all;
     uint64_t read_end; /* first SEQ after those that the read covers */
     AqTime started;
@@ -99,7 +99,7 @@
 typedef struct {
     AqTime now;
     AqTime wall;
-} AqMoment;
+} AqClockReading;
 
 /* partition.c: the write path. */
 void AqPartition_Init(AqPartition *part, int number);
@@ -109,27 +109,31 @@
 void AqPartition_Decide(AqClaims *claims, AqClaimEntry *entry,
                         AqClaimVerdict verdict);
 /* Starts the next store call, when one is due. */
-void AqPartition_Advance(AqClaims *claims, AqPartition *part, AqMoment at);
+void AqPartition_Advance(AqClaims *claims, AqPartition *part,
+                         AqClockReading at);
 /* Gives up on claims whose deadline has passed. */
-void AqPartition_Expire(AqClaims *claims, AqPartition *part, AqMoment at);
+void AqPartition_Expire(AqClaims *claims, AqPartition *part,
+                        AqClockReading at);
 /* Ends the wait of a claim that its holder releases: it must not be granted
  * after that. */
-void AqPartition_Withdraw(AqClaims *claims, AqPartition *part, AqMoment at,
-                          const AqMsgClaim *claim);
+void AqPartition_Withdraw(AqClaims *claims, AqPartition *part,
+                          AqClockReading at, const AqMsgClaim *claim);
 /* Answers all pending claims when the store cannot be reached. */
-void AqPartition_FailPending(AqClaims *claims, AqPartition *part, AqMoment at);
+void AqPartition_FailPending(AqClaims *claims, AqPartition *part,
+                             AqClockReading at);
 /* The batch is in the store: grants its claims. */
-void AqPartition_GrantBatch(AqClaims *claims, AqPartition *part, AqMoment at);
+void AqPartition_GrantBatch(AqClaims *claims, AqPartition *part,
+                            AqClockReading at);
 /* The batch is not in the store and can never be: evaluates it again. */
 void AqPartition_RequeueBatch(AqPartition *part);
 /* Gives up on a batch that may be in the store: releases its claims. */
-void AqPartition_DissolveBatch(AqClaims *claims, AqPartition *part,
-                               AqMoment at);
+void AqPartition_AbandonBatch(AqClaims *claims, AqPartition *part,
+                              AqClockReading at);
 /* Another daemon wrote this claim and may have granted it, so it must not be
  * released from here without its holder asking for that. */
 void AqPartition_KeepClaim(AqPartition *part, const AqBatchEntry *claim);
-void AqPartition_CreateDone(AqClaims *claims, AqPartition *part, AqMoment at,
-                            AqClaimsResult result);
+void AqPartition_CreateDone(AqClaims *claims, AqPartition *part,
+                            AqClockReading at, AqClaimsStoreResult result);
 
 /* partition_log.c: what is known of the log. */
 bool AqPartition_IsStale(const AqClaims *claims, const AqPartition *part,
@@ -147,13 +151,14 @@
 /* The group of a SEQ. */
 uint64_t AqPartition_GroupOf(const AqClaims *claims, uint64_t seq);
 void AqPartition_StartRead(AqClaims *claims, AqPartition *part, AqTime now);
-void AqPartition_ReadDone(AqClaims *claims, AqPartition *part, AqMoment at,
-                          AqClaimsResult result, const AqClaimsItem *items,
-                          size_t count);
+void AqPartition_ReadDone(AqClaims *claims, AqPartition *part,
+                          AqClockReading at, AqClaimsStoreResult result,
+                          const AqClaimsItem *items, size_t count);
 /* Removes old batches and forgets old ids. */
-void AqPartition_Retain(AqClaims *claims, AqPartition *part, AqMoment at);
+void AqPartition_ApplyRetention(AqClaims *claims, AqPartition *part,
+                                AqClockReading at);
 void AqPartition_RemoveDone(AqPartition *part, AqTime now,
-                            AqClaimsResult result);
+                            AqClaimsStoreResult result);
 
 uint64_t AqPartition_NewToken(AqClaims *claims, const AqPartition *part);
 bool AqPartition_CheckConsistency(const AqClaims *claims,
--- a/packages/claims/partition_log.c
+++ b/packages/claims/partition_log.c
@@ -27,7 +27,7 @@
 AqPartition_IsStale(const AqClaims *claims, const AqPartition *part,
                     AqTime now)
 {
-    return (claims->config.without & AQ_CLAIMS_WITHOUT_REREAD) == 0 &&
+    return (claims->config.disabled & AQ_CLAIMS_DISABLE_REREAD) == 0 &&
            now - part->confirmed >= claims->config.retention_ms / 2;
 }
 
@@ -73,7 +73,7 @@
     uint8_t key[16];
     AqIdRecord *record = AqIdTable_Find(&part->ids, entry->hash);
     bool any_nonce =
-        (claims->config.without & AQ_CLAIMS_WITHOUT_RELEASE_NONCE) != 0;
+        (claims->config.disabled & AQ_CLAIMS_DISABLE_RELEASE_NONCE) != 0;
     if (record != NULL && (record->nonce == entry->nonce || any_nonce)) {
         AqIdTable_Remove(&part->ids, record);
     }
@@ -268,7 +268,7 @@
 
 /* Decides what becomes of a batch once the log around its SEQ was read. */
 static void
-settle_batch(AqClaims *claims, AqPartition *part, AqMoment at, bool own)
+settle_batch(AqClaims *claims, AqPartition *part, AqClockReading at, bool own)
 {
     if (AqList_IsEmpty(&part->batch)) {
         return;
@@ -282,7 +282,7 @@
 }
 
 static void
-read_failed(AqClaims *claims, AqPartition *part, AqMoment at, bool again)
+read_failed(AqClaims *claims, AqPartition *part, AqClockReading at, bool again)
 {
     if (again) {
         part->need = AQ_NEED_ALL;
@@ -291,11 +291,11 @@
 }
 
 static void
-read_all_done(AqClaims *claims, AqPartition *part, AqMoment at,
+read_all_done(AqClaims *claims, AqPartition *part, AqClockReading at,
               const AqClaimsItem *items, size_t count)
 {
     bool own = false;
-    AqPartition_DissolveBatch(claims, part, at);
+    AqPartition_AbandonBatch(claims, part, at);
     AqIdTable_Clear(&part->ids);
     part->group_first = 0;
     part->group_count = 0;
@@ -311,14 +311,14 @@
 }
 
 void
-AqPartition_ReadDone(AqClaims *claims, AqPartition *part, AqMoment at,
-                     AqClaimsResult result, const AqClaimsItem *items,
+AqPartition_ReadDone(AqClaims *claims, AqPartition *part, AqClockReading at,
+                     AqClaimsStoreResult result, const AqClaimsItem *items,
                      size_t count)
 {
-    if (result == AQ_CLAIMS_ABSENT) {
+    if (result == AQ_CLAIMS_STORE_ABSENT) {
         count = 0;
     }
-    else if (result != AQ_CLAIMS_DONE) {
+    else if (result != AQ_CLAIMS_STORE_OK) {
         read_failed(claims, part, at, false);
         return;
     }
@@ -352,7 +352,7 @@
  * then rely on SEQ not having been written and removed since, whatever the
  * clocks and pauses of others were. */
 static void
-remove_oldest(AqClaims *claims, AqPartition *part, AqMoment at)
+remove_oldest(AqClaims *claims, AqPartition *part, AqClockReading at)
 {
     AqTime retention = claims->config.retention_ms;
     part->remove_at = at.now + REMOVE_MS;
@@ -381,7 +381,8 @@
 }
 
 void
-AqPartition_Retain(AqClaims *claims, AqPartition *part, AqMoment at)
+AqPartition_ApplyRetention(AqClaims *claims, AqPartition *part,
+                           AqClockReading at)
 {
     AqTime retention = claims->config.retention_ms;
     if (part->removal == 0 && at.now >= part->remove_at) {
@@ -394,11 +395,13 @@
 }
 
 void
-AqPartition_RemoveDone(AqPartition *part, AqTime now, AqClaimsResult result)
+AqPartition_RemoveDone(AqPartition *part, AqTime now,
+                       AqClaimsStoreResult result)
 {
     part->removal = 0;
     part->remove_at = now + REMOVE_MS;
-    bool gone = result == AQ_CLAIMS_DONE || result == AQ_CLAIMS_ABSENT;
+    bool gone =
+        result == AQ_CLAIMS_STORE_OK || result == AQ_CLAIMS_STORE_ABSENT;
     /* A read of the whole partition may have dropped the group already. */
     if (!gone || part->group_first == part->group_count ||
         part->groups[part->group_first].number != part->removed) {
--- a/packages/claims/tests/sim.c
+++ b/packages/claims/tests/sim.c
@@ -176,8 +176,8 @@
 }
 
 static void
-store_call(void *context, uint64_t token, AqClaimsCall kind, bool is_prefix,
-           const char *key, const void *value, size_t size)
+store_call(void *context, uint64_t token, AqClaimsStoreCall kind,
+           bool is_prefix, const char *key, const void *value, size_t size)
 {
     SimNode *node = context;
     Sim *sim = node->sim;
@@ -220,7 +220,7 @@
         notice->node = node;
         notice->generation = node->generation;
         notice->token = token;
-        notice->result = AQ_CLAIMS_LOST;
+        notice->result = AQ_CLAIMS_STORE_UNKNOWN;
         Sim_At(sim, start + sim->config.store_timeout_ms, run_reply,
                (uint64_t)(uintptr_t)notice);
     }
--- a/packages/claims/tests/sim.h
+++ b/packages/claims/tests/sim.h
@@ -84,7 +84,7 @@
     uint64_t removed;
     AqTime max_skew;
     /* Decides what happens to a store call. */
-    SimFate (*fate)(Sim *sim, SimNode *node, AqClaimsCall call);
+    SimFate (*fate)(Sim *sim, SimNode *node, AqClaimsStoreCall call);
     /* Called at each verdict, may be NULL. */
     void (*decided)(Sim *sim, size_t request);
     void *user;
--- a/packages/claims/tests/sim_store.c
+++ b/packages/claims/tests/sim_store.c
@@ -46,7 +46,7 @@
         abort();
     }
     if (slot->bytes != NULL) {
-        call->result = AQ_CLAIMS_EXISTS;
+        call->result = AQ_CLAIMS_STORE_EXISTS;
         return;
     }
     note_written(sim, call, slot);
@@ -56,7 +56,7 @@
     if (call->first > sim->newest[call->partition]) {
         sim->newest[call->partition] = call->first;
     }
-    call->result = AQ_CLAIMS_DONE;
+    call->result = AQ_CLAIMS_STORE_OK;
 }
 
 /* Removes a range; checks age, order and that the newest batch stays.  A
@@ -87,7 +87,7 @@
         slots[seq] = (SimBatch){0};
         sim->removed++;
     }
-    call->result = AQ_CLAIMS_DONE;
+    call->result = AQ_CLAIMS_STORE_OK;
 }
 
 static void
@@ -113,17 +113,18 @@
         call->items[i].value = at;
         at += call->items[i].size;
     }
-    call->result = call->count > 0 ? AQ_CLAIMS_DONE : AQ_CLAIMS_ABSENT;
+    call->result =
+        call->count > 0 ? AQ_CLAIMS_STORE_OK : AQ_CLAIMS_STORE_ABSENT;
 }
 
 void
 SimStore_Take(Sim *sim, SimCall *call)
 {
     if (call->fate.down) {
-        call->result = AQ_CLAIMS_DOWN;
+        call->result = AQ_CLAIMS_STORE_UNAVAILABLE;
     }
     else if (call->fate.no_effect) {
-        call->result = AQ_CLAIMS_LOST;
+        call->result = AQ_CLAIMS_STORE_UNKNOWN;
     }
     else if (call->call == AQ_CLAIMS_CREATE) {
         create_batch(sim, call);
--- a/packages/claims/tests/sim_store.h
+++ b/packages/claims/tests/sim_store.h
@@ -10,14 +10,14 @@
     SimNode *node;
     int generation;
     uint64_t token;
-    AqClaimsCall call;
+    AqClaimsStoreCall call;
     int partition;
     uint64_t first; /* SEQ range of the key or prefix */
     uint64_t last;
     char *value; /* owned */
     size_t size;
     SimFate fate;
-    AqClaimsResult result;
+    AqClaimsStoreResult result;
     AqBuffer found; /* of a read: values one after another */
     AqClaimsItem *items;
     char (*keys)[64];
--- a/packages/claims/tests/test_claims.c
+++ b/packages/claims/tests/test_claims.c
@@ -33,7 +33,7 @@
 }
 
 static SimFate
-chaos(Sim *sim, SimNode *node, AqClaimsCall call)
+chaos(Sim *sim, SimNode *node, AqClaimsStoreCall call)
 {
     (void)node;
     (void)call;
@@ -216,13 +216,13 @@
 }
 
 static void
-run_chaos(uint64_t seed, unsigned without, Outcome *outcome)
+run_chaos(uint64_t seed, unsigned disabled, Outcome *outcome)
 {
     AqClaimsConfig config = {.retention_ms = HOUR,
                              .batch_ms = 40,
                              .store_timeout_ms = SECOND,
                              .prefix_removal = seed % 2 == 0,
-                             .without = without};
+                             .disabled = disabled};
     Sim sim;
     Sim_Create(&sim, seed, 3, &config);
     sim.fate = chaos;
@@ -274,19 +274,19 @@
 test_random_faults_without_mechanisms(void)
 {
     static const struct {
-        unsigned without;
+        unsigned disabled;
         const char *name;
     } cases[] = {
-        {AQ_CLAIMS_WITHOUT_CREATE_ONLY, "create-only"},
-        {AQ_CLAIMS_WITHOUT_READ_BACK, "read-back"},
-        {AQ_CLAIMS_WITHOUT_REREAD, "re-read"},
-        {AQ_CLAIMS_WITHOUT_RELEASE_NONCE, "release-nonce"},
+        {AQ_CLAIMS_DISABLE_CREATE_ONLY, "create-only"},
+        {AQ_CLAIMS_DISABLE_READ_BACK, "read-back"},
+        {AQ_CLAIMS_DISABLE_REREAD, "re-read"},
+        {AQ_CLAIMS_DISABLE_RELEASE_NONCE, "release-nonce"},
     };
     for (size_t i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
         Outcome outcome = {0};
         uint64_t seed = 0;
         while (outcome.double_grants == 0 && seed < SEEDS) {
-            run_chaos(++seed, cases[i].without, &outcome);
+            run_chaos(++seed, cases[i].disabled, &outcome);
         }
         printf("\n    without %s: granted twice in seed %" PRIu64
                "; first failure in %s ",
--- a/packages/claims/tests/test_fault_points.c
+++ b/packages/claims/tests/test_fault_points.c
@@ -110,7 +110,7 @@
 } FaultRun;
 
 static SimFate
-scripted(Sim *sim, SimNode *node, AqClaimsCall call)
+scripted(Sim *sim, SimNode *node, AqClaimsStoreCall call)
 {
     FaultRun *run = sim->user;
     SimFate fate = {.effect_ms = 2, .reply_ms = 2};
--- a/packages/claims/tests/test_parts.c
+++ b/packages/claims/tests/test_parts.c
@@ -6,7 +6,7 @@
 #include "sim.h"
 
 static SimFate
-steady(Sim *sim, SimNode *node, AqClaimsCall call)
+steady(Sim *sim, SimNode *node, AqClaimsStoreCall call)
 {
     (void)node;
     uint64_t *calls = sim->user;
--- a/packages/daemon/attempts.c
+++ b/packages/daemon/attempts.c
@@ -32,7 +32,7 @@
 };
 
 void
-Answer_Destroy(Answer *answer)
+EndpointResponse_Destroy(EndpointResponse *answer)
 {
     if (answer == NULL) {
         return;
@@ -62,10 +62,10 @@
 
 /* ---- Answers ------------------------------------------------------------ */
 
-static Answer *
+static EndpointResponse *
 copy_answer(const AqHttpReply *reply)
 {
-    Answer *answer = calloc(1, sizeof(*answer));
+    EndpointResponse *answer = calloc(1, sizeof(*answer));
     GPtrArray *headers = g_ptr_array_new();
     for (const char *const *at = reply->headers; *at != NULL; at++) {
         if (!Attempts_IsOwnHeader(*at)) {
@@ -101,8 +101,8 @@
         return AQ_ATTEMPT_CUT;
     }
     if (is_set(reply, "Aq-Leaving")) {
-        Endpoints_ToldLeaving(attempt->owner->daemon->endpoints,
-                              attempt->endpoint, true);
+        Endpoints_OnLeaving(attempt->owner->daemon->endpoints,
+                            attempt->endpoint, true);
     }
     if (reply->status == 503 && is_set(reply, "Aq-Not-Run")) {
         return AQ_ATTEMPT_REFUSED;
@@ -134,8 +134,8 @@
     AqAttemptResult result = classify(attempt, reply);
     attempt->call = NULL;
     if (result == AQ_ATTEMPT_ANSWERED || result == AQ_ATTEMPT_FAILED) {
-        Callers_TakeAnswer(daemon->callers, attempt->request, id,
-                           copy_answer(reply));
+        Callers_TakeResponse(daemon->callers, attempt->request, id,
+                             copy_answer(reply));
     }
     else if (result != AQ_ATTEMPT_REFUSED) {
         AqLog_Event(AQ_LOG_INFO, "attempt_failed",
@@ -201,7 +201,8 @@
         .fresh_connection = order->fresh_connection,
         .timeout_ms = (left > 0 ? left : 0) + BACKSTOP_MS,
         .connect_timeout_ms = CONNECT_LIMIT_MS,
-        .max_answer = (size_t)daemon->settings->router_max_answer_bytes,
+        .max_response_bytes =
+            (size_t)daemon->settings->router_max_answer_bytes,
     };
     attempt->call = AqHttpClient_Start(daemon->http, &call, on_reply, attempt);
     g_free(url);
--- a/packages/daemon/attempts.h
+++ b/packages/daemon/attempts.h
@@ -14,9 +14,9 @@
     char **headers; /* "Name: value", NULL-terminated; without hop-by-hop */
     char *body;
     size_t size;
-} Answer;
+} EndpointResponse;
 
-void Answer_Destroy(Answer *answer);
+void EndpointResponse_Destroy(EndpointResponse *answer);
 
 /* What an attempt sends; all borrowed for the call. */
 typedef struct {
--- a/packages/daemon/bench/bench_changes.c
+++ b/packages/daemon/bench/bench_changes.c
@@ -11,24 +11,24 @@
 };
 
 static long long
-read_version(AqHttpClient *client, const char *url)
+read_version(AqTestHttpClient *client, const char *url)
 {
     static const char *const headers[] = {"Authorization: Bearer " BENCH_TOKEN,
                                           NULL};
     AqError error;
-    AqHttpReply reply = {0};
-    AqHttpCall call = {.method = "GET", .url = url, .headers = headers};
+    AqTestHttpReply reply = {0};
+    AqTestHttpCall call = {.method = "GET", .url = url, .headers = headers};
     long long version = 0;
-    if (AqHttpClient_Call(client, &call, &reply, &error)) {
+    if (AqTestHttpClient_Call(client, &call, &reply, &error)) {
         const char *at = strstr(AqBuffer_Text(&reply.body), "\"version\":");
         version = at != NULL ? atoll(at + strlen("\"version\":")) : 0;
     }
-    AqHttpReply_Clear(&reply);
+    AqTestHttpReply_Clear(&reply);
     return version;
 }
 
 typedef struct {
-    AqHttpClient *clients[BENCH_MAX_DAEMONS];
+    AqTestHttpClient *clients[BENCH_MAX_DAEMONS];
     char urls[BENCH_MAX_DAEMONS][128];
     double reply[CHANGES];
     double spread[CHANGES]; /* from the reply */
@@ -73,7 +73,7 @@
     bench_start(&site, plan);
     bench_sleep(SETTLE_MS);
     for (int i = 0; i < plan->daemons; i++) {
-        c->clients[i] = AqHttpClient_Create();
+        c->clients[i] = AqTestHttpClient_Create();
         bench_url(&site, i, "operators", "/admin/v1/status", c->urls[i],
                   sizeof(c->urls[i]));
     }
@@ -92,7 +92,7 @@
            bench_percentile(c->total, c->count, 100), c->refused);
     fflush(stdout);
     for (int i = 0; i < plan->daemons; i++) {
-        AqHttpClient_Destroy(c->clients[i]);
+        AqTestHttpClient_Destroy(c->clients[i]);
     }
     free(c);
     bench_stop(&site);
--- a/packages/daemon/bench/bench_idle.c
+++ b/packages/daemon/bench/bench_idle.c
@@ -162,15 +162,15 @@
 {
     char url[128];
     AqError error;
-    AqHttpReply reply = {0};
-    AqHttpCall call = {.method = "GET", .url = url};
+    AqTestHttpReply reply = {0};
+    AqTestHttpCall call = {.method = "GET", .url = url};
     snprintf(url, sizeof(url), "http://%s/v1/vms",
              AqProcess_Address(site->platform, "platform"));
-    if (!AqHttp_Call(&call, &reply, &error)) {
+    if (!AqTestHttp_Call(&call, &reply, &error)) {
         bench_fail(url, error.message);
     }
     size_t size = reply.body.size;
-    AqHttpReply_Clear(&reply);
+    AqTestHttpReply_Clear(&reply);
     return size;
 }
 
--- a/packages/daemon/bench/bench_requests.c
+++ b/packages/daemon/bench/bench_requests.c
@@ -38,10 +38,10 @@
 static int runs;
 
 static void
-count_reply(Worker *worker, const AqHttpReply *reply, double us)
+count_reply(Worker *worker, const AqTestHttpReply *reply, double us)
 {
     char outcome[24] = "completed"; /* a direct answer has no outcome */
-    AqHttpReply_Header(reply, "Aq-Outcome", outcome, sizeof(outcome));
+    AqTestHttpReply_Header(reply, "Aq-Outcome", outcome, sizeof(outcome));
     if (reply->status == 200 && strcmp(outcome, "completed") == 0) {
         worker->late += us > LATE_US;
         if (worker->completed < MAX_REQUESTS) {
@@ -60,31 +60,31 @@
 run_worker(void *context)
 {
     Worker *worker = context;
-    AqHttpClient *client = AqHttpClient_Create();
+    AqTestHttpClient *client = AqTestHttpClient_Create();
     bool once = worker->kind == KIND_NON_IDEMPOTENT;
     for (long i = 0; bench_now_us() < worker->end_us; i++) {
         char id[96];
         AqError error;
-        AqHttpReply reply = {0};
+        AqTestHttpReply reply = {0};
         snprintf(id, sizeof(id), "Aq-Request-Id: r%d-%d-%ld", worker->run,
                  worker->number, i);
         const char *headers[] = {id, "Aq-Timeout-Ms: 5000", NULL};
-        AqHttpCall call = {.method = once ? "POST" : "GET",
-                           .url = worker->url,
-                           .headers = headers,
-                           .body = once ? "x" : NULL,
-                           .size = once ? 1 : 0,
-                           .timeout_ms = TIMEOUT_MS + 3000};
+        AqTestHttpCall call = {.method = once ? "POST" : "GET",
+                               .url = worker->url,
+                               .headers = headers,
+                               .body = once ? "x" : NULL,
+                               .size = once ? 1 : 0,
+                               .timeout_ms = TIMEOUT_MS + 3000};
         double start = bench_now_us();
-        if (AqHttpClient_Call(client, &call, &reply, &error)) {
+        if (AqTestHttpClient_Call(client, &call, &reply, &error)) {
             count_reply(worker, &reply, bench_now_us() - start);
         }
         else {
             worker->unknown++;
         }
-        AqHttpReply_Clear(&reply);
+        AqTestHttpReply_Clear(&reply);
     }
-    AqHttpClient_Destroy(client);
+    AqTestHttpClient_Destroy(client);
     return NULL;
 }
 
--- a/packages/daemon/bench/bench_site.c
+++ b/packages/daemon/bench/bench_site.c
@@ -224,15 +224,15 @@
 {
     char url[192];
     AqError error;
-    AqHttpReply reply = {0};
+    AqTestHttpReply reply = {0};
     snprintf(url, sizeof(url), "http://%s/v1/kv/%s?cas=0",
              AqProcess_Address(site->platform, "platform"), key);
-    AqHttpCall call = {
+    AqTestHttpCall call = {
         .method = "PUT", .url = url, .body = value, .size = strlen(value)};
-    if (!AqHttp_Call(&call, &reply, &error) || reply.status != 200) {
+    if (!AqTestHttp_Call(&call, &reply, &error) || reply.status != 200) {
         bench_fail(key, "was not stored");
     }
-    AqHttpReply_Clear(&reply);
+    AqTestHttpReply_Clear(&reply);
 }
 
 static void
@@ -341,7 +341,7 @@
     char url[128];
     AqError error;
     bench_url(site, daemon, "operators", "/admin/v1/status", url, sizeof(url));
-    json_t *status = AqHttp_Json("GET", url, headers, NULL, NULL, &error);
+    json_t *status = AqTestHttp_Json("GET", url, headers, NULL, NULL, &error);
     if (status == NULL) {
         bench_fail(url, error.message);
     }
@@ -359,7 +359,7 @@
     bench_url(site, 0, "operators", "/admin/v1/intents", url, sizeof(url));
     json_t *body = json_pack("{s:s,s:s,s:o}", "op", op, "kind", kind, "args",
                              json_loads(args, 0, NULL));
-    json_decref(AqHttp_Json("POST", url, headers, body, &status, &error));
+    json_decref(AqTestHttp_Json("POST", url, headers, body, &status, &error));
     json_decref(body);
     return status;
 }
@@ -373,7 +373,7 @@
     json_t *body = json != NULL ? json_loads(json, 0, NULL) : NULL;
     snprintf(url, sizeof(url), "http://%s%s",
              AqProcess_Address(process, "control"), path);
-    json_t *reply = AqHttp_Json(method, url, NULL, body, NULL, &error);
+    json_t *reply = AqTestHttp_Json(method, url, NULL, body, NULL, &error);
     json_decref(body);
     if (reply == NULL) {
         bench_fail(url, error.message);
--- a/packages/daemon/burn_sync.c
+++ b/packages/daemon/burn_sync.c
@@ -101,7 +101,7 @@
 }
 
 void
-BurnSync_PeerCounters(BurnSync *burn, const AqMsgBurn *msg)
+BurnSync_OnPeerCounters(BurnSync *burn, const AqMsgBurn *msg)
 {
     merge_text(burn, msg->text, strlen(msg->text));
 }
--- a/packages/daemon/burn_sync.h
+++ b/packages/daemon/burn_sync.h
@@ -17,7 +17,7 @@
 /* Takes over the objectives of the pools in the fleet document. */
 void BurnSync_Refresh(BurnSync *burn);
 /* Counters of a peer. */
-void BurnSync_PeerCounters(BurnSync *burn, const AqMsgBurn *msg);
+void BurnSync_OnPeerCounters(BurnSync *burn, const AqMsgBurn *msg);
 /* A new reference. */
 json_t *BurnSync_Report(BurnSync *burn);
 
--- a/packages/daemon/caller_request.c
+++ b/packages/daemon/caller_request.c
@@ -22,7 +22,7 @@
     g_free(request->path);
     free(request->request_id);
     g_strfreev(request->headers);
-    Answer_Destroy(request->answer);
+    EndpointResponse_Destroy(request->answer);
     free(request);
 }
 
@@ -135,12 +135,12 @@
 read_priority(CallerRequest *request, AqError *error)
 {
     const char *text = AqExchange_Header(request->exchange, "Aq-Priority");
-    request->priority = AQ_LIVE;
+    request->priority = AQ_PRIORITY_LIVE;
     if (text == NULL || strcmp(text, "live") == 0) {
         return true;
     }
     if (strcmp(text, "archive") == 0) {
-        request->priority = AQ_ARCHIVE;
+        request->priority = AQ_PRIORITY_ARCHIVE;
         return true;
     }
     return AqError_Set(error, AQ_ERR_INVALID,
--- a/packages/daemon/caller_request.h
+++ b/packages/daemon/caller_request.h
@@ -17,9 +17,9 @@
     AqPriority priority;
     AqTime timeout_ms;
     AqTime started;
-    char **headers; /* passed on to the endpoint */
-    Answer *answer; /* of the latest attempt that was answered */
-    uint64_t answer_attempt;
+    char **headers;           /* passed on to the endpoint */
+    EndpointResponse *answer; /* of the latest attempt that was answered */
+    uint64_t response_attempt;
 } CallerRequest;
 
 /* Prefix of the paths that are forwarded. */
--- a/packages/daemon/callers.c
+++ b/packages/daemon/callers.c
@@ -154,7 +154,7 @@
 static void
 respond_answer(CallerRequest *request)
 {
-    Answer *answer = request->answer;
+    EndpointResponse *answer = request->answer;
     AqHttpHeader headers[MAX_ANSWER_HEADERS];
     size_t n = 0;
     headers[n++] = (AqHttpHeader){"Aq-Outcome", "completed"};
@@ -253,7 +253,7 @@
     count(daemon, request, outcome, AqLoop_Now(daemon->loop));
     ClaimClient_End(daemon->claims, number);
     if (outcome->kind == AQ_OUTCOME_COMPLETED && request->answer != NULL &&
-        request->answer_attempt == attempt) {
+        request->response_attempt == attempt) {
         respond_answer(request);
     }
     else {
@@ -282,17 +282,17 @@
 };
 
 void
-Callers_TakeAnswer(Callers *callers, uint64_t number, uint64_t attempt,
-                   Answer *answer)
+Callers_TakeResponse(Callers *callers, uint64_t number, uint64_t attempt,
+                     EndpointResponse *answer)
 {
     CallerRequest *request = g_hash_table_lookup(callers->by_number, &number);
     if (request == NULL) {
-        Answer_Destroy(answer);
+        EndpointResponse_Destroy(answer);
         return;
     }
-    Answer_Destroy(request->answer);
+    EndpointResponse_Destroy(request->answer);
     request->answer = answer;
-    request->answer_attempt = attempt;
+    request->response_attempt = attempt;
 }
 
 /* ---- Requests ----------------------------------------------------------- */
@@ -427,9 +427,9 @@
 }
 
 void
-Callers_CloseAfterAnswer(Callers *callers)
+Callers_CloseAfterResponse(Callers *callers)
 {
-    AqHttpServer_CloseAfterAnswer(callers->server);
+    AqHttpServer_CloseAfterResponse(callers->server);
 }
 
 void
--- a/packages/daemon/callers.h
+++ b/packages/daemon/callers.h
@@ -13,14 +13,14 @@
 uint16_t Callers_Port(const Callers *callers);
 /* Requests taken and not answered. */
 size_t Callers_Pending(const Callers *callers);
-void Callers_CloseAfterAnswer(Callers *callers);
+void Callers_CloseAfterResponse(Callers *callers);
 void Callers_StopListening(Callers *callers);
 
 /* The operations that the router calls; their context is the Daemon. */
 extern const AqRouterOps Callers_RouterOps;
 
 /* The answer of an attempt; takes ownership. */
-void Callers_TakeAnswer(Callers *callers, uint64_t number, uint64_t attempt,
-                        Answer *answer);
+void Callers_TakeResponse(Callers *callers, uint64_t number, uint64_t attempt,
+                          EndpointResponse *answer);
 
 #endif
--- a/packages/daemon/claim_client.c
+++ b/packages/daemon/claim_client.c
@@ -20,7 +20,7 @@
     AqLink link; /* in "asked" while a peer was asked */
     uint64_t request;
     AqMsgClaim claim;
-    AqTime asked_until;
+    AqTime requested_until;
     bool decided;
 } OwnClaim;
 
@@ -33,7 +33,7 @@
 typedef struct {
     ClaimClient *client;
     uint64_t token;
-    AqClaimsCall call;
+    AqClaimsStoreCall call;
     bool is_prefix;
     char key[64];
 } StoreCall;
@@ -56,20 +56,21 @@
 
 /* ---- Store -------------------------------------------------------------- */
 
-static AqClaimsResult
+static AqClaimsStoreResult
 to_result(const StoreCall *call, AqStoreStatus status)
 {
     switch (status) {
     case AQ_STORE_OK:
-        return AQ_CLAIMS_DONE;
+        return AQ_CLAIMS_STORE_OK;
     case AQ_STORE_ABSENT:
-        return AQ_CLAIMS_ABSENT;
+        return AQ_CLAIMS_STORE_ABSENT;
     case AQ_STORE_CONFLICT:
-        return AQ_CLAIMS_EXISTS;
+        return AQ_CLAIMS_STORE_EXISTS;
     case AQ_STORE_UNAVAILABLE:
-        return AQ_CLAIMS_DOWN;
+        return AQ_CLAIMS_STORE_UNAVAILABLE;
     default:
-        return call->call == AQ_CLAIMS_READ ? AQ_CLAIMS_DOWN : AQ_CLAIMS_LOST;
+        return call->call == AQ_CLAIMS_READ ? AQ_CLAIMS_STORE_UNAVAILABLE
+                                            : AQ_CLAIMS_STORE_UNKNOWN;
     }
 }
 
@@ -118,8 +119,8 @@
 }
 
 static void
-store_call(void *context, uint64_t token, AqClaimsCall kind, bool is_prefix,
-           const char *key, const void *value, size_t size)
+store_call(void *context, uint64_t token, AqClaimsStoreCall kind,
+           bool is_prefix, const char *key, const void *value, size_t size)
 {
     ClaimClient *client = context;
     AqStore *store = client->daemon->store;
@@ -203,7 +204,7 @@
     }
     AqList_Remove(&own->link);
     own->decided = true;
-    if (verdict == AQ_CLAIM_UNAVAILABLE && own->asked_until != 0) {
+    if (verdict == AQ_CLAIM_UNAVAILABLE && own->requested_until != 0) {
         /* The owner that was asked may still write it. */
         send_release(client, own);
     }
@@ -267,7 +268,7 @@
         AqMsg msg = {.type = AQ_MSG_CLAIM};
         msg.as.claim = own->claim;
         if (Peers_Send(client->daemon->peers, owner, &msg)) {
-            own->asked_until =
+            own->requested_until =
                 AqLoop_Now(client->daemon->loop) + OWNER_LIMIT_MS;
             AqList_Append(&client->asked, &own->link);
             start_timer(client);
@@ -321,8 +322,8 @@
 /* ---- Peers -------------------------------------------------------------- */
 
 void
-ClaimClient_PeerClaims(ClaimClient *client, const char *from,
-                       const AqMsgClaim *claim)
+ClaimClient_OnPeerClaim(ClaimClient *client, const char *from,
+                        const AqMsgClaim *claim)
 {
     if (g_hash_table_size(client->peers) >= MAX_CALLS) {
         return;
@@ -339,7 +340,7 @@
 }
 
 void
-ClaimClient_PeerReleases(ClaimClient *client, const AqMsgClaim *claim)
+ClaimClient_OnPeerRelease(ClaimClient *client, const AqMsgClaim *claim)
 {
     AqClaims_Release(client->claims, AqLoop_Now(client->daemon->loop),
                      AqClock_ReadWall(), claim);
@@ -347,7 +348,7 @@
 }
 
 void
-ClaimClient_PeerResult(ClaimClient *client, const AqMsgClaimResult *result)
+ClaimClient_OnPeerResult(ClaimClient *client, const AqMsgClaimResult *result)
 {
     decide(client, result->request, result->verdict);
 }
@@ -362,7 +363,7 @@
     AqList_ForEachSafe(at, after, &client->asked)
     {
         OwnClaim *own = AqList_Entry(at, OwnClaim, link);
-        if (own->asked_until <= now) {
+        if (own->requested_until <= now) {
             /* The same nonce: if the owner wrote it, it is found there. */
             submit_here(client, own);
         }
@@ -378,7 +379,7 @@
     if (!AqList_IsEmpty(&client->asked)) {
         /* All wait equally long, so the first is due first. */
         AqTime first =
-            AqList_Entry(client->asked.next, OwnClaim, link)->asked_until;
+            AqList_Entry(client->asked.next, OwnClaim, link)->requested_until;
         due = first < due ? first : due;
     }
     if (due != AQ_TIME_NEVER) {
--- a/packages/daemon/claim_client.h
+++ b/packages/daemon/claim_client.h
@@ -20,10 +20,10 @@
 void ClaimClient_End(ClaimClient *client, uint64_t request);
 
 /* Messages of peers. */
-void ClaimClient_PeerClaims(ClaimClient *client, const char *from,
-                            const AqMsgClaim *claim);
-void ClaimClient_PeerReleases(ClaimClient *client, const AqMsgClaim *claim);
-void ClaimClient_PeerResult(ClaimClient *client,
-                            const AqMsgClaimResult *result);
+void ClaimClient_OnPeerClaim(ClaimClient *client, const char *from,
+                             const AqMsgClaim *claim);
+void ClaimClient_OnPeerRelease(ClaimClient *client, const AqMsgClaim *claim);
+void ClaimClient_OnPeerResult(ClaimClient *client,
+                              const AqMsgClaimResult *result);
 
 #endif
--- a/packages/daemon/daemon.c
+++ b/packages/daemon/daemon.c
@@ -29,7 +29,7 @@
 struct AqDaemon {
     Daemon shared;
     Stopping *stopping;
-    Lending *lending;
+    SlotLeasing *leasing;
     AqTimer join;
     bool joining;
 };
@@ -93,7 +93,7 @@
     Peers_Refresh(daemon->peers);
     Endpoints_Refresh(daemon->endpoints);
     BurnSync_Refresh(daemon->burn);
-    Peers_HeartbeatSoon(daemon->peers);
+    Peers_TriggerHeartbeat(daemon->peers);
 }
 
 /* ---- Peers -------------------------------------------------------------- */
@@ -113,9 +113,9 @@
     AqTime now = AqLoop_Now(daemon->loop);
     AqMembership_Heartbeat(daemon->membership, now, from, beat);
     AqSlices_Heartbeat(daemon->slices, now, from, beat);
-    FleetSync_PeerVersion(daemon->sync, from, beat->version);
+    FleetSync_OnPeerVersion(daemon->sync, from, beat->version);
     for (size_t i = 0; i < beat->leaving_count; i++) {
-        Endpoints_PeerSaysLeaving(daemon->endpoints, beat->leaving[i].name);
+        Endpoints_OnPeerLeaving(daemon->endpoints, beat->leaving[i].name);
     }
     Endpoints_CheckSlots(daemon->endpoints);
     Commits_CheckConfirmed(daemon->commits);
@@ -127,35 +127,35 @@
     switch (msg->type) {
     case AQ_MSG_HEARTBEAT:
         take_heartbeat(daemon, from, &msg->as.heartbeat);
-        Lending_Heartbeat(daemon, from, &msg->as.heartbeat);
+        SlotLeasing_OnHeartbeat(daemon, from, &msg->as.heartbeat);
         break;
     case AQ_MSG_CLAIM:
-        ClaimClient_PeerClaims(daemon->claims, from, &msg->as.claim);
+        ClaimClient_OnPeerClaim(daemon->claims, from, &msg->as.claim);
         break;
     case AQ_MSG_CLAIM_RESULT:
-        ClaimClient_PeerResult(daemon->claims, &msg->as.claim_result);
+        ClaimClient_OnPeerResult(daemon->claims, &msg->as.claim_result);
         break;
     case AQ_MSG_RELEASE:
-        ClaimClient_PeerReleases(daemon->claims, &msg->as.claim);
+        ClaimClient_OnPeerRelease(daemon->claims, &msg->as.claim);
         break;
     case AQ_MSG_BORROW:
-        Lending_PeerBorrows(daemon, from, &msg->as.slots);
+        SlotLeasing_OnRequest(daemon, from, &msg->as.slots);
         break;
     case AQ_MSG_LEND:
-        Lending_PeerLends(daemon, from, &msg->as.slots);
+        SlotLeasing_OnGrant(daemon, from, &msg->as.slots);
         break;
     case AQ_MSG_RETURN:
-        AqSlices_Returned(daemon->slices, from, msg->as.slots.name,
-                          (int)msg->as.slots.count);
+        AqSlices_LeaseReturned(daemon->slices, from, msg->as.slots.name,
+                               (int)msg->as.slots.count);
         break;
     case AQ_MSG_GET_FLEET:
-        FleetSync_PeerAsks(daemon->sync, from);
+        FleetSync_OnPeerRequest(daemon->sync, from);
         break;
     case AQ_MSG_FLEET:
-        FleetSync_PeerChunk(daemon->sync, from, &msg->as.fleet);
+        FleetSync_OnPeerChunk(daemon->sync, from, &msg->as.fleet);
         break;
     case AQ_MSG_BURN:
-        BurnSync_PeerCounters(daemon->burn, &msg->as.burn);
+        BurnSync_OnPeerCounters(daemon->burn, &msg->as.burn);
         break;
     default:
         break;
@@ -261,8 +261,8 @@
     daemon->attempts = Attempts_Create(daemon);
     daemon->endpoints = Endpoints_Create(daemon);
     daemon->vms = VmList_Create(daemon);
-    daemon->planner = PlannerTask_Create(daemon);
-    daemon->jobs = JobsTask_Create(daemon);
+    daemon->planner = PlannerRunner_Create(daemon);
+    daemon->jobs = JobsRunner_Create(daemon);
     daemon->burn = BurnSync_Create(daemon);
 }
 
@@ -298,7 +298,7 @@
     if (daemon->operators == NULL) {
         goto error;
     }
-    d->lending = Lending_Create(daemon);
+    d->leasing = SlotLeasing_Create(daemon);
     d->stopping = Stopping_Create(daemon);
     AqLoop_OnRound(daemon->loop, on_round, daemon);
     Peers_Refresh(daemon->peers);
@@ -322,13 +322,13 @@
         AqHttpClient_Close(daemon->http);
     }
     Stopping_Destroy(d->stopping);
-    Lending_Destroy(d->lending);
+    SlotLeasing_Destroy(d->leasing);
     Operators_Destroy(daemon->operators);
     Callers_Destroy(daemon->callers);
     Peers_Destroy(daemon->peers);
     BurnSync_Destroy(daemon->burn);
-    JobsTask_Destroy(daemon->jobs);
-    PlannerTask_Destroy(daemon->planner);
+    JobsRunner_Destroy(daemon->jobs);
+    PlannerRunner_Destroy(daemon->planner);
     VmList_Destroy(daemon->vms);
     Endpoints_Destroy(daemon->endpoints);
     Attempts_Destroy(daemon->attempts);
--- a/packages/daemon/daemon.h
+++ b/packages/daemon/daemon.h
@@ -28,10 +28,10 @@
 typedef struct Commits Commits;
 typedef struct ClaimClient ClaimClient;
 typedef struct VmList VmList;
-typedef struct PlannerTask PlannerTask;
+typedef struct PlannerRunner PlannerRunner;
 typedef struct Operators Operators;
 typedef struct BurnSync BurnSync;
-typedef struct JobsTask JobsTask;
+typedef struct JobsRunner JobsRunner;
 
 typedef enum {
     DAEMON_RUNNING,
@@ -58,8 +58,8 @@
     Commits *commits;
     ClaimClient *claims;
     VmList *vms;
-    PlannerTask *planner;
-    JobsTask *jobs;
+    PlannerRunner *planner;
+    JobsRunner *jobs;
     Operators *operators;
     BurnSync *burn;
     DaemonPhase phase;
--- a/packages/daemon/endpoints.c
+++ b/packages/daemon/endpoints.c
@@ -26,8 +26,8 @@
     char *address;
     AqVmState state;
     int slots;
-    bool present;      /* in the document; used while refreshing */
-    bool told_leaving; /* by the endpoint's own answers */
+    bool present;          /* in the document; used while refreshing */
+    bool reported_leaving; /* by the endpoint's own answers */
     AqTime peer_leaving_until;
     bool leaving; /* as told to the router */
     int usable;   /* slots as told to the router */
@@ -73,7 +73,7 @@
 is_leaving(const Endpoint *e, AqTime now)
 {
     const char *listed = VmList_State(e->owner->daemon->vms, e->id);
-    return e->state != AQ_VM_SERVING || e->told_leaving ||
+    return e->state != AQ_VM_SERVING || e->reported_leaving ||
            e->peer_leaving_until > now ||
            (listed != NULL && strcmp(listed, "live") != 0);
 }
@@ -91,17 +91,17 @@
 }
 
 void
-Endpoints_ToldLeaving(Endpoints *endpoints, const char *id, bool leaving)
+Endpoints_OnLeaving(Endpoints *endpoints, const char *id, bool leaving)
 {
     Endpoint *e = find(endpoints, id);
     if (e != NULL) {
-        e->told_leaving = leaving;
+        e->reported_leaving = leaving;
         update_leaving(e, AqLoop_Now(endpoints->daemon->loop));
     }
 }
 
 void
-Endpoints_PeerSaysLeaving(Endpoints *endpoints, const char *id)
+Endpoints_OnPeerLeaving(Endpoints *endpoints, const char *id)
 {
     Endpoint *e = find(endpoints, id);
     AqTime now = AqLoop_Now(endpoints->daemon->loop);
@@ -131,7 +131,7 @@
     }
     if (reply->result == AQ_HTTP_DONE) {
         const char *text = AqHttpReply_Header(reply, "Aq-Leaving");
-        e->told_leaving = text != NULL && strcmp(text, "1") == 0;
+        e->reported_leaving = text != NULL && strcmp(text, "1") == 0;
     }
     AqRouter_HealthDone(daemon->router, now, e->id, healthy);
 }
@@ -142,7 +142,7 @@
 is_steady(const Endpoint *e)
 {
     return e->state == AQ_VM_SERVING && e->healthy_since != AQ_TIME_NEVER &&
-           !e->told_leaving &&
+           !e->reported_leaving &&
            !AqRouter_IsEjected(e->owner->daemon->router, e->id);
 }
 
@@ -172,8 +172,9 @@
         e->state == AQ_VM_FAILED) {
         return true;
     }
-    return is_steady(e) ? is_checker(e, now)
-                        : AqSlices_Dealt(e->owner->daemon->slices, e->id) > 0;
+    return is_steady(e)
+               ? is_checker(e, now)
+               : AqSlices_Assigned(e->owner->daemon->slices, e->id) > 0;
 }
 
 static void
@@ -187,7 +188,7 @@
         .fresh_connection = true,
         .timeout_ms = HEALTH_TIMEOUT_MS,
         .connect_timeout_ms = HEALTH_TIMEOUT_MS,
-        .max_answer = HEALTH_MAX_ANSWER,
+        .max_response_bytes = HEALTH_MAX_ANSWER,
     };
     e->check =
         AqHttpClient_Start(e->owner->daemon->http, &request, on_checked, e);
@@ -317,7 +318,7 @@
 {
     Daemon *daemon = endpoints->daemon;
     AqTime now = AqLoop_Now(daemon->loop);
-    int64_t dealt = 0;
+    int64_t assigned = 0;
     int64_t held = 0;
     GHashTableIter iter;
     gpointer value;
@@ -327,8 +328,8 @@
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         Endpoint *e = value;
         int usable = AqSlices_Usable(daemon->slices, now, e->id);
-        dealt += AqSlices_Dealt(daemon->slices, e->id);
-        held += usable + AqSlices_LentOut(daemon->slices, e->id);
+        assigned += AqSlices_Assigned(daemon->slices, e->id);
+        held += usable + AqSlices_LeasedOut(daemon->slices, e->id);
         if (usable != e->usable) {
             e->usable = usable;
             AqRouter_SetSlots(daemon->router, now, e->id, usable);
@@ -338,9 +339,9 @@
         AqMembership_IsMember(daemon->membership, daemon->settings->node_id) &&
         AqMembership_IsFresh(daemon->membership, now);
     /* Kept while it is a member: later epochs take slots away only until
-     * their guard has passed, and the other daemons lend theirs. */
+     * their guard has passed, and the other daemons lease theirs out. */
     endpoints->has_slots =
-        member && (endpoints->has_slots || 2 * held >= dealt);
+        member && (endpoints->has_slots || 2 * held >= assigned);
 }
 
 /* Heartbeats come 2 (n - 1) times a second with n members: asking about each
@@ -450,7 +451,8 @@
         const Endpoint *e = value;
         int in_flight = AqRouter_InFlight(daemon->router, e->id);
         /* What the endpoint itself said is passed on in any case. */
-        if (e->told_leaving || (e->state != AQ_VM_SERVING && in_flight > 0)) {
+        if (e->reported_leaving ||
+            (e->state != AQ_VM_SERVING && in_flight > 0)) {
             beat->leaving[beat->leaving_count++] = count_of(e->id, in_flight);
         }
     }
--- a/packages/daemon/endpoints.h
+++ b/packages/daemon/endpoints.h
@@ -17,7 +17,7 @@
 void Endpoints_CheckSlots(Endpoints *endpoints);
 
 /* Whether this daemon, since it became a member, has held half of the slots
- * that it is dealt. */
+ * that it is assigned. */
 bool Endpoints_HaveSlots(const Endpoints *endpoints);
 
 /* "IP:port" of an endpoint, or NULL; borrowed. */
@@ -27,9 +27,9 @@
 void Endpoints_CloseIdle(Endpoints *endpoints, const char *id);
 
 /* The endpoint itself said whether it is leaving. */
-void Endpoints_ToldLeaving(Endpoints *endpoints, const char *id, bool leaving);
+void Endpoints_OnLeaving(Endpoints *endpoints, const char *id, bool leaving);
 /* A peer lists the endpoint as leaving; holds for a few seconds. */
-void Endpoints_PeerSaysLeaving(Endpoints *endpoints, const char *id);
+void Endpoints_OnPeerLeaving(Endpoints *endpoints, const char *id);
 
 /* Whether health checks have succeeded for ms without a break. */
 bool Endpoints_HealthyFor(const Endpoints *endpoints, const char *id,
--- a/packages/daemon/fleet_sync.c
+++ b/packages/daemon/fleet_sync.c
@@ -248,7 +248,7 @@
 }
 
 void
-FleetSync_PeerVersion(FleetSync *sync, const char *from, int64_t version)
+FleetSync_OnPeerVersion(FleetSync *sync, const char *from, int64_t version)
 {
     AqTime now = AqLoop_Now(sync->daemon->loop);
     if (version <= AqFleet_Version(sync->fleet) || !is_store_silent(sync) ||
@@ -261,7 +261,7 @@
 }
 
 void
-FleetSync_PeerAsks(FleetSync *sync, const char *from)
+FleetSync_OnPeerRequest(FleetSync *sync, const char *from)
 {
     char *text = AqFleet_EncodeSnapshot(sync->fleet);
     size_t total = strlen(text);
@@ -300,7 +300,8 @@
 }
 
 void
-FleetSync_PeerChunk(FleetSync *sync, const char *from, const AqMsgFleet *chunk)
+FleetSync_OnPeerChunk(FleetSync *sync, const char *from,
+                      const AqMsgFleet *chunk)
 {
     if (chunk->offset == 0) {
         AqBuffer_Clear(&sync->chunks);
--- a/packages/daemon/fleet_sync.h
+++ b/packages/daemon/fleet_sync.h
@@ -21,9 +21,10 @@
 void FleetSync_Install(FleetSync *sync, AqFleet *fleet);
 
 /* A peer reported a version, sent a chunk, or asks for the document. */
-void FleetSync_PeerVersion(FleetSync *sync, const char *from, int64_t version);
-void FleetSync_PeerChunk(FleetSync *sync, const char *from,
-                         const AqMsgFleet *chunk);
-void FleetSync_PeerAsks(FleetSync *sync, const char *from);
+void FleetSync_OnPeerVersion(FleetSync *sync, const char *from,
+                             int64_t version);
+void FleetSync_OnPeerChunk(FleetSync *sync, const char *from,
+                           const AqMsgFleet *chunk);
+void FleetSync_OnPeerRequest(FleetSync *sync, const char *from);
 
 #endif
--- a/packages/daemon/jobs_runner.c
+++ b/packages/daemon/jobs_runner.c
@@ -26,7 +26,7 @@
     bool maybe_written;
 } Pending;
 
-struct JobsTask {
+struct JobsRunner {
     Daemon *daemon;
     AqJobs *jobs;
     TaskClient *client;
@@ -38,7 +38,7 @@
     char writing[AQ_WIRE_MAX_NAME]; /* team of the write under way */
 };
 
-static void run(JobsTask *task);
+static void run(JobsRunner *task);
 
 /* ---- Answers -------------------------------------------------------------
  */
@@ -86,7 +86,7 @@
 }
 
 static void
-expire(JobsTask *task, AqTime now)
+expire(JobsRunner *task, AqTime now)
 {
     AqList_ForEachSafe(at, after, &task->intents)
     {
@@ -101,7 +101,7 @@
  */
 
 static void
-load_items(JobsTask *task, const AqStoreReply *reply)
+load_items(JobsRunner *task, const AqStoreReply *reply)
 {
     for (size_t i = 0; i < reply->count; i++) {
         const AqStoreItem *item = &reply->items[i];
@@ -119,7 +119,7 @@
 static void
 on_read_back(void *context, const AqStoreReply *reply)
 {
-    JobsTask *task = context;
+    JobsRunner *task = context;
     load_items(task, reply);
     task->busy = false;
     if (reply->status == AQ_STORE_OK || reply->status == AQ_STORE_ABSENT) {
@@ -132,7 +132,7 @@
 static void
 on_written(void *context, const AqStoreReply *reply)
 {
-    JobsTask *task = context;
+    JobsRunner *task = context;
     AqStore *store = task->daemon->store;
     char key[sizeof(AQ_JOBS_PREFIX) + AQ_WIRE_MAX_NAME];
     if (reply->status == AQ_STORE_UNKNOWN) {
@@ -147,7 +147,7 @@
 }
 
 static void
-write_team(JobsTask *task, const char *team)
+write_team(JobsRunner *task, const char *team)
 {
     AqStore *store = task->daemon->store;
     uint64_t index;
@@ -161,7 +161,7 @@
 }
 
 static void
-answer_listings(JobsTask *task, bool ok)
+answer_listings(JobsRunner *task, bool ok)
 {
     AqLink *link;
     while ((link = AqList_PopFirst(&task->listings)) != NULL) {
@@ -179,12 +179,12 @@
     }
 }
 
-static void take_intents(JobsTask *task);
+static void take_intents(JobsRunner *task);
 
 static void
 on_listed(void *context, const AqStoreReply *reply)
 {
-    JobsTask *task = context;
+    JobsRunner *task = context;
     bool ok = reply->status == AQ_STORE_OK || reply->status == AQ_STORE_ABSENT;
     task->busy = false;
     if (ok) {
@@ -199,7 +199,7 @@
 }
 
 static void
-list_all(JobsTask *task)
+list_all(JobsRunner *task)
 {
     AqStore *store = task->daemon->store;
     task->busy = true;
@@ -212,7 +212,7 @@
 /* Evaluates all waiting intents on the documents just read.  One that changes
  * nothing has been applied; the others stay until their write is read back. */
 static void
-take_intents(JobsTask *task)
+take_intents(JobsRunner *task)
 {
     AqList_ForEachSafe(at, after, &task->intents)
     {
@@ -230,7 +230,7 @@
 }
 
 static Pending *
-create_pending(JobsTask *task, AqExchange *exchange)
+create_pending(JobsRunner *task, AqExchange *exchange)
 {
     Pending *pending = calloc(1, sizeof(*pending));
     AqList_Init(&pending->link);
@@ -243,7 +243,7 @@
 }
 
 void
-JobsTask_Submit(JobsTask *task, json_t *intent, AqExchange *exchange)
+JobsRunner_Submit(JobsRunner *task, json_t *intent, AqExchange *exchange)
 {
     Pending *pending = create_pending(task, exchange);
     pending->intent = json_incref(intent);
@@ -251,7 +251,7 @@
 }
 
 void
-JobsTask_List(JobsTask *task, AqExchange *exchange)
+JobsRunner_List(JobsRunner *task, AqExchange *exchange)
 {
     Pending *pending = create_pending(task, exchange);
     AqList_Append(&task->listings, &pending->link);
@@ -263,12 +263,12 @@
 static void
 on_order(void *context, const AqTaskOrder *order)
 {
-    JobsTask *task = context;
+    JobsRunner *task = context;
     TaskClient_Send(task->client, order);
 }
 
 static void
-plan(JobsTask *task)
+plan(JobsRunner *task)
 {
     TaskClient_Report(task->client);
     AqJobs_Step(task->jobs, Daemon_Fleet(task->daemon), AqClock_ReadWall(),
@@ -279,10 +279,10 @@
  * timer calls this: a refused connection fails at once, and calls in a row
  * were seen to reach 50,000 a second in a store outage. */
 static void
-run(JobsTask *task)
+run(JobsRunner *task)
 {
     AqTime now = AqLoop_Now(task->daemon->loop);
-    bool active = PlannerTask_IsActive(task->daemon->planner);
+    bool active = PlannerRunner_IsActive(task->daemon->planner);
     if (task->busy) {
         return;
     }
@@ -300,24 +300,24 @@
 static void
 on_timer(void *context)
 {
-    JobsTask *task = context;
+    JobsRunner *task = context;
     AqTime now = AqLoop_Now(task->daemon->loop);
     AqTimer_Start(task->daemon->loop, &task->timer, now + STEP_MS);
     if (task->busy) {
         return;
     }
     expire(task, now);
-    if (PlannerTask_IsActive(task->daemon->planner) &&
+    if (PlannerRunner_IsActive(task->daemon->planner) &&
         now - task->listed_at < 2 * LIST_MS) {
         plan(task);
     }
     run(task);
 }
 
-JobsTask *
-JobsTask_Create(Daemon *daemon)
+JobsRunner *
+JobsRunner_Create(Daemon *daemon)
 {
-    JobsTask *task = calloc(1, sizeof(*task));
+    JobsRunner *task = calloc(1, sizeof(*task));
     task->daemon = daemon;
     task->jobs = AqJobs_Create();
     task->client = TaskClient_Create(daemon, task->jobs);
@@ -330,7 +330,7 @@
 }
 
 void
-JobsTask_Destroy(JobsTask *task)
+JobsRunner_Destroy(JobsRunner *task)
 {
     AqLink *link;
     if (task == NULL) {
--- a/packages/daemon/operators.c
+++ b/packages/daemon/operators.c
@@ -144,7 +144,7 @@
 {
     const char *kind = json_string_value(json_object_get(intent, "kind"));
     if (strncmp(kind, "job.", 4) == 0) {
-        JobsTask_Submit(daemon->jobs, intent, exchange);
+        JobsRunner_Submit(daemon->jobs, intent, exchange);
     }
     else {
         Commits_SubmitIntent(daemon->commits, intent, on_committed, exchange);
@@ -178,7 +178,7 @@
 {
     const char *kind = AqExchange_Argument(exchange, "kind");
     if (kind != NULL && strcmp(kind, "jobs") == 0) {
-        JobsTask_List(operators->daemon->jobs, exchange);
+        JobsRunner_List(operators->daemon->jobs, exchange);
         return;
     }
     json_t *state =
--- a/packages/daemon/peers.c
+++ b/packages/daemon/peers.c
@@ -37,7 +37,7 @@
 }
 
 void
-peers_retry_later(Outgoing *out, const char *why)
+peers_schedule_redial(Outgoing *out, const char *why)
 {
     AqTime now = AqLoop_Now(out->peers->daemon->loop);
     if (out->connected) {
@@ -57,7 +57,7 @@
             break;
         }
         if (n <= 0) {
-            peers_retry_later(out, strerror(errno));
+            peers_schedule_redial(out, strerror(errno));
             return;
         }
         out->peers->sent += (uint64_t)n;
@@ -101,7 +101,7 @@
     Outgoing *out = context;
     if (!out->connected) {
         if (!peer_socket_is_connected(out->fd)) {
-            peers_retry_later(out, "connect failed");
+            peers_schedule_redial(out, "connect failed");
             return;
         }
         out->connected = true;
@@ -114,8 +114,8 @@
         char byte;
         ssize_t n = recv(out->fd, &byte, 1, 0);
         if (n >= 0 || (errno != EAGAIN && errno != EWOULDBLOCK)) {
-            peers_retry_later(out, n == 0 ? "closed by the peer"
-                                          : "unexpected bytes or error");
+            peers_schedule_redial(out, n == 0 ? "closed by the peer"
+                                              : "unexpected bytes or error");
             return;
         }
     }
@@ -152,7 +152,7 @@
         out->id[0] != '\0' ? peers_find_incoming(out->peers, out->id) : NULL;
     return out->connected && out->id[0] != '\0' &&
            now - out->since > MUTE_MS &&
-           (in == NULL || now - in->heard > MUTE_MS);
+           (in == NULL || now - in->last_received_at > MUTE_MS);
 }
 
 static void
@@ -163,10 +163,10 @@
         Outgoing *out = AqList_Entry(at, Outgoing, link);
         if (out->fd >= 0 && !out->connected &&
             now - out->since > DIAL_LIMIT_MS) {
-            peers_retry_later(out, "connect timed out");
+            peers_schedule_redial(out, "connect timed out");
         }
         if (is_mute(out, now)) {
-            peers_retry_later(out, "the peer is silent");
+            peers_schedule_redial(out, "the peer is silent");
             out->retry_at = now;
         }
         if (out->fd < 0 && out->retry_at <= now) {
@@ -182,7 +182,7 @@
         return false;
     }
     if (out->out.size > MAX_OUTGOING) {
-        peers_retry_later(out, "too much waits to be sent");
+        peers_schedule_redial(out, "too much waits to be sent");
         return false;
     }
     AqWire_Encode(msg, &out->out);
@@ -249,7 +249,7 @@
 }
 
 void
-Peers_HeartbeatSoon(Peers *peers)
+Peers_TriggerHeartbeat(Peers *peers)
 {
     AqTime due = peers->last_heartbeat + MIN_HEARTBEAT_MS;
     AqTime now = AqLoop_Now(peers->daemon->loop);
--- a/packages/daemon/peers.h
+++ b/packages/daemon/peers.h
@@ -25,7 +25,7 @@
 
 /* Sends a heartbeat out of turn, so that the others learn at once of a new
  * version in force. */
-void Peers_HeartbeatSoon(Peers *peers);
+void Peers_TriggerHeartbeat(Peers *peers);
 
 /* Bytes sent and received since the start. */
 void Peers_GetTraffic(const Peers *peers, uint64_t *sent, uint64_t *received);
--- a/packages/daemon/peers_in.c
+++ b/packages/daemon/peers_in.c
@@ -84,14 +84,14 @@
     if (out == NULL || !out->connected || now - out->since < DEAF_MS) {
         return;
     }
-    for (size_t i = 0; i < beat->heard_count; i++) {
-        if (strcmp(beat->heard[i].name,
+    for (size_t i = 0; i < beat->peer_age_count; i++) {
+        if (strcmp(beat->peer_ages[i].name,
                    in->peers->daemon->settings->node_id) == 0 &&
-            beat->heard[i].value < DEAF_MS) {
+            beat->peer_ages[i].value < DEAF_MS) {
             return;
         }
     }
-    peers_retry_later(out, "the peer does not hear this daemon");
+    peers_schedule_redial(out, "the peer does not hear this daemon");
 }
 
 /* Handles all whole frames; false when the connection must be closed. */
@@ -143,7 +143,7 @@
         return;
     }
     if (n > 0) {
-        in->heard = AqLoop_Now(in->peers->daemon->loop);
+        in->last_received_at = AqLoop_Now(in->peers->daemon->loop);
         in->peers->received += (uint64_t)n;
         AqBuffer_Append(&in->in, bytes, (size_t)n);
         if (handle_frames(in)) {
--- a/packages/daemon/peers_private.h
+++ b/packages/daemon/peers_private.h
@@ -31,7 +31,7 @@
     int fd;
     AqWatch *watch;
     AqTime since;
-    AqTime heard; /* when the last bytes came */
+    AqTime last_received_at; /* when the last bytes came */
     AqBuffer in;
 } Incoming;
 
@@ -55,7 +55,7 @@
 /* The connection dialled to a peer, or NULL; borrowed. */
 Outgoing *peers_find_outgoing(const Peers *peers, const char *id);
 /* Closes a dialled connection and dials again a little later. */
-void peers_retry_later(Outgoing *out, const char *why);
+void peers_schedule_redial(Outgoing *out, const char *why);
 
 void peers_dial(Outgoing *out, AqTime now);
 void peers_disconnect(Outgoing *out, AqTime retry_at);
--- a/packages/daemon/planner_runner.c
+++ b/packages/daemon/planner_runner.c
@@ -15,7 +15,7 @@
     MAX_ANSWER = 65536
 };
 
-struct PlannerTask {
+struct PlannerRunner {
     Daemon *daemon;
     AqPlanner *planner;
     AqTimer timer;
@@ -90,13 +90,13 @@
         .body = "",
         .timeout_ms = REBOOT_TIMEOUT_MS,
         .connect_timeout_ms = daemon->settings->store_timeout_ms,
-        .max_answer = MAX_ANSWER,
+        .max_response_bytes = MAX_ANSWER,
     };
     AqHttpClient_Start(daemon->http, &request, on_reboot, NULL);
 }
 
 static void
-ask_reboots(PlannerTask *task)
+ask_reboots(PlannerRunner *task)
 {
     size_t i;
     json_t *name;
@@ -113,7 +113,7 @@
 evaluate(void *context, const AqFleet *fleet, int64_t wall_ms, json_t *set,
          AqError *error)
 {
-    PlannerTask *task = context;
+    PlannerRunner *task = context;
     (void)error;
     json_array_clear(task->reboots);
     AqPlanner_Step(task->planner, fleet, wall_ms, &planner_view, task->daemon,
@@ -125,7 +125,7 @@
 on_committed(void *context, CommitStatus status, int64_t version,
              const AqError *error)
 {
-    PlannerTask *task = context;
+    PlannerRunner *task = context;
     task->committing = false;
     if (status == COMMIT_REFUSED) {
         AqLog_Event(AQ_LOG_ERROR, "planner_step_refused", "error=%s",
@@ -140,7 +140,7 @@
 /* Whether a step on the document in force would change anything; saves the
  * read of head that a commit begins with. */
 static bool
-has_work(PlannerTask *task)
+has_work(PlannerRunner *task)
 {
     json_t *set = json_array();
     evaluate(task, Daemon_Fleet(task->daemon), AqClock_ReadWall(), set, NULL);
@@ -150,7 +150,7 @@
 }
 
 static void
-step(PlannerTask *task)
+step(PlannerRunner *task)
 {
     char op[160];
     if (!has_work(task)) {
@@ -170,7 +170,7 @@
 on_removed(void *context, CommitStatus status, int64_t version,
            const AqError *error)
 {
-    PlannerTask *task = context;
+    PlannerRunner *task = context;
     (void)error;
     task->removing = false;
     if (status == COMMIT_ACCEPTED || status == COMMIT_STORED) {
@@ -180,7 +180,7 @@
 }
 
 static void
-remove_silent_member(PlannerTask *task, AqTime now)
+remove_silent_member(PlannerRunner *task, AqTime now)
 {
     const Daemon *daemon = task->daemon;
     const char *id = AqMembership_ToRemove(daemon->membership, now);
@@ -199,7 +199,7 @@
 }
 
 bool
-PlannerTask_IsActive(const PlannerTask *task)
+PlannerRunner_IsActive(const PlannerRunner *task)
 {
     const Daemon *daemon = task->daemon;
     AqTime now = AqLoop_Now(daemon->loop);
@@ -211,9 +211,9 @@
 }
 
 void
-PlannerTask_ListChanged(PlannerTask *task)
+PlannerRunner_ListChanged(PlannerRunner *task)
 {
-    if (PlannerTask_IsActive(task)) {
+    if (PlannerRunner_IsActive(task)) {
         has_work(task);
         AqTimer_Start(task->daemon->loop, &task->timer,
                       AqLoop_Now(task->daemon->loop));
@@ -223,21 +223,21 @@
 static void
 on_timer(void *context)
 {
-    PlannerTask *task = context;
+    PlannerRunner *task = context;
     AqTime now = AqLoop_Now(task->daemon->loop);
     if (task->daemon->phase == DAEMON_RUNNING) {
         remove_silent_member(task, now);
     }
-    if (!task->committing && PlannerTask_IsActive(task)) {
+    if (!task->committing && PlannerRunner_IsActive(task)) {
         step(task);
     }
     AqTimer_Start(task->daemon->loop, &task->timer, now + PERIOD_MS);
 }
 
-PlannerTask *
-PlannerTask_Create(Daemon *daemon)
+PlannerRunner *
+PlannerRunner_Create(Daemon *daemon)
 {
-    PlannerTask *task = calloc(1, sizeof(*task));
+    PlannerRunner *task = calloc(1, sizeof(*task));
     task->daemon = daemon;
     task->planner = AqPlanner_Create();
     task->reboots = json_array();
@@ -248,7 +248,7 @@
 }
 
 void
-PlannerTask_Destroy(PlannerTask *task)
+PlannerRunner_Destroy(PlannerRunner *task)
 {
     if (task == NULL) {
         return;
--- a/packages/daemon/planner_runner.h
+++ b/packages/daemon/planner_runner.h
@@ -1,5 +1,5 @@
-#ifndef PLANNER_TASK_H
-#define PLANNER_TASK_H
+#ifndef PLANNER_RUNNER_H
+#define PLANNER_RUNNER_H
 
 #include "daemon.h"
 
@@ -7,14 +7,14 @@
  * commits its steps, asks the platform for reboots, removes members that a
  * majority no longer hears. */
 
-PlannerTask *PlannerTask_Create(Daemon *daemon);
-void PlannerTask_Destroy(PlannerTask *task);
+PlannerRunner *PlannerRunner_Create(Daemon *daemon);
+void PlannerRunner_Destroy(PlannerRunner *task);
 
 /* The VM list changed.  The planner looks at it at once: a VM that is down for
  * less than a period would otherwise not be seen to reboot. */
-void PlannerTask_ListChanged(PlannerTask *task);
+void PlannerRunner_ListChanged(PlannerRunner *task);
 
 /* Whether this daemon does the background work now. */
-bool PlannerTask_IsActive(const PlannerTask *task);
+bool PlannerRunner_IsActive(const PlannerRunner *task);
 
 #endif
--- a/packages/daemon/slot_leasing.c
+++ b/packages/daemon/slot_leasing.c
@@ -7,12 +7,12 @@
 #include "peers.h"
 
 enum {
-    TERM_MS = 2000, /* how long new requests may start on lent slots */
+    TERM_MS = 2000, /* how long new requests may start on leased slots */
     RETURN_CHECK_MS = 100,
-    MAX_BORROW = 16 /* slots of one service asked for at once */
+    MAX_LEASE_SLOTS = 16 /* slots of one service asked for at once */
 };
 
-struct Lending {
+struct SlotLeasing {
     Daemon *daemon;
     AqTimer timer;
 };
@@ -21,11 +21,11 @@
     Daemon *daemon;
     const char *peer;
     const AqMsgHeartbeat *beat;
-} BorrowState;
+} LesseeState;
 
 /* A service that a heartbeat does not list has idle slots and no queue. */
 static bool
-may_lend(const AqMsgHeartbeat *beat, const char *service)
+may_grant_lease(const AqMsgHeartbeat *beat, const char *service)
 {
     for (size_t i = 0; i < beat->service_count; i++) {
         const AqWireService *s = &beat->services[i];
@@ -37,36 +37,37 @@
 }
 
 static void
-borrow_for(void *context, const char *service)
+request_slots_for(void *context, const char *service)
 {
-    const BorrowState *state = context;
+    const LesseeState *state = context;
     int queued = AqRouter_Queued(state->daemon->router, service);
-    if (queued == 0 || !may_lend(state->beat, service)) {
+    if (queued == 0 || !may_grant_lease(state->beat, service)) {
         return;
     }
     AqMsg msg = {.type = AQ_MSG_BORROW};
     strncpy(msg.as.slots.name, service, sizeof(msg.as.slots.name) - 1);
-    msg.as.slots.count = queued < MAX_BORROW ? queued : MAX_BORROW;
+    msg.as.slots.count = queued < MAX_LEASE_SLOTS ? queued : MAX_LEASE_SLOTS;
     Peers_Send(state->daemon->peers, state->peer, &msg);
 }
 
 void
-Lending_Heartbeat(Daemon *daemon, const char *from, const AqMsgHeartbeat *beat)
+SlotLeasing_OnHeartbeat(Daemon *daemon, const char *from,
+                        const AqMsgHeartbeat *beat)
 {
-    BorrowState state = {daemon, from, beat};
-    AqRouter_EachService(daemon->router, borrow_for, &state);
+    LesseeState state = {daemon, from, beat};
+    AqRouter_EachService(daemon->router, request_slots_for, &state);
 }
 
 typedef struct {
     Daemon *daemon;
-    const char *borrower;
+    const char *lessee;
     int wanted;
-} LendState;
+} LessorState;
 
 static void
-lend_from(void *context, const char *endpoint, int slots)
+grant_lease_from(void *context, const char *endpoint, int slots)
 {
-    LendState *state = context;
+    LessorState *state = context;
     Daemon *daemon = state->daemon;
     AqTime now = AqLoop_Now(daemon->loop);
     (void)slots;
@@ -75,47 +76,48 @@
     if (state->wanted == 0 || idle <= 0) {
         return;
     }
-    int lent = AqSlices_Lend(daemon->slices, now, state->borrower, endpoint,
-                             idle, state->wanted);
-    if (lent == 0) {
+    int leased_out = AqSlices_GrantLease(daemon->slices, now, state->lessee,
+                                         endpoint, idle, state->wanted);
+    if (leased_out == 0) {
         return;
     }
-    state->wanted -= lent;
-    /* The router must know before the borrower does. */
+    state->wanted -= leased_out;
+    /* The router must know before the lessee does. */
     AqRouter_SetSlots(daemon->router, now, endpoint,
                       AqSlices_Usable(daemon->slices, now, endpoint));
     AqMsg msg = {.type = AQ_MSG_LEND};
     strncpy(msg.as.slots.name, endpoint, sizeof(msg.as.slots.name) - 1);
-    msg.as.slots.count = lent;
+    msg.as.slots.count = leased_out;
     msg.as.slots.term_ms = TERM_MS;
-    if (!Peers_Send(daemon->peers, state->borrower, &msg)) {
+    if (!Peers_Send(daemon->peers, state->lessee, &msg)) {
         /* Never left: the slots are still ours. */
-        AqSlices_Returned(daemon->slices, state->borrower, endpoint, lent);
+        AqSlices_LeaseReturned(daemon->slices, state->lessee, endpoint,
+                               leased_out);
     }
 }
 
 void
-Lending_PeerBorrows(Daemon *daemon, const char *from, const AqMsgSlots *msg)
+SlotLeasing_OnRequest(Daemon *daemon, const char *from, const AqMsgSlots *msg)
 {
     if (AqRouter_Queued(daemon->router, msg->name) > 0 || msg->count <= 0) {
         return;
     }
     /* Half of the idle slots stay for requests that arrive here. */
     int idle = AqRouter_Idle(daemon->router, msg->name) / 2;
-    LendState state = {
+    LessorState state = {
         .daemon = daemon,
-        .borrower = from,
+        .lessee = from,
         .wanted = msg->count < idle ? (int)msg->count : idle,
     };
-    Endpoints_Each(daemon->endpoints, msg->name, lend_from, &state);
+    Endpoints_Each(daemon->endpoints, msg->name, grant_lease_from, &state);
     Endpoints_RefreshSlots(daemon->endpoints);
 }
 
 void
-Lending_PeerLends(Daemon *daemon, const char *from, const AqMsgSlots *msg)
+SlotLeasing_OnGrant(Daemon *daemon, const char *from, const AqMsgSlots *msg)
 {
-    AqSlices_Borrowed(daemon->slices, AqLoop_Now(daemon->loop), from,
-                      msg->name, (int)msg->count, msg->term_ms);
+    AqSlices_LeaseGranted(daemon->slices, AqLoop_Now(daemon->loop), from,
+                          msg->name, (int)msg->count, msg->term_ms);
     Endpoints_RefreshSlots(daemon->endpoints);
 }
 
@@ -123,27 +125,27 @@
 return_slots(void *context, const char *endpoint, int slots)
 {
     Daemon *daemon = context;
-    const char *lender;
+    const char *lessor;
     int count;
     (void)slots;
-    while ((count = AqSlices_ToReturn(
+    while ((count = AqSlices_NextReturn(
                 daemon->slices, AqLoop_Now(daemon->loop), endpoint,
-                AqRouter_InFlight(daemon->router, endpoint), &lender)) > 0) {
+                AqRouter_InFlight(daemon->router, endpoint), &lessor)) > 0) {
         AqMsg msg = {.type = AQ_MSG_RETURN};
         AqRouter_SetSlots(daemon->router, AqLoop_Now(daemon->loop), endpoint,
                           AqSlices_Usable(daemon->slices,
                                           AqLoop_Now(daemon->loop), endpoint));
         strncpy(msg.as.slots.name, endpoint, sizeof(msg.as.slots.name) - 1);
         msg.as.slots.count = count;
-        Peers_Send(daemon->peers, lender, &msg);
+        Peers_Send(daemon->peers, lessor, &msg);
     }
 }
 
 static void
 on_timer(void *context)
 {
-    Lending *lending = context;
-    Daemon *daemon = lending->daemon;
+    SlotLeasing *leasing = context;
+    Daemon *daemon = leasing->daemon;
     const char *name;
     json_t *record;
     if (!AqSlices_IsSteady(daemon->slices)) {
@@ -155,26 +157,26 @@
         }
         Endpoints_RefreshSlots(daemon->endpoints);
     }
-    AqTimer_Start(daemon->loop, &lending->timer,
+    AqTimer_Start(daemon->loop, &leasing->timer,
                   AqLoop_Now(daemon->loop) + RETURN_CHECK_MS);
 }
 
-Lending *
-Lending_Create(Daemon *daemon)
+SlotLeasing *
+SlotLeasing_Create(Daemon *daemon)
 {
-    Lending *lending = calloc(1, sizeof(*lending));
-    lending->daemon = daemon;
-    AqTimer_Init(&lending->timer, on_timer, lending);
-    AqTimer_Start(daemon->loop, &lending->timer, AqLoop_Now(daemon->loop));
-    return lending;
+    SlotLeasing *leasing = calloc(1, sizeof(*leasing));
+    leasing->daemon = daemon;
+    AqTimer_Init(&leasing->timer, on_timer, leasing);
+    AqTimer_Start(daemon->loop, &leasing->timer, AqLoop_Now(daemon->loop));
+    return leasing;
 }
 
 void
-Lending_Destroy(Lending *lending)
+SlotLeasing_Destroy(SlotLeasing *leasing)
 {
-    if (lending == NULL) {
+    if (leasing == NULL) {
         return;
     }
-    AqTimer_Stop(&lending->timer);
-    free(lending);
+    AqTimer_Stop(&leasing->timer);
+    free(leasing);
 }
--- a/packages/daemon/slot_leasing.h
+++ b/packages/daemon/slot_leasing.h
@@ -1,22 +1,23 @@
-#ifndef LENDING_H
-#define LENDING_H
+#ifndef SLOT_LEASING_H
+#define SLOT_LEASING_H
 
 #include "daemon.h"
 
-/* Lends idle slots to peers that have a queue, and borrows when requests wait
- * here. */
+/* Leases idle slots out to peers that have a queue, and leases slots in when
+ * requests wait here. */
 
-typedef struct Lending Lending;
+typedef struct SlotLeasing SlotLeasing;
 
-Lending *Lending_Create(Daemon *daemon);
-void Lending_Destroy(Lending *lending);
+SlotLeasing *SlotLeasing_Create(Daemon *daemon);
+void SlotLeasing_Destroy(SlotLeasing *leasing);
 
-/* A peer reported its queues and idle slots: borrows when that helps. */
-void Lending_Heartbeat(Daemon *daemon, const char *from,
-                       const AqMsgHeartbeat *beat);
-void Lending_PeerBorrows(Daemon *daemon, const char *from,
+/* A peer reported its queues and idle slots: requests a lease when that
+ * helps. */
+void SlotLeasing_OnHeartbeat(Daemon *daemon, const char *from,
+                             const AqMsgHeartbeat *beat);
+void SlotLeasing_OnRequest(Daemon *daemon, const char *from,
+                           const AqMsgSlots *msg);
+void SlotLeasing_OnGrant(Daemon *daemon, const char *from,
                          const AqMsgSlots *msg);
-void Lending_PeerLends(Daemon *daemon, const char *from,
-                       const AqMsgSlots *msg);
 
 #endif
--- a/packages/daemon/status.c
+++ b/packages/daemon/status.c
@@ -101,7 +101,7 @@
         "fresh", AqMembership_IsFresh(daemon->membership, now), "version",
         (json_int_t)AqFleet_Version(Daemon_Fleet(daemon)), "epoch",
         (json_int_t)AqMembership_Epoch(daemon->membership), "planner",
-        PlannerTask_IsActive(daemon->planner), "members",
+        PlannerRunner_IsActive(daemon->planner), "members",
         describe_members(daemon));
     json_object_set_new(result, "requests",
                         json_pack("{s:I,s:I,s:I,s:I,s:I,s:I,s:I,s:I}",
--- a/packages/daemon/stopping.c
+++ b/packages/daemon/stopping.c
@@ -127,6 +127,6 @@
     }
     enter(stopping, DAEMON_UNREADY);
     stopping->limit = now + daemon->settings->stop_limit_ms;
-    Callers_CloseAfterAnswer(daemon->callers);
+    Callers_CloseAfterResponse(daemon->callers);
     AqTimer_Start(daemon->loop, &stopping->timer, now);
 }
--- a/packages/daemon/task_client.c
+++ b/packages/daemon/task_client.c
@@ -97,7 +97,7 @@
         .fresh_connection = false,
         .timeout_ms = settings->store_timeout_ms,
         .connect_timeout_ms = settings->store_timeout_ms,
-        .max_answer = MAX_ANSWER,
+        .max_response_bytes = MAX_ANSWER,
     };
     Order *call = calloc(1, sizeof(*call));
     call->client = client;
@@ -176,7 +176,7 @@
     char url[512];
     /* Each change of a task is answered with the whole list, so only the
      * planner, which acts on it, waits for it. */
-    if (!PlannerTask_IsActive(client->daemon->planner)) {
+    if (!PlannerRunner_IsActive(client->daemon->planner)) {
         json_decref(client->tasks);
         client->tasks = NULL;
         client->index = 0;
@@ -191,7 +191,7 @@
         .url = url,
         .timeout_ms = WAIT_S * 1000 + WAIT_SLACK_MS,
         .connect_timeout_ms = settings->store_timeout_ms,
-        .max_answer = MAX_LIST,
+        .max_response_bytes = MAX_LIST,
     };
     client->watch =
         AqHttpClient_Start(client->daemon->http, &request, on_list, client);
--- a/packages/daemon/tests/fault_site.c
+++ b/packages/daemon/tests/fault_site.c
@@ -43,7 +43,7 @@
     json_t *body = json != NULL ? json_loads(json, 0, NULL) : NULL;
     snprintf(url, sizeof(url), "http://%s%s",
              AqProcess_Address(process, "control"), path);
-    json_t *reply = AqHttp_Json(method, url, NULL, body, NULL, &error);
+    json_t *reply = AqTestHttp_Json(method, url, NULL, body, NULL, &error);
     json_decref(body);
     if (reply == NULL) {
         fprintf(stderr, "%s: %s\n", url, error.message);
--- a/packages/daemon/tests/site.c
+++ b/packages/daemon/tests/site.c
@@ -110,7 +110,7 @@
     }
     snprintf(url, sizeof(url), "http://%s/test/v1/vms",
              AqProcess_Address(site->platform, "control"));
-    json_t *reply = AqHttp_Json("POST", url, NULL, vms, NULL, &error);
+    json_t *reply = AqTestHttp_Json("POST", url, NULL, vms, NULL, &error);
     if (reply == NULL) {
         fail(url, &error);
     }
@@ -220,11 +220,11 @@
  */
 
 static void
-take_reply(const AqHttpReply *reply, SiteAnswer *answer)
+take_reply(const AqTestHttpReply *reply, SiteAnswer *answer)
 {
     answer->status = reply->status;
-    if (!AqHttpReply_Header(reply, "Aq-Outcome", answer->outcome,
-                            sizeof(answer->outcome))) {
+    if (!AqTestHttpReply_Header(reply, "Aq-Outcome", answer->outcome,
+                                sizeof(answer->outcome))) {
         answer->outcome[0] = '\0';
     }
     snprintf(answer->body, sizeof(answer->body), "%s",
@@ -239,16 +239,16 @@
                                           NULL};
     char url[256];
     AqError error;
-    AqHttpReply reply = {0};
-    AqHttpCall call = {
+    AqTestHttpReply reply = {0};
+    AqTestHttpCall call = {
         .method = "GET", .url = url, .headers = headers, .timeout_ms = 2000};
     memset(answer, 0, sizeof(*answer));
     snprintf(url, sizeof(url), "http://%s%s",
              AqProcess_Address(site->daemons[daemon], listener), path);
-    if (AqHttp_Call(&call, &reply, &error)) {
+    if (AqTestHttp_Call(&call, &reply, &error)) {
         take_reply(&reply, answer);
     }
-    AqHttpReply_Clear(&reply);
+    AqTestHttpReply_Clear(&reply);
 }
 
 static void
@@ -269,14 +269,14 @@
         request->headers[n++] = request->id;
         request->headers[n++] = idempotent;
     }
-    AqHttpCall call = {.method = id != NULL ? "POST" : "GET",
-                       .url = request->url,
-                       .headers = request->headers,
-                       .body = id != NULL ? "x" : NULL,
-                       .size = id != NULL ? 1 : 0,
-                       .timeout_ms = timeout_ms + 5000};
-    request->client = AqHttpClient_Create();
-    request->started = AqHttpClient_Start(request->client, &call, &error);
+    AqTestHttpCall call = {.method = id != NULL ? "POST" : "GET",
+                           .url = request->url,
+                           .headers = request->headers,
+                           .body = id != NULL ? "x" : NULL,
+                           .size = id != NULL ? 1 : 0,
+                           .timeout_ms = timeout_ms + 5000};
+    request->client = AqTestHttpClient_Create();
+    request->started = AqTestHttpClient_Start(request->client, &call, &error);
 }
 
 void
@@ -299,14 +299,14 @@
 site_finish(SiteRequest *request, SiteAnswer *answer)
 {
     AqError error;
-    AqHttpReply reply = {0};
+    AqTestHttpReply reply = {0};
     memset(answer, 0, sizeof(*answer));
     if (request->started &&
-        AqHttpClient_Finish(request->client, &reply, &error)) {
+        AqTestHttpClient_Finish(request->client, &reply, &error)) {
         take_reply(&reply, answer);
     }
-    AqHttpReply_Clear(&reply);
-    AqHttpClient_Destroy(request->client);
+    AqTestHttpReply_Clear(&reply);
+    AqTestHttpClient_Destroy(request->client);
 }
 
 void
@@ -329,27 +329,27 @@
              AqProcess_Address(site->daemons[daemon], "operators"));
     snprintf(intent->body, sizeof(intent->body),
              "{\"op\":\"%s\",\"kind\":\"%s\",\"args\":%s}", op, kind, args);
-    AqHttpCall call = {.method = "POST",
-                       .url = intent->url,
-                       .headers = headers,
-                       .body = intent->body,
-                       .size = strlen(intent->body)};
-    intent->client = AqHttpClient_Create();
-    intent->started = AqHttpClient_Start(intent->client, &call, &error);
+    AqTestHttpCall call = {.method = "POST",
+                           .url = intent->url,
+                           .headers = headers,
+                           .body = intent->body,
+                           .size = strlen(intent->body)};
+    intent->client = AqTestHttpClient_Create();
+    intent->started = AqTestHttpClient_Start(intent->client, &call, &error);
 }
 
 long
 site_intent_finish(SiteIntent *intent, SiteAnswer *answer)
 {
     AqError error;
-    AqHttpReply reply = {0};
+    AqTestHttpReply reply = {0};
     memset(answer, 0, sizeof(*answer));
     if (intent->started &&
-        AqHttpClient_Finish(intent->client, &reply, &error)) {
+        AqTestHttpClient_Finish(intent->client, &reply, &error)) {
         take_reply(&reply, answer);
     }
-    AqHttpReply_Clear(&reply);
-    AqHttpClient_Destroy(intent->client);
+    AqTestHttpReply_Clear(&reply);
+    AqTestHttpClient_Destroy(intent->client);
     return answer->status;
 }
 
@@ -373,7 +373,7 @@
     json_t *body = json != NULL ? json_loads(json, 0, NULL) : NULL;
     snprintf(url, sizeof(url), "http://%s%s",
              AqProcess_Address(process, "control"), path);
-    json_t *reply = AqHttp_Json(method, url, NULL, body, NULL, &error);
+    json_t *reply = AqTestHttp_Json(method, url, NULL, body, NULL, &error);
     json_decref(body);
     if (reply == NULL) {
         fail(url, &error);
@@ -400,7 +400,7 @@
     AqError error;
     snprintf(url, sizeof(url), "http://%s/v1/kv/%s?recurse=true",
              AqProcess_Address(site->platform, "platform"), prefix);
-    json_t *items = AqHttp_Json("GET", url, NULL, NULL, NULL, &error);
+    json_t *items = AqTestHttp_Json("GET", url, NULL, NULL, NULL, &error);
     int count = (int)json_array_size(items);
     json_decref(items);
     return count;
@@ -441,16 +441,17 @@
     char url[160];
     char index[32];
     AqError error;
-    AqHttpReply reply = {0};
-    AqHttpCall call = {.method = "GET", .url = url, .timeout_ms = 1000};
+    AqTestHttpReply reply = {0};
+    AqTestHttpCall call = {.method = "GET", .url = url, .timeout_ms = 1000};
     snprintf(url, sizeof(url),
              "http://%s/v1/kv/aq/fleet/head?index=%lld&wait=50ms",
              AqProcess_Address(site->platform, "platform"), site->index);
-    if (AqHttp_Call(&call, &reply, &error) &&
-        AqHttpReply_Header(&reply, "X-Consul-Index", index, sizeof(index))) {
+    if (AqTestHttp_Call(&call, &reply, &error) &&
+        AqTestHttpReply_Header(&reply, "X-Consul-Index", index,
+                               sizeof(index))) {
         site->index = atoll(index);
     }
-    AqHttpReply_Clear(&reply);
+    AqTestHttpReply_Clear(&reply);
 }
 
 bool
--- a/packages/daemon/tests/site.h
+++ b/packages/daemon/tests/site.h
@@ -62,7 +62,7 @@
 
 /* A request of a caller, started now and finished later. */
 typedef struct {
-    AqHttpClient *client;
+    AqTestHttpClient *client;
     char url[256];
     char id[96];
     char timeout[40];
@@ -82,7 +82,7 @@
 
 /* An intent, started now and finished later. */
 typedef struct {
-    AqHttpClient *client;
+    AqTestHttpClient *client;
     char url[128];
     char body[1024];
     bool started;
--- a/packages/daemon/tests/test_endpoint_faults.c
+++ b/packages/daemon/tests/test_endpoint_faults.c
@@ -123,12 +123,12 @@
              AqProcess_Address(site->endpoints, name));
     snprintf(filler->id, sizeof(filler->id), "Aq-Request-Id: i-fill-%d", i);
     filler->headers[0] = filler->id;
-    AqHttpCall call = {.method = "GET",
-                       .url = filler->url,
-                       .headers = filler->headers,
-                       .timeout_ms = FAULT_WAIT_MS};
-    filler->client = AqHttpClient_Create();
-    filler->started = AqHttpClient_Start(filler->client, &call, &error);
+    AqTestHttpCall call = {.method = "GET",
+                           .url = filler->url,
+                           .headers = filler->headers,
+                           .timeout_ms = FAULT_WAIT_MS};
+    filler->client = AqTestHttpClient_Create();
+    filler->started = AqTestHttpClient_Start(filler->client, &call, &error);
 }
 
 /* Guards against a "not run" that did run, and a claim that stays after every
--- a/packages/daemon/tests/test_leaving.c
+++ b/packages/daemon/tests/test_leaving.c
@@ -36,7 +36,7 @@
     bool result = false;
     snprintf(url, sizeof(url), "http://%s/v1/vms",
              AqProcess_Address(site->platform, "platform"));
-    json_t *list = AqHttp_Json("GET", url, NULL, NULL, NULL, &error);
+    json_t *list = AqTestHttp_Json("GET", url, NULL, NULL, NULL, &error);
     json_array_foreach(json_object_get(list, "vms"), i, vm)
     {
         const char *id = json_string_value(json_object_get(vm, "id"));
--- a/packages/daemon/tests/test_process.c
+++ b/packages/daemon/tests/test_process.c
@@ -386,7 +386,7 @@
 }
 
 /* Guards against heartbeats from which a daemon with a queue cannot tell that
- * its peers have idle slots, and against loans that do not come back. */
+ * its peers have idle slots, and against slot leases that do not come back. */
 static void
 test_lending(void)
 {
--- a/packages/daemon/tests/test_waves.c
+++ b/packages/daemon/tests/test_waves.c
@@ -223,17 +223,17 @@
 {
     char url[160];
     AqError error;
-    AqHttpReply reply = {0};
+    AqTestHttpReply reply = {0};
     json_t *next = next_head(head, vm, record);
     char *text = json_dumps(next, JSON_COMPACT);
-    AqHttpCall put = {
+    AqTestHttpCall put = {
         .method = "PUT", .url = url, .body = text, .size = strlen(text)};
     snprintf(url, sizeof(url), "http://%s/v1/kv/aq/fleet/head?cas=%lld",
              AqProcess_Address(site->platform, "platform"), index);
-    if (!AqHttp_Call(&put, &reply, &error)) {
+    if (!AqTestHttp_Call(&put, &reply, &error)) {
         printf("%s\n", error.message);
     }
-    AqHttpReply_Clear(&reply);
+    AqTestHttpReply_Clear(&reply);
     free(text);
     json_decref(next);
 }
@@ -250,7 +250,7 @@
              AqProcess_Address(site->platform, "platform"));
     json_t *record = read_state(site, 0, "vms", vm);
     const char *state = json_string_value(json_object_get(record, "state"));
-    json_t *items = AqHttp_Json("GET", url, NULL, NULL, NULL, &error);
+    json_t *items = AqTestHttp_Json("GET", url, NULL, NULL, NULL, &error);
     const json_t *item = json_array_get(items, 0);
     const char *value = json_string_value(json_object_get(item, "Value"));
     if (state == NULL || strcmp(state, "rebooting") != 0 || value == NULL) {
--- a/packages/daemon/vm_list.c
+++ b/packages/daemon/vm_list.c
@@ -66,7 +66,7 @@
         int64_t before = list->index;
         ok = root != NULL && read_list(list, root);
         if (ok && list->index != before) {
-            PlannerTask_ListChanged(list->daemon->planner);
+            PlannerRunner_ListChanged(list->daemon->planner);
         }
     }
     json_decref(root);
@@ -86,7 +86,7 @@
         .url = url,
         .timeout_ms = WAIT_S * 1000 + WAIT_SLACK_MS,
         .connect_timeout_ms = list->daemon->settings->store_timeout_ms,
-        .max_answer = MAX_LIST,
+        .max_response_bytes = MAX_LIST,
     };
     list->call =
         AqHttpClient_Start(list->daemon->http, &request, on_list, list);
--- a/packages/explain/Include/aq_explain.h
+++ b/packages/explain/Include/aq_explain.h
@@ -7,8 +7,8 @@
 
 #include "aq_buffer.h"
 
-/* The life of one request, put together from the logs of any number of nodes
- * on the platform, and why it ended as it did.  No I/O.
+/* The timeline of one request, put together from the logs of any number of
+ * nodes on the platform, and why it ended as it did.  No I/O.
  *
  * The lines are given twice: first those of the request are found, then what
  * happened around them (owners of the pool, the store, the pool's load).  The
--- a/packages/explain/explain.c
+++ b/packages/explain/explain.c
@@ -14,7 +14,7 @@
 {
     AqExplain *explain = g_new0(AqExplain, 1);
     explain->id = g_strdup(id);
-    explain->life = g_ptr_array_new_with_free_func(line_free);
+    explain->timeline = g_ptr_array_new_with_free_func(line_free);
     explain->context = g_ptr_array_new_with_free_func(line_free);
     explain->missing = g_ptr_array_new_with_free_func(g_free);
     return explain;
@@ -25,7 +25,7 @@
 {
     if (explain != NULL) {
         g_free(explain->id);
-        g_ptr_array_free(explain->life, TRUE);
+        g_ptr_array_free(explain->timeline, TRUE);
         g_ptr_array_free(explain->context, TRUE);
         g_ptr_array_free(explain->missing, TRUE);
         g_free(explain);
@@ -49,7 +49,7 @@
 sort_life(AqExplain *explain)
 {
     if (!explain->is_sorted) {
-        g_ptr_array_sort(explain->life, compare_lines);
+        g_ptr_array_sort(explain->timeline, compare_lines);
         explain->is_sorted = true;
     }
 }
@@ -65,7 +65,7 @@
         explain->unreadable++;
     }
     else if (strcmp(line_get(line, "request"), explain->id) == 0) {
-        g_ptr_array_add(explain->life, line);
+        g_ptr_array_add(explain->timeline, line);
         explain->is_sorted = false;
     }
     else {
@@ -91,12 +91,12 @@
 static void
 add_context_line(AqExplain *explain, const char *text, size_t size)
 {
-    if (explain->life->len == 0) {
+    if (explain->timeline->len == 0) {
         return;
     }
-    const Line *first = g_ptr_array_index(explain->life, 0);
+    const Line *first = g_ptr_array_index(explain->timeline, 0);
     const Line *last =
-        g_ptr_array_index(explain->life, explain->life->len - 1);
+        g_ptr_array_index(explain->timeline, explain->timeline->len - 1);
     Line *line = line_parse(text, size, explain->lines);
     if (line == NULL) {
         return;
@@ -136,7 +136,7 @@
 size_t
 AqExplain_Lines(const AqExplain *explain)
 {
-    return explain->life->len;
+    return explain->timeline->len;
 }
 
 /* ---- Report ------------------------------------------------------------- */
@@ -163,22 +163,22 @@
 {
     json_t *report = json_pack("{s:s,s:I}", "request", explain->id,
                                "unreadable", (json_int_t)explain->unreadable);
-    json_t *life = json_array();
+    json_t *timeline = json_array();
     json_t *missing = json_array();
     sort_life(explain);
     g_ptr_array_sort(explain->context, compare_lines);
-    for (guint i = 0; i < explain->life->len; i++) {
-        const Line *first = g_ptr_array_index(explain->life, 0);
+    for (guint i = 0; i < explain->timeline->len; i++) {
+        const Line *first = g_ptr_array_index(explain->timeline, 0);
         json_array_append_new(
-            life, describe_line(g_ptr_array_index(explain->life, i),
-                                first->time_ms));
+            timeline, describe_line(g_ptr_array_index(explain->timeline, i),
+                                    first->time_ms));
     }
     cause_find(explain, report);
     for (guint i = 0; i < explain->missing->len; i++) {
         json_array_append_new(
             missing, json_string(g_ptr_array_index(explain->missing, i)));
     }
-    json_object_set_new(report, "life", life);
+    json_object_set_new(report, "life", timeline);
     json_object_set_new(report, "missing", missing);
     return report;
 }
--- a/packages/explain/explain_cause.c
+++ b/packages/explain/explain_cause.c
@@ -94,8 +94,8 @@
 gather(const AqExplain *explain, Facts *facts)
 {
     memset(facts, 0, sizeof(*facts));
-    for (guint i = 0; i < explain->life->len; i++) {
-        const Line *line = g_ptr_array_index(explain->life, i);
+    for (guint i = 0; i < explain->timeline->len; i++) {
+        const Line *line = g_ptr_array_index(explain->timeline, i);
         facts->first = i == 0 ? line : facts->first;
         if (line_is(line, "answered")) {
             add_answer(facts, line);
@@ -405,7 +405,7 @@
 name_missing(AqExplain *explain, const Facts *facts)
 {
     bool has_owner = facts->ordered != NULL || facts->finished != NULL;
-    if (explain->life->len == 0) {
+    if (explain->timeline->len == 0) {
         AqExplain_AddMissing(explain, "all lines of the request",
                              "give the logs of all nodes, from before its "
                              "submission on");
--- a/packages/explain/explain_internal.h
+++ b/packages/explain/explain_internal.h
@@ -7,7 +7,7 @@
 
 /* Shared by the files of the package:
  * explain_lines.c  a line of a log and its fields
- * explain.c        passes, the life in order, the report
+ * explain.c        passes, the timeline in order, the report
  * explain_cause.c  why the request ended so */
 
 typedef struct {
@@ -23,11 +23,11 @@
 
 struct AqExplain {
     char *id;
-    GPtrArray *life;    /* of Line, of the request */
-    GPtrArray *context; /* of Line, around it */
-    GPtrArray *missing; /* of text */
+    GPtrArray *timeline; /* of Line, of the request */
+    GPtrArray *context;  /* of Line, around it */
+    GPtrArray *missing;  /* of text */
     size_t unreadable;
-    bool is_sorted; /* the life; from the second pass on */
+    bool is_sorted; /* the timeline; from the second pass on */
     guint lines;
 };
 
--- a/packages/explain/tests/test_explain.c
+++ b/packages/explain/tests/test_explain.c
@@ -213,8 +213,8 @@
     }
 }
 
-/* Guards against a life out of order when the nodes' logs are given one after
- * the other, and against a reader that breaks on a shipper's prefix. */
+/* Guards against a timeline out of order when the nodes' logs are given one
+ * after the other, and against a reader that breaks on a shipper's prefix. */
 static void
 test_order(void)
 {
@@ -223,14 +223,14 @@
         "request=ab stage=completed pool=p fence=7\n"
         "host-1: time_ms=1000 level=info process=n-1 event=answered "
         "request=ab method=POST status=200 reason=\"stored now\"\n");
-    const json_t *life = json_object_get(report, "life");
-    CU_ASSERT_EQUAL_FATAL(json_array_size(life), 2);
-    CU_ASSERT_STRING_EQUAL(
-        json_string_value(json_object_get(json_array_get(life, 0), "event")),
-        "answered");
+    const json_t *timeline = json_object_get(report, "life");
+    CU_ASSERT_EQUAL_FATAL(json_array_size(timeline), 2);
+    CU_ASSERT_STRING_EQUAL(json_string_value(json_object_get(
+                               json_array_get(timeline, 0), "event")),
+                           "answered");
     CU_ASSERT_STRING_EQUAL(
         json_string_value(json_object_get(
-            json_object_get(json_array_get(life, 0), "fields"), "reason")),
+            json_object_get(json_array_get(timeline, 0), "fields"), "reason")),
         "stored now");
     AqBuffer out;
     AqBuffer_Init(&out);
--- a/packages/fleet/bench/bench_fleet.c
+++ b/packages/fleet/bench/bench_fleet.c
@@ -374,8 +374,8 @@
     run.platform.reboot_ms = 120000;
     run.fleet = AqFleet_Create();
     run.planner = AqPlanner_Create();
-    fleet_set_switches(run.fleet,
-                       strategy->placement ? 0 : FLEET_NO_PLACEMENT);
+    fleet_disable(run.fleet,
+                  strategy->placement ? 0 : FLEET_DISABLE_PLACEMENT);
     build_fleet(&run);
     while (run.platform.now < WARM_UP_MS) {
         tick(&run);
--- a/packages/fleet/budget.c
+++ b/packages/fleet/budget.c
@@ -41,7 +41,7 @@
 {
     int serving = pool_serving(pool);
     int unavailable = pool_unavailable(pool);
-    if ((fleet->switches & FLEET_NO_BUDGET) != 0 ||
+    if ((fleet->switches & FLEET_DISABLE_BUDGET) != 0 ||
         budget_headroom(serving, unavailable, pool->min_serving,
                         pool->max_unavailable) > 0) {
         return true;
--- a/packages/fleet/document.c
+++ b/packages/fleet/document.c
@@ -84,7 +84,7 @@
 }
 
 void
-fleet_set_switches(AqFleet *fleet, unsigned switches)
+fleet_disable(AqFleet *fleet, unsigned switches)
 {
     fleet->switches = switches;
 }
--- a/packages/fleet/fleet_internal.h
+++ b/packages/fleet/fleet_internal.h
@@ -16,10 +16,10 @@
 
 /* A wave's reboot and the checks after it together take at most this long;
  * section 7.1. */
-#define BACK_MS (10 * 60 * 1000)
+#define WAVE_RETURN_LIMIT_MS (10 * 60 * 1000)
 /* A VM that is listed live but did not pass its checks is tried again after
  * this time, so that a broken VM costs two commits an hour. */
-#define RETRY_MS (60 * 60 * 1000)
+#define VM_RETRY_MS (60 * 60 * 1000)
 
 typedef struct PoolEntry PoolEntry;
 
@@ -83,13 +83,13 @@
 /* Mechanisms that a test leaves out to show that its check sees the loss.
  * Never set outside of tests and measurements. */
 enum {
-    FLEET_NO_BUDGET = 1 << 0,     /* planned stops ignore budgets */
-    FLEET_NO_DRAIN = 1 << 1,      /* moves change the pool of a serving VM */
-    FLEET_NO_WAVE_STOP = 1 << 2,  /* waves go on after failed VMs */
-    FLEET_NO_HYSTERESIS = 1 << 3, /* every surplus moves at once */
-    FLEET_NO_PLACEMENT = 1 << 4   /* the planner moves no VMs */
+    FLEET_DISABLE_BUDGET = 1 << 0, /* planned stops ignore budgets */
+    FLEET_DISABLE_DRAIN = 1 << 1,  /* moves change the pool of a serving VM */
+    FLEET_DISABLE_WAVE_STOP = 1 << 2,  /* waves go on after failed VMs */
+    FLEET_DISABLE_HYSTERESIS = 1 << 3, /* every surplus moves at once */
+    FLEET_DISABLE_PLACEMENT = 1 << 4   /* the planner moves no VMs */
 };
-void fleet_set_switches(AqFleet *fleet, unsigned switches);
+void fleet_disable(AqFleet *fleet, unsigned switches);
 
 /* record.c: kinds, typed fields with errors, checks of whole records. */
 const char *record_kind_name(AqRecordKind kind);
--- a/packages/fleet/intents_vm.c
+++ b/packages/fleet/intents_vm.c
@@ -78,7 +78,8 @@
     json_object_update(record, (json_t *)intent->args);
     json_object_del(record, "id");
     json_t *next = vm_in_state(record, AQ_VM_CHECKING, intent->wall_ms);
-    json_object_set_new(next, "due", json_integer(intent->wall_ms + BACK_MS));
+    json_object_set_new(next, "due",
+                        json_integer(intent->wall_ms + WAVE_RETURN_LIMIT_MS));
     json_decref(record);
     bool ok =
         record_check(AQ_REC_VM, id, next, error) &&
@@ -264,7 +265,7 @@
                         error)) {
         return false;
     }
-    if ((intent->fleet->switches & FLEET_NO_DRAIN) != 0) {
+    if ((intent->fleet->switches & FLEET_DISABLE_DRAIN) != 0) {
         set_put(intent->set, AQ_REC_VM, vm->id,
                 vm_in_pool(vm, name, intent->wall_ms));
         return true;
--- a/packages/fleet/planner.c
+++ b/packages/fleet/planner.c
@@ -41,7 +41,7 @@
     /* A failure counts even when its upsert has to wait for the next step. */
     pool->serving += serves - served;
     pool->unavailable += served - serves;
-    step->taken[vm->number] = 1;
+    step->is_changed[vm->number] = 1;
     if (step->upserts >= STEP_UPSERTS) {
         json_decref(record);
         return false;
@@ -55,7 +55,7 @@
 plan_headroom(const PlanStep *step, const PoolEntry *pool)
 {
     const PoolPlan *plan = &step->pools[pool->number];
-    if ((step->fleet->switches & FLEET_NO_BUDGET) != 0) {
+    if ((step->fleet->switches & FLEET_DISABLE_BUDGET) != 0) {
         return plan->serving;
     }
     return budget_headroom(plan->serving, plan->unavailable, pool->min_serving,
@@ -81,7 +81,7 @@
     vm_clear_plan(next);
     if (listing == LISTED_LIVE) {
         json_object_set_new(next, "retry",
-                            json_integer(step->wall_ms + RETRY_MS));
+                            json_integer(step->wall_ms + VM_RETRY_MS));
     }
     if (vm->state == AQ_VM_REBOOTING || vm->state == AQ_VM_CHECKING) {
         plan_wave_result(step, vm, next, false);
@@ -174,17 +174,18 @@
         plan_put_vm(step, vm, next, AQ_VM_SERVING);
         return;
     }
-    plan_wave_working(step, vm);
+    plan_wave_add_in_progress(step, vm);
 }
 
 static void
 put_rebooting(PlanStep *step, const VmEntry *vm)
 {
     json_t *next = vm_in_state(vm->record, AQ_VM_REBOOTING, step->wall_ms);
-    json_object_set_new(next, "due", json_integer(step->wall_ms + BACK_MS));
+    json_object_set_new(next, "due",
+                        json_integer(step->wall_ms + WAVE_RETURN_LIMIT_MS));
     if (plan_put_vm(step, vm, next, AQ_VM_REBOOTING)) {
         /* The reboot itself is asked for once the commit holds. */
-        plan_wave_working(step, vm);
+        plan_wave_add_in_progress(step, vm);
     }
 }
 
@@ -197,7 +198,7 @@
         return;
     }
     if (vm->state == AQ_VM_DRAINING) {
-        plan_wave_working(step, vm);
+        plan_wave_add_in_progress(step, vm);
         if (step->view->in_flight(step->context, vm->id, vm->drain) == 0) {
             json_t *next =
                 vm_in_state(vm->record, AQ_VM_DRAINED, step->wall_ms);
@@ -221,7 +222,7 @@
 {
     const AqFleet *fleet = step->fleet;
     step->pools = g_new0(PoolPlan, fleet->pool_order->len);
-    step->taken = g_new0(unsigned char, fleet->vm_order->len + 1);
+    step->is_changed = g_new0(unsigned char, fleet->vm_order->len + 1);
     for (guint i = 0; i < fleet->pool_order->len; i++) {
         const PoolEntry *pool = fleet->pool_order->pdata[i];
         step->pools[i].serving = pool_serving(pool);
@@ -251,7 +252,7 @@
     }
     for (guint i = 0; i < vms->len; i++) {
         const VmEntry *vm = vms->pdata[i];
-        if (!step->taken[i] &&
+        if (!step->is_changed[i] &&
             (vm->state == AQ_VM_DRAINING || vm->state == AQ_VM_DRAINED)) {
             follow_drain(step, vm);
         }
@@ -277,10 +278,10 @@
     /* Without a VM list failed VMs cannot be seen. */
     step.hold |= !step.list_known;
     plan_waves_run(&step);
-    if ((fleet->switches & FLEET_NO_PLACEMENT) == 0) {
+    if ((fleet->switches & FLEET_DISABLE_PLACEMENT) == 0) {
         plan_placement(&step);
     }
     plan_waves_finish(&step);
     g_free(step.pools);
-    g_free(step.taken);
+    g_free(step.is_changed);
 }
--- a/packages/fleet/planner.h
+++ b/packages/fleet/planner.h
@@ -46,8 +46,8 @@
     void *context;
     json_t *set;
     json_t *reboots;
-    PoolPlan *pools;      /* by PoolEntry.number */
-    unsigned char *taken; /* by VmEntry.number: changed in this step */
+    PoolPlan *pools;           /* by PoolEntry.number */
+    unsigned char *is_changed; /* by VmEntry.number: changed in this step */
     WavePlan *waves;
     int wave_count;
     int upserts;
@@ -72,7 +72,7 @@
 void plan_waves_load(PlanStep *step);
 WavePlan *plan_wave(PlanStep *step, const char *name);
 /* Counts a VM that a wave has stopped and that is not back yet. */
-void plan_wave_working(PlanStep *step, const VmEntry *vm);
+void plan_wave_add_in_progress(PlanStep *step, const VmEntry *vm);
 /* Notes the end of a wave's work on a VM; the VM's new record is changed. */
 void plan_wave_result(PlanStep *step, const VmEntry *vm, json_t *record,
                       bool back);
--- a/packages/fleet/planner_place.c
+++ b/packages/fleet/planner_place.c
@@ -74,7 +74,7 @@
 is_movable(const Placement *place, const VmEntry *vm)
 {
     const PlanStep *step = place->step;
-    return vm->state == AQ_VM_SERVING && !step->taken[vm->number] &&
+    return vm->state == AQ_VM_SERVING && !step->is_changed[vm->number] &&
            (vm->moved == 0 || step->wall_ms - vm->moved >= place->stay_ms) &&
            plan_headroom(step, vm->pool) > 0;
 }
@@ -84,7 +84,7 @@
 {
     PlanStep *step = place->step;
     json_t *next;
-    if ((step->fleet->switches & FLEET_NO_DRAIN) != 0) {
+    if ((step->fleet->switches & FLEET_DISABLE_DRAIN) != 0) {
         next = vm_in_pool(vm, to->name, step->wall_ms);
     }
     else {
@@ -320,7 +320,7 @@
                        .surplus_ms = (int64_t)SURPLUS_MS * moves / 5,
                        .stay_ms = (int64_t)STAY_MS * moves / 5};
     place.surplus_vms = place.surplus_vms < 1 ? 1 : place.surplus_vms;
-    if ((fleet->switches & FLEET_NO_HYSTERESIS) != 0) {
+    if ((fleet->switches & FLEET_DISABLE_HYSTERESIS) != 0) {
         place.surplus_vms = 0;
         place.surplus_ms = 0;
         place.stay_ms = 0;
--- a/packages/fleet/planner_waves.c
+++ b/packages/fleet/planner_waves.c
@@ -37,7 +37,7 @@
 }
 
 void
-plan_wave_working(PlanStep *step, const VmEntry *vm)
+plan_wave_add_in_progress(PlanStep *step, const VmEntry *vm)
 {
     WavePlan *wave = plan_wave(step, vm->wave);
     PoolPlan *pool = &step->pools[vm->pool->number];
@@ -100,7 +100,7 @@
     int failed = note_recent(wave->record, back);
     wave->changed = true;
     if (wave->running && failed >= FAILED_MOST &&
-        (step->fleet->switches & FLEET_NO_WAVE_STOP) == 0) {
+        (step->fleet->switches & FLEET_DISABLE_WAVE_STOP) == 0) {
         char reason[160];
         g_snprintf(reason, sizeof(reason),
                    "%d of the last %d VMs failed; check them and resume or "
@@ -179,7 +179,7 @@
             continue;
         }
         choice->pending++;
-        if (vm->state == AQ_VM_SERVING && !step->taken[i]) {
+        if (vm->state == AQ_VM_SERVING && !step->is_changed[i]) {
             choice->list[choice->count++].vm = vm;
         }
     }
--- a/packages/fleet/tests/test_fleet_random.c
+++ b/packages/fleet/tests/test_fleet_random.c
@@ -281,7 +281,7 @@
         world_create(&world, seed);
         world.store.no_cas = no_cas;
         for (int i = 0; i < DAEMONS; i++) {
-            fleet_set_switches(world.daemons[i].fleet, switches);
+            fleet_disable(world.daemons[i].fleet, switches);
             world.daemons[i].no_read_back = no_read_back;
         }
         seed_fleet(&world);
@@ -298,8 +298,8 @@
 test_mechanisms_are_needed(void)
 {
     int none = count_faults(0, false, false);
-    int budget = count_faults(FLEET_NO_BUDGET, false, false);
-    int drain = count_faults(FLEET_NO_DRAIN, false, false);
+    int budget = count_faults(FLEET_DISABLE_BUDGET, false, false);
+    int drain = count_faults(FLEET_DISABLE_DRAIN, false, false);
     int cas = count_faults(0, true, false);
     int read_back = count_faults(0, false, true);
     fprintf(stderr,
--- a/packages/fleet/tests/test_planner.c
+++ b/packages/fleet/tests/test_planner.c
@@ -59,7 +59,7 @@
     fake_store_init(&scene->store, true);
     fake_platform_init(&scene->platform, 7);
     fake_daemon_init(&scene->daemon, &scene->store, &scene->platform);
-    fleet_set_switches(scene->daemon.fleet, switches);
+    fleet_disable(scene->daemon.fleet, switches);
     json_t *set = json_array();
     for (int i = 0; i < count; i++) {
         put_pool(set, &pools[i]);
@@ -154,7 +154,7 @@
 test_wave(void)
 {
     Scene scene;
-    scene_create(&scene, two_pools, 2, FLEET_NO_PLACEMENT);
+    scene_create(&scene, two_pools, 2, FLEET_DISABLE_PLACEMENT);
     start_wave(&scene, 3);
     int seconds = 0;
     while (strcmp(wave_state(&scene), "running") == 0 && seconds < 3600) {
@@ -193,7 +193,7 @@
 {
     static const ScenePool pool = {"a", 12, 2, NULL};
     Scene scene;
-    scene_create(&scene, &pool, 1, switches | FLEET_NO_PLACEMENT);
+    scene_create(&scene, &pool, 1, switches | FLEET_DISABLE_PLACEMENT);
     for (int i = 0; i < 12; i++) {
         char id[8];
         g_snprintf(id, sizeof(id), "a%d", i);
@@ -213,7 +213,7 @@
 test_wave_stops_itself(void)
 {
     CU_ASSERT_EQUAL(wave_losses(0), 2);
-    CU_ASSERT_EQUAL(wave_losses(FLEET_NO_WAVE_STOP), 10);
+    CU_ASSERT_EQUAL(wave_losses(FLEET_DISABLE_WAVE_STOP), 10);
 }
 
 /* Guards against a reboot that a paused or aborted wave still begins, and a
@@ -222,7 +222,7 @@
 test_wave_pause(void)
 {
     Scene scene;
-    scene_create(&scene, two_pools, 2, FLEET_NO_PLACEMENT);
+    scene_create(&scene, two_pools, 2, FLEET_DISABLE_PLACEMENT);
     start_wave(&scene, 4);
     scene_run(&scene, 1);
     CU_ASSERT_EQUAL(count_state(&scene, AQ_VM_DRAINING), 4);
@@ -244,7 +244,7 @@
 test_wave_holds_back(void)
 {
     Scene scene;
-    scene_create(&scene, two_pools, 2, FLEET_NO_PLACEMENT);
+    scene_create(&scene, two_pools, 2, FLEET_DISABLE_PLACEMENT);
     GHashTableIter at;
     void *value;
     g_hash_table_iter_init(&at, scene.platform.vms);
@@ -291,7 +291,7 @@
 test_reboot_timeout(void)
 {
     Scene scene;
-    scene_create(&scene, two_pools, 2, FLEET_NO_PLACEMENT);
+    scene_create(&scene, two_pools, 2, FLEET_DISABLE_PLACEMENT);
     FakeVm *down = fake_platform_vm(&scene.platform, "a0");
     FakeVm *sick = fake_platform_vm(&scene.platform, "b0");
     down->bad = true;
@@ -318,7 +318,7 @@
 {
     static const ScenePool pool = {"a", 12, 8, NULL};
     Scene scene;
-    scene_create(&scene, &pool, 1, FLEET_NO_PLACEMENT);
+    scene_create(&scene, &pool, 1, FLEET_DISABLE_PLACEMENT);
     start_wave(&scene, 1);
     int last = -1;
     int changes = 0;
@@ -344,7 +344,7 @@
 reboot_time(int dry_runs)
 {
     Scene scene;
-    scene_create(&scene, two_pools, 2, FLEET_NO_PLACEMENT);
+    scene_create(&scene, two_pools, 2, FLEET_DISABLE_PLACEMENT);
     scene.platform.reboot_ms = 4000;
     CU_ASSERT_TRUE(
         scene_intent(&scene, "vm.reboot", json_pack("{s:s}", "id", "a0")));
@@ -436,7 +436,7 @@
 test_hysteresis(void)
 {
     int with = count_moves(0);
-    int without = count_moves(FLEET_NO_HYSTERESIS);
+    int without = count_moves(FLEET_DISABLE_HYSTERESIS);
     fprintf(stderr, "%d moves, %d without hysteresis ", with, without);
     CU_ASSERT_TRUE(with <= 8);
     CU_ASSERT_TRUE(without > 2 * with);
--- a/packages/fleet/vm_record.c
+++ b/packages/fleet/vm_record.c
@@ -51,7 +51,8 @@
     json_t *next = vm_in_state(vm->record, AQ_VM_CHECKING, wall_ms);
     if (vm->state != AQ_VM_REBOOTING) {
         vm_clear_plan(next);
-        json_object_set_new(next, "due", json_integer(wall_ms + BACK_MS));
+        json_object_set_new(next, "due",
+                            json_integer(wall_ms + WAVE_RETURN_LIMIT_MS));
     }
     return next;
 }
--- a/packages/io/Include/aq_http_client.h
+++ b/packages/io/Include/aq_http_client.h
@@ -19,7 +19,7 @@
     AQ_HTTP_NOT_SENT, /* no byte of the request left */
     AQ_HTTP_CUT,      /* closed or broken after sending began */
     AQ_HTTP_TIMEOUT,  /* timed out after sending began */
-    AQ_HTTP_TOO_LARGE /* the answer is over max_answer */
+    AQ_HTTP_TOO_LARGE /* the answer is over max_response_bytes */
 } AqHttpResult;
 
 typedef struct {
@@ -52,7 +52,7 @@
     bool fresh_connection;
     AqTime timeout_ms;
     AqTime connect_timeout_ms;
-    size_t max_answer; /* bytes */
+    size_t max_response_bytes; /* bytes */
 } AqHttpRequest;
 
 AqHttpClient *AqHttpClient_Create(AqLoop *loop, AqError *error);
--- a/packages/io/Include/aq_http_server.h
+++ b/packages/io/Include/aq_http_server.h
@@ -46,7 +46,7 @@
  * answer. */
 void AqHttpServer_StopListening(AqHttpServer *server);
 /* Answers carry "Connection: close" from now on. */
-void AqHttpServer_CloseAfterAnswer(AqHttpServer *server);
+void AqHttpServer_CloseAfterResponse(AqHttpServer *server);
 /* Requests taken and not yet answered. */
 size_t AqHttpServer_Pending(const AqHttpServer *server);
 
--- a/packages/io/http_client.c
+++ b/packages/io/http_client.c
@@ -39,7 +39,7 @@
     char *request_body;
     AqBuffer body;
     AqBuffer header_text; /* lines, each ended by NUL */
-    size_t max_answer;
+    size_t max_response_bytes;
     bool headers_ended; /* the empty line after the headers arrived */
     bool has_length;    /* Content-Length or chunked: the end is known */
     bool is_head;
@@ -323,7 +323,7 @@
 {
     AqHttpCall *call = context;
     size_t size = unit * count;
-    if (call->body.size + size > call->max_answer) {
+    if (call->body.size + size > call->max_response_bytes) {
         call->too_large = true;
         return 0;
     }
@@ -448,7 +448,7 @@
     call->client = client;
     call->done = done;
     call->context = context;
-    call->max_answer = request->max_answer;
+    call->max_response_bytes = request->max_response_bytes;
     AqBuffer_Init(&call->body);
     AqBuffer_Init(&call->header_text);
     AqList_Init(&call->link);
--- a/packages/io/http_server.c
+++ b/packages/io/http_server.c
@@ -353,7 +353,7 @@
 }
 
 void
-AqHttpServer_CloseAfterAnswer(AqHttpServer *server)
+AqHttpServer_CloseAfterResponse(AqHttpServer *server)
 {
     server->close_after_answer = true;
 }
--- a/packages/io/tests/test_io.c
+++ b/packages/io/tests/test_io.c
@@ -59,7 +59,7 @@
         .fresh_connection = fresh,
         .timeout_ms = timeout_ms,
         .connect_timeout_ms = 1000,
-        .max_answer = 100,
+        .max_response_bytes = 100,
     };
     AqHttpClient_Start(client, &request, on_reply, &reply);
     run_until(loop, &reply.done);
@@ -237,7 +237,7 @@
         .has_body = true,
         .timeout_ms = 2000,
         .connect_timeout_ms = 1000,
-        .max_answer = 100,
+        .max_response_bytes = 100,
     };
     AqHttpClient_Start(client, &request, on_reply, &late);
     for (int i = 0; i < MAX_ROUNDS && held == NULL; i++) {
--- a/packages/jobs/Include/aq_jobs.h
+++ b/packages/jobs/Include/aq_jobs.h
@@ -21,19 +21,19 @@
 /* Mechanisms that can be left out, for tests that show what each is for and
  * for measurements. */
 enum {
-    AQ_JOBS_WITHOUT_UNKNOWN = 1,    /* lapsed non-idempotent tasks restart */
-    AQ_JOBS_WITHOUT_ESTIMATES = 2,  /* declared sizes are believed */
-    AQ_JOBS_WITHOUT_URGENT = 4,     /* urgent jobs wait their turn */
-    AQ_JOBS_WITHOUT_BAD_WORKER = 8, /* failing workers get new tasks */
-    AQ_JOBS_WITHOUT_BATCHES = 16,   /* all cancellations in one step, first */
-    AQ_JOBS_WITHOUT_STORED_FIRST = 32 /* starts are ordered before stored */
+    AQ_JOBS_DISABLE_UNKNOWN = 1,    /* lapsed non-idempotent tasks restart */
+    AQ_JOBS_DISABLE_ESTIMATES = 2,  /* declared sizes are believed */
+    AQ_JOBS_DISABLE_URGENT = 4,     /* urgent jobs wait their turn */
+    AQ_JOBS_DISABLE_BAD_WORKER = 8, /* failing workers get new tasks */
+    AQ_JOBS_DISABLE_BATCHES = 16,   /* all cancellations in one step, first */
+    AQ_JOBS_DISABLE_STORED_FIRST = 32 /* starts are ordered before stored */
 };
 
 AqJobs *AqJobs_Create(void);
 void AqJobs_Destroy(AqJobs *jobs);
 
 /* Bits of the enumeration above. */
-void AqJobs_LeaveOut(AqJobs *jobs, uint32_t without);
+void AqJobs_Disable(AqJobs *jobs, uint32_t disabled);
 
 /* Installs the document of a team as read from the store at "index".  An
  * index that is not above the installed one is ignored. */
--- a/packages/jobs/estimate.c
+++ b/packages/jobs/estimate.c
@@ -68,7 +68,7 @@
 }
 
 void
-size_add_sample(Team *team, const json_t *job, const TaskMemory *memory)
+size_add_sample(Team *team, const json_t *job, const TaskRuntime *memory)
 {
     json_t *all = json_object_get(team->working, "samples");
     if (memory->cores_milli == 0 && memory->memory_mb == 0) {
--- a/packages/jobs/jobs.c
+++ b/packages/jobs/jobs.c
@@ -21,7 +21,7 @@
 static void
 free_worker(gpointer data)
 {
-    WorkerMemory *worker = data;
+    WorkerHealth *worker = data;
     g_free(worker->last_job);
     g_free(worker);
 }
@@ -52,9 +52,9 @@
 }
 
 void
-AqJobs_LeaveOut(AqJobs *jobs, uint32_t without)
+AqJobs_Disable(AqJobs *jobs, uint32_t disabled)
 {
-    jobs->without = without;
+    jobs->disabled = disabled;
 }
 
 /* ---- Teams ---------------------------------------------------------------
@@ -249,23 +249,23 @@
                            (long long)job_int(job, "tries"));
 }
 
-TaskMemory *
-jobs_task(AqJobs *jobs, const char *task)
+TaskRuntime *
+jobs_task_runtime(AqJobs *jobs, const char *task)
 {
-    TaskMemory *memory = g_hash_table_lookup(jobs->tasks, task);
+    TaskRuntime *memory = g_hash_table_lookup(jobs->tasks, task);
     if (memory == NULL) {
-        memory = g_new0(TaskMemory, 1);
+        memory = g_new0(TaskRuntime, 1);
         g_hash_table_insert(jobs->tasks, g_strdup(task), memory);
     }
     return memory;
 }
 
-WorkerMemory *
-jobs_worker(AqJobs *jobs, const char *worker)
+WorkerHealth *
+jobs_worker_health(AqJobs *jobs, const char *worker)
 {
-    WorkerMemory *memory = g_hash_table_lookup(jobs->workers, worker);
+    WorkerHealth *memory = g_hash_table_lookup(jobs->workers, worker);
     if (memory == NULL) {
-        memory = g_new0(WorkerMemory, 1);
+        memory = g_new0(WorkerHealth, 1);
         g_hash_table_insert(jobs->workers, g_strdup(worker), memory);
     }
     return memory;
--- a/packages/jobs/jobs_internal.h
+++ b/packages/jobs/jobs_internal.h
@@ -37,7 +37,7 @@
     int64_t last_renewal; /* Unix ms */
     int64_t cores_milli;  /* highest use reported */
     int64_t memory_mb;
-} TaskMemory;
+} TaskRuntime;
 
 /* Failures in a row on one worker. */
 typedef struct {
@@ -45,13 +45,13 @@
     int failures;   /* of different jobs */
     int64_t bad_until;
     bool trial; /* one task may run to test it */
-} WorkerMemory;
+} WorkerHealth;
 
 struct AqJobs {
     GHashTable *teams;   /* name -> Team, owned */
-    GHashTable *tasks;   /* task -> TaskMemory, owned */
-    GHashTable *workers; /* worker -> WorkerMemory, owned */
-    uint32_t without;    /* AqJobsMechanism bits */
+    GHashTable *tasks;   /* task -> TaskRuntime, owned */
+    GHashTable *workers; /* worker -> WorkerHealth, owned */
+    uint32_t disabled;   /* AqJobsMechanism bits */
 };
 
 typedef struct {
@@ -82,8 +82,8 @@
  * with g_free. */
 char *task_name(const char *team, const char *id, const json_t *job);
 
-TaskMemory *jobs_task(AqJobs *jobs, const char *task);
-WorkerMemory *jobs_worker(AqJobs *jobs, const char *worker);
+TaskRuntime *jobs_task_runtime(AqJobs *jobs, const char *task);
+WorkerHealth *jobs_worker_health(AqJobs *jobs, const char *worker);
 
 /* ---- Sizes (estimate.c) ---------------------------------------------------
  */
@@ -91,7 +91,7 @@
 Size size_declared(const json_t *job);
 /* Learned size after three samples of the class, declared size before. */
 Size size_estimate(const Team *team, const json_t *job);
-void size_add_sample(Team *team, const json_t *job, const TaskMemory *memory);
+void size_add_sample(Team *team, const json_t *job, const TaskRuntime *memory);
 /* What was reserved when the task was started; the same in each repeat of the
  * order. */
 Size size_reserved(const json_t *job);
--- a/packages/jobs/placement.c
+++ b/packages/jobs/placement.c
@@ -90,8 +90,8 @@
 static bool
 is_bad(AqJobs *jobs, const char *id, int64_t wall_ms)
 {
-    const WorkerMemory *memory = g_hash_table_lookup(jobs->workers, id);
-    if (memory == NULL || (jobs->without & AQ_JOBS_WITHOUT_BAD_WORKER)) {
+    const WorkerHealth *memory = g_hash_table_lookup(jobs->workers, id);
+    if (memory == NULL || (jobs->disabled & AQ_JOBS_DISABLE_BAD_WORKER)) {
         return false;
     }
     return memory->failures >= JOBS_BAD_WORKER_FAILURES &&
@@ -170,11 +170,11 @@
 static void
 note_trial(Placement *p, const char *id)
 {
-    WorkerMemory *memory = g_hash_table_lookup(p->jobs->workers, id);
+    WorkerHealth *memory = g_hash_table_lookup(p->jobs->workers, id);
     if (memory != NULL && memory->failures >= JOBS_BAD_WORKER_FAILURES) {
         memory->trial = true;
         find_worker(p, id)->takes_tasks =
-            (p->jobs->without & AQ_JOBS_WITHOUT_BAD_WORKER) != 0;
+            (p->jobs->disabled & AQ_JOBS_DISABLE_BAD_WORKER) != 0;
     }
 }
 
--- a/packages/jobs/steps.c
+++ b/packages/jobs/steps.c
@@ -13,7 +13,7 @@
 static bool
 has(const AqJobs *jobs, uint32_t mechanism)
 {
-    return (jobs->without & mechanism) == 0;
+    return (jobs->disabled & mechanism) == 0;
 }
 
 /* ---- Reports -------------------------------------------------------------
@@ -40,7 +40,7 @@
 note_failure(AqJobs *jobs, const char *worker, const char *task,
              int64_t wall_ms)
 {
-    WorkerMemory *memory = jobs_worker(jobs, worker);
+    WorkerHealth *memory = jobs_worker_health(jobs, worker);
     memory->trial = false;
     if (memory->last_job == NULL || strcmp(memory->last_job, task) != 0) {
         memory->failures++;
@@ -93,7 +93,7 @@
             bool started)
 {
     if (started && !job_flag(job, "idempotent") &&
-        has(jobs, AQ_JOBS_WITHOUT_UNKNOWN)) {
+        has(jobs, AQ_JOBS_DISABLE_UNKNOWN)) {
         job_end(team, id, "unknown",
                 "the lease lapsed; the task is non-idempotent and may have "
                 "run");
@@ -125,7 +125,7 @@
     const char *state = report->state;
     if (strcmp(state, "finished") == 0) {
         note_success(jobs, report->worker);
-        size_add_sample(team, job, jobs_task(jobs, report->id));
+        size_add_sample(team, job, jobs_task_runtime(jobs, report->id));
         job_end(team, id, "done", "");
     }
     else if (strcmp(state, "failed") == 0) {
@@ -187,7 +187,7 @@
     /* A report about another worker is from before a checkpoint. */
     if (job != NULL && !job_is(job, "queued") &&
         strcmp(job_text(job, "worker"), report->worker) == 0) {
-        TaskMemory *memory = jobs_task(jobs, report->id);
+        TaskRuntime *memory = jobs_task_runtime(jobs, report->id);
         memory->cores_milli =
             MAX(memory->cores_milli, report->cores_used_milli);
         memory->memory_mb = MAX(memory->memory_mb, report->memory_used_mb);
@@ -242,7 +242,7 @@
 send_repeated(const Step *step, AqTaskAction action, const char *task,
               const json_t *job)
 {
-    TaskMemory *memory = jobs_task(step->jobs, task);
+    TaskRuntime *memory = jobs_task_runtime(step->jobs, task);
     if (step->wall_ms - memory->last_order >= JOBS_ORDER_RETRY_MS) {
         memory->last_order = step->wall_ms;
         send_order(step, action, task, job);
@@ -252,7 +252,7 @@
 static void
 order_for(const Step *step, const char *task, const json_t *job)
 {
-    TaskMemory *memory = jobs_task(step->jobs, task);
+    TaskRuntime *memory = jobs_task_runtime(step->jobs, task);
     if (job_is(job, "starting")) {
         send_repeated(step, AQ_TASK_START, task, job);
         return;
@@ -274,7 +274,7 @@
 static void
 send_orders(const Step *step, const Team *team)
 {
-    const json_t *source = has(step->jobs, AQ_JOBS_WITHOUT_STORED_FIRST)
+    const json_t *source = has(step->jobs, AQ_JOBS_DISABLE_STORED_FIRST)
                                ? team->stored
                                : team->working;
     const char *id;
@@ -295,7 +295,7 @@
 static bool
 start_job(const Step *step, Placement *placement, Team *team, json_t *job)
 {
-    Size size = has(step->jobs, AQ_JOBS_WITHOUT_ESTIMATES)
+    Size size = has(step->jobs, AQ_JOBS_DISABLE_ESTIMATES)
                     ? size_estimate(team, job)
                     : size_declared(job);
     const json_t *selector = json_object_get(job, "selector");
@@ -306,7 +306,7 @@
     if (worker == NULL) {
         placement_return_quota(placement, team->name, &size);
         if (job_flag(job, "urgent") &&
-            has(step->jobs, AQ_JOBS_WITHOUT_URGENT)) {
+            has(step->jobs, AQ_JOBS_DISABLE_URGENT)) {
             placement_preempt(placement, &size, selector);
         }
         return false;
@@ -357,7 +357,7 @@
             if (job_is(job, "queued") && !job_flag(job, "cancel")) {
                 Waiting entry = {team, job,
                                  job_flag(job, "urgent") &&
-                                     has(step->jobs, AQ_JOBS_WITHOUT_URGENT),
+                                     has(step->jobs, AQ_JOBS_DISABLE_URGENT),
                                  share, job_int(job, "submitted")};
                 g_array_append_val(waiting, entry);
             }
@@ -413,7 +413,7 @@
 cancel_all(const Step *step)
 {
     int left =
-        has(step->jobs, AQ_JOBS_WITHOUT_BATCHES) ? JOBS_CANCEL_BATCH : INT_MAX;
+        has(step->jobs, AQ_JOBS_DISABLE_BATCHES) ? JOBS_CANCEL_BATCH : INT_MAX;
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, step->jobs->teams);
@@ -447,11 +447,11 @@
     Step step = {jobs, fleet, wall_ms, order, context};
     GHashTableIter iter;
     gpointer value;
-    if (!has(jobs, AQ_JOBS_WITHOUT_BATCHES)) {
+    if (!has(jobs, AQ_JOBS_DISABLE_BATCHES)) {
         cancel_all(&step);
     }
     start_waiting(&step);
-    if (has(jobs, AQ_JOBS_WITHOUT_BATCHES)) {
+    if (has(jobs, AQ_JOBS_DISABLE_BATCHES)) {
         cancel_all(&step);
     }
     g_hash_table_iter_init(&iter, jobs->teams);
--- a/packages/jobs/tests/test_jobs.c
+++ b/packages/jobs/tests/test_jobs.c
@@ -75,7 +75,7 @@
 typedef struct {
     const char *name;
     uint32_t mechanism;
-    bool (*holds)(uint32_t without);
+    bool (*holds)(uint32_t disabled);
 } Property;
 
 static void
@@ -87,11 +87,11 @@
 }
 
 static AqJobs *
-start(Fake *fake, uint32_t without)
+start(Fake *fake, uint32_t disabled)
 {
     AqJobs *jobs = AqJobs_Create();
     fake_init(fake, 7);
-    AqJobs_LeaveOut(jobs, without);
+    AqJobs_Disable(jobs, disabled);
     fake_add_team(fake, "t", 1000);
     return jobs;
 }
@@ -109,10 +109,10 @@
 
 /* A planner that pauses past the lease of a non-idempotent task. */
 static bool
-holds_at_most_once(uint32_t without)
+holds_at_most_once(uint32_t disabled)
 {
     Fake fake;
-    AqJobs *jobs = start(&fake, without);
+    AqJobs *jobs = start(&fake, disabled);
     fake_add_worker(&fake, "w", "{}", 8);
     fake.run_ms = 60000;
     submit(&fake, jobs, "pay", "");
@@ -128,11 +128,11 @@
 
 /* Declared sizes ten times too large must not leave workers idle. */
 static bool
-holds_estimates(uint32_t without)
+holds_estimates(uint32_t disabled)
 {
     Fake fake;
     char id[16];
-    AqJobs *jobs = start(&fake, without);
+    AqJobs *jobs = start(&fake, disabled);
     fake_add_worker(&fake, "w", "{}", 32);
     fake.use_percent = 10;
     fake.run_ms = 2000;
@@ -149,11 +149,11 @@
 
 /* Urgent work starts within 3.5 s on a full fleet. */
 static bool
-holds_urgent(uint32_t without)
+holds_urgent(uint32_t disabled)
 {
     Fake fake;
     char id[16];
-    AqJobs *jobs = start(&fake, without);
+    AqJobs *jobs = start(&fake, disabled);
     fake_add_worker(&fake, "w", "{}", 4);
     fake.run_ms = 600000;
     for (int i = 0; i < 8; i++) {
@@ -174,11 +174,11 @@
 
 /* A worker that fails everything gets few tasks. */
 static bool
-holds_bad_worker(uint32_t without)
+holds_bad_worker(uint32_t disabled)
 {
     Fake fake;
     char id[16];
-    AqJobs *jobs = start(&fake, without);
+    AqJobs *jobs = start(&fake, disabled);
     fake_add_worker(&fake, "bad", "{}", 2);
     fake_add_worker(&fake, "good", "{}", 4);
     g_hash_table_add(fake.bad, g_strdup("bad"));
@@ -206,11 +206,11 @@
 
 /* A thousand cancellations do not change more than a batch in a step. */
 static bool
-holds_batches(uint32_t without)
+holds_batches(uint32_t disabled)
 {
     Fake fake;
     char id[32];
-    AqJobs *jobs = start(&fake, without);
+    AqJobs *jobs = start(&fake, disabled);
     fake_add_worker(&fake, "w", "{}", 1);
     for (int i = 0; i < 1000; i++) {
         snprintf(id, sizeof(id), "j%d", i);
@@ -241,11 +241,11 @@
 /* No task is started that the store does not know of: a planner that takes
  * over would start it again. */
 static bool
-holds_stored_first(uint32_t without)
+holds_stored_first(uint32_t disabled)
 {
     Fake fake;
     int starts = 0;
-    AqJobs *jobs = start(&fake, without);
+    AqJobs *jobs = start(&fake, disabled);
     fake_add_worker(&fake, "w", "{}", 1);
     submit(&fake, jobs, "pay", "");
     AqJobs_Step(jobs, fake.fleet, fake.now, do_nothing, &starts);
@@ -256,12 +256,12 @@
 }
 
 static const Property properties[] = {
-    {"at most once", AQ_JOBS_WITHOUT_UNKNOWN, holds_at_most_once},
-    {"estimates", AQ_JOBS_WITHOUT_ESTIMATES, holds_estimates},
-    {"urgent", AQ_JOBS_WITHOUT_URGENT, holds_urgent},
-    {"bad worker", AQ_JOBS_WITHOUT_BAD_WORKER, holds_bad_worker},
-    {"batches", AQ_JOBS_WITHOUT_BATCHES, holds_batches},
-    {"stored first", AQ_JOBS_WITHOUT_STORED_FIRST, holds_stored_first},
+    {"at most once", AQ_JOBS_DISABLE_UNKNOWN, holds_at_most_once},
+    {"estimates", AQ_JOBS_DISABLE_ESTIMATES, holds_estimates},
+    {"urgent", AQ_JOBS_DISABLE_URGENT, holds_urgent},
+    {"bad worker", AQ_JOBS_DISABLE_BAD_WORKER, holds_bad_worker},
+    {"batches", AQ_JOBS_DISABLE_BATCHES, holds_batches},
+    {"stored first", AQ_JOBS_DISABLE_STORED_FIRST, holds_stored_first},
 };
 
 /* Guards against a mechanism that does nothing: each property must hold with
--- a/packages/membership/Include/aq_membership.h
+++ b/packages/membership/Include/aq_membership.h
@@ -66,10 +66,11 @@
 /* The connection of a peer closed; it counts as heard until it is silent. */
 void AqMembership_Disconnected(AqMembership *m, AqTime now, const char *id);
 
-/* Fills seq, instance, epoch, version, store_age_ms, joining and heard; the
- * caller adds the rest (AqSlices_FillHeartbeat for over and loans) and clears
- * the message.  Called every AQ_HEARTBEAT_MS: a longer gap is taken as a pause
- * of this daemon, after which the silence of the peers counts anew. */
+/* Fills seq, instance, epoch, version, store_age_ms, joining and peer_ages;
+ * the caller adds the rest (AqSlices_FillHeartbeat for over and slot_leases)
+ * and clears the message.  Called every AQ_HEARTBEAT_MS: a longer gap is taken
+ * as a pause of this daemon, after which the silence of the peers counts
+ * anew. */
 void AqMembership_FillHeartbeat(AqMembership *m, AqTime now,
                                 AqMsgHeartbeat *beat);
 
@@ -83,7 +84,7 @@
 bool AqMembership_IsAccepted(const AqMembership *m, AqTime now,
                              int64_t version);
 /* Whether every member reports "version" or more in force. */
-bool AqMembership_IsEverywhere(const AqMembership *m, int64_t version);
+bool AqMembership_IsAppliedByAll(const AqMembership *m, int64_t version);
 /* Highest version any peer reported, and who (borrowed, may be NULL). */
 int64_t AqMembership_HighestVersion(const AqMembership *m, const char **peer);
 /* Whether a commit may add or remove one member now: a majority of the
@@ -121,6 +122,6 @@
 bool AqMembership_IsStarted(const AqMembership *m, AqTime now);
 
 /* Bytes of memory held, without the allocator's overhead. */
-size_t AqMembership_Memory(const AqMembership *m);
+size_t AqMembership_MemoryBytes(const AqMembership *m);
 
 #endif
--- a/packages/membership/bench/bench_cluster.c
+++ b/packages/membership/bench/bench_cluster.c
@@ -8,7 +8,7 @@
 enum {
     READ_MS = 1000, /* wait of the watch on head */
     REPLY_MS = 3,   /* store latency */
-    LOAN_TERM_MS = 2000,
+    SLOT_LEASE_TERM_MS = 2000,
     LEAVING_PERCENT = 2
 };
 
@@ -199,18 +199,20 @@
     return n;
 }
 
-/* Borrows up to "wanted" slots from one member. */
+/* Leases up to "wanted" slots from one member. */
 static int
-borrow_from(BenchCluster *c, BenchMember *b, BenchMember *lender, int wanted)
+request_slots_from(BenchCluster *c, BenchMember *b, BenchMember *lessor,
+                   int wanted)
 {
     int got = 0;
     for (int e = 0; e < c->endpoints && got < wanted; e++) {
         const char *name = c->endpoint[e];
-        int idle = AqSlices_Usable(lender->s, c->now, name) - lender->used[e];
-        int n =
-            AqSlices_Lend(lender->s, c->now, b->id, name, idle, wanted - got);
+        int idle = AqSlices_Usable(lessor->s, c->now, name) - lessor->used[e];
+        int n = AqSlices_GrantLease(lessor->s, c->now, b->id, name, idle,
+                                    wanted - got);
         if (n > 0) {
-            AqSlices_Borrowed(b->s, c->now, lender->id, name, n, LOAN_TERM_MS);
+            AqSlices_LeaseGranted(b->s, c->now, lessor->id, name, n,
+                                  SLOT_LEASE_TERM_MS);
         }
         got += n;
     }
@@ -221,26 +223,26 @@
 give_back(BenchCluster *c, BenchMember *b)
 {
     for (int e = 0; e < c->endpoints; e++) {
-        const char *lender;
+        const char *lessor;
         int n;
-        while ((n = AqSlices_ToReturn(b->s, c->now, c->endpoint[e], b->used[e],
-                                      &lender)) > 0) {
-            int i = atoi(lender + strlen("entry-vm-"));
-            AqSlices_Returned(c->member[i].s, b->id, c->endpoint[e], n);
+        while ((n = AqSlices_NextReturn(b->s, c->now, c->endpoint[e],
+                                        b->used[e], &lessor)) > 0) {
+            int i = atoi(lessor + strlen("entry-vm-"));
+            AqSlices_LeaseReturned(c->member[i].s, b->id, c->endpoint[e], n);
         }
     }
 }
 
 void
-bench_lend(BenchCluster *c)
+bench_lease_slots(BenchCluster *c)
 {
     for (int i = 0; i < c->members; i++) {
         BenchMember *b = &c->member[i];
         give_back(c, b);
         int wanted = b->demand - running(c, b);
         for (int k = 1; k < c->members && wanted > 0; k++) {
-            wanted -=
-                borrow_from(c, b, &c->member[(i + k) % c->members], wanted);
+            wanted -= request_slots_from(
+                c, b, &c->member[(i + k) % c->members], wanted);
         }
     }
 }
--- a/packages/membership/bench/bench_cluster.h
+++ b/packages/membership/bench/bench_cluster.h
@@ -52,7 +52,7 @@
 /* Runs as many requests as each member wants and its slots allow; returns the
  * slots in use over all members. */
 int bench_load(BenchCluster *c);
-/* Members with a queue borrow idle slots from the others, once. */
-void bench_lend(BenchCluster *c);
+/* Members with a queue lease idle slots from the others, once. */
+void bench_lease_slots(BenchCluster *c);
 
 #endif
--- a/packages/membership/bench/bench_membership.c
+++ b/packages/membership/bench/bench_membership.c
@@ -2,8 +2,8 @@
 
 #include "bench_cluster.h"
 
-/* Prints what heartbeats cost and what lending gains, for 3 to 27 members.
- * Bytes are those of the frames, without TCP/IP headers. */
+/* Prints what heartbeats cost and what slot leasing gains, for 3 to 27
+ * members.  Bytes are those of the frames, without TCP/IP headers. */
 
 enum {
     SETTLE_MS = 10000,
@@ -15,8 +15,8 @@
 {
     BenchCluster *c = bench_create(members, endpoints);
     bench_run(c, SETTLE_MS);
-    size_t peers = AqMembership_Memory(c->member[0].m);
-    size_t slices = AqSlices_Memory(c->member[0].s);
+    size_t peers = AqMembership_MemoryBytes(c->member[0].m);
+    size_t slices = AqSlices_MemoryBytes(c->member[0].s);
     c->frames = c->frame_bytes = c->fills = 0;
     c->handle_us = c->fill_us = 0;
     bench_run(c, MEASURE_MS);
@@ -49,7 +49,7 @@
 }
 
 static void
-measure_lending(int members, const char *load, int hot)
+measure_slot_leasing(int members, const char *load, int hot)
 {
     BenchCluster *c = bench_create(members, 50);
     bench_run(c, SETTLE_MS);
@@ -62,7 +62,7 @@
         bench_run(c, BENCH_STEP_MS);
         sum += bench_load(c) / slots;
         samples++;
-        bench_lend(c);
+        bench_lease_slots(c);
     }
     printf("%7d  %-22s %6.1f%% %6.1f%%\n", members, load, alone * 100,
            sum / samples * 100);
@@ -115,9 +115,9 @@
     printf("\nslots in use at a demand of 90%% of the slots\n"
            "members  load                   static lending\n");
     for (int i = 0; i < 4; i++) {
-        measure_lending(sizes[i], "all at a third", sizes[i] / 3);
-        measure_lending(sizes[i], "share 1/rank", 0);
-        measure_lending(sizes[i], "even", sizes[i]);
+        measure_slot_leasing(sizes[i], "all at a third", sizes[i] / 3);
+        measure_slot_leasing(sizes[i], "share 1/rank", 0);
+        measure_slot_leasing(sizes[i], "even", sizes[i]);
     }
     printf("\n");
     measure_relayed_freshness();
--- a/packages/membership/endpoints.c
+++ b/packages/membership/endpoints.c
@@ -98,9 +98,9 @@
     free(slices->buckets);
 }
 
-/* ---- Dealing ------------------------------------------------------------ */
+/* ---- Assignment --------------------------------------------------------- */
 
-/* Index of the member that a slot is dealt to. */
+/* Index of the member that a slot is assigned to. */
 static uint16_t
 deal_slot(const uint64_t *hashes, size_t count, const Endpoint *e, int slot)
 {
@@ -118,7 +118,7 @@
 }
 
 void
-endpoints_deal(AqSlices *slices, Endpoint *e, bool keep)
+endpoints_assign_slots(AqSlices *slices, Endpoint *e, bool keep)
 {
     int self = AqMembership_Index(slices->membership, slices->self);
     slices->pending -= e->pending;
--- a/packages/membership/membership.c
+++ b/packages/membership/membership.c
@@ -31,7 +31,7 @@
     m->last_fill = now;
     m->listening_since = now;
     m->contact = TIME_UNKNOWN;
-    m->relayed = TIME_UNKNOWN;
+    m->relayed_contact = TIME_UNKNOWN;
     return m;
 }
 
@@ -165,7 +165,7 @@
     if (started > m->contact) {
         m->contact = started;
     }
-    m->settled = true;
+    m->counts_for_majority = true;
 }
 
 /* When this daemon sent the heartbeat with this seq, if it did. */
@@ -191,9 +191,10 @@
         *at = now;
         return true;
     }
-    for (size_t i = 0; beat->heard_seq != NULL && i < beat->heard_count; i++) {
-        if (membership_is_self(m, beat->heard[i].name)) {
-            return sending_time(m, beat->heard_seq[i], at);
+    for (size_t i = 0; beat->acked_seq != NULL && i < beat->peer_age_count;
+         i++) {
+        if (membership_is_self(m, beat->peer_ages[i].name)) {
+            return sending_time(m, beat->acked_seq[i], at);
         }
     }
     return false;
@@ -213,8 +214,8 @@
     if (contact > peer->contact) {
         peer->contact = contact;
     }
-    if (beat->version <= m->version && contact > m->relayed) {
-        m->relayed = contact;
+    if (beat->version <= m->version && contact > m->relayed_contact) {
+        m->relayed_contact = contact;
     }
 }
 
@@ -234,7 +235,7 @@
         }
     }
     if (m->count > 0 && membership_is_majority(m, heard)) {
-        m->settled = true;
+        m->counts_for_majority = true;
     }
 }
 
@@ -266,7 +267,7 @@
     if (date_heartbeat(m, now, beat, &sent_after)) {
         note_dated(m, peer, sent_after, beat);
     }
-    if (!m->settled) {
+    if (!m->counts_for_majority) {
         try_settle(m, now);
     }
 }
@@ -289,8 +290,8 @@
     if (i >= 0 && m->members[i].since > from) {
         from = m->members[i].since;
     }
-    if (peer->heard_at > from) {
-        from = peer->heard_at;
+    if (peer->last_heartbeat_at > from) {
+        from = peer->last_heartbeat_at;
     }
     return now - from;
 }
@@ -299,22 +300,22 @@
 fill_heard(const AqMembership *m, AqTime now, AqMsgHeartbeat *beat)
 {
     size_t room = m->peers.count;
-    beat->heard = calloc(room + 1, sizeof(*beat->heard));
-    beat->heard_seq = calloc(room + 1, sizeof(*beat->heard_seq));
-    if (beat->heard == NULL || beat->heard_seq == NULL) {
+    beat->peer_ages = calloc(room + 1, sizeof(*beat->peer_ages));
+    beat->acked_seq = calloc(room + 1, sizeof(*beat->acked_seq));
+    if (beat->peer_ages == NULL || beat->acked_seq == NULL) {
         abort();
     }
     for (size_t i = 0; i < room; i++) {
         const Peer *peer = &m->peers.items[i];
-        bool recent = peer->heard_at != TIME_UNKNOWN &&
-                      now - peer->heard_at < AQ_REMOVE_MS;
+        bool recent = peer->last_heartbeat_at != TIME_UNKNOWN &&
+                      now - peer->last_heartbeat_at < AQ_REMOVE_MS;
         if (!recent && !AqMembership_IsMember(m, peer->id)) {
             continue;
         }
-        size_t n = beat->heard_count++;
-        memcpy(beat->heard[n].name, peer->id, sizeof(peer->id));
-        beat->heard[n].value = membership_silence(m, now, peer);
-        beat->heard_seq[n] = peer->seq;
+        size_t n = beat->peer_age_count++;
+        memcpy(beat->peer_ages[n].name, peer->id, sizeof(peer->id));
+        beat->peer_ages[n].value = membership_silence(m, now, peer);
+        beat->acked_seq[n] = peer->seq;
     }
 }
 
@@ -334,18 +335,19 @@
     if (m->contact != TIME_UNKNOWN && now - m->contact < AQ_WIRE_MAX_AGE_MS) {
         beat->store_age_ms = now - m->contact;
     }
-    beat->joining = !m->settled;
+    beat->joining = !m->counts_for_majority;
     fill_heard(m, now, beat);
 }
 
 size_t
-AqMembership_Memory(const AqMembership *m)
+AqMembership_MemoryBytes(const AqMembership *m)
 {
     size_t n = sizeof(*m) + (m->count + 1) * sizeof(*m->members) +
                m->peers.capacity * sizeof(*m->peers.items);
     for (size_t i = 0; i < m->peers.count; i++) {
         const Peer *peer = &m->peers.items[i];
-        n += (peer->heard_count + peer->leaving_count) * sizeof(AqWireCount);
+        n +=
+            (peer->peer_age_count + peer->leaving_count) * sizeof(AqWireCount);
     }
     return n;
 }
--- a/packages/membership/membership_internal.h
+++ b/packages/membership/membership_internal.h
@@ -17,14 +17,15 @@
     AqTime created;
     uint64_t seq_base; /* seq of a heartbeat is base + 1 + ms since created */
     AqTime last_fill;
-    AqTime listening_since; /* creation or the end of the last pause */
-    bool settled;           /* may be counted in a majority */
+    AqTime listening_since;   /* creation or the end of the last pause */
+    bool counts_for_majority; /* may be counted in a majority */
     bool has_epoch;
     int64_t epoch;
     int64_t version;
-    AqTime contact;  /* start of the last answered store read */
-    AqTime relayed;  /* latest contact of a peer not above own version */
-    Member *members; /* in order of id */
+    AqTime contact; /* start of the last answered store read */
+    AqTime
+        relayed_contact; /* latest contact of a peer not above own version */
+    Member *members;     /* in order of id */
     size_t count;
     Peers peers;
 };
--- a/packages/membership/peers.c
+++ b/packages/membership/peers.c
@@ -62,7 +62,7 @@
     memset(peer, 0, sizeof(*peer));
     strncpy(peer->id, id, sizeof(peer->id) - 1);
     peer->hash = AqHash_String(peer->id);
-    peer->heard_at = TIME_UNKNOWN;
+    peer->last_heartbeat_at = TIME_UNKNOWN;
     peer_restart(peer, 0);
     return peer;
 }
@@ -70,10 +70,10 @@
 static void
 free_lists(Peer *peer)
 {
-    free(peer->heard);
+    free(peer->peer_ages);
     free(peer->leaving);
-    peer->heard = NULL;
-    peer->heard_count = 0;
+    peer->peer_ages = NULL;
+    peer->peer_age_count = 0;
     peer->leaving = NULL;
     peer->leaving_count = 0;
 }
@@ -86,7 +86,7 @@
     size_t kept = 0;
     for (size_t i = 0; i < peers->count; i++) {
         Peer *peer = &peers->items[i];
-        if (peer->heard_at < limit && !keep(context, peer->id)) {
+        if (peer->last_heartbeat_at < limit && !keep(context, peer->id)) {
             free_lists(peer);
             continue;
         }
@@ -140,9 +140,10 @@
     peer->epoch = beat->epoch;
     peer->version = beat->version;
     peer->joining = beat->joining;
-    peer->heard_at = now;
-    peer->heard = copy_counts(peer->heard, beat->heard, beat->heard_count);
-    peer->heard_count = beat->heard_count;
+    peer->last_heartbeat_at = now;
+    peer->peer_ages =
+        copy_counts(peer->peer_ages, beat->peer_ages, beat->peer_age_count);
+    peer->peer_age_count = beat->peer_age_count;
     peer->leaving =
         copy_counts(peer->leaving, beat->leaving, beat->leaving_count);
     peer->leaving_count = beat->leaving_count;
--- a/packages/membership/peers.h
+++ b/packages/membership/peers.h
@@ -21,11 +21,11 @@
     int64_t epoch;
     int64_t version;
     bool joining;
-    AqTime heard_at;    /* receipt of the last heartbeat */
-    AqTime sent_after;  /* lower bound of when it was sent, own clock */
-    AqTime contact;     /* lower bound of its last store contact, own clock */
-    AqWireCount *heard; /* owned copies of the last lists */
-    size_t heard_count;
+    AqTime last_heartbeat_at; /* receipt of the last heartbeat */
+    AqTime sent_after;        /* lower bound of when it was sent, own clock */
+    AqTime contact; /* lower bound of its last store contact, own clock */
+    AqWireCount *peer_ages; /* owned copies of the last lists */
+    size_t peer_age_count;
     AqWireCount *leaving;
     size_t leaving_count;
 } Peer;
--- a/packages/membership/rules.c
+++ b/packages/membership/rules.c
@@ -32,8 +32,8 @@
         return true;
     }
     const Peer *peer = peers_find(&m->peers, id);
-    return peer != NULL && peer->heard_at != TIME_UNKNOWN &&
-           now - peer->heard_at <= AQ_SUSPECT_MS &&
+    return peer != NULL && peer->last_heartbeat_at != TIME_UNKNOWN &&
+           now - peer->last_heartbeat_at <= AQ_SUSPECT_MS &&
            membership_is_dated(peer, now);
 }
 
@@ -51,7 +51,7 @@
     size_t heard = 0;
     for (size_t i = 0; i < m->count; i++) {
         if (membership_is_self(m, m->members[i].id)) {
-            heard += m->settled;
+            heard += m->counts_for_majority;
             continue;
         }
         const Peer *peer = peers_find(&m->peers, m->members[i].id);
@@ -75,7 +75,7 @@
     if (m->faults & AQ_FAULT_ALWAYS_FRESH) {
         return true;
     }
-    if (is_recent(m->contact, now) || is_recent(m->relayed, now)) {
+    if (is_recent(m->contact, now) || is_recent(m->relayed_contact, now)) {
         return true;
     }
     /* A peer whose version was above this daemon's when its heartbeat came,
@@ -116,7 +116,7 @@
 }
 
 bool
-AqMembership_IsEverywhere(const AqMembership *m, int64_t version)
+AqMembership_IsAppliedByAll(const AqMembership *m, int64_t version)
 {
     return m->version >= version && count_reported(m, version) == m->count;
 }
@@ -131,7 +131,8 @@
             continue;
         }
         if (best == NULL || at->version > best->version ||
-            (at->version == best->version && at->heard_at > best->heard_at)) {
+            (at->version == best->version &&
+             at->last_heartbeat_at > best->last_heartbeat_at)) {
             best = at;
         }
     }
@@ -163,7 +164,7 @@
         }
         else if (peer != NULL && strcmp(reporter, id) != 0 &&
                  membership_is_dated(peer, now)) {
-            n += count_value(peer->heard, peer->heard_count, id, 0) >=
+            n += count_value(peer->peer_ages, peer->peer_age_count, id, 0) >=
                  AQ_REMOVE_MS;
         }
     }
@@ -222,7 +223,7 @@
 AqMembership_LeavingInFlight(const AqMembership *m, const char *vm,
                              int64_t version)
 {
-    if (!AqMembership_IsEverywhere(m, version)) {
+    if (!AqMembership_IsAppliedByAll(m, version)) {
         return -1;
     }
     int64_t sum = 0;
--- a/packages/membership/slices.c
+++ b/packages/membership/slices.c
@@ -26,8 +26,8 @@
         return;
     }
     endpoints_clear(slices);
-    loans_clear(&slices->lent);
-    loans_clear(&slices->borrowed);
+    slot_leases_clear(&slices->leased_out);
+    slot_leases_clear(&slices->leased_in);
     free(slices->members);
     free(slices->hashes);
     free(slices);
@@ -80,7 +80,7 @@
     bool was_member = slices->is_member;
     copy_members(slices);
     slices->epoch = epoch;
-    memset(slices->heard, 0, sizeof(slices->heard));
+    memset(slices->reported, 0, sizeof(slices->reported));
     /* A daemon that was not a member does not know who was. */
     if (!was_member ||
         is_any_gone(slices, (const char(*)[AQ_WIRE_MAX_NAME])old, old_count)) {
@@ -92,10 +92,10 @@
             endpoints_note_previous(slices, e,
                                     (const char(*)[AQ_WIRE_MAX_NAME])old,
                                     old_hashes, old_count);
-            endpoints_deal(slices, e, was_member);
+            endpoints_assign_slots(slices, e, was_member);
         }
     }
-    loans_epoch_changed(slices);
+    slot_leases_epoch_changed(slices);
     free(old);
     free(old_hashes);
     slices_advance(slices, now);
@@ -130,7 +130,7 @@
     e->state = state;
     e->slots = slots;
     e->removed = false;
-    endpoints_deal(slices, e, true);
+    endpoints_assign_slots(slices, e, true);
 }
 
 void
@@ -142,10 +142,10 @@
     }
     e->removed = true;
     e->slots = 0;
-    endpoints_deal(slices, e, false);
-    for (size_t i = 0; i < slices->borrowed.count; i++) {
-        if (slices->borrowed.items[i].endpoint == e) {
-            slices->borrowed.items[i].until = TIME_UNKNOWN;
+    endpoints_assign_slots(slices, e, false);
+    for (size_t i = 0; i < slices->leased_in.count; i++) {
+        if (slices->leased_in.items[i].endpoint == e) {
+            slices->leased_in.items[i].until = TIME_UNKNOWN;
         }
     }
 }
@@ -229,7 +229,7 @@
 void
 slices_advance(AqSlices *slices, AqTime now)
 {
-    loans_advance(slices, now);
+    slot_leases_advance(slices, now);
     if (!is_guard_over(slices, now) || slices->pending == 0) {
         return;
     }
@@ -297,10 +297,10 @@
         block_endpoints(slices, now, beat);
         return;
     }
-    loans_heartbeat(slices, now, from, beat);
-    set_bit(slices->heard, (size_t)i);
-    slices->introduced =
-        slices->introduced || is_everybody(slices, slices->heard);
+    slot_leases_heartbeat(slices, now, from, beat);
+    set_bit(slices->reported, (size_t)i);
+    slices->all_reported =
+        slices->all_reported || is_everybody(slices, slices->reported);
     bool adopted =
         AqMembership_Faults(slices->membership) & AQ_FAULT_LATER_EPOCH
             ? beat->epoch >= slices->epoch
@@ -314,7 +314,7 @@
 /* ---- Use ---------------------------------------------------------------- */
 
 int
-AqSlices_Dealt(const AqSlices *slices, const char *endpoint)
+AqSlices_Assigned(const AqSlices *slices, const char *endpoint)
 {
     const Endpoint *e = slices_find(slices, endpoint);
     return e != NULL ? e->held + e->pending : 0;
@@ -331,29 +331,29 @@
     if (e == NULL) {
         return 0;
     }
-    int n = e->held - e->lent + loans_in_term(slices, e, now);
+    int n = e->held - e->leased_out + slot_leases_in_term(slices, e, now);
     return n > 0 ? n : 0;
 }
 
 bool
 AqSlices_IsSteady(const AqSlices *slices)
 {
-    return slices->pending == 0 && slices->lent.count == 0 &&
-           slices->borrowed.count == 0;
+    return slices->pending == 0 && slices->leased_out.count == 0 &&
+           slices->leased_in.count == 0;
 }
 
 int
-AqSlices_LentOut(const AqSlices *slices, const char *endpoint)
+AqSlices_LeasedOut(const AqSlices *slices, const char *endpoint)
 {
     const Endpoint *e = slices_find(slices, endpoint);
-    return e != NULL ? e->lent : 0;
+    return e != NULL ? e->leased_out : 0;
 }
 
 int
-AqSlices_OnLoan(const AqSlices *slices, const char *endpoint)
+AqSlices_LeasedIn(const AqSlices *slices, const char *endpoint)
 {
     const Endpoint *e = slices_find(slices, endpoint);
-    return e != NULL ? e->borrowed : 0;
+    return e != NULL ? e->leased_in : 0;
 }
 
 /* Frees removed endpoints without requests; returns the number of those that
@@ -367,9 +367,10 @@
         for (Endpoint **at = &slices->buckets[b]; *at != NULL;) {
             Endpoint *e = *at;
             int used = in_use(context, e->name);
-            int over = used + e->lent - e->held - loans_valid(slices, e);
+            int over =
+                used + e->leased_out - e->held - slot_leases_valid(slices, e);
             if (e->removed && used == 0) {
-                loans_drop_endpoint(slices, e);
+                slot_leases_drop_endpoint(slices, e);
                 *at = e->next;
                 slices->endpoint_count--;
                 endpoints_free(e);
@@ -403,26 +404,26 @@
         list_over(slices, in_use, context, beat->over);
     }
     beat->over_count = n;
-    loans_fill(slices, beat);
+    slot_leases_fill(slices, beat);
     beat->slots_known = true;
-    /* Without the whole list, and before this instance knows the loans of the
-     * one before, nothing is let go. */
-    slices->introduced =
-        slices->introduced ||
-        (slices->is_member && is_everybody(slices, slices->heard));
-    if (n > AQ_WIRE_MAX_ITEMS || !slices->introduced) {
+    /* Without the whole list, and before this instance knows the slot leases
+     * of the one before, nothing is let go. */
+    slices->all_reported =
+        slices->all_reported ||
+        (slices->is_member && is_everybody(slices, slices->reported));
+    if (n > AQ_WIRE_MAX_ITEMS || !slices->all_reported) {
         beat->epoch = 0;
     }
 }
 
 size_t
-AqSlices_Memory(const AqSlices *slices)
+AqSlices_MemoryBytes(const AqSlices *slices)
 {
-    size_t n =
-        sizeof(*slices) + slices->bucket_count * sizeof(Endpoint *) +
-        slices->member_count *
-            (sizeof(*slices->members) + sizeof(*slices->hashes)) +
-        (slices->lent.capacity + slices->borrowed.capacity) * sizeof(Loan);
+    size_t n = sizeof(*slices) + slices->bucket_count * sizeof(Endpoint *) +
+               slices->member_count *
+                   (sizeof(*slices->members) + sizeof(*slices->hashes)) +
+               (slices->leased_out.capacity + slices->leased_in.capacity) *
+                   sizeof(SlotLease);
     for (size_t b = 0; b < slices->bucket_count; b++) {
         for (Endpoint *e = slices->buckets[b]; e != NULL; e = e->next) {
             n += sizeof(*e) + (size_t)e->slots + 1;
@@ -442,11 +443,11 @@
 }
 
 static int
-sum_loans(const Loans *loans, const Endpoint *e)
+sum_slot_leases(const SlotLeaseTable *leases, const Endpoint *e)
 {
     int n = 0;
-    for (size_t i = 0; i < loans->count; i++) {
-        n += loans->items[i].endpoint == e ? loans->items[i].count : 0;
+    for (size_t i = 0; i < leases->count; i++) {
+        n += leases->items[i].endpoint == e ? leases->items[i].count : 0;
     }
     return n;
 }
@@ -460,8 +461,8 @@
             pending += e->pending;
             if (count_state(e, SLOT_HELD) != e->held ||
                 count_state(e, SLOT_PENDING) != e->pending ||
-                sum_loans(&slices->lent, e) != e->lent ||
-                sum_loans(&slices->borrowed, e) != e->borrowed) {
+                sum_slot_leases(&slices->leased_out, e) != e->leased_out ||
+                sum_slot_leases(&slices->leased_in, e) != e->leased_in) {
                 return AqError_Set(error, AQ_ERR_INVALID,
                                    "slot counts of endpoint %s do not agree "
                                    "with its slots; this is a fault of the "
--- a/packages/membership/slot_leases.c
+++ b/packages/membership/slot_leases.c
@@ -4,300 +4,304 @@
 #include "slices_internal.h"
 
 void
-loans_clear(Loans *loans)
+slot_leases_clear(SlotLeaseTable *leases)
 {
-    free(loans->items);
-    memset(loans, 0, sizeof(*loans));
+    free(leases->items);
+    memset(leases, 0, sizeof(*leases));
 }
 
-static Loan *
-find_loan(const Loans *loans, const char *peer, const Endpoint *e)
+static SlotLease *
+find_slot_lease(const SlotLeaseTable *leases, const char *peer,
+                const Endpoint *e)
 {
-    for (size_t i = 0; i < loans->count; i++) {
-        Loan *loan = &loans->items[i];
-        if (loan->endpoint == e && strcmp(loan->peer, peer) == 0) {
-            return loan;
+    for (size_t i = 0; i < leases->count; i++) {
+        SlotLease *lease = &leases->items[i];
+        if (lease->endpoint == e && strcmp(lease->peer, peer) == 0) {
+            return lease;
         }
     }
     return NULL;
 }
 
-/* Adds a loan of 0 slots; NULL when there are too many. */
-static Loan *
-add_loan(Loans *loans, const char *peer, Endpoint *e)
+/* Adds a slot lease of 0 slots; NULL when there are too many. */
+static SlotLease *
+add_slot_lease(SlotLeaseTable *leases, const char *peer, Endpoint *e)
 {
-    if (loans->count >= LOANS_MAX) {
+    if (leases->count >= SLOT_LEASES_MAX) {
         return NULL;
     }
-    if (loans->count == loans->capacity) {
-        size_t capacity = loans->capacity > 0 ? loans->capacity * 2 : 8;
-        Loan *items = realloc(loans->items, capacity * sizeof(*items));
+    if (leases->count == leases->capacity) {
+        size_t capacity = leases->capacity > 0 ? leases->capacity * 2 : 8;
+        SlotLease *items = realloc(leases->items, capacity * sizeof(*items));
         if (items == NULL) {
             abort();
         }
-        loans->items = items;
-        loans->capacity = capacity;
+        leases->items = items;
+        leases->capacity = capacity;
     }
-    Loan *loan = &loans->items[loans->count++];
-    memset(loan, 0, sizeof(*loan));
-    strncpy(loan->peer, peer, sizeof(loan->peer) - 1);
-    loan->endpoint = e;
-    loan->reclaim_at = TIME_UNKNOWN;
-    return loan;
+    SlotLease *lease = &leases->items[leases->count++];
+    memset(lease, 0, sizeof(*lease));
+    strncpy(lease->peer, peer, sizeof(lease->peer) - 1);
+    lease->endpoint = e;
+    lease->reclaim_at = TIME_UNKNOWN;
+    return lease;
 }
 
-/* Removes loan "i"; the last one takes its place. */
+/* Removes slot lease "i"; the last one takes its place. */
 static void
-remove_loan(Loans *loans, size_t i)
+remove_slot_lease(SlotLeaseTable *leases, size_t i)
 {
-    loans->items[i] = loans->items[--loans->count];
+    leases->items[i] = leases->items[--leases->count];
 }
 
 static void
-set_lent(AqSlices *slices, Loan *loan, int count)
+set_leased_out(AqSlices *slices, SlotLease *lease, int count)
 {
-    loan->endpoint->lent += count - loan->count;
-    loan->count = count;
+    lease->endpoint->leased_out += count - lease->count;
+    lease->count = count;
     if (count == 0) {
-        remove_loan(&slices->lent, (size_t)(loan - slices->lent.items));
+        remove_slot_lease(&slices->leased_out,
+                          (size_t)(lease - slices->leased_out.items));
     }
 }
 
 static void
-set_borrowed(AqSlices *slices, Loan *loan, int count)
+set_leased_in(AqSlices *slices, SlotLease *lease, int count)
 {
-    loan->endpoint->borrowed += count - loan->count;
-    loan->count = count;
+    lease->endpoint->leased_in += count - lease->count;
+    lease->count = count;
     if (count == 0) {
-        remove_loan(&slices->borrowed,
-                    (size_t)(loan - slices->borrowed.items));
+        remove_slot_lease(&slices->leased_in,
+                          (size_t)(lease - slices->leased_in.items));
     }
 }
 
-/* ---- Lender ------------------------------------------------------------- */
+/* ---- Lessor ------------------------------------------------------------- */
 
 int
-AqSlices_Lend(AqSlices *slices, AqTime now, const char *borrower,
-              const char *endpoint, int idle, int count)
+AqSlices_GrantLease(AqSlices *slices, AqTime now, const char *lessee,
+                    const char *endpoint, int idle, int count)
 {
     Endpoint *e = slices_find(slices, endpoint);
     if (e == NULL || e->removed || !slices->is_member ||
-        strcmp(borrower, slices->self) == 0 ||
-        !AqMembership_IsMember(slices->membership, borrower) ||
+        strcmp(lessee, slices->self) == 0 ||
+        !AqMembership_IsMember(slices->membership, lessee) ||
         !AqMembership_IsFresh(slices->membership, now)) {
         return 0;
     }
     slices_advance(slices, now);
-    /* Only own slots: a borrowed slot is not lent on. */
-    int most = e->held - e->lent;
+    /* Only own slots: a leased-in slot is not leased on. */
+    int most = e->held - e->leased_out;
     most = idle < most ? idle : most;
     most = count < most ? count : most;
     if (most <= 0) {
         return 0;
     }
-    uint64_t instance = AqMembership_Instance(slices->membership, borrower);
-    Loan *loan = find_loan(&slices->lent, borrower, e);
-    if (loan != NULL && (loan->gone || loan->instance != instance)) {
+    uint64_t instance = AqMembership_Instance(slices->membership, lessee);
+    SlotLease *lease = find_slot_lease(&slices->leased_out, lessee, e);
+    if (lease != NULL && (lease->gone || lease->instance != instance)) {
         return 0;
     }
-    if (loan == NULL) {
-        loan = add_loan(&slices->lent, borrower, e);
+    if (lease == NULL) {
+        lease = add_slot_lease(&slices->leased_out, lessee, e);
     }
-    if (loan == NULL) {
+    if (lease == NULL) {
         return 0;
     }
-    loan->instance = instance;
-    loan->since = now;
-    set_lent(slices, loan, loan->count + most);
+    lease->instance = instance;
+    lease->since = now;
+    set_leased_out(slices, lease, lease->count + most);
     return most;
 }
 
 void
-AqSlices_Returned(AqSlices *slices, const char *borrower, const char *endpoint,
-                  int count)
+AqSlices_LeaseReturned(AqSlices *slices, const char *lessee,
+                       const char *endpoint, int count)
 {
     Endpoint *e = slices_find(slices, endpoint);
-    Loan *loan = e != NULL ? find_loan(&slices->lent, borrower, e) : NULL;
-    if (loan != NULL && count > 0) {
-        set_lent(slices, loan, count < loan->count ? loan->count - count : 0);
+    SlotLease *lease =
+        e != NULL ? find_slot_lease(&slices->leased_out, lessee, e) : NULL;
+    if (lease != NULL && count > 0) {
+        set_leased_out(slices, lease,
+                       count < lease->count ? lease->count - count : 0);
     }
 }
 
 void
-loans_advance(AqSlices *slices, AqTime now)
+slot_leases_advance(AqSlices *slices, AqTime now)
 {
     unsigned faults = AqMembership_Faults(slices->membership);
-    for (size_t i = slices->lent.count; i-- > 0;) {
-        Loan *loan = &slices->lent.items[i];
-        if (!loan->gone) {
+    for (size_t i = slices->leased_out.count; i-- > 0;) {
+        SlotLease *lease = &slices->leased_out.items[i];
+        if (!lease->gone) {
             continue;
         }
-        if (loan->reclaim_at == TIME_UNKNOWN &&
+        if (lease->reclaim_at == TIME_UNKNOWN &&
             AqMembership_IsAccepted(slices->membership, now, slices->epoch)) {
-            loan->reclaim_at = now + AQ_GUARD_MS;
+            lease->reclaim_at = now + AQ_GUARD_MS;
         }
         if ((faults & AQ_FAULT_NO_GUARD) ||
-            (loan->reclaim_at != TIME_UNKNOWN && now >= loan->reclaim_at)) {
-            set_lent(slices, loan, 0);
+            (lease->reclaim_at != TIME_UNKNOWN && now >= lease->reclaim_at)) {
+            set_leased_out(slices, lease, 0);
         }
     }
 }
 
-/* Slots of "e" that a heartbeat says were borrowed from "lender". */
+/* Slots of "e" that a heartbeat says were leased in from "lessor". */
 static int
-reported_count(const AqMsgHeartbeat *beat, const char *lender,
+reported_count(const AqMsgHeartbeat *beat, const char *lessor,
                const Endpoint *e)
 {
     int64_t sum = 0;
-    for (size_t i = 0; i < beat->loan_count; i++) {
-        const AqWireLoan *loan = &beat->loans[i];
-        if (strcmp(loan->lender, lender) == 0 &&
-            strcmp(loan->endpoint, e->name) == 0) {
-            sum += loan->count;
+    for (size_t i = 0; i < beat->slot_lease_count; i++) {
+        const AqWireSlotLease *lease = &beat->slot_leases[i];
+        if (strcmp(lease->lessor, lessor) == 0 &&
+            strcmp(lease->endpoint, e->name) == 0) {
+            sum += lease->count;
         }
     }
     return sum < SLOTS_MAX ? (int)sum : SLOTS_MAX;
 }
 
-/* Lowers loans of which the borrower holds less than this lender counts: its
- * heartbeat answers one that was sent after the LEND, so the LEND or a RETURN
- * was lost. */
+/* Lowers slot leases of which the lessee holds less than this lessor counts:
+ * its heartbeat answers one that was sent after the LEND, so the LEND or a
+ * RETURN was lost. */
 static void
-lower_loans(AqSlices *slices, AqTime now, const char *from,
-            const AqMsgHeartbeat *beat)
+lower_slot_leases(AqSlices *slices, AqTime now, const char *from,
+                  const AqMsgHeartbeat *beat)
 {
     AqTime sent_after = TIME_UNKNOWN;
     AqMembership_SentAfter(slices->membership, from, &sent_after);
-    for (size_t i = slices->lent.count; i-- > 0;) {
-        Loan *loan = &slices->lent.items[i];
-        if (strcmp(loan->peer, from) != 0) {
+    for (size_t i = slices->leased_out.count; i-- > 0;) {
+        SlotLease *lease = &slices->leased_out.items[i];
+        if (strcmp(lease->peer, from) != 0) {
             continue;
         }
-        if (loan->instance != beat->instance) {
-            /* The borrower restarted; its requests may still run. */
-            if (!loan->gone) {
-                loan->gone = true;
-                loan->reclaim_at = now + AQ_GUARD_MS;
+        if (lease->instance != beat->instance) {
+            /* The lessee restarted; its requests may still run. */
+            if (!lease->gone) {
+                lease->gone = true;
+                lease->reclaim_at = now + AQ_GUARD_MS;
             }
             continue;
         }
-        int reported = reported_count(beat, slices->self, loan->endpoint);
-        if (sent_after > loan->since && reported < loan->count) {
-            set_lent(slices, loan, reported);
+        int reported = reported_count(beat, slices->self, lease->endpoint);
+        if (sent_after > lease->since && reported < lease->count) {
+            set_leased_out(slices, lease, reported);
         }
     }
 }
 
-/* Learns of loans that an earlier instance of this daemon made. */
+/* Learns of slot leases that an earlier instance of this daemon made. */
 static void
-raise_loans(AqSlices *slices, AqTime now, const char *from,
-            const AqMsgHeartbeat *beat)
+raise_slot_leases(AqSlices *slices, AqTime now, const char *from,
+                  const AqMsgHeartbeat *beat)
 {
-    for (size_t i = 0; i < beat->loan_count; i++) {
-        if (strcmp(beat->loans[i].lender, slices->self) != 0) {
+    for (size_t i = 0; i < beat->slot_lease_count; i++) {
+        if (strcmp(beat->slot_leases[i].lessor, slices->self) != 0) {
             continue;
         }
-        Endpoint *e = slices_find(slices, beat->loans[i].endpoint);
+        Endpoint *e = slices_find(slices, beat->slot_leases[i].endpoint);
         if (e == NULL) {
             continue;
         }
         int reported = reported_count(beat, slices->self, e);
-        Loan *loan = find_loan(&slices->lent, from, e);
-        if (loan == NULL && reported > 0) {
-            loan = add_loan(&slices->lent, from, e);
-            if (loan != NULL) {
-                loan->instance = beat->instance;
-                loan->since = now;
+        SlotLease *lease = find_slot_lease(&slices->leased_out, from, e);
+        if (lease == NULL && reported > 0) {
+            lease = add_slot_lease(&slices->leased_out, from, e);
+            if (lease != NULL) {
+                lease->instance = beat->instance;
+                lease->since = now;
             }
         }
-        if (loan != NULL && reported > loan->count) {
-            set_lent(slices, loan, reported);
+        if (lease != NULL && reported > lease->count) {
+            set_leased_out(slices, lease, reported);
         }
     }
 }
 
-/* ---- Borrower ----------------------------------------------------------- */
+/* ---- Lessee ------------------------------------------------------------- */
 
 void
-AqSlices_Borrowed(AqSlices *slices, AqTime now, const char *lender,
-                  const char *endpoint, int count, AqTime term_ms)
+AqSlices_LeaseGranted(AqSlices *slices, AqTime now, const char *lessor,
+                      const char *endpoint, int count, AqTime term_ms)
 {
     Endpoint *e = slices_find(slices, endpoint);
-    /* A lender that is not in this epoch has lost its slots already. */
+    /* A lessor that is not in this epoch has lost its slots already. */
     if (e == NULL || e->removed || count <= 0 || count > SLOTS_MAX ||
         !slices->is_member ||
-        !AqMembership_IsMember(slices->membership, lender)) {
+        !AqMembership_IsMember(slices->membership, lessor)) {
         return;
     }
-    /* LEND was sent after the lender's last heartbeat that came before it.  A
-     * LEND that was held up for longer may be one that the lender reclaimed
+    /* LEND was sent after the lessor's last heartbeat that came before it.  A
+     * LEND that was held up for longer may be one that the lessor reclaimed
      * after the guard. */
     AqTime sent_after;
-    if (!AqMembership_SentAfter(slices->membership, lender, &sent_after) ||
+    if (!AqMembership_SentAfter(slices->membership, lessor, &sent_after) ||
         now - sent_after > AQ_FRESH_MS) {
         return;
     }
-    Loan *loan = find_loan(&slices->borrowed, lender, e);
-    if (loan == NULL) {
-        loan = add_loan(&slices->borrowed, lender, e);
+    SlotLease *lease = find_slot_lease(&slices->leased_in, lessor, e);
+    if (lease == NULL) {
+        lease = add_slot_lease(&slices->leased_in, lessor, e);
     }
-    if (loan == NULL || loan->gone) {
+    if (lease == NULL || lease->gone) {
         return;
     }
-    loan->instance = AqMembership_Instance(slices->membership, lender);
-    loan->since = now;
-    loan->until = now + term_ms;
-    set_borrowed(slices, loan, loan->count + count);
+    lease->instance = AqMembership_Instance(slices->membership, lessor);
+    lease->since = now;
+    lease->until = now + term_ms;
+    set_leased_in(slices, lease, lease->count + count);
 }
 
 int
-AqSlices_ToReturn(AqSlices *slices, AqTime now, const char *endpoint,
-                  int in_use, const char **lender)
+AqSlices_NextReturn(AqSlices *slices, AqTime now, const char *endpoint,
+                    int in_use, const char **lessor)
 {
     Endpoint *e = slices_find(slices, endpoint);
     if (e == NULL) {
         return 0;
     }
-    int own = e->held - e->lent;
-    int unused = own + e->borrowed - in_use;
-    for (size_t i = 0; i < slices->borrowed.count && unused > 0; i++) {
-        Loan *loan = &slices->borrowed.items[i];
-        if (loan->endpoint != e) {
+    int own = e->held - e->leased_out;
+    int unused = own + e->leased_in - in_use;
+    for (size_t i = 0; i < slices->leased_in.count && unused > 0; i++) {
+        SlotLease *lease = &slices->leased_in.items[i];
+        if (lease->endpoint != e) {
             continue;
         }
-        /* A loan just received may wait for its first request. */
-        bool needless = in_use < own && now - loan->since >= AQ_HEARTBEAT_MS;
-        if (now < loan->until && !needless) {
+        /* A slot lease just received may wait for its first request. */
+        bool needless = in_use < own && now - lease->since >= AQ_HEARTBEAT_MS;
+        if (now < lease->until && !needless) {
             continue;
         }
-        int count = unused < loan->count ? unused : loan->count;
-        memcpy(slices->lender, loan->peer, sizeof(slices->lender));
-        *lender = slices->lender;
-        set_borrowed(slices, loan, loan->count - count);
+        int count = unused < lease->count ? unused : lease->count;
+        memcpy(slices->lessor, lease->peer, sizeof(slices->lessor));
+        *lessor = slices->lessor;
+        set_leased_in(slices, lease, lease->count - count);
         return count;
     }
     return 0;
 }
 
 int
-loans_valid(const AqSlices *slices, const Endpoint *e)
+slot_leases_valid(const AqSlices *slices, const Endpoint *e)
 {
     int n = 0;
-    for (size_t i = 0; e->borrowed > 0 && i < slices->borrowed.count; i++) {
-        const Loan *loan = &slices->borrowed.items[i];
-        n += loan->endpoint == e && !loan->gone ? loan->count : 0;
+    for (size_t i = 0; e->leased_in > 0 && i < slices->leased_in.count; i++) {
+        const SlotLease *lease = &slices->leased_in.items[i];
+        n += lease->endpoint == e && !lease->gone ? lease->count : 0;
     }
     return n;
 }
 
 int
-loans_in_term(const AqSlices *slices, const Endpoint *e, AqTime now)
+slot_leases_in_term(const AqSlices *slices, const Endpoint *e, AqTime now)
 {
     int n = 0;
-    for (size_t i = 0; e->borrowed > 0 && i < slices->borrowed.count; i++) {
-        const Loan *loan = &slices->borrowed.items[i];
-        if (loan->endpoint == e && now < loan->until) {
-            n += loan->count;
+    for (size_t i = 0; e->leased_in > 0 && i < slices->leased_in.count; i++) {
+        const SlotLease *lease = &slices->leased_in.items[i];
+        if (lease->endpoint == e && now < lease->until) {
+            n += lease->count;
         }
     }
     return n;
@@ -306,73 +310,74 @@
 /* ---- Both --------------------------------------------------------------- */
 
 void
-loans_epoch_changed(AqSlices *slices)
+slot_leases_epoch_changed(AqSlices *slices)
 {
-    for (size_t i = slices->borrowed.count; i-- > 0;) {
-        Loan *loan = &slices->borrowed.items[i];
-        /* Kept until its requests end, because the lender takes a loan that is
-         * not reported for returned. */
-        if (!AqMembership_IsMember(slices->membership, loan->peer)) {
-            loan->gone = true;
+    for (size_t i = slices->leased_in.count; i-- > 0;) {
+        SlotLease *lease = &slices->leased_in.items[i];
+        /* Kept until its requests end, because the lessor takes a slot lease
+         * that is not reported for returned. */
+        if (!AqMembership_IsMember(slices->membership, lease->peer)) {
+            lease->gone = true;
         }
-        if (loan->gone || !slices->is_member) {
-            loan->until = TIME_UNKNOWN;
+        if (lease->gone || !slices->is_member) {
+            lease->until = TIME_UNKNOWN;
         }
     }
-    for (size_t i = 0; i < slices->lent.count; i++) {
-        Loan *loan = &slices->lent.items[i];
-        bool gone = !AqMembership_IsMember(slices->membership, loan->peer) ||
-                    AqMembership_Instance(slices->membership, loan->peer) !=
-                        loan->instance;
-        if (gone != loan->gone) {
-            loan->gone = gone;
-            loan->reclaim_at = TIME_UNKNOWN;
+    for (size_t i = 0; i < slices->leased_out.count; i++) {
+        SlotLease *lease = &slices->leased_out.items[i];
+        bool gone = !AqMembership_IsMember(slices->membership, lease->peer) ||
+                    AqMembership_Instance(slices->membership, lease->peer) !=
+                        lease->instance;
+        if (gone != lease->gone) {
+            lease->gone = gone;
+            lease->reclaim_at = TIME_UNKNOWN;
         }
     }
 }
 
 void
-loans_heartbeat(AqSlices *slices, AqTime now, const char *from,
-                const AqMsgHeartbeat *beat)
+slot_leases_heartbeat(AqSlices *slices, AqTime now, const char *from,
+                      const AqMsgHeartbeat *beat)
 {
-    lower_loans(slices, now, from, beat);
-    raise_loans(slices, now, from, beat);
-    for (size_t i = 0; i < slices->borrowed.count; i++) {
-        Loan *loan = &slices->borrowed.items[i];
-        if (strcmp(loan->peer, from) == 0 &&
-            loan->instance != beat->instance) {
-            /* The lender restarted; it wants its slots back. */
-            loan->until = now;
+    lower_slot_leases(slices, now, from, beat);
+    raise_slot_leases(slices, now, from, beat);
+    for (size_t i = 0; i < slices->leased_in.count; i++) {
+        SlotLease *lease = &slices->leased_in.items[i];
+        if (strcmp(lease->peer, from) == 0 &&
+            lease->instance != beat->instance) {
+            /* The lessor restarted; it wants its slots back. */
+            lease->until = now;
         }
     }
 }
 
 void
-loans_drop_endpoint(AqSlices *slices, Endpoint *e)
+slot_leases_drop_endpoint(AqSlices *slices, Endpoint *e)
 {
-    for (size_t i = slices->borrowed.count; i-- > 0;) {
-        if (slices->borrowed.items[i].endpoint == e) {
-            set_borrowed(slices, &slices->borrowed.items[i], 0);
+    for (size_t i = slices->leased_in.count; i-- > 0;) {
+        if (slices->leased_in.items[i].endpoint == e) {
+            set_leased_in(slices, &slices->leased_in.items[i], 0);
         }
     }
-    for (size_t i = slices->lent.count; i-- > 0;) {
-        if (slices->lent.items[i].endpoint == e) {
-            set_lent(slices, &slices->lent.items[i], 0);
+    for (size_t i = slices->leased_out.count; i-- > 0;) {
+        if (slices->leased_out.items[i].endpoint == e) {
+            set_leased_out(slices, &slices->leased_out.items[i], 0);
         }
     }
 }
 
 void
-loans_fill(const AqSlices *slices, AqMsgHeartbeat *beat)
+slot_leases_fill(const AqSlices *slices, AqMsgHeartbeat *beat)
 {
-    size_t count = slices->borrowed.count;
-    beat->loans = count > 0 ? calloc(count, sizeof(*beat->loans)) : NULL;
-    beat->loan_count = count;
+    size_t count = slices->leased_in.count;
+    beat->slot_leases =
+        count > 0 ? calloc(count, sizeof(*beat->slot_leases)) : NULL;
+    beat->slot_lease_count = count;
     for (size_t i = 0; i < count; i++) {
-        const Loan *loan = &slices->borrowed.items[i];
-        memcpy(beat->loans[i].lender, loan->peer, sizeof(loan->peer));
-        memcpy(beat->loans[i].endpoint, loan->endpoint->name,
-               sizeof(loan->endpoint->name));
-        beat->loans[i].count = loan->count;
+        const SlotLease *lease = &slices->leased_in.items[i];
+        memcpy(beat->slot_leases[i].lessor, lease->peer, sizeof(lease->peer));
+        memcpy(beat->slot_leases[i].endpoint, lease->endpoint->name,
+               sizeof(lease->endpoint->name));
+        beat->slot_leases[i].count = lease->count;
     }
 }
--- a/packages/membership/tests/network.c
+++ b/packages/membership/tests/network.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 enum {
-    LOAN_TERM_MS = 2000,
+    SLOT_LEASE_TERM_MS = 2000,
     KILLED_MS = 3000 /* endpoints end requests of closed connections */
 };
 
@@ -205,7 +205,7 @@
     AqMsg msg = {.type = type};
     snprintf(msg.as.slots.name, sizeof(msg.as.slots.name), "%s", endpoint);
     msg.as.slots.count = count;
-    msg.as.slots.term_ms = type == AQ_MSG_LEND ? LOAN_TERM_MS : 0;
+    msg.as.slots.term_ms = type == AQ_MSG_LEND ? SLOT_LEASE_TERM_MS : 0;
     send_message(net, node, to, &msg);
 }
 
@@ -215,21 +215,21 @@
     const AqMsgSlots *slots = &msg->as.slots;
     const char *peer = net->node[from].id;
     if (msg->type == AQ_MSG_LEND) {
-        AqSlices_Borrowed(node->s, net->now, peer, slots->name,
-                          (int)slots->count, slots->term_ms);
+        AqSlices_LeaseGranted(node->s, net->now, peer, slots->name,
+                              (int)slots->count, slots->term_ms);
         return;
     }
     if (msg->type == AQ_MSG_RETURN) {
-        AqSlices_Returned(node->s, peer, slots->name, (int)slots->count);
+        AqSlices_LeaseReturned(node->s, peer, slots->name, (int)slots->count);
         return;
     }
     int idle = AqSlices_Usable(node->s, net->now, slots->name) -
                in_use(node, slots->name);
-    int lent = AqSlices_Lend(node->s, net->now, peer, slots->name, idle,
-                             (int)slots->count);
-    if (lent > 0) {
-        net->verdict.loans++;
-        send_slots(net, node, from, AQ_MSG_LEND, slots->name, lent);
+    int leased_out = AqSlices_GrantLease(node->s, net->now, peer, slots->name,
+                                         idle, (int)slots->count);
+    if (leased_out > 0) {
+        net->verdict.slot_leases++;
+        send_slots(net, node, from, AQ_MSG_LEND, slots->name, leased_out);
     }
 }
 
@@ -314,14 +314,14 @@
 }
 
 static void
-return_loans(Network *net, Node *node, int endpoint, int used)
+return_slot_leases(Network *net, Node *node, int endpoint, int used)
 {
     const char *name = network_endpoint(endpoint);
-    const char *lender;
+    const char *lessor;
     int n;
-    while ((n = AqSlices_ToReturn(node->s, net->now, name, used, &lender)) >
+    while ((n = AqSlices_NextReturn(node->s, net->now, name, used, &lessor)) >
            0) {
-        send_slots(net, node, network_node_of(net, lender), AQ_MSG_RETURN,
+        send_slots(net, node, network_node_of(net, lessor), AQ_MSG_RETURN,
                    name, n);
     }
 }
@@ -337,7 +337,7 @@
             add_request(net, node, e);
             used++;
         }
-        return_loans(net, node, e, used);
+        return_slot_leases(net, node, e, used);
         if (busy && AqRandom_Below(&net->random, 8) == 0) {
             int to = (int)AqRandom_Below(&net->random, (uint64_t)net->nodes);
             if (to != node->index) {
--- a/packages/membership/tests/network.h
+++ b/packages/membership/tests/network.h
@@ -81,7 +81,7 @@
     int over_limit;     /* more requests on an endpoint than slots */
     int stale_fresh;    /* fresh 4 s after a newer version was accepted */
     int wrong_removals; /* of a member that a majority hears */
-    int not_returned;   /* slots still on loan after the quiet end */
+    int not_returned;   /* slots still leased after the quiet end */
     int not_usable;     /* slots that nobody can use after the quiet end */
     int inconsistent;   /* AqSlices_CheckConsistency */
     int not_steady;     /* usable slots changed although AqSlices_IsSteady */
@@ -89,7 +89,7 @@
     int epochs;
     int accepted;
     int requests;
-    int loans;
+    int slot_leases;
     int most_on_endpoint;
 } Verdict;
 
--- a/packages/membership/tests/network_checks.c
+++ b/packages/membership/tests/network_checks.c
@@ -102,8 +102,8 @@
             Node *node = &net->node[i];
             usable += AqSlices_Usable(node->s, net->now, network_endpoint(e));
             net->verdict.not_returned +=
-                AqSlices_LentOut(node->s, network_endpoint(e)) +
-                AqSlices_OnLoan(node->s, network_endpoint(e));
+                AqSlices_LeasedOut(node->s, network_endpoint(e)) +
+                AqSlices_LeasedIn(node->s, network_endpoint(e));
         }
         net->verdict.not_usable += abs(net->slots[e] - usable);
     }
--- a/packages/membership/tests/test_cluster.c
+++ b/packages/membership/tests/test_cluster.c
@@ -77,7 +77,7 @@
         sum.epochs += v.epochs;
         sum.accepted += v.accepted;
         sum.requests += v.requests;
-        sum.loans += v.loans;
+        sum.slot_leases += v.slot_leases;
         if (v.most_on_endpoint > sum.most_on_endpoint) {
             sum.most_on_endpoint = v.most_on_endpoint;
         }
@@ -85,7 +85,7 @@
     printf("seeds %llu, %d bad: epochs %d, versions accepted %d, requests %d, "
            "loans %d\n",
            (unsigned long long)seed_count, bad, sum.epochs, sum.accepted,
-           sum.requests, sum.loans);
+           sum.requests, sum.slot_leases);
     CU_ASSERT_EQUAL(sum.over_limit, 0);
     CU_ASSERT_EQUAL(sum.stale_fresh, 0);
     CU_ASSERT_EQUAL(sum.wrong_removals, 0);
@@ -97,7 +97,7 @@
      * largest endpoint. */
     CU_ASSERT_EQUAL(sum.most_on_endpoint, 8);
     CU_ASSERT_TRUE(sum.epochs >= 5 * (int)seed_count);
-    CU_ASSERT_TRUE(sum.loans >= 50 * (int)seed_count);
+    CU_ASSERT_TRUE(sum.slot_leases >= 50 * (int)seed_count);
 }
 
 enum {
--- a/packages/membership/tests/test_membership.c
+++ b/packages/membership/tests/test_membership.c
@@ -49,7 +49,7 @@
 static void
 hear(Fixture *f, AqTime now, int from, uint64_t instance, const Said *said)
 {
-    AqWireCount heard[2] = {{"vm-0", 0}, {"vm-4", said->silence_of_4}};
+    AqWireCount peer_ages[2] = {{"vm-0", 0}, {"vm-4", said->silence_of_4}};
     uint64_t seqs[2] = {said->deaf ? 0 : f->seq, 1};
     AqWireCount leaving[1] = {{"w-1", from}};
     AqMsgHeartbeat beat = {.seq = (uint64_t)now,
@@ -58,9 +58,9 @@
                            .version = said->version,
                            .store_age_ms = said->store_age,
                            .joining = said->joining,
-                           .heard = heard,
-                           .heard_count = 2,
-                           .heard_seq = seqs,
+                           .peer_ages = peer_ages,
+                           .peer_age_count = 2,
+                           .acked_seq = seqs,
                            .leaving = leaving,
                            .leaving_count = 1};
     AqMembership_Heartbeat(f->m, now, ids[from], &beat);
@@ -187,8 +187,8 @@
     CU_ASSERT_EQUAL(AqMembership_LeavingInFlight(f.m, "w-1", 10), -1);
     hear(&f, 10530, 3, 7, &new);
     hear(&f, 10530, 4, 7, &new);
-    CU_ASSERT_TRUE(AqMembership_IsEverywhere(f.m, 10));
-    CU_ASSERT_FALSE(AqMembership_IsEverywhere(f.m, 11));
+    CU_ASSERT_TRUE(AqMembership_IsAppliedByAll(f.m, 10));
+    CU_ASSERT_FALSE(AqMembership_IsAppliedByAll(f.m, 11));
     CU_ASSERT_EQUAL(AqMembership_LeavingInFlight(f.m, "w-1", 10), 10);
     CU_ASSERT_EQUAL(AqMembership_LeavingInFlight(f.m, "w-2", 10), 0);
     AqMembership_Destroy(f.m);
@@ -262,10 +262,10 @@
     }
     AqMsg msg = {.type = AQ_MSG_HEARTBEAT};
     AqMembership_FillHeartbeat(f.m, 10030, &msg.as.heartbeat);
-    CU_ASSERT_TRUE(msg.as.heartbeat.heard_count <= 512);
+    CU_ASSERT_TRUE(msg.as.heartbeat.peer_age_count <= 512);
     AqMsg_Clear(&msg);
     AqMembership_FillHeartbeat(f.m, 90000, &msg.as.heartbeat);
-    CU_ASSERT_EQUAL(msg.as.heartbeat.heard_count, PEERS - 1);
+    CU_ASSERT_EQUAL(msg.as.heartbeat.peer_age_count, PEERS - 1);
     msg.type = AQ_MSG_HEARTBEAT;
     AqMsg_Clear(&msg);
     AqMembership_Destroy(f.m);
@@ -291,7 +291,7 @@
     AqMembership_SetVersion(m, 1);
     AqSlices_EpochChanged(s, 10);
     AqMembership_StoreContact(m, 3900);
-    CU_ASSERT_EQUAL(AqSlices_Dealt(s, "e"), 8);
+    CU_ASSERT_EQUAL(AqSlices_Assigned(s, "e"), 8);
     CU_ASSERT_EQUAL(AqSlices_Usable(s, 4009, "e"), 0);
     CU_ASSERT_EQUAL(AqSlices_Usable(s, 4010, "e"), 8);
     /* Without the store it is a majority of its epoch by itself. */
@@ -301,7 +301,7 @@
     AqSlices_FillHeartbeat(s, 6901, no_use, NULL, &msg.as.heartbeat);
     CU_ASSERT_TRUE(msg.as.heartbeat.slots_known);
     AqMsg_Clear(&msg);
-    CU_ASSERT_EQUAL(AqSlices_Dealt(s, "e"), 0);
+    CU_ASSERT_EQUAL(AqSlices_Assigned(s, "e"), 0);
     AqSlices_Destroy(s);
     AqMembership_Destroy(m);
 }
--- a/packages/pool/caller_responses.c
+++ b/packages/pool/caller_responses.c
@@ -2,13 +2,13 @@
 
 #include <stdbool.h>
 
-const char answer_unavailable[] =
+const char response_unavailable[] =
     "{\"error\":\"the store can't be reached; come back later\"}";
-const char answer_unknown[] =
+const char response_unknown[] =
     "{\"error\":\"the outcome is not known; ask again with the same id\"}";
 
 void
-answer_json(AqExchange *exchange, int status, const char *body, size_t size)
+respond_json(AqExchange *exchange, int status, const char *body, size_t size)
 {
     AqHttpHeader headers[] = {{"Content-Type", "application/json"},
                               {"Retry-After", "1"}};
--- a/packages/pool/caller_responses.h
+++ b/packages/pool/caller_responses.h
@@ -1,5 +1,5 @@
-#ifndef ANSWERS_H
-#define ANSWERS_H
+#ifndef CALLER_RESPONSES_H
+#define CALLER_RESPONSES_H
 
 #include <stddef.h>
 
@@ -8,11 +8,11 @@
 /* Answers to callers, by this node or with what a peer has answered. */
 
 /* Nothing was done (503), and: what was done is not known (504). */
-extern const char answer_unavailable[];
-extern const char answer_unknown[];
+extern const char response_unavailable[];
+extern const char response_unknown[];
 
 /* Answers with JSON; a refusal says when to come back. */
-void answer_json(AqExchange *exchange, int status, const char *body,
-                 size_t size);
+void respond_json(AqExchange *exchange, int status, const char *body,
+                  size_t size);
 
 #endif
