--- a/packages/pool/fenced_order.c
+++ b/packages/pool/fenced_order.c
@@ -18,18 +18,18 @@
     NodeContext *node;
     char pool[64];
     uint64_t pool_fence;
-    uint64_t duty_fence;
+    uint64_t coordinator_fence;
     char machine[AQ_VM_ID_SIZE];
     char to_pool[64];
     int64_t wave;
     uint64_t fence;
     AqTime claimed_at; /* when the claim was sent */
-    DutyDone done;
+    FencedOrderDone done;
     void *context;
-} DutyCall;
+} FencedOrderCall;
 
 static void
-finish(DutyCall *call, DutyResult result, const char *reason)
+finish(FencedOrderCall *call, FencedOrderResult result, const char *reason)
 {
     static const char *const names[] = {"done", "later", "refused", "unknown"};
     AqLog_Event(AQ_LOG_INFO, "machine_order",
@@ -45,20 +45,20 @@
 static void
 on_ordered(void *context, AqMachineResult result)
 {
-    DutyCall *call = context;
+    FencedOrderCall *call = context;
     const char *reason = AqMachineResult_Name(result);
     switch (result) {
     case AQ_MACHINE_ORDER_DONE:
-        finish(call, DUTY_DONE, reason);
+        finish(call, FENCED_ORDER_DONE, reason);
         break;
     case AQ_MACHINE_ORDER_REFUSED:
-        finish(call, DUTY_REFUSED, reason);
+        finish(call, FENCED_ORDER_REFUSED, reason);
         break;
     case AQ_MACHINE_ORDER_UNKNOWN:
-        finish(call, DUTY_UNKNOWN, reason);
+        finish(call, FENCED_ORDER_UNKNOWN, reason);
         break;
     default:
-        finish(call, DUTY_LATER, reason);
+        finish(call, FENCED_ORDER_RETRY, reason);
         break;
     }
 }
@@ -66,18 +66,18 @@
 static void
 on_claimed(void *context, const AqStoreReply *reply)
 {
-    DutyCall *call = context;
-    AqMachineCalls *machines = call->node->machines;
+    FencedOrderCall *call = context;
+    AqMachineClient *machines = call->node->machines;
     const char *holder = call->node->settings->node_id;
     if (reply->status != AQ_STORE_OK) {
-        finish(call, DUTY_LATER, "claim_failed");
+        finish(call, FENCED_ORDER_RETRY, "claim_failed");
         return;
     }
     call->fence = reply->index;
     /* The loop's time is of the round's begin: read the clock itself, since
      * the process may have stood still in between. */
     if (AqClock_ReadMonotonic() - call->claimed_at > CLAIM_AGE_MS) {
-        finish(call, DUTY_LATER, "claim_too_old");
+        finish(call, FENCED_ORDER_RETRY, "claim_too_old");
         return;
     }
     if (call->to_pool[0] != '\0') {
@@ -85,14 +85,14 @@
                             call->fence, on_ordered, call);
     }
     else {
-        machines->ops->upkeep(machines, call->machine, call->wave, holder,
-                              call->fence, on_ordered, call);
+        machines->ops->maintenance(machines, call->machine, call->wave, holder,
+                                   call->fence, on_ordered, call);
     }
 }
 
 /* Whether another node ordered the VM about so lately that we must wait. */
 static bool
-is_in_pause(const DutyCall *call, const AqStoreItem *item)
+is_in_pause(const FencedOrderCall *call, const AqStoreItem *item)
 {
     char text[120];
     char holder[64];
@@ -108,7 +108,7 @@
 }
 
 static void
-claim(DutyCall *call, uint64_t machine_index)
+claim(FencedOrderCall *call, uint64_t machine_index)
 {
     AqStore *store = call->node->store;
     char holder[120];
@@ -116,7 +116,8 @@
     snprintf(holder, sizeof(holder), "%s %lld", call->node->settings->node_id,
              (long long)AqClock_ReadWall());
     AqStoreExpect expects[] = {
-        {key_of(KEY_OWNER, MEMBER_MACHINE_DUTY), call->duty_fence},
+        {key_of(KEY_OWNER, MEMBER_MACHINE_COORDINATOR),
+         call->coordinator_fence},
         {key_of(KEY_OWNER, call->pool), call->pool_fence},
         {machine_key, machine_index},
     };
@@ -130,15 +131,15 @@
 static void
 on_read(void *context, const AqStoreReply *reply)
 {
-    DutyCall *call = context;
+    FencedOrderCall *call = context;
     if (reply->status == AQ_STORE_ABSENT) {
         claim(call, 0);
     }
     else if (reply->status != AQ_STORE_OK || reply->count != 1) {
-        finish(call, DUTY_LATER, "store_unavailable");
+        finish(call, FENCED_ORDER_RETRY, "store_unavailable");
     }
     else if (is_in_pause(call, &reply->items[0])) {
-        finish(call, DUTY_LATER, "other_holder");
+        finish(call, FENCED_ORDER_RETRY, "other_holder");
     }
     else {
         claim(call, reply->items[0].index);
@@ -146,13 +147,13 @@
 }
 
 void
-duty_order(NodeContext *node, const DutyOrder *order, DutyDone done,
-           void *context)
+fenced_order_send(NodeContext *node, const FencedOrder *order,
+                  FencedOrderDone done, void *context)
 {
-    DutyCall *call = calloc(1, sizeof(*call));
+    FencedOrderCall *call = calloc(1, sizeof(*call));
     call->node = node;
     call->pool_fence = order->pool_fence;
-    call->duty_fence = order->duty_fence;
+    call->coordinator_fence = order->coordinator_fence;
     call->wave = order->wave;
     call->done = done;
     call->context = context;
--- a/packages/pool/fenced_order.h
+++ b/packages/pool/fenced_order.h
@@ -1,44 +1,46 @@
-#ifndef DUTY_H
-#define DUTY_H
+#ifndef FENCED_ORDER_H
+#define FENCED_ORDER_H
 
 #include "member.h"
 #include "node.h"
 
-/* Orders for VMs: moves between pools and upkeep.  One node gives them all,
- * the owner of the duty; the owners of the pools ask it
+/* Orders for VMs: moves between pools and maintenance.  One node gives them
+ * all, the machine coordinator; the owners of the pools send it requests
  * (machine_coordinator.c).
  *
- * Each order is claimed first by one write that requires the duty, the asking
- * owner's pool and the VM's last claim; its index is the order's fence.  So
- * fences rise for each VM over all nodes, and neither a node that has lost
- * the duty without knowing nor one that has lost its pool has an order given.
- * After another node's order for the VM there is a pause. */
+ * Each order is claimed first by one write that requires the ownership of the
+ * coordination, the requesting owner's pool and the VM's last claim; its index
+ * is the order's fence.  So fences rise for each VM over all nodes, and
+ * neither a node that has lost the coordination without knowing nor one that
+ * has lost its pool has an order given.  After another node's order for the VM
+ * there is a pause. */
 
 typedef enum {
-    DUTY_DONE,    /* accepted, or done already */
-    DUTY_LATER,   /* not ordered, or not accepted now */
-    DUTY_REFUSED, /* the platform knows no such VM, pool or wave */
-    DUTY_UNKNOWN  /* no answer; it may be carried out */
-} DutyResult;
+    FENCED_ORDER_DONE,    /* accepted, or done already */
+    FENCED_ORDER_RETRY,   /* not ordered, or not accepted now */
+    FENCED_ORDER_REFUSED, /* the platform knows no such VM, pool or wave */
+    FENCED_ORDER_UNKNOWN  /* no answer; it may be carried out */
+} FencedOrderResult;
 
 /* "claim" is the index of the order's claim; 0: it was not claimed. */
-typedef void (*DutyDone)(void *context, DutyResult result, uint64_t claim);
+typedef void (*FencedOrderDone)(void *context, FencedOrderResult result,
+                                uint64_t claim);
 
 typedef struct {
-    const char *pool; /* whose owner asks, and its fence */
+    const char *pool; /* whose owner requests it, and its fence */
     uint64_t pool_fence;
-    uint64_t duty_fence;
+    uint64_t coordinator_fence;
     const char *machine;
-    const char *to_pool; /* a move; "": upkeep */
-    int64_t wave;        /* of an upkeep */
+    const char *to_pool; /* a move; "": maintenance */
+    int64_t wave;        /* of maintenance */
     /* This node's last claim for the VM, which saves a look at the store; 0:
      * not known.  If another node has claimed it since, the order ends with
-     * DUTY_LATER. */
+     * FENCED_ORDER_RETRY. */
     uint64_t last_claim;
-} DutyOrder;
+} FencedOrder;
 
 /* "done" is called once, from the loop. */
-void duty_order(NodeContext *node, const DutyOrder *order, DutyDone done,
-                void *context);
+void fenced_order_send(NodeContext *node, const FencedOrder *order,
+                       FencedOrderDone done, void *context);
 
 #endif
--- a/packages/pool/forwarder.c
+++ b/packages/pool/forwarder.c
@@ -42,7 +42,7 @@
                 status,
                 (long long)(AqLoop_Now(forward->forwarder->node->loop) -
                             forward->sent_at));
-    answer_json(forward->order.exchange, status, body, size);
+    respond_json(forward->order.exchange, status, body, size);
 }
 
 int
@@ -82,7 +82,8 @@
         respond(forward, status, reply->body, reply->size);
     }
     else {
-        const char *body = status == 503 ? answer_unavailable : answer_unknown;
+        const char *body =
+            status == 503 ? response_unavailable : response_unknown;
         respond(forward, status, body, strlen(body));
     }
     if (forward->order.done != NULL) {
@@ -133,7 +134,7 @@
         .has_body = size > 0,
         .timeout_ms = order->deadline - forward->sent_at - RESERVE_MS,
         .connect_timeout_ms = CONNECT_MS,
-        .max_answer = MAX_ANSWER,
+        .max_response_bytes = MAX_ANSWER,
     };
     AqHttpClient_Start(forwarder->node->http, &request, on_answer, forward);
     g_free(url);
--- a/packages/pool/job_api.c
+++ b/packages/pool/job_api.c
@@ -20,9 +20,9 @@
 static const char no_owner[] =
     "{\"error\":\"no node counts the queue's jobs now; come back later\"}";
 
-struct Front {
+struct JobApi {
     NodeContext *node;
-    FrontOps ops;
+    JobApiOps ops;
     void *context;
     GHashTable *reports; /* pool -> Report */
 };
@@ -34,7 +34,7 @@
 } Report;
 
 typedef struct {
-    Front *front;
+    JobApi *job_api;
     AqExchange *exchange;
     char pool[64];
     char queue[128];
@@ -49,9 +49,9 @@
 } Request;
 
 static AqTime
-now_of(const Front *front)
+now_of(const JobApi *job_api)
 {
-    return AqLoop_Now(front->node->loop);
+    return AqLoop_Now(job_api->node->loop);
 }
 
 static void try_state(void *context);
@@ -64,14 +64,14 @@
 {
     char body[AQ_ERROR_MESSAGE_SIZE + 32];
     snprintf(body, sizeof(body), "{\"error\":%s}", AqLog_Quote(message));
-    answer_json(exchange, status, body, strlen(body));
+    respond_json(exchange, status, body, strlen(body));
 }
 
 static void
 count_answer(const Request *request, int status)
 {
-    const NodeMetrics *metrics = &request->front->node->metrics;
-    AqTime took = now_of(request->front) - request->arrived_at;
+    const NodeMetrics *metrics = &request->job_api->node->metrics;
+    AqTime took = now_of(request->job_api) - request->arrived_at;
     bool is_submission = request->job.size > 0;
     if (status == 200 && (is_submission || request->try == try_state)) {
         AqMetric_Observe(
@@ -105,10 +105,10 @@
                 request->id, request->queue,
                 AqExchange_Method(request->exchange), status, reason,
                 request->tries,
-                (long long)(now_of(request->front) - request->arrived_at),
-                (long long)request->front->node->site.version);
+                (long long)(now_of(request->job_api) - request->arrived_at),
+                (long long)request->job_api->node->site.version);
     count_answer(request, status);
-    answer_json(request->exchange, status, body, strlen(body));
+    respond_json(request->exchange, status, body, strlen(body));
     free_request(request);
 }
 
@@ -117,10 +117,10 @@
 static bool
 forward(Request *request)
 {
-    const Front *front = request->front;
+    const JobApi *job_api = request->job_api;
     ForwardOrder order = {request->exchange, request->deadline,
                           request->may_have_effect, on_forwarded, request};
-    return front->ops.forward(front->context, &order);
+    return job_api->ops.forward(job_api->context, &order);
 }
 
 /* Refuses, which says that nothing was done, only where that is certain. */
@@ -128,10 +128,10 @@
 finish_unserved(Request *request)
 {
     if (request->may_have_effect) {
-        finish(request, 504, answer_unknown, "store_silent");
+        finish(request, 504, response_unknown, "store_silent");
     }
     else {
-        finish(request, 503, answer_unavailable, "store_unavailable");
+        finish(request, 503, response_unavailable, "store_unavailable");
     }
 }
 
@@ -146,7 +146,7 @@
 static void
 note_store(const Request *request, const AqStoreReply *reply)
 {
-    store_health_note(&request->front->node->store_health, reply->status);
+    store_health_note(&request->job_api->node->store_health, reply->status);
 }
 
 /* Begins with a write, unless the store is known not to serve this node. */
@@ -154,7 +154,7 @@
 begin_write(Request *request, void (*try)(void *request))
 {
     request->try = try;
-    if (store_health_is_lost(&request->front->node->store_health)) {
+    if (store_health_is_lost(&request->job_api->node->store_health)) {
         forward_or_finish(request);
         return;
     }
@@ -172,11 +172,11 @@
 static bool
 try_again(Request *request)
 {
-    AqTime next = now_of(request->front) + RETRY_MS;
+    AqTime next = now_of(request->job_api) + RETRY_MS;
     if (next + DEADLINE_RESERVE_MS > request->deadline) {
         return false;
     }
-    AqTimer_Start(request->front->node->loop, &request->retry, next);
+    AqTimer_Start(request->job_api->node->loop, &request->retry, next);
     return true;
 }
 
@@ -246,7 +246,7 @@
 try_submit(void *context)
 {
     Request *request = context;
-    AqStore *store = request->front->node->store;
+    AqStore *store = request->job_api->node->store;
     AqStoreExpect expects[] = {
         {key_of_job(request->pool, request->id), 0},
         {key_of_cancel(request->pool, request->id), 0},
@@ -327,7 +327,7 @@
     };
     Request *request = context;
     note_store(request, reply);
-    AqStore *store = request->front->node->store;
+    AqStore *store = request->job_api->node->store;
     AqError error;
     AqJobStage stage;
     if (reply->status == AQ_STORE_ABSENT) {
@@ -353,7 +353,7 @@
 try_state(void *context)
 {
     Request *request = context;
-    AqStore *store = request->front->node->store;
+    AqStore *store = request->job_api->node->store;
     request->tries++;
     store->ops->get(store, key_of_progress(request->pool, request->id),
                     on_progress_read, request);
@@ -394,7 +394,7 @@
 static void
 mark_cancelled(Request *request, uint64_t job_index)
 {
-    AqStore *store = request->front->node->store;
+    AqStore *store = request->job_api->node->store;
     AqStoreExpect expect = {key_of_job(request->pool, request->id), job_index};
     AqStorePut put = {key_of_cancel(request->pool, request->id), "1", 1, 0};
     AqStoreCommit commit = {
@@ -425,7 +425,7 @@
 try_cancel(void *context)
 {
     Request *request = context;
-    AqStore *store = request->front->node->store;
+    AqStore *store = request->job_api->node->store;
     AqStoreExpect expect = {key_of_job(request->pool, request->id), 0};
     AqStorePut put = {key_of_cancel(request->pool, request->id), "1", 1, 0};
     AqStoreCommit commit = {
@@ -476,9 +476,9 @@
     if (reply->status == AQ_STORE_OK && reply->count == 1) {
         Report *report = calloc(1, sizeof(*report));
         report->text = strndup(reply->items[0].value, reply->items[0].size);
-        report->read_at = now_of(request->front);
-        g_hash_table_replace(request->front->reports, g_strdup(request->pool),
-                             report);
+        report->read_at = now_of(request->job_api);
+        g_hash_table_replace(request->job_api->reports,
+                             g_strdup(request->pool), report);
         finish_waiting(request, report->text);
     }
     else if (reply->status == AQ_STORE_ABSENT) {
@@ -493,12 +493,12 @@
 try_waiting(void *context)
 {
     Request *request = context;
-    AqStore *store = request->front->node->store;
+    AqStore *store = request->job_api->node->store;
     const Report *known =
-        g_hash_table_lookup(request->front->reports, request->pool);
+        g_hash_table_lookup(request->job_api->reports, request->pool);
     request->tries++;
     if (known != NULL &&
-        now_of(request->front) - known->read_at < REPORT_AGE_MS) {
+        now_of(request->job_api) - known->read_at < REPORT_AGE_MS) {
         finish_waiting(request, known->text);
         return;
     }
@@ -517,15 +517,15 @@
 }
 
 static Request *
-new_request(Front *front, AqExchange *exchange, const AqQueueConfig *queue,
+new_request(JobApi *job_api, AqExchange *exchange, const AqQueueConfig *queue,
             const char *id)
 {
     Request *request = calloc(1, sizeof(*request));
     const char *limit = AqExchange_Header(exchange, AqPlatform_DeadlineHeader);
     long long deadline = limit != NULL ? strtoll(limit, NULL, 10) : 0;
-    request->front = front;
+    request->job_api = job_api;
     request->exchange = exchange;
-    request->arrived_at = now_of(front);
+    request->arrived_at = now_of(job_api);
     request->deadline =
         request->arrived_at +
         (deadline > 0 ? deadline : (long long)DEFAULT_DEADLINE_MS);
@@ -561,15 +561,16 @@
 }
 
 void
-front_handle(void *context, AqExchange *exchange)
+job_api_handle(void *context, AqExchange *exchange)
 {
-    Front *front = context;
+    JobApi *job_api = context;
     const char *host = AqExchange_Header(exchange, "Host");
     const char *path = AqExchange_Path(exchange);
-    if (!front->ops.is_current(front->context)) {
+    if (!job_api->ops.is_current(job_api->context)) {
         ForwardOrder order = {.exchange = exchange,
-                              .deadline = now_of(front) + DEFAULT_DEADLINE_MS};
-        if (front->ops.forward(front->context, &order)) {
+                              .deadline =
+                                  now_of(job_api) + DEFAULT_DEADLINE_MS};
+        if (job_api->ops.forward(job_api->context, &order)) {
             return;
         }
         AqLog_Event(AQ_LOG_WARNING, "refused", "path=%s reason=no_config",
@@ -579,39 +580,39 @@
                       "back later");
         return;
     }
-    const AqQueueConfig *queue =
-        AqSiteConfig_Match(&front->node->site, host != NULL ? host : "", path);
+    const AqQueueConfig *queue = AqSiteConfig_Match(
+        &job_api->node->site, host != NULL ? host : "", path);
     const char *id = queue != NULL ? path + strlen(queue->prefix) : "";
     if (queue == NULL || !is_id(id)) {
         AqLog_Event(AQ_LOG_INFO, "refused",
                     "path=%s host=%s reason=no_queue config=%lld",
                     AqLog_Quote(path), AqLog_Quote(host != NULL ? host : ""),
-                    (long long)front->node->site.version);
+                    (long long)job_api->node->site.version);
         respond_error(exchange, 404,
                       "there is no such queue; check the host "
                       "and the path");
         return;
     }
-    dispatch(new_request(front, exchange, queue, id));
+    dispatch(new_request(job_api, exchange, queue, id));
 }
 
-Front *
-front_create(NodeContext *node, const FrontOps *ops, void *context)
+JobApi *
+job_api_create(NodeContext *node, const JobApiOps *ops, void *context)
 {
-    Front *front = calloc(1, sizeof(*front));
-    front->node = node;
-    front->ops = *ops;
-    front->context = context;
-    front->reports =
+    JobApi *job_api = calloc(1, sizeof(*job_api));
+    job_api->node = node;
+    job_api->ops = *ops;
+    job_api->context = context;
+    job_api->reports =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_report);
-    return front;
+    return job_api;
 }
 
 void
-front_destroy(Front *front)
+job_api_destroy(JobApi *job_api)
 {
-    if (front != NULL) {
-        g_hash_table_destroy(front->reports);
-        free(front);
+    if (job_api != NULL) {
+        g_hash_table_destroy(job_api->reports);
+        free(job_api);
     }
 }
--- a/packages/pool/machine_coordinator.h
+++ b/packages/pool/machine_coordinator.h
@@ -1,18 +1,20 @@
-#ifndef MACHINE_DESK_H
-#define MACHINE_DESK_H
+#ifndef MACHINE_COORDINATOR_H
+#define MACHINE_COORDINATOR_H
 
 #include "node.h"
 
-/* The duty of ordering VMs about, while this node has it: reads what the
- * owners of the pools ask for, and orders it, again while it is not accepted
- * and still asked for. */
+/* Coordinates the orders for VMs, while this node is the coordinator: reads
+ * what the owners of the pools request, and orders it, again while it is not
+ * accepted and still requested. */
 
-typedef struct MachineDesk MachineDesk;
+typedef struct MachineCoordinator MachineCoordinator;
 
-MachineDesk *machine_desk_create(NodeContext *node, uint64_t fence);
-/* No orders from now on; frees the desk when its calls have ended. */
-void machine_desk_drop(MachineDesk *desk);
-/* Runs what is due; "may_order" as of the duty's ownership. */
-void machine_desk_round(MachineDesk *desk, bool may_order);
+MachineCoordinator *machine_coordinator_create(NodeContext *node,
+                                               uint64_t fence);
+/* No orders from now on; frees the coordinator when its calls have ended. */
+void machine_coordinator_drop(MachineCoordinator *coordinator);
+/* Runs what is due; "may_order" as of the coordinator's ownership. */
+void machine_coordinator_round(MachineCoordinator *coordinator,
+                               bool may_order);
 
 #endif
--- a/packages/pool/member.c
+++ b/packages/pool/member.c
@@ -54,7 +54,7 @@
     char term_node[64];
     char term_incarnation[40];
     uint64_t fence; /* while owned */
-    bool may_have_rival;
+    bool previous_owner_may_be_active;
 } Shard;
 
 /* What a member says of itself. */
@@ -76,7 +76,7 @@
     uint64_t lease;
     AqTime keep_sent_at;
     AqTime certain_until;
-    AqTime heard_at;
+    AqTime last_reply_at;
     AqTime joined_at; /* AQ_TIME_NEVER: not yet */
     bool is_leaving;
 };
@@ -104,7 +104,7 @@
 note_heard(Member *member, AqTime sent_at)
 {
     AqTime certain = sent_at + MEMBER_LEASE_MS - LEASE_MARGIN_MS;
-    member->heard_at = AqLoop_Now(member->node->loop);
+    member->last_reply_at = AqLoop_Now(member->node->loop);
     if (certain > member->certain_until) {
         member->certain_until = certain;
     }
@@ -236,7 +236,8 @@
 bool
 member_is_connected(const Member *member)
 {
-    return AqLoop_Now(member->node->loop) - member->heard_at < CONNECTED_MS;
+    return AqLoop_Now(member->node->loop) - member->last_reply_at <
+           CONNECTED_MS;
 }
 
 /* ---- Claims ------------------------------------------------------------- */
@@ -293,7 +294,7 @@
     Ownership ownership = {
         .fence = fence,
         .generation = shard->generation,
-        .may_have_rival = shard->may_have_rival,
+        .previous_owner_may_be_active = shard->previous_owner_may_be_active,
     };
     shard->state = CLAIM_OWNED;
     shard->fence = fence;
@@ -306,7 +307,7 @@
     AqLog_Event(AQ_LOG_INFO, "pool_gained",
                 "pool=%s fence=%llu generation=%lld rival=%d", shard->pool,
                 (unsigned long long)fence, (long long)shard->generation,
-                shard->may_have_rival);
+                shard->previous_owner_may_be_active);
     member->ops.gained(member->context, &ownership);
 }
 
@@ -403,7 +404,7 @@
         return;
     }
     read_term(shard, reply);
-    shard->may_have_rival =
+    shard->previous_owner_may_be_active =
         !shard->was_released &&
         !is_replaced(member, shard->term_node, shard->term_incarnation);
     snprintf(owner, sizeof(owner), "%s %s", node->settings->node_id,
@@ -522,7 +523,7 @@
     key_text(item, text, sizeof(text));
     if (shard->state == CLAIM_OWNED) {
         if (item->index > shard->fence) {
-            member_deposed(member, shard->pool, "other_owner_seen");
+            member_superseded(member, shard->pool, "other_owner_seen");
         }
         else {
             return;
@@ -544,7 +545,7 @@
     Shard *shard = find_shard(member, key + strlen(KEYS_OWNERS));
     shard->owner_index = 0;
     if (shard->state == CLAIM_OWNED) {
-        member_deposed(member, shard->pool, "owner_key_removed");
+        member_superseded(member, shard->pool, "owner_key_removed");
     }
     consider(shard);
 }
@@ -627,7 +628,7 @@
 member_site_changed(Member *member)
 {
     const AqSiteConfig *site = &member->node->site;
-    find_shard(member, MEMBER_MACHINE_DUTY)->is_wanted =
+    find_shard(member, MEMBER_MACHINE_COORDINATOR)->is_wanted =
         member->node->machines != NULL;
     for (size_t i = 0; i < site->pool_count; i++) {
         find_shard(member, site->pools[i].name)->is_wanted = true;
@@ -656,7 +657,7 @@
 }
 
 void
-member_deposed(Member *member, const char *pool, const char *reason)
+member_superseded(Member *member, const char *pool, const char *reason)
 {
     Shard *shard = find_shard(member, pool);
     if (shard->state != CLAIM_OWNED) {
@@ -728,7 +729,7 @@
     member->ops = *ops;
     member->context = context;
     member->joined_at = AQ_TIME_NEVER;
-    member->heard_at = -CONNECTED_MS;
+    member->last_reply_at = -CONNECTED_MS;
     member->peers =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     member->shards =
--- a/packages/pool/member.h
+++ b/packages/pool/member.h
@@ -13,14 +13,15 @@
 
 typedef struct Member Member;
 
-/* A name beside the pools: the duty of ordering VMs about. */
-#define MEMBER_MACHINE_DUTY "@machines"
+/* A name beside the pools: the ownership of the machine coordinator. */
+#define MEMBER_MACHINE_COORDINATOR "@machines"
 
 typedef struct {
     char pool[64];
-    uint64_t fence;      /* index of the owner's key */
-    int64_t generation;  /* owners before this one */
-    bool may_have_rival; /* the earlier owner is not known to have ended */
+    uint64_t fence;                    /* index of the owner's key */
+    int64_t generation;                /* owners before this one */
+    bool previous_owner_may_be_active; /* the earlier owner is not known to
+                                          have ended */
 } Ownership;
 
 typedef struct {
@@ -45,7 +46,7 @@
  * NULL.  Borrowed until the next change of members. */
 const char *member_peer(Member *member);
 /* Another owner was seen, or a write of the owner conflicted. */
-void member_deposed(Member *member, const char *pool, const char *reason);
+void member_superseded(Member *member, const char *pool, const char *reason);
 /* Gives a pool up for others to take.  Its orders have stopped. */
 void member_release(Member *member, const char *pool);
 /* Ends the lease, with the entry and all ownerships. */
--- a/packages/pool/node.c
+++ b/packages/pool/node.c
@@ -38,14 +38,14 @@
     AqHttpServer *callers;
     AqHttpServer *readiness;
     AqHttpServer *metrics; /* NULL: not asked for */
-    Front *front;
+    JobApi *job_api;
     Forwarder *forwarder;
     Member *member;
     PrefixView *operator_view;
     VmDirectory *vms; /* NULL until this node owns a pool */
-    WaveBook *waves;
-    MachineDesk *desk;  /* while this node has the machine duty */
-    GHashTable *owners; /* pool -> OwnedPool */
+    WaveTable *waves;
+    MachineCoordinator *coordinator; /* while this node owns that */
+    GHashTable *owners;              /* pool -> OwnedPool */
     AqTimer stop_timer;
     AqTime stop_began;
     int finishing;
@@ -81,7 +81,7 @@
                     item->key, AqLog_Quote(error.message));
         return;
     }
-    wave_book_add(node->waves, &spec);
+    wave_table_add(node->waves, &spec);
 }
 
 static void
@@ -138,9 +138,9 @@
 is_current(void *context)
 {
     const AqNode *node = context;
-    AqTime heard = prefix_view_heard_at(node->operator_view);
-    return node->context.site.version > 0 && heard != AQ_TIME_NEVER &&
-           AqLoop_Now(node->context.loop) - heard < CURRENT_MS;
+    AqTime last_reply_at = prefix_view_last_reply_at(node->operator_view);
+    return node->context.site.version > 0 && last_reply_at != AQ_TIME_NEVER &&
+           AqLoop_Now(node->context.loop) - last_reply_at < CURRENT_MS;
 }
 
 static const char *
@@ -190,20 +190,21 @@
 /* ---- Pools -------------------------------------------------------------- */
 
 static void
-on_deposed(void *context, const char *pool, const char *reason)
+on_superseded(void *context, const char *pool, const char *reason)
 {
     AqNode *node = context;
-    member_deposed(node->member, pool, reason);
+    member_superseded(node->member, pool, reason);
 }
 
 static void
 on_gained(void *context, const Ownership *ownership)
 {
-    static const PoolOwnerOps ops = {on_deposed};
+    static const PoolOwnerOps ops = {on_superseded};
     static const VmDirectoryOps vm_ops = {on_vm_listed, on_vm_unlisted};
     AqNode *node = context;
-    if (strcmp(ownership->pool, MEMBER_MACHINE_DUTY) == 0) {
-        node->desk = machine_desk_create(&node->context, ownership->fence);
+    if (strcmp(ownership->pool, MEMBER_MACHINE_COORDINATOR) == 0) {
+        node->coordinator =
+            machine_coordinator_create(&node->context, ownership->fence);
         return;
     }
     AqMetric_Add(node->context.metrics.pools_gained, 1);
@@ -213,7 +214,7 @@
     pool->machines =
         pool_machines_create(&node->context, node->waves, pool->owner);
     g_hash_table_insert(node->owners, g_strdup(ownership->pool), pool);
-    wave_book_follow(node->waves);
+    wave_table_follow(node->waves);
     if (node->vms == NULL) {
         node->vms = vm_directory_create(node->context.loop,
                                         node->context.store, &vm_ops, node);
@@ -235,9 +236,9 @@
     AqNode *node = context;
     OwnedPool *owned = g_hash_table_lookup(node->owners, pool);
     (void)reason;
-    if (strcmp(pool, MEMBER_MACHINE_DUTY) == 0) {
-        machine_desk_drop(node->desk);
-        node->desk = NULL;
+    if (strcmp(pool, MEMBER_MACHINE_COORDINATOR) == 0) {
+        machine_coordinator_drop(node->coordinator);
+        node->coordinator = NULL;
         return;
     }
     if (owned != NULL) {
@@ -315,9 +316,9 @@
     AqBuffer_Printf(out, "aq_pool_used_cpu_millis{pool=\"%s\"} %lld\n", pool,
                     (long long)load.used_cpu_millis);
     AqBuffer_Printf(out, "aq_pool_room_cpu_millis{pool=\"%s\"} %lld\n", pool,
-                    (long long)load.room_cpu_millis);
+                    (long long)load.capacity_cpu_millis);
     AqBuffer_Printf(out, "aq_pool_settled{pool=\"%s\"} %d\n", pool,
-                    load.is_settled);
+                    load.is_recovered);
     AqBuffer_Printf(out, "aq_runs_total{pool=\"%s\",end=\"done\"} %llu\n",
                     pool, (unsigned long long)counters->done);
     AqBuffer_Printf(out, "aq_runs_total{pool=\"%s\",end=\"failed\"} %llu\n",
@@ -371,7 +372,7 @@
     AqTime limit =
         node->context.settings->stop_grace_s * 1000 - STOP_RESERVE_MS;
     if (passed >= STOP_CLOSE_MS) {
-        AqHttpServer_CloseAfterAnswer(node->callers);
+        AqHttpServer_CloseAfterResponse(node->callers);
     }
     if ((passed >= STOP_END_MS && AqHttpServer_Pending(node->callers) == 0) ||
         passed >= limit) {
@@ -404,9 +405,9 @@
 {
     GHashTableIter iter;
     gpointer value;
-    if (node->desk != NULL) {
-        member_release(node->member, MEMBER_MACHINE_DUTY);
-        on_lost(node, MEMBER_MACHINE_DUTY, "released");
+    if (node->coordinator != NULL) {
+        member_release(node->member, MEMBER_MACHINE_COORDINATOR);
+        on_lost(node, MEMBER_MACHINE_COORDINATOR, "released");
     }
     g_hash_table_iter_init(&iter, node->owners);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
@@ -465,8 +466,9 @@
         }
     }
     g_list_free_full(pools, g_free);
-    if (node->desk != NULL) {
-        machine_desk_round(node->desk, member_may_order(node->member));
+    if (node->coordinator != NULL) {
+        machine_coordinator_round(node->coordinator,
+                                  member_may_order(node->member));
     }
     return due;
 }
@@ -544,7 +546,7 @@
         .idle_timeout_s = IDLE_TIMEOUT_S,
     };
     node->callers = AqHttpServer_Create(node->context.loop, &callers,
-                                        front_handle, node->front, error);
+                                        job_api_handle, node->job_api, error);
     if (node->callers == NULL) {
         return false;
     }
@@ -589,7 +591,7 @@
 AqNode_Create(const AqSettings *settings, AqError *error)
 {
     static const MemberOps member_ops = {on_gained, on_lost};
-    static const FrontOps front_ops = {is_current, forward};
+    static const JobApiOps job_api_ops = {is_current, forward};
     static const ForwarderOps forwarder_ops = {peer};
     AqNode *node = calloc(1, sizeof(*node));
     NodeContext *context = &node->context;
@@ -608,9 +610,9 @@
         goto error;
     }
     create_calls(context);
-    node->front = front_create(context, &front_ops, node);
+    node->job_api = job_api_create(context, &job_api_ops, node);
     node->forwarder = forwarder_create(context, &forwarder_ops, node);
-    node->waves = wave_book_create(context);
+    node->waves = wave_table_create(context);
     if (!open_servers(node, error)) {
         goto error;
     }
@@ -658,7 +660,7 @@
     }
     NodeContext *context = &node->context;
     AqTimer_Stop(&node->stop_timer);
-    machine_desk_drop(node->desk);
+    machine_coordinator_drop(node->coordinator);
     drop_owners(node);
     if (context->http != NULL) {
         /* Ends all calls, whose contexts are still there. */
@@ -667,13 +669,13 @@
     member_destroy(node->member);
     prefix_view_destroy(node->operator_view);
     vm_directory_destroy(node->vms);
-    wave_book_destroy(node->waves);
+    wave_table_destroy(node->waves);
     AqHttpServer_Destroy(node->callers);
     AqHttpServer_Destroy(node->readiness);
     if (node->metrics != NULL) {
         AqHttpServer_Destroy(node->metrics);
     }
-    front_destroy(node->front);
+    job_api_destroy(node->job_api);
     forwarder_destroy(node->forwarder);
     AqHttpClient_Destroy(context->http);
     if (context->store != NULL) {
--- a/packages/pool/node.h
+++ b/packages/pool/node.h
@@ -38,9 +38,9 @@
     AqLoop *loop;
     AqHttpClient *http;
     AqStore *store;
-    AqWorkerCalls *workers;
-    AqMachineCalls *machines; /* NULL: VMs can't be ordered about */
-    AqAdviceCalls *advice;    /* NULL: no such service */
+    AqWorkerClient *workers;
+    AqMachineClient *machines; /* NULL: VMs can't be ordered about */
+    AqAdviceClient *advice;    /* NULL: no such service */
     NodeMetrics metrics;
     StoreHealth store_health;
     AqSiteConfig site;    /* version 0: not known yet */
--- a/packages/pool/owner_writer.c
+++ b/packages/pool/owner_writer.c
@@ -9,7 +9,7 @@
 #include "store_keys.h"
 
 enum {
-    RETRY_MS = 150 /* of reading the lane */
+    RETRY_MS = 150 /* of reading the write stamp */
 };
 
 typedef struct {
@@ -18,7 +18,7 @@
     size_t expect_count;
     AqStorePut puts[AQ_STORE_COMMIT_ENTRIES];
     size_t put_count;
-    char stamp[80]; /* value of the lane that says it took effect */
+    char stamp[80]; /* value of the write stamp that says it took effect */
     OwnerWriteDone done;
     void *context;
 } Write;
@@ -27,9 +27,9 @@
     NodeContext *node;
     char pool[64];
     uint64_t fence;
-    GQueue *writes;      /* of Write; the first one is under way */
-    uint64_t lane_index; /* as last known */
-    bool is_lane_known;
+    GQueue *writes;             /* of Write; the first one is under way */
+    uint64_t write_stamp_index; /* as last known */
+    bool is_write_stamp_known;
     uint64_t stamps;
     bool is_busy;
     bool is_dropped;
@@ -90,34 +90,36 @@
 }
 
 static bool
-is_stamped(const AqStoreItem *lane, const Write *write)
+is_stamped(const AqStoreItem *write_stamp, const Write *write)
 {
-    if (lane == NULL || lane->value == NULL) {
+    if (write_stamp == NULL || write_stamp->value == NULL) {
         return false;
     }
     size_t size = strlen(write->stamp);
-    return lane->size == size && memcmp(lane->value, write->stamp, size) == 0;
+    return write_stamp->size == size &&
+           memcmp(write_stamp->value, write->stamp, size) == 0;
 }
 
 static void
 on_conflict(OwnerWriter *writer, const AqStoreReply *reply)
 {
     const Write *write = g_queue_peek_head(writer->writes);
-    const AqStoreItem *lane = find_item(reply, key_of(KEY_LANE, writer->pool));
+    const AqStoreItem *write_stamp =
+        find_item(reply, key_of(KEY_WRITE_STAMP, writer->pool));
     const AqStoreItem *owner =
         find_item(reply, key_of(KEY_OWNER, writer->pool));
-    uint64_t lane_index = lane != NULL ? lane->index : 0;
-    if (is_stamped(lane, write)) {
+    uint64_t write_stamp_index = write_stamp != NULL ? write_stamp->index : 0;
+    if (is_stamped(write_stamp, write)) {
         /* The library sent it twice: the first one took effect. */
-        writer->lane_index = lane_index;
+        writer->write_stamp_index = write_stamp_index;
         finish(writer, AQ_STORE_OK);
     }
     else if (owner == NULL || owner->index != writer->fence) {
         finish(writer, AQ_STORE_ABSENT);
     }
-    else if (lane_index != writer->lane_index) {
+    else if (write_stamp_index != writer->write_stamp_index) {
         /* A write that was given up took effect in between. */
-        writer->lane_index = lane_index;
+        writer->write_stamp_index = write_stamp_index;
         writer->is_busy = false;
         next(writer);
     }
@@ -132,7 +134,7 @@
     OwnerWriter *writer = context;
     switch (reply->status) {
     case AQ_STORE_OK:
-        writer->lane_index = reply->index;
+        writer->write_stamp_index = reply->index;
         finish(writer, AQ_STORE_OK);
         break;
     case AQ_STORE_CONFLICT:
@@ -141,7 +143,7 @@
     case AQ_STORE_UNKNOWN:
         AqLog_Event(AQ_LOG_INFO, "write_unanswered", "pool=%s fence=%" PRIu64,
                     writer->pool, writer->fence);
-        writer->is_lane_known = false;
+        writer->is_write_stamp_known = false;
         read_later(writer);
         break;
     default:
@@ -151,7 +153,7 @@
 }
 
 static void
-on_lane(void *context, const AqStoreReply *reply)
+on_write_stamp(void *context, const AqStoreReply *reply)
 {
     OwnerWriter *writer = context;
     const Write *write = g_queue_peek_head(writer->writes);
@@ -165,13 +167,13 @@
         }
         return;
     }
-    writer->lane_index = is_there ? reply->items[0].index : 0;
-    writer->is_lane_known = true;
+    writer->write_stamp_index = is_there ? reply->items[0].index : 0;
+    writer->is_write_stamp_known = true;
     if (is_there && is_stamped(&reply->items[0], write)) {
         finish(writer, AQ_STORE_OK);
         return;
     }
-    /* It has not taken effect; a late one fails once the lane moves on. */
+    /* It has not taken effect; a late one fails once the stamp changes. */
     writer->is_busy = false;
     next(writer);
 }
@@ -179,16 +181,17 @@
 /* ---- Sending ------------------------------------------------------------ */
 
 static void
-read_lane(OwnerWriter *writer)
+read_write_stamp(OwnerWriter *writer)
 {
     AqStore *store = writer->node->store;
-    store->ops->get(store, key_of(KEY_LANE, writer->pool), on_lane, writer);
+    store->ops->get(store, key_of(KEY_WRITE_STAMP, writer->pool),
+                    on_write_stamp, writer);
 }
 
 static void
 on_retry(void *context)
 {
-    read_lane(context);
+    read_write_stamp(context);
 }
 
 static void
@@ -197,16 +200,17 @@
     AqStore *store = writer->node->store;
     AqStoreExpect expects[AQ_STORE_COMMIT_ENTRIES];
     AqStorePut puts[AQ_STORE_COMMIT_ENTRIES];
-    const char *lane = key_of(KEY_LANE, writer->pool);
+    const char *write_stamp = key_of(KEY_WRITE_STAMP, writer->pool);
     size_t expect_count = 0;
     size_t put_count = 0;
     snprintf(write->stamp, sizeof(write->stamp), "%s %" PRIu64,
              writer->node->incarnation, ++writer->stamps);
     expects[expect_count++] =
         (AqStoreExpect){key_of(KEY_OWNER, writer->pool), writer->fence};
-    expects[expect_count++] = (AqStoreExpect){lane, writer->lane_index};
+    expects[expect_count++] =
+        (AqStoreExpect){write_stamp, writer->write_stamp_index};
     puts[put_count++] =
-        (AqStorePut){lane, write->stamp, strlen(write->stamp), 0};
+        (AqStorePut){write_stamp, write->stamp, strlen(write->stamp), 0};
     for (size_t i = 0; i < write->expect_count; i++) {
         expects[expect_count++] = write->expects[i];
     }
@@ -237,8 +241,8 @@
     if (writer->is_dropped) {
         finish(writer, AQ_STORE_UNAVAILABLE);
     }
-    else if (!writer->is_lane_known) {
-        read_lane(writer);
+    else if (!writer->is_write_stamp_known) {
+        read_write_stamp(writer);
     }
     else {
         send(writer, write);
--- a/packages/pool/owner_writer.h
+++ b/packages/pool/owner_writer.h
@@ -7,9 +7,9 @@
  *
  * A write without an answer may be carried out seconds later, also after
  * newer ones of the same owner, whose key is unchanged.  So each write also
- * requires and renews the owner's lane key: a late one finds it changed and
+ * requires and renews the owner's write stamp: a late one finds it changed and
  * does nothing.  Whether a write without an answer took effect is read from
- * the lane before the next one goes out, so each ends with a definite
+ * the write stamp before the next one goes out, so each ends with a definite
  * result. */
 
 typedef struct OwnerWriter OwnerWriter;
--- a/packages/pool/pool_machine_requests.c
+++ b/packages/pool/pool_machine_requests.c
@@ -5,28 +5,29 @@
 #include "pool_machines_private.h"
 
 void
-machines_ask(PoolMachines *self, Plan *plan)
+machines_add_request(PoolMachines *self, Plan *plan)
 {
-    plan->phase = VM_ASKED;
+    plan->phase = VM_REQUESTED;
     plan->since = machines_now(self);
-    plan->ask = ++self->last_ask;
+    plan->request_number = ++self->last_request_number;
     plan->is_ordered = false;
-    self->are_asks_changed = true;
+    self->are_requests_changed = true;
 }
 
-/* The machine duty has ended some of our asks. */
+/* The machine coordinator has ended some of our requests. */
 static void
-take_answer(PoolMachines *self, const AqAsk *answer)
+take_response(PoolMachines *self, const AqMachineRequest *response)
 {
-    Plan *plan = machines_find_plan(self, answer->machine);
+    Plan *plan = machines_find_plan(self, response->machine);
     AqScheduler *s = pool_owner_scheduler(self->owner);
-    if (plan == NULL || plan->ask != answer->number || plan->is_ordered) {
+    if (plan == NULL || plan->request_number != response->number ||
+        plan->is_ordered) {
         return;
     }
-    if (answer->is_refused) {
+    if (response->is_refused) {
         AqLog_Event(AQ_LOG_WARNING, "ask_refused",
-                    "machine=%s pool=%s wave=%lld", answer->machine,
-                    self->pool, (long long)answer->wave);
+                    "machine=%s pool=%s wave=%lld", response->machine,
+                    self->pool, (long long)response->wave);
         machines_remove_plan(self, plan);
         return;
     }
@@ -41,92 +42,94 @@
 on_answer(void *context, const AqStoreItem *item)
 {
     PoolMachines *self = context;
-    AqAskList list;
-    if (strcmp(item->key, key_of(KEY_ANSWER, self->pool)) != 0) {
+    AqMachineRequestList list;
+    if (strcmp(item->key, key_of(KEY_MACHINE_RESPONSES, self->pool)) != 0) {
         return; /* of a pool whose name begins with ours */
     }
-    if (!AqAskList_Decode(item->value, item->size, &list)) {
+    if (!AqMachineRequestList_Decode(item->value, item->size, &list)) {
         AqLog_Event(AQ_LOG_ERROR, "answers_unreadable", "pool=%s index=%llu",
                     self->pool, (unsigned long long)item->index);
         return;
     }
     for (size_t i = 0; i < list.count && list.fence == self->fence; i++) {
-        take_answer(self, &list.asks[i]);
+        take_response(self, &list.requests[i]);
     }
-    AqAskList_Clear(&list);
+    AqMachineRequestList_Clear(&list);
 }
 
 static void
-on_asks_written(void *context, AqStoreStatus status)
+on_requests_written(void *context, AqStoreStatus status)
 {
     PoolMachines *self = context;
     if (!machines_end_call(self)) {
         return;
     }
-    self->is_writing_asks = false;
+    self->is_writing_requests = false;
     if (status != AQ_STORE_OK) {
-        self->are_asks_changed = true;
-        self->asks_due = machines_now(self) + MACHINES_RETRY_MS;
+        self->are_requests_changed = true;
+        self->requests_due = machines_now(self) + MACHINES_RETRY_MS;
     }
 }
 
 static void
-fill_asks(const PoolMachines *self, AqAskList *list)
+fill_requests(const PoolMachines *self, AqMachineRequestList *list)
 {
     GHashTableIter iter;
     gpointer value;
     const char *spare = machines_spare_pool(self);
     list->fence = self->fence;
-    list->wanted = self->wanted;
+    list->requested_vms = self->requested_vms;
     list->count = 0;
     g_hash_table_iter_init(&iter, self->plans);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const Plan *plan = value;
-        if (plan->ask == 0 || list->count == AQ_ASKS_MAX) {
+        if (plan->request_number == 0 ||
+            list->count == AQ_MACHINE_REQUESTS_MAX) {
             continue;
         }
-        AqAsk *entry = &list->asks[list->count++];
+        AqMachineRequest *entry = &list->requests[list->count++];
         memset(entry, 0, sizeof(*entry));
-        entry->number = plan->ask;
+        entry->number = plan->request_number;
         entry->wave = plan->wave;
         g_strlcpy(entry->machine, plan->machine, sizeof(entry->machine));
-        if (plan->kind == PLAN_TAKE) {
+        if (plan->kind == PLAN_ACQUIRE) {
             g_strlcpy(entry->to_pool, self->pool, sizeof(entry->to_pool));
         }
-        else if (plan->kind == PLAN_GIVE && spare != NULL) {
+        else if (plan->kind == PLAN_RELEASE && spare != NULL) {
             g_strlcpy(entry->to_pool, spare, sizeof(entry->to_pool));
         }
     }
 }
 
 void
-machines_write_asks(PoolMachines *self)
+machines_write_requests(PoolMachines *self)
 {
     AqBuffer bytes;
-    if (!self->are_asks_changed || self->is_writing_asks ||
-        self->asks_due > machines_now(self)) {
+    if (!self->are_requests_changed || self->is_writing_requests ||
+        self->requests_due > machines_now(self)) {
         return;
     }
-    AqAskList list = {.asks = calloc(AQ_ASKS_MAX, sizeof(AqAsk))};
-    fill_asks(self, &list);
+    AqMachineRequestList list = {
+        .requests = calloc(AQ_MACHINE_REQUESTS_MAX, sizeof(AqMachineRequest))};
+    fill_requests(self, &list);
     AqBuffer_Init(&bytes);
-    AqAskList_Encode(&list, &bytes);
-    AqStorePut put = {key_of(KEY_ASK, self->pool), AqBuffer_Text(&bytes),
-                      bytes.size, 0};
-    self->are_asks_changed = false;
-    self->is_writing_asks = true;
+    AqMachineRequestList_Encode(&list, &bytes);
+    AqStorePut put = {key_of(KEY_MACHINE_REQUESTS, self->pool),
+                      AqBuffer_Text(&bytes), bytes.size, 0};
+    self->are_requests_changed = false;
+    self->is_writing_requests = true;
     self->calls++;
     owner_writer_commit(pool_owner_writer(self->owner), NULL, 0, &put, 1,
-                        on_asks_written, self);
+                        on_requests_written, self);
     AqBuffer_Clear(&bytes);
-    AqAskList_Clear(&list);
+    AqMachineRequestList_Clear(&list);
 }
 
 void
-machines_watch_answers(PoolMachines *self)
+machines_watch_responses(PoolMachines *self)
 {
     static const PrefixViewOps ops = {on_answer, NULL, NULL, 0, true};
-    self->answers =
-        prefix_view_create(self->node->loop, self->node->store,
-                           key_of(KEY_ANSWER, self->pool), &ops, self);
+    self->responses = prefix_view_create(
+        self->node->loop, self->node->store,
+        key_of(KEY_MACHINE_RESPONSES, self->pool), &ops, self);
 }
--- a/packages/pool/pool_machines.c
+++ b/packages/pool/pool_machines.c
@@ -9,7 +9,7 @@
     ROUND_MS = 100,
     LONG_AGO_MS = 60000,   /* the list has not been read */
     SILENT_LIST_MS = 1000, /* how old it may be while a VM is silent */
-    LASTING_WEIGHT = 100   /* a lasting task counts as so many others */
+    PERPETUAL_WEIGHT = 100 /* a perpetual task counts as so many others */
 };
 
 AqTime
@@ -52,7 +52,7 @@
         .is_answering = view->is_answering,
         .silent_since = view->silent_since,
         .tasks = view->tasks,
-        .lasting = view->lasting_tasks,
+        .perpetual = view->perpetual_tasks,
         .cpu = view->cpu_millis,
         .idle_since = view->idle_since,
     };
@@ -61,7 +61,8 @@
     g_array_append_val(self->vms, copy);
 }
 
-/* The life of a VM that answers, or else any; NULL when there is none. */
+/* The incarnation of a VM that answers, or else any; NULL when there is
+ * none. */
 const VmCopy *
 machines_find_vm(const PoolMachines *self, const char *machine)
 {
@@ -77,11 +78,11 @@
 }
 
 bool
-machines_is_life_over(const PoolMachines *self, const char *life)
+machines_is_incarnation_over(const PoolMachines *self, const char *incarnation)
 {
     for (guint i = 0; i < self->vms->len; i++) {
         const VmCopy *vm = &g_array_index(self->vms, VmCopy, i);
-        if (strcmp(vm->vm, life) == 0) {
+        if (strcmp(vm->vm, incarnation) == 0) {
             return !vm->is_answering;
         }
     }
@@ -93,8 +94,8 @@
 {
     const VmCopy *first = a;
     const VmCopy *second = b;
-    size_t left = first->tasks + LASTING_WEIGHT * first->lasting;
-    size_t right = second->tasks + LASTING_WEIGHT * second->lasting;
+    size_t left = first->tasks + PERPETUAL_WEIGHT * first->perpetual;
+    size_t right = second->tasks + PERPETUAL_WEIGHT * second->perpetual;
     if (left != right) {
         return left < right ? -1 : 1;
     }
@@ -127,7 +128,8 @@
     if (s != NULL && plan->vm[0] != '\0') {
         AqScheduler_SetCordon(s, plan->vm, false);
     }
-    self->are_asks_changed = self->are_asks_changed || plan->ask != 0;
+    self->are_requests_changed =
+        self->are_requests_changed || plan->request_number != 0;
     g_hash_table_remove(self->plans, plan->machine);
 }
 
@@ -141,7 +143,7 @@
     AqLog_Event(AQ_LOG_INFO, "vm_cordoned",
                 "vm=%s machine=%s pool=%s reason=%s tasks=%zu lasting=%zu",
                 vm->vm, vm->machine, self->pool, reason, vm->tasks,
-                vm->lasting);
+                vm->perpetual);
     return plan;
 }
 
@@ -181,7 +183,7 @@
     g_array_set_size(self->list, 0);
     g_array_append_vals(self->list, list->machines, (guint)list->count);
     self->listed_at = machines_now(self);
-    self->list_asked_at = self->listing_since;
+    self->list_requested_at = self->listing_since;
 }
 
 static void
@@ -217,15 +219,15 @@
     return NULL;
 }
 
-/* Whether the platform has ended a life of a VM by an order: it goes through
- * a move or an upkeep, or lives again under another id. */
+/* Whether the platform has ended an incarnation of a VM by an order: it goes
+ * through a move or maintenance, or lives again under another id. */
 static bool
-is_replaced(const AqMachine *listed, const char *life)
+is_replaced(const AqMachine *listed, const char *incarnation)
 {
     return listed->state == AQ_MACHINE_MOVING ||
-           listed->state == AQ_MACHINE_UPKEEP ||
+           listed->state == AQ_MACHINE_MAINTENANCE ||
            (listed->state == AQ_MACHINE_UP && listed->vm[0] != '\0' &&
-            strcmp(listed->vm, life) != 0);
+            strcmp(listed->vm, incarnation) != 0);
 }
 
 /* Silent VMs are waited for until their leases have lapsed.  The list shows
@@ -239,8 +241,8 @@
         if (vm->silent_since == AQ_TIME_NEVER || vm->machine[0] == '\0') {
             continue;
         }
-        /* An earlier list may show the VM before this life of it. */
-        if (self->list_asked_at <= vm->silent_since ||
+        /* An earlier list may show the VM before this incarnation of it. */
+        if (self->list_requested_at <= vm->silent_since ||
             machines_now(self) - self->listed_at > SILENT_LIST_MS) {
             read_list(self);
             continue;
@@ -273,13 +275,13 @@
     AqScheduler_EachVm(s, copy_vm, self);
     g_array_sort(self->vms, compare_vms);
     end_replaced(self, s);
-    machines_upkeep_round(self);
-    machines_sizes_round(self, s);
-    machines_write_asks(self);
+    machines_maintenance_round(self);
+    machines_sizing_round(self, s);
+    machines_write_requests(self);
 }
 
 PoolMachines *
-pool_machines_create(NodeContext *node, WaveBook *waves, PoolOwner *owner)
+pool_machines_create(NodeContext *node, WaveTable *waves, PoolOwner *owner)
 {
     PoolMachines *self = calloc(1, sizeof(*self));
     self->node = node;
@@ -287,13 +289,13 @@
     self->owner = owner;
     self->fence = pool_owner_fence(owner);
     self->listed_at = -LONG_AGO_MS;
-    self->list_asked_at = -LONG_AGO_MS;
+    self->list_requested_at = -LONG_AGO_MS;
     g_strlcpy(self->pool, pool_owner_pool(owner), sizeof(self->pool));
     self->plans = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free);
     self->vms = g_array_new(FALSE, FALSE, sizeof(VmCopy));
     self->list = g_array_new(FALSE, FALSE, sizeof(AqMachine));
     self->wave_changes = machines_new_wave_changes();
-    machines_watch_answers(self);
+    machines_watch_responses(self);
     return self;
 }
 
@@ -301,7 +303,7 @@
 pool_machines_drop(PoolMachines *self)
 {
     self->is_dropped = true;
-    prefix_view_destroy(self->answers);
+    prefix_view_destroy(self->responses);
     if (self->calls == 0) {
         free_machines(self);
     }
--- a/packages/pool/pool_machines_private.h
+++ b/packages/pool/pool_machines_private.h
@@ -7,37 +7,37 @@
 #include "prefix_view.h"
 
 /* Shared by the files of a pool's machines:
- * pool_machines.c  what is there, plans, the platform's list, rounds
- * pool_machine_requests.c      what is asked of the machine duty, and its
- * answers pool_maintenance.c    waves pool_sizing.c     VMs given to other
- * pools and taken */
+ * pool_machines.c          what is there, plans, the platform's list, rounds
+ * pool_machine_requests.c  requests to the machine coordinator, its responses
+ * pool_maintenance.c       waves
+ * pool_sizing.c            VMs given to other pools and taken */
 
 enum {
     MACHINES_RETRY_MS = 150 /* of a write that was not accepted */
 };
 
 typedef enum {
-    VM_CORDONED, /* being made empty */
-    VM_CLAIMING, /* the wave's record is being written */
-    VM_ASKED,    /* the order is asked for */
-    VM_BACK      /* it serves again; the wave's record is to say so */
+    VM_CORDONED,  /* being made empty */
+    VM_CLAIMING,  /* the wave's record is being written */
+    VM_REQUESTED, /* the order is requested */
+    VM_RETURNED   /* it serves again; the wave's record is to say so */
 } VmPhase;
 
 typedef enum {
-    PLAN_UPKEEP,
-    PLAN_GIVE, /* to the spare pool */
-    PLAN_TAKE  /* from the spare pool */
+    PLAN_MAINTENANCE,
+    PLAN_RELEASE, /* to the spare pool */
+    PLAN_ACQUIRE  /* from the spare pool */
 } PlanKind;
 
 /* What this owner is doing with one VM. */
 typedef struct {
     char machine[AQ_VM_ID_SIZE];
-    char vm[AQ_VM_ID_SIZE]; /* its life when we began, or "" */
+    char vm[AQ_VM_ID_SIZE]; /* its incarnation when we began, or "" */
     PlanKind kind;
     VmPhase phase;
     int64_t wave;
-    int64_t ask;     /* number; 0: nothing is asked for */
-    bool is_ordered; /* the answer says that the order was accepted */
+    int64_t request_number; /* 0: nothing is requested */
+    bool is_ordered;        /* the response says that the order was accepted */
     AqTime ordered_at;
     AqTime since;
     AqTime retry_at;
@@ -45,7 +45,7 @@
 
 struct PoolMachines {
     NodeContext *node;
-    WaveBook *waves;
+    WaveTable *waves;
     PoolOwner *owner;
     char pool[64];
     uint64_t fence;
@@ -53,12 +53,12 @@
     int calls;
     AqTime due;
     AqTime log_due;
-    int64_t last_ask;
-    bool are_asks_changed;
-    size_t wanted; /* VMs that the spare pool does not have */
-    bool is_writing_asks;
-    AqTime asks_due;
-    PrefixView *answers;
+    int64_t last_request_number;
+    bool are_requests_changed;
+    size_t requested_vms; /* VMs that the spare pool does not have */
+    bool is_writing_requests;
+    AqTime requests_due;
+    PrefixView *responses;
     bool is_writing_wave;
     GArray *wave_changes; /* of this round, not written yet */
     GHashTable *plans;    /* machine -> Plan */
@@ -66,8 +66,8 @@
     /* The platform's list of VMs. */
     GArray *list; /* of AqMachine */
     AqTime listed_at;
-    AqTime list_asked_at; /* of this list */
-    AqTime listing_since; /* of the one under way */
+    AqTime list_requested_at; /* of this list */
+    AqTime listing_since;     /* of the one under way */
     bool is_listing;
 };
 
@@ -77,7 +77,7 @@
     bool is_usable;
     bool is_answering;
     size_t tasks;
-    size_t lasting;
+    size_t perpetual;
     int64_t cpu;
     AqTime idle_since;
     AqTime silent_since;
@@ -88,9 +88,11 @@
 bool machines_end_call(PoolMachines *self);
 
 /* ---- pool_machines.c */
-/* The life of a VM that answers, or else any; NULL when there is none. */
+/* The incarnation of a VM that answers, or else any; NULL when there is
+ * none. */
 const VmCopy *machines_find_vm(const PoolMachines *self, const char *machine);
-bool machines_is_life_over(const PoolMachines *self, const char *life);
+bool machines_is_incarnation_over(const PoolMachines *self,
+                                  const char *incarnation);
 Plan *machines_find_plan(const PoolMachines *self, const char *machine);
 Plan *machines_add_plan(PoolMachines *self, const char *machine,
                         const char *vm, PlanKind kind);
@@ -107,15 +109,15 @@
                                       const char *machine);
 
 /* ---- pool_machine_requests.c */
-void machines_ask(PoolMachines *self, Plan *plan);
-void machines_write_asks(PoolMachines *self);
-void machines_watch_answers(PoolMachines *self);
+void machines_add_request(PoolMachines *self, Plan *plan);
+void machines_write_requests(PoolMachines *self);
+void machines_watch_responses(PoolMachines *self);
 
 /* ---- pool_maintenance.c */
-void machines_upkeep_round(PoolMachines *self);
+void machines_maintenance_round(PoolMachines *self);
 GArray *machines_new_wave_changes(void);
 
 /* ---- pool_sizing.c */
-void machines_sizes_round(PoolMachines *self, AqScheduler *s);
+void machines_sizing_round(PoolMachines *self, AqScheduler *s);
 
 #endif
--- a/packages/pool/pool_maintenance.c
+++ b/packages/pool/pool_maintenance.c
@@ -8,7 +8,8 @@
 
 enum {
     LIST_EVERY_MS = 800, /* while VMs outside of the pools' view matter */
-    BACK_MS = 4000 /* a VM that is there so long after its order is back */
+    WAVE_RETURN_LIMIT_MS =
+        4000 /* a VM that is there so long after its order is back */
 };
 
 /* ---- Record ------------------------------------------------------------- */
@@ -36,7 +37,7 @@
             continue;
         }
         if (status == AQ_STORE_OK) {
-            machines_ask(self, plan);
+            machines_add_request(self, plan);
         }
         else {
             plan->phase = VM_CORDONED;
@@ -121,14 +122,14 @@
 /* Has an empty VM taken down: claims a slot of the wave first, unless the
  * record says that it has one. */
 static void
-order_upkeep(PoolMachines *self, WaveEntry *entry, size_t at, Plan *plan)
+order_maintenance(PoolMachines *self, WaveEntry *entry, size_t at, Plan *plan)
 {
     plan->wave = AqWave_Number(entry->wave);
     if (plan->retry_at > machines_now(self)) {
         return;
     }
     if (AqWave_State(entry->wave, at) == AQ_WAVE_BEGUN) {
-        machines_ask(self, plan);
+        machines_add_request(self, plan);
     }
     else if (AqWave_HasSlot(entry->wave) &&
              change_wave(self, entry, at, AQ_WAVE_BEGUN)) {
@@ -159,8 +160,8 @@
 finish_wave_vm(WaveRound *round, WaveEntry *entry, size_t at, Plan *plan)
 {
     PoolMachines *self = round->self;
-    if (plan->phase != VM_BACK) {
-        plan->phase = VM_BACK;
+    if (plan->phase != VM_RETURNED) {
+        plan->phase = VM_RETURNED;
         AqScheduler_SetCordon(pool_owner_scheduler(self->owner), plan->vm,
                               false);
     }
@@ -170,7 +171,7 @@
     }
 }
 
-/* A VM whose upkeep has begun, by this owner or an earlier one. */
+/* A VM whose maintenance has begun, by this owner or an earlier one. */
 static void
 follow_begun(WaveRound *round, WaveEntry *entry, size_t at)
 {
@@ -182,45 +183,47 @@
         if (vm != NULL && vm->is_usable) {
             /* Begun by an earlier owner, which may not have ordered it: order
              * it again, which does nothing when it was. */
-            machines_cordon(self, vm, PLAN_UPKEEP, "wave_taken_over");
+            machines_cordon(self, vm, PLAN_MAINTENANCE, "wave_taken_over");
         }
         return;
     }
-    if (plan->kind != PLAN_UPKEEP) {
-        return; /* it comes or goes; its upkeep is seen to then */
+    if (plan->kind != PLAN_MAINTENANCE) {
+        return; /* it comes or goes; its maintenance is seen to then */
     }
     if (plan->phase == VM_CORDONED) {
         bool is_empty =
             plan->vm[0] == '\0' || vm == NULL ||
             AqScheduler_IsIdle(pool_owner_scheduler(self->owner), plan->vm);
         if (is_empty) {
-            order_upkeep(self, entry, at, plan);
+            order_maintenance(self, entry, at, plan);
         }
         return;
     }
-    if (plan->phase == VM_BACK) {
+    if (plan->phase == VM_RETURNED) {
         finish_wave_vm(round, entry, at, plan);
         return;
     }
-    if (plan->phase != VM_ASKED || vm == NULL || !plan->is_ordered) {
+    if (plan->phase != VM_REQUESTED || vm == NULL || !plan->is_ordered) {
         return;
     }
-    /* One whose upkeep an earlier owner had ordered keeps its life. */
-    bool is_new_life = strcmp(vm->vm, plan->vm) != 0 && vm->is_usable;
-    bool is_settled =
-        machines_now(self) - plan->ordered_at > BACK_MS && vm->is_answering;
-    if (is_new_life || is_settled) {
+    /* One whose maintenance an earlier owner had ordered keeps its
+     * incarnation. */
+    bool is_new_incarnation = strcmp(vm->vm, plan->vm) != 0 && vm->is_usable;
+    bool is_recovered =
+        machines_now(self) - plan->ordered_at > WAVE_RETURN_LIMIT_MS &&
+        vm->is_answering;
+    if (is_new_incarnation || is_recovered) {
         finish_wave_vm(round, entry, at, plan);
     }
 }
 
-/* Ends the plans of VMs whose upkeep is recorded as done. */
+/* Ends the plans of VMs whose maintenance is recorded as done. */
 static void
 end_finished(PoolMachines *self, const WaveEntry *entry, size_t at)
 {
     const Plan *plan =
         machines_find_plan(self, AqWave_Machine(entry->wave, at));
-    if (plan != NULL && plan->kind == PLAN_UPKEEP) {
+    if (plan != NULL && plan->kind == PLAN_MAINTENANCE) {
         machines_remove_plan(self, plan);
     }
 }
@@ -236,7 +239,7 @@
         return;
     }
     if (AqScheduler_IsIdle(s, plan->vm)) {
-        order_upkeep(self, entry, at, plan);
+        order_maintenance(self, entry, at, plan);
     }
     else if (AqWave_IsPressing(entry->wave, round->waiting, plan->since,
                                machines_now(self))) {
@@ -264,7 +267,7 @@
     PoolMachines *self = round->self;
     size_t parallel = AqWave_Parallel(entry->wave, round->waiting,
                                       self->vms->len, machines_now(self));
-    size_t busy = machines_count_plans(self, PLAN_UPKEEP);
+    size_t busy = machines_count_plans(self, PLAN_MAINTENANCE);
     for (guint i = 0; i < self->vms->len; i++) {
         const VmCopy *vm = &g_array_index(self->vms, VmCopy, i);
         int at = AqWave_Find(entry->wave, vm->machine);
@@ -275,7 +278,7 @@
         }
         size_t most = vm->tasks == 0 ? parallel + 2 : parallel;
         if (busy < most) {
-            machines_cordon(self, vm, PLAN_UPKEEP, "wave");
+            machines_cordon(self, vm, PLAN_MAINTENANCE, "wave");
             busy++;
         }
     }
@@ -288,7 +291,7 @@
 {
     PoolMachines *self = round->self;
     Plan *plan = machines_find_plan(self, listed->machine);
-    if (plan != NULL && plan->kind != PLAN_UPKEEP) {
+    if (plan != NULL && plan->kind != PLAN_MAINTENANCE) {
         return;
     }
     if (plan == NULL) {
@@ -296,17 +299,18 @@
         bool is_begun = AqWave_State(entry->wave, at) == AQ_WAVE_BEGUN;
         if (is_begun ||
             (AqWave_HasSlot(entry->wave) && !self->is_writing_wave)) {
-            plan = machines_add_plan(self, listed->machine, "", PLAN_UPKEEP);
-            order_upkeep(self, entry, at, plan);
+            plan =
+                machines_add_plan(self, listed->machine, "", PLAN_MAINTENANCE);
+            order_maintenance(self, entry, at, plan);
         }
         return;
     }
     if (plan->phase == VM_CORDONED) {
-        order_upkeep(self, entry, at, plan);
+        order_maintenance(self, entry, at, plan);
     }
-    else if (plan->phase >= VM_ASKED && plan->is_ordered &&
-             self->listed_at - plan->ordered_at > BACK_MS / 2) {
-        /* Listed as up again, by a list read after the upkeep. */
+    else if (plan->phase >= VM_REQUESTED && plan->is_ordered &&
+             self->listed_at - plan->ordered_at > WAVE_RETURN_LIMIT_MS / 2) {
+        /* Listed as up again, by a list read after the maintenance. */
         finish_wave_vm(round, entry, at, plan);
     }
 }
@@ -352,8 +356,8 @@
             follow_begun(round, entry, i);
         }
         else if (state == AQ_WAVE_WAITING && plan != NULL &&
-                 plan->kind == PLAN_UPKEEP && plan->phase == VM_CORDONED &&
-                 plan->vm[0] != '\0') {
+                 plan->kind == PLAN_MAINTENANCE &&
+                 plan->phase == VM_CORDONED && plan->vm[0] != '\0') {
             follow_cordoned(round, entry, i, plan,
                             machines_find_vm(self, machine));
         }
@@ -368,8 +372,8 @@
 }
 
 void
-machines_upkeep_round(PoolMachines *self)
+machines_maintenance_round(PoolMachines *self)
 {
     WaveRound round = {.self = self};
-    wave_book_each(self->waves, visit_wave, &round);
+    wave_table_each(self->waves, visit_wave, &round);
 }
--- a/packages/pool/pool_owner.c
+++ b/packages/pool/pool_owner.c
@@ -22,7 +22,7 @@
 };
 
 typedef enum {
-    LOADING_ROSTER,
+    LOADING_USED_VMS,
     LOADING_PROGRESS,
     LOADING_JOBS,
     LOADED
@@ -46,9 +46,9 @@
     AqTime save_due;
     AqTime save_sent;
     AqTime gained_at;
-    uint64_t roster_written;
-    uint64_t roster_sent;
-    AqTime roster_due;
+    uint64_t used_vms_written;
+    uint64_t used_vms_sent_version;
+    AqTime used_vms_due;
     char *report; /* as written last; NULL: not written */
     AqTime report_due;
     /* Of a hand-over. */
@@ -60,7 +60,7 @@
     bool is_dropped;
     bool is_finishing;
     bool is_saving;
-    bool is_writing_roster;
+    bool is_writing_used_vms;
     bool is_reporting;
 };
 
@@ -100,7 +100,7 @@
 static void
 depose(PoolOwner *owner, const char *reason)
 {
-    owner->ops.deposed(owner->context, owner->ownership.pool, reason);
+    owner->ops.superseded(owner->context, owner->ownership.pool, reason);
 }
 
 /* ---- Orders ------------------------------------------------------------- */
@@ -245,11 +245,11 @@
 }
 
 static void
-ask_tickets(void *context, const AqTaskName *step, const char *const *vms,
-            size_t count)
+request_tickets(void *context, const AqTaskName *step, const char *const *vms,
+                size_t count)
 {
     PoolOwner *owner = context;
-    AqAdviceCalls *advice = owner->node->advice;
+    AqAdviceClient *advice = owner->node->advice;
     if (advice == NULL) {
         AqLog_Event(AQ_LOG_ERROR, "tickets_unavailable",
                     "request=%s reason=no_advice_service", step->job);
@@ -259,11 +259,11 @@
     call->owner = owner;
     call->step = *step;
     owner->calls++;
-    advice->ops->ask(advice, step, vms, count, on_tickets, call);
+    advice->ops->request_tickets(advice, step, vms, count, on_tickets, call);
 }
 
 static void
-on_deposed(void *context)
+on_superseded(void *context)
 {
     depose(context, "later_fence_at_vm");
 }
@@ -286,15 +286,15 @@
 }
 
 static void
-on_roster(void *context, const AqStoreReply *reply)
+on_used_vms(void *context, const AqStoreReply *reply)
 {
     PoolOwner *owner = context;
     if (!end_call(owner)) {
         return;
     }
     if (reply->status == AQ_STORE_OK && reply->count == 1) {
-        if (!AqScheduler_AddRoster(owner->scheduler, reply->items[0].value,
-                                   reply->items[0].size, now_of(owner))) {
+        if (!AqScheduler_AddUsedVms(owner->scheduler, reply->items[0].value,
+                                    reply->items[0].size, now_of(owner))) {
             AqLog_Event(AQ_LOG_ERROR, "roster_unreadable", "pool=%s bytes=%zu",
                         owner->ownership.pool, reply->items[0].size);
         }
@@ -415,9 +415,9 @@
     AqStore *store = owner->node->store;
     const char *pool = owner->ownership.pool;
     switch (owner->load) {
-    case LOADING_ROSTER:
+    case LOADING_USED_VMS:
         owner->calls++;
-        store->ops->get(store, key_of(KEY_ROSTER, pool), on_roster, owner);
+        store->ops->get(store, key_of(KEY_USED_VMS, pool), on_used_vms, owner);
         break;
     case LOADING_PROGRESS:
         owner->calls++;
@@ -507,41 +507,41 @@
 }
 
 static void
-on_roster_written(void *context, AqStoreStatus status)
+on_used_vms_written(void *context, AqStoreStatus status)
 {
     PoolOwner *owner = context;
     if (!end_call(owner)) {
         return;
     }
-    owner->is_writing_roster = false;
+    owner->is_writing_used_vms = false;
     if (status == AQ_STORE_OK) {
-        owner->roster_written = owner->roster_sent;
-        AqScheduler_RosterSaved(owner->scheduler, owner->roster_written);
+        owner->used_vms_written = owner->used_vms_sent_version;
+        AqScheduler_UsedVmsSaved(owner->scheduler, owner->used_vms_written);
     }
     else if (status == AQ_STORE_ABSENT) {
         depose(owner, "roster_conflict");
     }
     else {
-        owner->roster_due = now_of(owner) + SAVE_RETRY_MS;
+        owner->used_vms_due = now_of(owner) + SAVE_RETRY_MS;
     }
 }
 
 static void
-write_roster(PoolOwner *owner)
+write_used_vms(PoolOwner *owner)
 {
-    uint64_t version = AqScheduler_RosterVersion(owner->scheduler);
+    uint64_t version = AqScheduler_UsedVmsVersion(owner->scheduler);
     AqBuffer bytes;
-    if (owner->is_writing_roster || version == owner->roster_written ||
-        owner->roster_due > now_of(owner)) {
+    if (owner->is_writing_used_vms || version == owner->used_vms_written ||
+        owner->used_vms_due > now_of(owner)) {
         return;
     }
     AqBuffer_Init(&bytes);
-    AqScheduler_EncodeRoster(owner->scheduler, &bytes);
-    AqStorePut put = {key_of(KEY_ROSTER, owner->ownership.pool),
+    AqScheduler_EncodeUsedVms(owner->scheduler, &bytes);
+    AqStorePut put = {key_of(KEY_USED_VMS, owner->ownership.pool),
                       AqBuffer_Text(&bytes), bytes.size, 0};
-    owner->is_writing_roster = true;
-    owner->roster_sent = version;
-    commit_as_owner(owner, &put, 1, on_roster_written);
+    owner->is_writing_used_vms = true;
+    owner->used_vms_sent_version = version;
+    commit_as_owner(owner, &put, 1, on_used_vms_written);
     AqBuffer_Clear(&bytes);
 }
 
@@ -629,7 +629,7 @@
     AqTime due = AqScheduler_Tick(owner->scheduler, now, AqClock_ReadWall(),
                                   pool_owner_may_order(owner));
     save(owner);
-    write_roster(owner);
+    write_used_vms(owner);
     if (!owner->is_finishing) {
         write_report(owner);
     }
@@ -649,15 +649,16 @@
                   void *context)
 {
     static const AqSchedulerActions actions = {
-        order_start, order_stop,  order_hold,
-        order_pace,  ask_tickets, on_deposed,
+        order_start, order_stop,      order_hold,
+        order_pace,  request_tickets, on_superseded,
     };
     PoolOwner *owner = calloc(1, sizeof(*owner));
     AqSchedulerConfig config = {
         .fence = ownership->fence,
         .generation = ownership->generation,
         .lease_ms = ORDER_LEASE_MS,
-        .earlier_owner_ms = ownership->may_have_rival ? MEMBER_LEASE_MS : 0,
+        .earlier_owner_ms =
+            ownership->previous_owner_may_be_active ? MEMBER_LEASE_MS : 0,
     };
     if (config.lease_ms > node->settings->limits_longest_lease_ms) {
         config.lease_ms = node->settings->limits_longest_lease_ms;
--- a/packages/pool/pool_owner.h
+++ b/packages/pool/pool_owner.h
@@ -13,7 +13,7 @@
 
 typedef struct {
     /* A write conflicted or a VM knows a later owner. */
-    void (*deposed)(void *context, const char *pool, const char *reason);
+    void (*superseded)(void *context, const char *pool, const char *reason);
 } PoolOwnerOps;
 
 PoolOwner *pool_owner_create(NodeContext *node, Member *member,
--- a/packages/pool/pool_sizing.c
+++ b/packages/pool/pool_sizing.c
@@ -16,7 +16,7 @@
 is_free(const PoolMachines *self, const char *machine)
 {
     return machines_find_plan(self, machine) == NULL &&
-           !wave_book_has(self->waves, machine, AQ_WAVE_BEGUN);
+           !wave_table_has(self->waves, machine, AQ_WAVE_BEGUN);
 }
 
 static void
@@ -28,11 +28,11 @@
         bool is_just_idle =
             vm->tasks == 0 &&
             machines_now(self) - vm->idle_since < AQ_SIZING_IDLE_MS;
-        if (!vm->is_usable || vm->lasting > 0 || is_just_idle ||
+        if (!vm->is_usable || vm->perpetual > 0 || is_just_idle ||
             !is_free(self, vm->machine)) {
             continue;
         }
-        machines_cordon(self, vm, PLAN_GIVE, "surplus");
+        machines_cordon(self, vm, PLAN_RELEASE, "surplus");
         count--;
     }
 }
@@ -46,27 +46,28 @@
     GList *plans = g_hash_table_get_values(self->plans);
     for (GList *at = plans; at != NULL; at = at->next) {
         Plan *plan = at->data;
-        if (plan->kind != PLAN_GIVE || plan->phase != VM_CORDONED) {
+        if (plan->kind != PLAN_RELEASE || plan->phase != VM_CORDONED) {
             continue;
         }
         if (does_work_wait) {
             machines_remove_plan(self, plan);
         }
         else if (AqScheduler_IsIdle(s, plan->vm)) {
-            machines_ask(self, plan);
+            machines_add_request(self, plan);
         }
     }
     g_list_free(plans);
 }
 
 static void
-set_wanted(PoolMachines *self, size_t wanted)
+set_requested_vms(PoolMachines *self, size_t requested_vms)
 {
-    if (wanted > AQ_ASKS_MAX) {
-        wanted = AQ_ASKS_MAX;
+    if (requested_vms > AQ_MACHINE_REQUESTS_MAX) {
+        requested_vms = AQ_MACHINE_REQUESTS_MAX;
     }
-    self->are_asks_changed = self->are_asks_changed || self->wanted != wanted;
-    self->wanted = wanted;
+    self->are_requests_changed =
+        self->are_requests_changed || self->requested_vms != requested_vms;
+    self->requested_vms = requested_vms;
 }
 
 /* Whether the VM is off in the spare pool and free to be taken. */
@@ -78,8 +79,8 @@
            machine->state == AQ_MACHINE_UP && is_free(self, machine->machine);
 }
 
-/* Takes up to "count" VMs whose upkeep is due, or is not; returns how many
- * are still wanted. */
+/* Takes up to "count" VMs whose maintenance is due, or is not; returns how
+ * many are still wanted. */
 static size_t
 take_some(PoolMachines *self, const char *spare, bool is_due, size_t count)
 {
@@ -89,7 +90,7 @@
         const AqMachine *machine = &g_array_index(
             self->list, AqMachine, (i + offset) % self->list->len);
         if (!is_spare_vm(self, machine, spare) ||
-            wave_book_has(self->waves, machine->machine, AQ_WAVE_WAITING) !=
+            wave_table_has(self->waves, machine->machine, AQ_WAVE_WAITING) !=
                 is_due) {
             continue;
         }
@@ -97,8 +98,8 @@
                     "machine=%s pool=%s due=%d listed_ms_ago=%lld",
                     machine->machine, self->pool, is_due,
                     (long long)(machines_now(self) - self->listed_at));
-        machines_ask(self,
-                     machines_add_plan(self, machine->machine, "", PLAN_TAKE));
+        machines_add_request(
+            self, machines_add_plan(self, machine->machine, "", PLAN_ACQUIRE));
         count--;
     }
     return count;
@@ -110,24 +111,26 @@
     if (!machines_need_list(self, LIST_FRESH_MS)) {
         return;
     }
-    /* A VM that is due has its upkeep better while it is off. */
-    size_t left = take_some(self, spare, false, decision->take);
+    /* A VM that is due has its maintenance better while it is off. */
+    size_t left = take_some(self, spare, false, decision->acquire_vms);
     left = take_some(self, spare, true, left);
-    set_wanted(self, decision->need - (decision->take - left));
+    set_requested_vms(self,
+                      decision->needed_vms - (decision->acquire_vms - left));
 }
 
 /* Whether a move has ended: the VM has come, or gone, or will not. */
 static bool
 is_move_over(const PoolMachines *self, const Plan *plan, const char *spare)
 {
-    if (plan->kind == PLAN_GIVE && plan->phase == VM_CORDONED) {
-        return machines_is_life_over(self, plan->vm);
+    if (plan->kind == PLAN_RELEASE && plan->phase == VM_CORDONED) {
+        return machines_is_incarnation_over(self, plan->vm);
     }
     if (machines_now(self) - plan->since > ASK_MS) {
         return true;
     }
-    if (plan->kind == PLAN_GIVE) {
-        return plan->is_ordered || machines_is_life_over(self, plan->vm);
+    if (plan->kind == PLAN_RELEASE) {
+        return plan->is_ordered ||
+               machines_is_incarnation_over(self, plan->vm);
     }
     const VmCopy *vm = machines_find_vm(self, plan->machine);
     const AqMachine *listed = machines_find_listed(self, plan->machine);
@@ -143,7 +146,8 @@
     GList *plans = g_hash_table_get_values(self->plans);
     for (GList *at = plans; at != NULL; at = at->next) {
         const Plan *plan = at->data;
-        if (plan->kind != PLAN_UPKEEP && is_move_over(self, plan, spare)) {
+        if (plan->kind != PLAN_MAINTENANCE &&
+            is_move_over(self, plan, spare)) {
             machines_remove_plan(self, plan);
         }
     }
@@ -162,24 +166,26 @@
                 "pool=%s jobs=%zu vms=%zu idle=%zu lasting=%zu coming=%zu "
                 "used_cpu=%lld ready_cpu=%lld offered_cpu=%lld room_cpu=%lld "
                 "wait_ms=%lld take=%zu give=%zu",
-                self->pool, jobs, input->usable_vms, idle, input->lasting_vms,
-                input->coming_vms, (long long)input->used_cpu_millis,
+                self->pool, jobs, input->usable_vms, idle,
+                input->perpetual_vms, input->pending_vms,
+                (long long)input->used_cpu_millis,
                 (long long)input->ready_cpu_millis,
                 (long long)input->offered_cpu_millis,
-                (long long)input->room_cpu_millis,
-                (long long)input->longest_wait_ms, decision->take,
-                decision->give);
+                (long long)input->capacity_cpu_millis,
+                (long long)input->longest_wait_ms, decision->acquire_vms,
+                decision->release_vms);
 }
 
 void
-machines_sizes_round(PoolMachines *self, AqScheduler *s)
+machines_sizing_round(PoolMachines *self, AqScheduler *s)
 {
     const char *spare = machines_spare_pool(self);
     AqSchedulerLoad load;
     AqSizingDecision decision;
     AqTime now = machines_now(self);
     AqScheduler_GetLoad(s, now, &load);
-    if (spare == NULL || strcmp(spare, self->pool) == 0 || !load.is_settled) {
+    if (spare == NULL || strcmp(spare, self->pool) == 0 ||
+        !load.is_recovered) {
         return;
     }
     end_moves(self, spare);
@@ -188,12 +194,12 @@
         .now = now,
         .used_cpu_millis = load.used_cpu_millis,
         .ready_cpu_millis = load.ready_cpu_millis,
-        .lasting_cpu_millis = load.lasting_cpu_millis,
+        .perpetual_cpu_millis = load.perpetual_cpu_millis,
         .offered_cpu_millis = load.offered_cpu_millis,
         .longest_wait_ms = load.longest_wait_ms,
-        .room_cpu_millis = load.room_cpu_millis,
-        .coming_vms = machines_count_plans(self, PLAN_TAKE),
-        .upkeep_vms = machines_count_plans(self, PLAN_UPKEEP),
+        .capacity_cpu_millis = load.capacity_cpu_millis,
+        .pending_vms = machines_count_plans(self, PLAN_ACQUIRE),
+        .maintenance_vms = machines_count_plans(self, PLAN_MAINTENANCE),
         .widest_spread = load.widest_spread,
         .site_vms = self->list->len,
     };
@@ -205,17 +211,17 @@
         }
         input.usable_vms++;
         input.vm_cpu_millis = vm->cpu;
-        input.lasting_vms += vm->lasting > 0;
+        input.perpetual_vms += vm->perpetual > 0;
         idle += vm->tasks == 0;
     }
     AqSizing_Decide(&input, &decision);
     log_load(self, &input, &decision, load.jobs, idle);
-    if (decision.take > 0) {
+    if (decision.acquire_vms > 0) {
         take(self, &decision, spare);
         return;
     }
-    set_wanted(self, 0);
-    if (decision.give > 0) {
-        give(self, decision.give);
+    set_requested_vms(self, 0);
+    if (decision.release_vms > 0) {
+        give(self, decision.release_vms);
     }
 }
--- a/packages/pool/prefix_view.c
+++ b/packages/pool/prefix_view.c
@@ -38,7 +38,7 @@
     bool is_reachable;
     int in_flight;
     unsigned failures;
-    AqTime heard_at;
+    AqTime last_reply_at;
 };
 
 static void begin(PrefixView *view);
@@ -68,7 +68,7 @@
                     (int)status, (unsigned long long)view->index);
     }
     if (is_reachable) {
-        view->heard_at = AqLoop_Now(view->loop);
+        view->last_reply_at = AqLoop_Now(view->loop);
         view->failures = 0;
     }
 }
@@ -174,9 +174,9 @@
 follow_changes(PrefixView *view, const AqStoreReply *reply)
 {
     if (reply->status == AQ_STORE_OK && reply->count > 0 &&
-        view->ops.gather_ms > 0) {
+        view->ops.coalesce_ms > 0) {
         AqTimer_Start(view->loop, &view->retry,
-                      AqLoop_Now(view->loop) + view->ops.gather_ms);
+                      AqLoop_Now(view->loop) + view->ops.coalesce_ms);
     }
     else if (reply->status == AQ_STORE_OK) {
         begin(view);
@@ -326,7 +326,7 @@
     view->context = context;
     view->after = strdup("");
     view->is_reachable = true;
-    view->heard_at = AQ_TIME_NEVER;
+    view->last_reply_at = AQ_TIME_NEVER;
     view->indexes =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     AqTimer_Init(&view->retry, on_retry, view);
@@ -350,9 +350,9 @@
 }
 
 AqTime
-prefix_view_heard_at(const PrefixView *view)
+prefix_view_last_reply_at(const PrefixView *view)
 {
-    return view->heard_at;
+    return view->last_reply_at;
 }
 
 bool
--- a/packages/pool/prefix_view.h
+++ b/packages/pool/prefix_view.h
@@ -17,7 +17,7 @@
     void (*listed)(void *context);
     /* Pause after changes before the next watch, so that it finds more of
      * them, ms.  0: each change is heard of at once. */
-    AqTime gather_ms;
+    AqTime coalesce_ms;
     /* A watch that the store has lost without a word is noticed after one
      * second instead of three; a quiet prefix costs two calls a second. */
     bool is_prompt;
@@ -31,7 +31,7 @@
 void prefix_view_destroy(PrefixView *view);
 
 /* When the store last answered; AQ_TIME_NEVER: not yet. */
-AqTime prefix_view_heard_at(const PrefixView *view);
+AqTime prefix_view_last_reply_at(const PrefixView *view);
 bool prefix_view_is_listed(const PrefixView *view);
 
 #endif
--- a/packages/pool/store_keys.c
+++ b/packages/pool/store_keys.c
@@ -21,12 +21,18 @@
 key_of(KeyKind kind, const char *name)
 {
     static const char *const formats[] = {
-        [KEY_MEMBER] = "aq/node/member/%s", [KEY_OWNER] = "aq/node/owner/%s",
-        [KEY_LANE] = "aq/lane/%s",          [KEY_TERM] = "aq/term/%s",
-        [KEY_ROSTER] = "aq/roster/%s",      [KEY_REPORT] = "aq/report/%s",
-        [KEY_MACHINE] = "aq/machine/%s",    [KEY_ASK] = "aq/ask/%s",
-        [KEY_ANSWER] = "aq/answer/%s",      [KEY_WAVE] = "aq/wave/%s",
-        [KEY_JOBS] = "aq/job/%s/",          [KEY_PROGRESS] = "aq/progress/%s/",
+        [KEY_MEMBER] = "aq/node/member/%s",
+        [KEY_OWNER] = "aq/node/owner/%s",
+        [KEY_WRITE_STAMP] = "aq/lane/%s",
+        [KEY_TERM] = "aq/term/%s",
+        [KEY_USED_VMS] = "aq/roster/%s",
+        [KEY_REPORT] = "aq/report/%s",
+        [KEY_MACHINE] = "aq/machine/%s",
+        [KEY_MACHINE_REQUESTS] = "aq/ask/%s",
+        [KEY_MACHINE_RESPONSES] = "aq/answer/%s",
+        [KEY_WAVE] = "aq/wave/%s",
+        [KEY_JOBS] = "aq/job/%s/",
+        [KEY_PROGRESS] = "aq/progress/%s/",
     };
     char *slot = take_slot();
     snprintf(slot, KEY_SIZE, formats[kind], name);
--- a/packages/pool/store_keys.h
+++ b/packages/pool/store_keys.h
@@ -1,5 +1,5 @@
-#ifndef KEYS_H
-#define KEYS_H
+#ifndef STORE_KEYS_H
+#define STORE_KEYS_H
 
 #include <stddef.h>
 
@@ -17,26 +17,27 @@
  * aq/job/POOL/ID.c     any node: the job is cancelled, perhaps before it came
  * aq/progress/POOL/ID  the owner: stage, done tasks, failures
  * aq/report/POOL       the owner, under its lease: jobs waiting of each queue
- * aq/ask/POOL          the owner: orders for VMs that it asks for
- * aq/answer/POOL       the machine duty: asks that have ended
- * aq/machine/MACHINE   the machine duty: who gave the VM its last order, when
+ * aq/ask/POOL          the owner: orders for VMs that it requests
+ * aq/answer/POOL       the machine coordinator: requests that have ended
+ * aq/machine/MACHINE   the machine coordinator: who gave the VM its last
+ *                      order, when
  * aq/wave/N            an owner: VMs of the wave that are begun and done */
 
 #define KEYS_NODES "aq/node/"
 #define KEYS_MEMBERS "aq/node/member/"
 #define KEYS_OWNERS "aq/node/owner/"
-#define KEYS_ASKS "aq/ask/"
+#define KEYS_MACHINE_REQUESTS "aq/ask/"
 #define KEYS_WAVES "aq/wave/"
 
 typedef enum {
     KEY_MEMBER,
     KEY_OWNER,
     KEY_TERM,
-    KEY_LANE,
-    KEY_ROSTER,
+    KEY_WRITE_STAMP,
+    KEY_USED_VMS,
     KEY_REPORT,
-    KEY_ASK,
-    KEY_ANSWER,
+    KEY_MACHINE_REQUESTS,
+    KEY_MACHINE_RESPONSES,
     KEY_MACHINE,
     KEY_WAVE,
     KEY_JOBS,    /* prefix of a pool's jobs */
--- a/packages/pool/tests/test_job_api.c
+++ b/packages/pool/tests/test_job_api.c
@@ -18,14 +18,14 @@
     TURN_MS = 20
 };
 
-/* A front on loopback with a store whose answers the test gives out, and a
+/* A job API on loopback with a store whose answers the test gives out, and a
  * peer that takes what it is handed, or not. */
 typedef struct {
     FakeStore *fake;
     NodeContext node;
     AqHttpServer *server;
     AqHttpClient *client;
-    Front *front;
+    JobApi *job_api;
     AqQueueConfig queue;
     bool has_peer;
     bool is_peer_unsure; /* it gives the first request back */
@@ -64,7 +64,7 @@
 static void
 set_up(Fixture *fixture)
 {
-    static const FrontOps ops = {is_current, hand_on};
+    static const JobApiOps ops = {is_current, hand_on};
     AqError error;
     AqHttpServerConfig config = {.address = "127.0.0.1",
                                  .max_body = 4096,
@@ -85,10 +85,10 @@
     metrics->stored = AqMetrics_Counter(metrics->all, "stored", "");
     metrics->refused = AqMetrics_Counter(metrics->all, "refused", "");
     metrics->unknown = AqMetrics_Counter(metrics->all, "unknown", "");
-    fixture->front = front_create(&fixture->node, &ops, fixture);
+    fixture->job_api = job_api_create(&fixture->node, &ops, fixture);
     fixture->client = AqHttpClient_Create(fixture->node.loop, &error);
     fixture->server = AqHttpServer_Create(
-        fixture->node.loop, &config, front_handle, fixture->front, &error);
+        fixture->node.loop, &config, job_api_handle, fixture->job_api, &error);
     CU_ASSERT_PTR_NOT_NULL_FATAL(fixture->server);
 }
 
@@ -98,7 +98,7 @@
     AqHttpClient_Close(fixture->client);
     AqHttpServer_Destroy(fixture->server);
     AqHttpClient_Destroy(fixture->client);
-    front_destroy(fixture->front);
+    job_api_destroy(fixture->job_api);
     AqMetrics_Destroy(fixture->node.metrics.all);
     fake_store_destroy(fixture->fake);
     AqLoop_Destroy(fixture->node.loop);
@@ -131,7 +131,7 @@
                              .has_body = has_body,
                              .timeout_ms = CALL_TIMEOUT_MS,
                              .connect_timeout_ms = CALL_TIMEOUT_MS,
-                             .max_answer = 4096};
+                             .max_response_bytes = 4096};
     AqHttpClient_Start(fixture->client, &request, on_reply, fixture);
 }
 
@@ -141,7 +141,7 @@
     send_to(fixture, method, "/q/ab12");
 }
 
-/* Until the front asks the store, or the caller has an answer. */
+/* Until the job API asks the store, or the caller has an answer. */
 static void
 run(Fixture *fixture)
 {
--- a/packages/pool/tests/test_pool.c
+++ b/packages/pool/tests/test_pool.c
@@ -76,7 +76,7 @@
     return owner_writer_create(&fixture->node, "pool", fence);
 }
 
-/* Waits for the retry timer of the writer, which reads the lane. */
+/* Waits for the retry timer of the writer, which reads the write stamp. */
 static void
 run_until_call(Fixture *fixture)
 {
@@ -96,10 +96,11 @@
     set_up(&fixture);
     OwnerWriter *writer = make_writer(&fixture);
     write_value(writer, "old", &first);
-    fake_store_answer(fixture.fake); /* the lane is read */
+    fake_store_answer(fixture.fake); /* the write stamp is read */
     fake_store_lose(fixture.fake);
     run_until_call(&fixture);
-    fake_store_answer(fixture.fake); /* the lane says that it did nothing */
+    fake_store_answer(
+        fixture.fake); /* the write stamp says that it did nothing */
     fake_store_answer(fixture.fake); /* sent again */
     CU_ASSERT_EQUAL(first.last, AQ_STORE_OK);
     write_value(writer, "new", &second);
@@ -421,7 +422,7 @@
 } OwnerFixture;
 
 static void
-on_deposed(void *context, const char *pool, const char *reason)
+on_superseded(void *context, const char *pool, const char *reason)
 {
     (void)context;
     (void)pool;
@@ -431,7 +432,7 @@
 static void
 on_gained(void *context, const Ownership *ownership)
 {
-    static const PoolOwnerOps ops = {on_deposed};
+    static const PoolOwnerOps ops = {on_superseded};
     OwnerFixture *self = context;
     self->owner = pool_owner_create(&self->fixture->node, self->member,
                                     ownership, &ops, self);
@@ -449,7 +450,7 @@
 
 /* No VM answers. */
 static void
-hold_silently(AqWorkerCalls *calls, const AqOrderTarget *target,
+hold_silently(AqWorkerClient *calls, const AqOrderTarget *target,
               const AqHoldOrder *order, AqOrderDone done, void *context)
 {
     AqOrderReply reply = {.result = AQ_ORDER_UNKNOWN, .clock_ms = -1};
@@ -463,8 +464,8 @@
 static void
 set_up_member(OwnerFixture *self, Fixture *fixture)
 {
-    static const AqWorkerCallsOps worker_ops = {.hold = hold_silently};
-    static AqWorkerCalls workers = {&worker_ops};
+    static const AqWorkerClientOps worker_ops = {.hold = hold_silently};
+    static AqWorkerClient workers = {&worker_ops};
     static const MemberOps ops = {on_gained, on_lost};
     static AqSettings settings = {.node_id = "n-1",
                                   .node_cpu_share = "0.25",
@@ -608,14 +609,14 @@
 }
 
 static void
-list_machines(AqMachineCalls *calls, AqMachineListDone done, void *context)
+list_machines(AqMachineClient *calls, AqMachineListDone done, void *context)
 {
     (void)calls;
     give_list("pool", done, context);
 }
 
 static void
-list_spare_machines(AqMachineCalls *calls, AqMachineListDone done,
+list_spare_machines(AqMachineClient *calls, AqMachineListDone done,
                     void *context)
 {
     (void)calls;
@@ -639,9 +640,10 @@
     fake_store_answer_all(fixture->fake);
 }
 
-/* A life of VM m-0 that an earlier owner of the pool gave orders to. */
+/* An incarnation of VM m-0 that an earlier owner of the pool gave orders
+ * to. */
 static void
-store_roster(Fixture *fixture)
+store_used_vms(Fixture *fixture)
 {
     static const AqSchedulerActions actions = {0};
     AqVmReport report = {.id = "i-old", .machine = "m-0", .leaves_ms = -1};
@@ -650,8 +652,8 @@
     AqBuffer bytes;
     AqBuffer_Init(&bytes);
     AqScheduler_SetVm(earlier, &report, 0);
-    AqScheduler_EncodeRoster(earlier, &bytes);
-    store_bytes(fixture, key_of(KEY_ROSTER, "pool"), &bytes);
+    AqScheduler_EncodeUsedVms(earlier, &bytes);
+    store_bytes(fixture, key_of(KEY_USED_VMS, "pool"), &bytes);
     AqBuffer_Clear(&bytes);
     AqScheduler_Destroy(earlier);
 }
@@ -662,34 +664,35 @@
 static void
 test_replaced_vm_has_ended(void)
 {
-    static const AqMachineCallsOps ops = {.list = list_machines};
-    AqMachineCalls machines = {&ops};
+    static const AqMachineClientOps ops = {.list = list_machines};
+    AqMachineClient machines = {&ops};
     Fixture fixture;
     OwnerFixture self;
     AqSchedulerLoad load = {0};
     set_up(&fixture);
-    store_roster(&fixture);
+    store_used_vms(&fixture);
     set_up_owner(&self, &fixture);
     fixture.node.machines = &machines;
-    WaveBook *book = wave_book_create(&fixture.node);
-    PoolMachines *pool = pool_machines_create(&fixture.node, book, self.owner);
+    WaveTable *table = wave_table_create(&fixture.node);
+    PoolMachines *pool =
+        pool_machines_create(&fixture.node, table, self.owner);
     AqScheduler *s = pool_owner_scheduler(self.owner);
     AqTime begin = AqLoop_Now(fixture.node.loop);
-    while (!load.is_settled &&
+    while (!load.is_recovered &&
            AqLoop_Now(fixture.node.loop) - begin < SETTLE_MS) {
         AqLoop_RunOnce(fixture.node.loop, 10);
         pool_machines_round(pool, true);
         AqScheduler_Tick(s, AqLoop_Now(fixture.node.loop), 0, false);
         AqScheduler_GetLoad(s, AqLoop_Now(fixture.node.loop), &load);
     }
-    CU_ASSERT_TRUE(load.is_settled);
+    CU_ASSERT_TRUE(load.is_recovered);
     pool_machines_drop(pool);
-    wave_book_destroy(book);
+    wave_table_destroy(table);
     fake_store_answer_all(fixture.fake);
     tear_down_owner(&self);
 }
 
-/* ---- Upkeep ------------------------------------------------------------- */
+/* ---- Maintenance -------------------------------------------------------- */
 
 /* The wave of all VMs of the list but "left_out"; -1: of all. */
 static void
@@ -705,15 +708,15 @@
     }
 }
 
-static WaveBook *
-make_wave_book(NodeContext *node, int left_out)
+static WaveTable *
+make_wave_table(NodeContext *node, int left_out)
 {
     AqWaveSpec spec;
-    WaveBook *book = wave_book_create(node);
+    WaveTable *table = wave_table_create(node);
     fill_wave(&spec, left_out);
-    wave_book_follow(book);
-    wave_book_add(book, &spec);
-    return book;
+    wave_table_follow(table);
+    wave_table_add(table, &spec);
+    return table;
 }
 
 static void
@@ -730,26 +733,27 @@
 static void
 test_wave_states_in_one_write(void)
 {
-    static const AqMachineCallsOps ops = {.list = list_machines};
-    AqMachineCalls machines = {&ops};
+    static const AqMachineClientOps ops = {.list = list_machines};
+    AqMachineClient machines = {&ops};
     Fixture fixture;
     OwnerFixture self;
     int begun = 0;
     set_up(&fixture);
     set_up_owner(&self, &fixture);
     fixture.node.machines = &machines;
-    WaveBook *book = make_wave_book(&fixture.node, -1);
-    PoolMachines *pool = pool_machines_create(&fixture.node, book, self.owner);
+    WaveTable *table = make_wave_table(&fixture.node, -1);
+    PoolMachines *pool =
+        pool_machines_create(&fixture.node, table, self.owner);
     while (fake_store_value(fixture.fake, key_of(KEY_WAVE, "1")) == NULL) {
         fake_store_answer_all(fixture.fake);
         AqLoop_RunOnce(fixture.node.loop, 10);
         pool_machines_round(pool, true);
     }
     fake_store_answer_all(fixture.fake);
-    wave_book_each(book, count_begun, &begun);
+    wave_table_each(table, count_begun, &begun);
     CU_ASSERT_EQUAL(begun, WAVE_CAP);
     pool_machines_drop(pool);
-    wave_book_destroy(book);
+    wave_table_destroy(table);
     fake_store_answer_all(fixture.fake);
     tear_down_owner(&self);
 }
@@ -779,47 +783,49 @@
 static void
 test_begun_upkeep_is_taken_over(void)
 {
-    static const AqMachineCallsOps ops = {.list = list_machines};
-    AqMachineCalls machines = {&ops};
+    static const AqMachineClientOps ops = {.list = list_machines};
+    AqMachineClient machines = {&ops};
     Fixture fixture;
     OwnerFixture self;
-    AqAskList list;
+    AqMachineRequestList list;
     size_t size = 0;
     set_up(&fixture);
     store_begun_wave(&fixture);
     set_up_owner(&self, &fixture);
     fixture.node.machines = &machines;
-    WaveBook *book = make_wave_book(&fixture.node, -1);
-    PoolMachines *pool = pool_machines_create(&fixture.node, book, self.owner);
+    WaveTable *table = make_wave_table(&fixture.node, -1);
+    PoolMachines *pool =
+        pool_machines_create(&fixture.node, table, self.owner);
     const char *bytes = NULL;
     for (int i = 0; i < 100 && bytes == NULL; i++) {
         fake_store_answer_all(fixture.fake);
         AqLoop_RunOnce(fixture.node.loop, 10);
         pool_machines_round(pool, true);
-        bytes = fake_store_bytes(fixture.fake, key_of(KEY_ASK, "pool"), &size);
+        bytes = fake_store_bytes(fixture.fake,
+                                 key_of(KEY_MACHINE_REQUESTS, "pool"), &size);
     }
     CU_ASSERT_PTR_NOT_NULL(bytes);
-    if (bytes != NULL && AqAskList_Decode(bytes, size, &list)) {
+    if (bytes != NULL && AqMachineRequestList_Decode(bytes, size, &list)) {
         CU_ASSERT_EQUAL(list.count, WAVE_CAP);
-        AqAskList_Clear(&list);
+        AqMachineRequestList_Clear(&list);
     }
     pool_machines_drop(pool);
-    wave_book_destroy(book);
+    wave_table_destroy(table);
     fake_store_answer_all(fixture.fake);
     tear_down_owner(&self);
 }
 
-/* ---- The machine duty --------------------------------------------------- */
+/* ---- The machine coordinator -------------------------------------------- */
 
 typedef struct {
-    AqMachineCalls calls;
+    AqMachineClient calls;
     unsigned moves;
-    unsigned upkeeps;
+    unsigned maintenances;
     AqMachineResult move_result;
 } CountedMachines;
 
 static void
-count_move(AqMachineCalls *calls, const char *machine, const char *pool,
+count_move(AqMachineClient *calls, const char *machine, const char *pool,
            const char *holder, uint64_t fence, AqMachineOrderDone done,
            void *context)
 {
@@ -833,55 +839,56 @@
 }
 
 static void
-count_upkeep(AqMachineCalls *calls, const char *machine, int64_t wave,
-             const char *holder, uint64_t fence, AqMachineOrderDone done,
-             void *context)
+count_maintenance(AqMachineClient *calls, const char *machine, int64_t wave,
+                  const char *holder, uint64_t fence, AqMachineOrderDone done,
+                  void *context)
 {
     (void)machine;
     (void)wave;
     (void)holder;
     (void)fence;
-    ((CountedMachines *)calls)->upkeeps++;
+    ((CountedMachines *)calls)->maintenances++;
     done(context, AQ_MACHINE_ORDER_DONE);
 }
 
-/* Asks of a pool for VM m-1; to no pool: for its upkeep. */
+/* Request of a pool for VM m-1; to no pool: for its maintenance. */
 static void
-store_ask(Fixture *fixture, const char *pool, uint64_t fence, int64_t number,
-          const char *to_pool)
+store_machine_request(Fixture *fixture, const char *pool, uint64_t fence,
+                      int64_t number, const char *to_pool)
 {
-    AqAsk ask = {.number = number, .wave = to_pool[0] == '\0'};
-    AqAskList list = {.fence = fence, .asks = &ask, .count = 1};
+    AqMachineRequest request = {.number = number, .wave = to_pool[0] == '\0'};
+    AqMachineRequestList list = {
+        .fence = fence, .requests = &request, .count = 1};
     AqBuffer bytes;
     AqBuffer_Init(&bytes);
-    snprintf(ask.machine, sizeof(ask.machine), "m-1");
-    snprintf(ask.to_pool, sizeof(ask.to_pool), "%s", to_pool);
-    AqAskList_Encode(&list, &bytes);
-    store_bytes(fixture, key_of(KEY_ASK, pool), &bytes);
+    snprintf(request.machine, sizeof(request.machine), "m-1");
+    snprintf(request.to_pool, sizeof(request.to_pool), "%s", to_pool);
+    AqMachineRequestList_Encode(&list, &bytes);
+    store_bytes(fixture, key_of(KEY_MACHINE_REQUESTS, pool), &bytes);
     AqBuffer_Clear(&bytes);
 }
 
 static void
-run_desk(Fixture *fixture, MachineDesk *desk)
+run_coordinator(Fixture *fixture, MachineCoordinator *coordinator)
 {
     fake_store_answer_all(fixture->fake);
-    machine_desk_round(desk, true);
+    machine_coordinator_round(coordinator, true);
     fake_store_answer_all(fixture->fake);
 }
 
 typedef struct {
     Fixture fixture;
     CountedMachines machines;
-    MachineDesk *desk;
+    MachineCoordinator *coordinator;
     uint64_t taker;  /* fence of pool "a" */
     uint64_t keeper; /* fence of pool "spare" */
-} DeskFixture;
+} CoordinatorFixture;
 
 static void
-set_up_desk(DeskFixture *self)
+set_up_coordinator(CoordinatorFixture *self)
 {
-    static const AqMachineCallsOps ops = {.move = count_move,
-                                          .upkeep = count_upkeep};
+    static const AqMachineClientOps ops = {.move = count_move,
+                                           .maintenance = count_maintenance};
     static AqSettings settings = {.node_id = "n-1",
                                   .limits_machine_pause_ms = 3000};
     static AqPoolConfig pools[] = {{.name = "a"},
@@ -893,41 +900,42 @@
     fixture->node.machines = &self->machines.calls;
     fixture->node.site =
         (AqSiteConfig){.version = 1, .pools = pools, .pool_count = 2};
-    uint64_t duty = fake_store_put(
-        fixture->fake, key_of(KEY_OWNER, MEMBER_MACHINE_DUTY), "n-1");
+    uint64_t coordinator_fence = fake_store_put(
+        fixture->fake, key_of(KEY_OWNER, MEMBER_MACHINE_COORDINATOR), "n-1");
     self->taker = fake_store_put(fixture->fake, key_of(KEY_OWNER, "a"), "n-1");
     self->keeper =
         fake_store_put(fixture->fake, key_of(KEY_OWNER, "spare"), "n-1");
-    self->desk = machine_desk_create(&fixture->node, duty);
+    self->coordinator =
+        machine_coordinator_create(&fixture->node, coordinator_fence);
 }
 
 static void
-tear_down_desk(DeskFixture *self)
+tear_down_coordinator(CoordinatorFixture *self)
 {
-    machine_desk_drop(self->desk);
+    machine_coordinator_drop(self->coordinator);
     fake_store_answer_all(self->fixture.fake);
     tear_down(&self->fixture);
 }
 
-/* Guards against the upkeep of a VM that works for another pool by now: the
- * owner of the spare pool has read the list before the VM was moved. */
+/* Guards against the maintenance of a VM that works for another pool by now:
+ * the owner of the spare pool has read the list before the VM was moved. */
 static void
 test_moved_vm_is_not_taken_down(void)
 {
-    DeskFixture self;
-    set_up_desk(&self);
-    store_ask(&self.fixture, "a", self.taker, 1, "a");
-    run_desk(&self.fixture, self.desk);
+    CoordinatorFixture self;
+    set_up_coordinator(&self);
+    store_machine_request(&self.fixture, "a", self.taker, 1, "a");
+    run_coordinator(&self.fixture, self.coordinator);
     CU_ASSERT_EQUAL(self.machines.moves, 1);
-    /* The VM has come, and its new owner asks for nothing more. */
-    fake_store_remove(self.fixture.fake, key_of(KEY_ASK, "a"));
-    store_ask(&self.fixture, "spare", self.keeper, 1, "");
-    run_desk(&self.fixture, self.desk);
-    CU_ASSERT_EQUAL(self.machines.upkeeps, 0);
-    store_ask(&self.fixture, "a", self.taker, 2, "");
-    run_desk(&self.fixture, self.desk);
-    CU_ASSERT_EQUAL(self.machines.upkeeps, 1);
-    tear_down_desk(&self);
+    /* The VM has come, and its new owner requests nothing more. */
+    fake_store_remove(self.fixture.fake, key_of(KEY_MACHINE_REQUESTS, "a"));
+    store_machine_request(&self.fixture, "spare", self.keeper, 1, "");
+    run_coordinator(&self.fixture, self.coordinator);
+    CU_ASSERT_EQUAL(self.machines.maintenances, 0);
+    store_machine_request(&self.fixture, "a", self.taker, 2, "");
+    run_coordinator(&self.fixture, self.coordinator);
+    CU_ASSERT_EQUAL(self.machines.maintenances, 1);
+    tear_down_coordinator(&self);
 }
 
 /* Guards against a VM that nobody may order any more because a move of it had
@@ -935,34 +943,34 @@
 static void
 test_unanswered_move_leaves_place_open(void)
 {
-    DeskFixture self;
-    set_up_desk(&self);
-    store_ask(&self.fixture, "a", self.taker, 1, "a");
-    run_desk(&self.fixture, self.desk);
+    CoordinatorFixture self;
+    set_up_coordinator(&self);
+    store_machine_request(&self.fixture, "a", self.taker, 1, "a");
+    run_coordinator(&self.fixture, self.coordinator);
     self.machines.move_result = AQ_MACHINE_ORDER_UNKNOWN;
-    store_ask(&self.fixture, "a", self.taker, 2, "spare");
-    run_desk(&self.fixture, self.desk);
+    store_machine_request(&self.fixture, "a", self.taker, 2, "spare");
+    run_coordinator(&self.fixture, self.coordinator);
     CU_ASSERT_EQUAL(self.machines.moves, 2);
-    fake_store_remove(self.fixture.fake, key_of(KEY_ASK, "a"));
-    store_ask(&self.fixture, "spare", self.keeper, 1, "");
-    run_desk(&self.fixture, self.desk);
-    CU_ASSERT_EQUAL(self.machines.upkeeps, 1);
-    tear_down_desk(&self);
+    fake_store_remove(self.fixture.fake, key_of(KEY_MACHINE_REQUESTS, "a"));
+    store_machine_request(&self.fixture, "spare", self.keeper, 1, "");
+    run_coordinator(&self.fixture, self.coordinator);
+    CU_ASSERT_EQUAL(self.machines.maintenances, 1);
+    tear_down_coordinator(&self);
 }
 
-/* Guards against asks that are refused for ever after an upkeep, which moves
- * the VM nowhere. */
+/* Guards against requests that are refused for ever after maintenance, which
+ * moves the VM nowhere. */
 static void
 test_upkeep_leaves_place(void)
 {
-    DeskFixture self;
-    set_up_desk(&self);
+    CoordinatorFixture self;
+    set_up_coordinator(&self);
     for (int64_t i = 1; i <= 2; i++) {
-        store_ask(&self.fixture, "a", self.taker, i, "");
-        run_desk(&self.fixture, self.desk);
-        CU_ASSERT_EQUAL(self.machines.upkeeps, i);
+        store_machine_request(&self.fixture, "a", self.taker, i, "");
+        run_coordinator(&self.fixture, self.coordinator);
+        CU_ASSERT_EQUAL(self.machines.maintenances, i);
     }
-    tear_down_desk(&self);
+    tear_down_coordinator(&self);
 }
 
 /* Guards against a look at the store before every order, and against an order
@@ -970,60 +978,63 @@
 static void
 test_known_claim_is_not_read(void)
 {
-    DeskFixture self;
-    set_up_desk(&self);
-    store_ask(&self.fixture, "a", self.taker, 1, "a");
-    run_desk(&self.fixture, self.desk);
-    run_desk(&self.fixture, self.desk); /* the answer is written */
+    CoordinatorFixture self;
+    set_up_coordinator(&self);
+    store_machine_request(&self.fixture, "a", self.taker, 1, "a");
+    run_coordinator(&self.fixture, self.coordinator);
+    run_coordinator(&self.fixture,
+                    self.coordinator); /* the answer is written */
     unsigned reads = fake_store_reads(self.fixture.fake);
-    store_ask(&self.fixture, "a", self.taker, 2, "");
-    run_desk(&self.fixture, self.desk);
-    CU_ASSERT_EQUAL(self.machines.upkeeps, 1);
+    store_machine_request(&self.fixture, "a", self.taker, 2, "");
+    run_coordinator(&self.fixture, self.coordinator);
+    CU_ASSERT_EQUAL(self.machines.maintenances, 1);
     CU_ASSERT_EQUAL(fake_store_reads(self.fixture.fake), reads);
     char claim[64];
     snprintf(claim, sizeof(claim), "n-2 %lld", (long long)AqClock_ReadWall());
     fake_store_put(self.fixture.fake, key_of(KEY_MACHINE, "m-1"), claim);
-    store_ask(&self.fixture, "a", self.taker, 3, "");
-    run_desk(&self.fixture, self.desk);
-    CU_ASSERT_EQUAL(self.machines.upkeeps, 1);
-    tear_down_desk(&self);
+    store_machine_request(&self.fixture, "a", self.taker, 3, "");
+    run_coordinator(&self.fixture, self.coordinator);
+    CU_ASSERT_EQUAL(self.machines.maintenances, 1);
+    tear_down_coordinator(&self);
 }
 
 /* ---- Taking VMs --------------------------------------------------------- */
 
-/* Guards against a VM that is taken to work just before its upkeep is due,
- * while another one is not due. */
+/* Guards against a VM that is taken to work just before its maintenance is
+ * due, while another one is not due. */
 static void
 test_due_vm_is_taken_last(void)
 {
-    static const AqMachineCallsOps ops = {.list = list_spare_machines};
-    AqMachineCalls machines = {&ops};
+    static const AqMachineClientOps ops = {.list = list_spare_machines};
+    AqMachineClient machines = {&ops};
     static AqPoolConfig pools[] = {{.name = "pool"},
                                    {.name = "spare", .is_spare = true}};
     Fixture fixture;
     OwnerFixture self;
-    AqAskList list;
+    AqMachineRequestList list;
     set_up(&fixture);
     set_up_owner(&self, &fixture);
     fixture.node.machines = &machines;
     fixture.node.site.pools = pools;
     fixture.node.site.pool_count = 2;
-    WaveBook *book = make_wave_book(&fixture.node, NOT_DUE);
-    PoolMachines *pool = pool_machines_create(&fixture.node, book, self.owner);
-    while (fake_store_value(fixture.fake, key_of(KEY_ASK, "pool")) == NULL) {
+    WaveTable *table = make_wave_table(&fixture.node, NOT_DUE);
+    PoolMachines *pool =
+        pool_machines_create(&fixture.node, table, self.owner);
+    while (fake_store_value(fixture.fake,
+                            key_of(KEY_MACHINE_REQUESTS, "pool")) == NULL) {
         fake_store_answer_all(fixture.fake);
         AqLoop_RunOnce(fixture.node.loop, 10);
         pool_machines_round(pool, true);
     }
     size_t size;
-    const char *bytes =
-        fake_store_bytes(fixture.fake, key_of(KEY_ASK, "pool"), &size);
-    CU_ASSERT_TRUE_FATAL(AqAskList_Decode(bytes, size, &list));
+    const char *bytes = fake_store_bytes(
+        fixture.fake, key_of(KEY_MACHINE_REQUESTS, "pool"), &size);
+    CU_ASSERT_TRUE_FATAL(AqMachineRequestList_Decode(bytes, size, &list));
     CU_ASSERT_EQUAL_FATAL(list.count, 1);
-    CU_ASSERT_STRING_EQUAL(list.asks[0].machine, "m-4");
-    AqAskList_Clear(&list);
+    CU_ASSERT_STRING_EQUAL(list.requests[0].machine, "m-4");
+    AqMachineRequestList_Clear(&list);
     pool_machines_drop(pool);
-    wave_book_destroy(book);
+    wave_table_destroy(table);
     fake_store_answer_all(fixture.fake);
     tear_down_owner(&self);
 }
@@ -1035,13 +1046,13 @@
 {
     Fixture fixture;
     set_up(&fixture);
-    WaveBook *book = wave_book_create(&fixture.node);
+    WaveTable *table = wave_table_create(&fixture.node);
     AqWaveSpec spec = {.number = 1, .within_ms = 20000, .cap = WAVE_CAP};
-    wave_book_add(book, &spec);
+    wave_table_add(table, &spec);
     CU_ASSERT_EQUAL(fake_store_waiting(fixture.fake), 0);
-    wave_book_follow(book);
+    wave_table_follow(table);
     CU_ASSERT_EQUAL(fake_store_waiting(fixture.fake), 1);
-    wave_book_destroy(book);
+    wave_table_destroy(table);
     fake_store_answer_all(fixture.fake);
     tear_down(&fixture);
 }
--- a/packages/pool/wave_table.c
+++ b/packages/pool/wave_table.c
@@ -8,7 +8,7 @@
 #include "store_keys.h"
 #include "prefix_view.h"
 
-struct WaveBook {
+struct WaveTable {
     NodeContext *node;
     GHashTable *entries; /* number as text -> WaveEntry */
     bool is_following;
@@ -26,9 +26,9 @@
 static void
 on_put(void *context, const AqStoreItem *item)
 {
-    WaveBook *book = context;
+    WaveTable *table = context;
     WaveEntry *entry =
-        g_hash_table_lookup(book->entries, item->key + strlen(KEYS_WAVES));
+        g_hash_table_lookup(table->entries, item->key + strlen(KEYS_WAVES));
     if (entry == NULL || item->index <= entry->index) {
         return;
     }
@@ -51,10 +51,10 @@
 static void
 on_listed(void *context)
 {
-    WaveBook *book = context;
+    WaveTable *table = context;
     GHashTableIter iter;
     gpointer value;
-    g_hash_table_iter_init(&iter, book->entries);
+    g_hash_table_iter_init(&iter, table->entries);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         ((WaveEntry *)value)->is_read = true;
     }
@@ -65,50 +65,51 @@
 
 /* A record that was listed before its wave was known is read again. */
 static void
-read_records(WaveBook *book)
+read_records(WaveTable *table)
 {
-    if (book->is_following && g_hash_table_size(book->entries) > 0) {
-        prefix_view_destroy(book->records);
-        book->records = prefix_view_create(book->node->loop, book->node->store,
-                                           KEYS_WAVES, &record_ops, book);
+    if (table->is_following && g_hash_table_size(table->entries) > 0) {
+        prefix_view_destroy(table->records);
+        table->records =
+            prefix_view_create(table->node->loop, table->node->store,
+                               KEYS_WAVES, &record_ops, table);
     }
 }
 
 void
-wave_book_follow(WaveBook *book)
+wave_table_follow(WaveTable *table)
 {
-    if (!book->is_following) {
-        book->is_following = true;
-        read_records(book);
+    if (!table->is_following) {
+        table->is_following = true;
+        read_records(table);
     }
 }
 
 void
-wave_book_add(WaveBook *book, AqWaveSpec *spec)
+wave_table_add(WaveTable *table, AqWaveSpec *spec)
 {
     char name[32];
     snprintf(name, sizeof(name), "%lld", (long long)spec->number);
-    if (g_hash_table_contains(book->entries, name)) {
+    if (g_hash_table_contains(table->entries, name)) {
         AqWaveSpec_Clear(spec);
         return;
     }
     WaveEntry *entry = calloc(1, sizeof(*entry));
-    entry->wave = AqWave_Create(spec, AqLoop_Now(book->node->loop));
+    entry->wave = AqWave_Create(spec, AqLoop_Now(table->node->loop));
     AqLog_Event(AQ_LOG_INFO, "wave_seen",
                 "wave=%s machines=%zu within_ms=%lld cap=%u", name,
                 spec->machine_count, (long long)spec->within_ms, spec->cap);
     AqWaveSpec_Clear(spec);
-    g_hash_table_insert(book->entries, g_strdup(name), entry);
-    read_records(book);
+    g_hash_table_insert(table->entries, g_strdup(name), entry);
+    read_records(table);
 }
 
 void
-wave_book_each(WaveBook *book, void (*visit)(void *context, WaveEntry *entry),
-               void *context)
+wave_table_each(WaveTable *table,
+                void (*visit)(void *context, WaveEntry *entry), void *context)
 {
     GHashTableIter iter;
     gpointer value;
-    g_hash_table_iter_init(&iter, book->entries);
+    g_hash_table_iter_init(&iter, table->entries);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         WaveEntry *entry = value;
         if (entry->is_read) {
@@ -118,11 +119,11 @@
 }
 
 bool
-wave_book_has(WaveBook *book, const char *machine, AqWaveState state)
+wave_table_has(WaveTable *table, const char *machine, AqWaveState state)
 {
     GHashTableIter iter;
     gpointer value;
-    g_hash_table_iter_init(&iter, book->entries);
+    g_hash_table_iter_init(&iter, table->entries);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const WaveEntry *entry = value;
         int at = AqWave_Find(entry->wave, machine);
@@ -133,22 +134,22 @@
     return false;
 }
 
-WaveBook *
-wave_book_create(NodeContext *node)
+WaveTable *
+wave_table_create(NodeContext *node)
 {
-    WaveBook *book = calloc(1, sizeof(*book));
-    book->node = node;
-    book->entries =
+    WaveTable *table = calloc(1, sizeof(*table));
+    table->node = node;
+    table->entries =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_entry);
-    return book;
+    return table;
 }
 
 void
-wave_book_destroy(WaveBook *book)
+wave_table_destroy(WaveTable *table)
 {
-    if (book != NULL) {
-        prefix_view_destroy(book->records);
-        g_hash_table_destroy(book->entries);
-        free(book);
+    if (table != NULL) {
+        prefix_view_destroy(table->records);
+        g_hash_table_destroy(table->entries);
+        free(table);
     }
 }
--- a/packages/router/Include/aq_router.h
+++ b/packages/router/Include/aq_router.h
@@ -15,8 +15,8 @@
 typedef struct AqRouter AqRouter;
 
 typedef enum {
-    AQ_LIVE,
-    AQ_ARCHIVE
+    AQ_PRIORITY_LIVE,
+    AQ_PRIORITY_ARCHIVE
 } AqPriority;
 
 typedef struct {
@@ -94,28 +94,29 @@
                    const AqOutcome *outcome);
 } AqRouterOps;
 
-/* Mechanisms that AqRouterConfig.without leaves out, one bit each.  For
+/* Mechanisms that AqRouterConfig.disabled leaves out, one bit each.  For
  * measurements and tests only: without them the rules of the design page,
  * section 5.3, do not hold. */
 enum {
-    AQ_WITHOUT_QUEUE_LIMIT = 1 << 0,     /* queues are unbounded */
-    AQ_WITHOUT_ADMISSION = 1 << 1,       /* no refusal by expected wait */
-    AQ_WITHOUT_PRIORITY = 1 << 2,        /* one queue in order of arrival */
-    AQ_WITHOUT_LOAD_CHOICE = 1 << 3,     /* one random endpoint */
-    AQ_WITHOUT_CLAIM = 1 << 4,           /* starts without a claim */
-    AQ_WITHOUT_RETRY = 1 << 5,           /* one attempt only */
-    AQ_WITHOUT_RETRY_RULE = 1 << 6,      /* retries whatever may have run */
-    AQ_WITHOUT_RETRY_BUDGET = 1 << 7,    /* retries without tokens */
-    AQ_WITHOUT_JITTER = 1 << 8,          /* backoff at its upper bound */
-    AQ_WITHOUT_EJECTION = 1 << 9,        /* no endpoint is set aside */
-    AQ_WITHOUT_EJECTION_SHARE = 1 << 10, /* eject_percent is ignored */
-    AQ_WITHOUT_TRIAL = 1 << 11,   /* set aside: back with all slots at once */
-    AQ_WITHOUT_SILENT = 1 << 12,  /* attempts last until the deadline, reuse
-                                     connections, close no idle ones */
-    AQ_WITHOUT_LEAVING = 1 << 13, /* leaving endpoints get new work */
-    AQ_WITHOUT_FRESHNESS = 1 << 14, /* serves while not fresh */
-    AQ_WITHOUT_STOP = 1 << 15,      /* takes requests after AqRouter_Stop */
-    AQ_WITHOUT_RUN_MARK = 1 << 16   /* what was given up was not run */
+    AQ_ROUTER_DISABLE_QUEUE_LIMIT = 1 << 0, /* queues are unbounded */
+    AQ_ROUTER_DISABLE_ADMISSION = 1 << 1,   /* no refusal by expected wait */
+    AQ_ROUTER_DISABLE_PRIORITY = 1 << 2,    /* one queue in order of arrival */
+    AQ_ROUTER_DISABLE_LOAD_CHOICE = 1 << 3, /* one random endpoint */
+    AQ_ROUTER_DISABLE_CLAIM = 1 << 4,       /* starts without a claim */
+    AQ_ROUTER_DISABLE_RETRY = 1 << 5,       /* one attempt only */
+    AQ_ROUTER_DISABLE_RETRY_RULE = 1 << 6,  /* retries whatever may have run */
+    AQ_ROUTER_DISABLE_RETRY_BUDGET = 1 << 7, /* retries without tokens */
+    AQ_ROUTER_DISABLE_JITTER = 1 << 8,       /* backoff at its upper bound */
+    AQ_ROUTER_DISABLE_EJECTION = 1 << 9,     /* no endpoint is set aside */
+    AQ_ROUTER_DISABLE_EJECTION_SHARE = 1 << 10, /* eject_percent is ignored */
+    AQ_ROUTER_DISABLE_TRIAL =
+        1 << 11, /* set aside: back with all slots at once */
+    AQ_ROUTER_DISABLE_SILENT = 1 << 12,    /* attempts last until the deadline,
+                                       reuse    connections, close no idle ones */
+    AQ_ROUTER_DISABLE_LEAVING = 1 << 13,   /* leaving endpoints get new work */
+    AQ_ROUTER_DISABLE_FRESHNESS = 1 << 14, /* serves while not fresh */
+    AQ_ROUTER_DISABLE_STOP = 1 << 15, /* takes requests after AqRouter_Stop */
+    AQ_ROUTER_DISABLE_RUN_MARK = 1 << 16 /* what was given up was not run */
 };
 
 typedef struct {
@@ -130,7 +131,8 @@
     AqTime eject_ms;        /* first time set aside */
     AqTime eject_max_ms;
     AqTime slot_wait_ms; /* longest wait while a service has no slot at all */
-    unsigned without;    /* AQ_WITHOUT_*, for measurements; 0 by default */
+    unsigned
+        disabled; /* AQ_ROUTER_DISABLE_*, for measurements; 0 by default */
 } AqRouterConfig;
 
 /* The defaults of the design page. */
--- a/packages/router/attempt.c
+++ b/packages/router/attempt.c
@@ -12,7 +12,8 @@
 static AqTime
 timeout_at(const AqRouter *router, AqTime now, const AqRouterRequest *r)
 {
-    if (!r->idempotent || !AqRouter_Has(router, AQ_WITHOUT_SILENT)) {
+    if (!r->idempotent ||
+        !AqRouter_IsEnabled(router, AQ_ROUTER_DISABLE_SILENT)) {
         return r->deadline;
     }
     AqTime ms = (r->deadline - now) / 2;
@@ -31,11 +32,11 @@
     r->attempt = ++router->last_attempt;
     r->endpoint = ep;
     r->started = now;
-    r->tried[r->attempts % AQ_TRIED] = ep->number;
+    r->tried[r->attempts % AQ_TRIED_MAX] = ep->number;
     /* A retry does not rely on idle connections either: the one before may
      * have failed because of them. */
     r->fresh_connection = (!r->idempotent || r->attempts > 0) &&
-                          AqRouter_Has(router, AQ_WITHOUT_SILENT);
+                          AqRouter_IsEnabled(router, AQ_ROUTER_DISABLE_SILENT);
     router->stats.attempts++;
     router->stats.retries += r->attempts > 0;
     r->attempts++;
@@ -86,7 +87,7 @@
 is_same_endpoint(const AqRouterRequest *r)
 {
     return !r->endpoint->removed &&
-           r->tried[(r->attempts - 1) % AQ_TRIED] == r->endpoint->number;
+           r->tried[(r->attempts - 1) % AQ_TRIED_MAX] == r->endpoint->number;
 }
 
 static void
@@ -102,9 +103,11 @@
 may_retry(AqRouter *router, const AqRouterRequest *r)
 {
     bool safe = r->idempotent || !r->may_have_run ||
-                !AqRouter_Has(router, AQ_WITHOUT_RETRY_RULE);
-    bool fresh = router->fresh || !AqRouter_Has(router, AQ_WITHOUT_FRESHNESS);
-    return safe && fresh && AqRouter_Has(router, AQ_WITHOUT_RETRY) &&
+                !AqRouter_IsEnabled(router, AQ_ROUTER_DISABLE_RETRY_RULE);
+    bool fresh = router->fresh ||
+                 !AqRouter_IsEnabled(router, AQ_ROUTER_DISABLE_FRESHNESS);
+    return safe && fresh &&
+           AqRouter_IsEnabled(router, AQ_ROUTER_DISABLE_RETRY) &&
            r->attempts < router->config.max_attempts &&
            AqRouterService_HasEndpoint(router, r->service);
 }
@@ -132,7 +135,8 @@
     /* Short deadlines prove nothing about the endpoint, so a timeout counts
      * as its failure only after most requests would have been answered. */
     bool failed = elapsed >= r->service->p95;
-    bool quiet = r->idempotent && AqRouter_Has(router, AQ_WITHOUT_SILENT);
+    bool quiet =
+        r->idempotent && AqRouter_IsEnabled(router, AQ_ROUTER_DISABLE_SILENT);
     if (quiet) {
         router->ops.close_idle(router->context, r->endpoint->name);
     }
--- a/packages/router/bench/bench_router.c
+++ b/packages/router/bench/bench_router.c
@@ -51,13 +51,13 @@
         if ((AqTime)at > sim->now) {
             Sim_Run(sim, (AqTime)at - sim->now);
         }
-        Sim_Submit(sim, true, AQ_LIVE, timeout, 0);
+        Sim_Submit(sim, true, AQ_PRIORITY_LIVE, timeout, 0);
     }
 }
 
 typedef struct {
     const char *name;
-    unsigned without;
+    unsigned disabled;
 } Variant;
 
 /* Goodput and waiting of the refused at a multiple of the capacity. */
@@ -71,7 +71,7 @@
     Summary attempts = {0};
     for (uint64_t seed = 1; seed <= SEEDS; seed++) {
         Sim sim;
-        Sim_Init(&sim, seed, variant->without);
+        Sim_Init(&sim, seed, variant->disabled);
         Sim_Start(&sim, endpoints, SLOTS, MEAN_MS);
         double capacity = (double)endpoints * SLOTS / MEAN_MS;
         run_load(&sim, load * capacity, LOAD_MS, timeout);
@@ -109,7 +109,7 @@
     Summary completed = {0};
     for (uint64_t seed = 1; seed <= SEEDS; seed++) {
         Sim sim;
-        Sim_Init(&sim, seed, variant->without);
+        Sim_Init(&sim, seed, variant->disabled);
         Sim_Start(&sim, 9, SLOTS, MEAN_MS);
         double capacity = 9.0 * SLOTS / MEAN_MS;
         run_load(&sim, 0.6 * capacity, 5000, 2000);
@@ -144,7 +144,7 @@
     Summary late = {0};
     for (uint64_t seed = 1; seed <= SEEDS; seed++) {
         Sim sim;
-        Sim_Init(&sim, seed, variant->without);
+        Sim_Init(&sim, seed, variant->disabled);
         Sim_Start(&sim, 9, SLOTS, MEAN_MS);
         double capacity = 9.0 * SLOTS / MEAN_MS;
         run_load(&sim, 0.5 * capacity, 5000, 10000);
@@ -171,28 +171,29 @@
 
 static const Variant overload_variants[] = {
     {"all", 0},
-    {"no admission", AQ_WITHOUT_ADMISSION},
-    {"no queue limit", AQ_WITHOUT_QUEUE_LIMIT},
+    {"no admission", AQ_ROUTER_DISABLE_ADMISSION},
+    {"no queue limit", AQ_ROUTER_DISABLE_QUEUE_LIMIT},
     {"no admission, no queue limit",
-     AQ_WITHOUT_ADMISSION | AQ_WITHOUT_QUEUE_LIMIT},
-    {"no load choice", AQ_WITHOUT_LOAD_CHOICE},
+     AQ_ROUTER_DISABLE_ADMISSION | AQ_ROUTER_DISABLE_QUEUE_LIMIT},
+    {"no load choice", AQ_ROUTER_DISABLE_LOAD_CHOICE},
 };
 
 static const Variant loss_variants[] = {
     {"all", 0},
-    {"no retry budget", AQ_WITHOUT_RETRY_BUDGET},
-    {"no ejection", AQ_WITHOUT_EJECTION},
+    {"no retry budget", AQ_ROUTER_DISABLE_RETRY_BUDGET},
+    {"no ejection", AQ_ROUTER_DISABLE_EJECTION},
     {"no retry budget, no ejection",
-     AQ_WITHOUT_RETRY_BUDGET | AQ_WITHOUT_EJECTION},
-    {"no retry", AQ_WITHOUT_RETRY},
+     AQ_ROUTER_DISABLE_RETRY_BUDGET | AQ_ROUTER_DISABLE_EJECTION},
+    {"no retry", AQ_ROUTER_DISABLE_RETRY},
 };
 
 static const Variant silent_variants[] = {
     {"all", 0},
-    {"no detection", AQ_WITHOUT_SILENT},
-    {"no ejection", AQ_WITHOUT_EJECTION},
-    {"no retry budget", AQ_WITHOUT_RETRY_BUDGET},
-    {"no detection, no ejection", AQ_WITHOUT_SILENT | AQ_WITHOUT_EJECTION},
+    {"no detection", AQ_ROUTER_DISABLE_SILENT},
+    {"no ejection", AQ_ROUTER_DISABLE_EJECTION},
+    {"no retry budget", AQ_ROUTER_DISABLE_RETRY_BUDGET},
+    {"no detection, no ejection",
+     AQ_ROUTER_DISABLE_SILENT | AQ_ROUTER_DISABLE_EJECTION},
 };
 
 int
--- a/packages/router/budget.c
+++ b/packages/router/budget.c
@@ -12,7 +12,7 @@
 bool
 AqRouterBudget_Spend(AqRouter *router, AqService *service)
 {
-    if (!AqRouter_Has(router, AQ_WITHOUT_RETRY_BUDGET)) {
+    if (!AqRouter_IsEnabled(router, AQ_ROUTER_DISABLE_RETRY_BUDGET)) {
         return true;
     }
     if (service->retry_tokens < 1.0) {
@@ -34,7 +34,7 @@
     if (bound > router->config.backoff_high_ms) {
         bound = router->config.backoff_high_ms;
     }
-    if (!AqRouter_Has(router, AQ_WITHOUT_JITTER)) {
+    if (!AqRouter_IsEnabled(router, AQ_ROUTER_DISABLE_JITTER)) {
         return bound;
     }
     /* Full jitter: the whole range, so that requests that failed together do
--- a/packages/router/check.c
+++ b/packages/router/check.c
@@ -35,8 +35,9 @@
                            ": timer is after the deadline",
                            r->id);
     }
-    if (!r->idempotent && AqRouter_Has(router, AQ_WITHOUT_CLAIM) &&
-        AqRouter_Has(router, AQ_WITHOUT_RETRY_RULE) &&
+    if (!r->idempotent &&
+        AqRouter_IsEnabled(router, AQ_ROUTER_DISABLE_CLAIM) &&
+        AqRouter_IsEnabled(router, AQ_ROUTER_DISABLE_RETRY_RULE) &&
         ((running && !r->claimed) || (!running && r->may_have_run))) {
         return AqError_Set(error, AQ_ERR_SYSTEM,
                            "request %" G_GUINT64_FORMAT
@@ -125,7 +126,7 @@
         }
         n.claiming += r->state == AQ_REQUEST_CLAIMING;
         if (r->state == AQ_REQUEST_QUEUED) {
-            *(r->priority == AQ_LIVE ? &n.live : &n.archive) += 1;
+            *(r->priority == AQ_PRIORITY_LIVE ? &n.live : &n.archive) += 1;
         }
     }
     return n;
--- a/packages/router/eject.c
+++ b/packages/router/eject.c
@@ -17,7 +17,7 @@
         n += AqRouterEndpoint_TakesWork(
             router, g_ptr_array_index(service->endpoints, i));
     }
-    if (!AqRouter_Has(router, AQ_WITHOUT_EJECTION_SHARE)) {
+    if (!AqRouter_IsEnabled(router, AQ_ROUTER_DISABLE_EJECTION_SHARE)) {
         return n;
     }
     return n * router->config.eject_percent / 100;
@@ -107,11 +107,12 @@
 static void
 eject_if_due(AqRouter *router, AqTime now, AqEndpoint *ep)
 {
-    bool due =
-        ep->consecutive >= AQ_EJECT_CONSECUTIVE ||
-        ep->health_failures >= AQ_EJECT_CONSECUTIVE ||
-        (ep->recent_count == AQ_RECENT && 2 * recent_failures(ep) > AQ_RECENT);
-    if (due && !ep->ejected && AqRouter_Has(router, AQ_WITHOUT_EJECTION) &&
+    bool due = ep->consecutive >= AQ_EJECT_CONSECUTIVE ||
+               ep->health_failures >= AQ_EJECT_CONSECUTIVE ||
+               (ep->recent_count == AQ_EJECT_WINDOW_COUNT &&
+                2 * recent_failures(ep) > AQ_EJECT_WINDOW_COUNT);
+    if (due && !ep->ejected &&
+        AqRouter_IsEnabled(router, AQ_ROUTER_DISABLE_EJECTION) &&
         AqRouterEndpoint_TakesWork(router, ep) &&
         AqRouterEject_Count(router, ep->service) <
             AqRouterEject_Limit(router, ep->service)) {
@@ -123,13 +124,14 @@
 record_outcome(AqEndpoint *ep, bool failed)
 {
     ep->recent_failed[ep->recent_at] = failed;
-    ep->recent_at = (ep->recent_at + 1) % AQ_RECENT;
-    if (ep->recent_count < AQ_RECENT) {
+    ep->recent_at = (ep->recent_at + 1) % AQ_EJECT_WINDOW_COUNT;
+    if (ep->recent_count < AQ_EJECT_WINDOW_COUNT) {
         ep->recent_count++;
     }
     /* A full window without an ejection: the endpoint works again, so the
      * next ejection is a short one. */
-    if (ep->recent_count == AQ_RECENT && 2 * recent_failures(ep) < AQ_RECENT) {
+    if (ep->recent_count == AQ_EJECT_WINDOW_COUNT &&
+        2 * recent_failures(ep) < AQ_EJECT_WINDOW_COUNT) {
         ep->eject_last_ms = 0;
     }
 }
--- a/packages/router/endpoint.c
+++ b/packages/router/endpoint.c
@@ -6,13 +6,14 @@
 AqRouterEndpoint_TakesWork(const AqRouter *router, const AqEndpoint *ep)
 {
     return !ep->removed &&
-           (!ep->leaving || !AqRouter_Has(router, AQ_WITHOUT_LEAVING));
+           (!ep->leaving ||
+            !AqRouter_IsEnabled(router, AQ_ROUTER_DISABLE_LEAVING));
 }
 
 static bool
 was_tried(const AqRouterRequest *r, const AqEndpoint *ep)
 {
-    int n = r->attempts < AQ_TRIED ? r->attempts : AQ_TRIED;
+    int n = r->attempts < AQ_TRIED_MAX ? r->attempts : AQ_TRIED_MAX;
     for (int i = 0; i < n; i++) {
         if (r->tried[i] == ep->number) {
             return true;
@@ -96,7 +97,7 @@
 AqEndpoint *
 AqRouterEndpoint_Choose(AqRouter *router, AqTime now, const AqRouterRequest *r)
 {
-    if (!AqRouter_Has(router, AQ_WITHOUT_TRIAL)) {
+    if (!AqRouter_IsEnabled(router, AQ_ROUTER_DISABLE_TRIAL)) {
         end_ejections(now, r->service);
     }
     AqEndpoint *trial = find_trial(router, now, r);
@@ -109,7 +110,8 @@
         untried = false;
         first = draw(router, r, NULL, false);
     }
-    if (first == NULL || !AqRouter_Has(router, AQ_WITHOUT_LOAD_CHOICE)) {
+    if (first == NULL ||
+        !AqRouter_IsEnabled(router, AQ_ROUTER_DISABLE_LOAD_CHOICE)) {
         return first;
     }
     AqEndpoint *second = draw(router, r, first, untried);
--- a/packages/router/queue.c
+++ b/packages/router/queue.c
@@ -12,7 +12,7 @@
 AqRouterQueue_Push(AqRouter *router, AqRouterRequest *r, bool first)
 {
     AqService *service = r->service;
-    bool live = r->priority == AQ_LIVE;
+    bool live = r->priority == AQ_PRIORITY_LIVE;
     AqLink *queue = live ? &service->live : &service->archive;
     r->waits = AqRouterQueue_ExpectedWait(router, service, r->priority) > 0;
     if (first) {
@@ -32,8 +32,8 @@
 {
     AqService *service = r->service;
     AqList_Remove(&r->queue_link);
-    *(r->priority == AQ_LIVE ? &service->live_count
-                             : &service->archive_count) -= 1;
+    *(r->priority == AQ_PRIORITY_LIVE ? &service->live_count
+                                      : &service->archive_count) -= 1;
     AqRouterTimers_Remove(router, r);
 }
 
@@ -67,7 +67,8 @@
 {
     int ahead = service->claiming + service->live_count;
     int overtaken = service->live_count / (router->config.archive_share - 1);
-    if (priority == AQ_ARCHIVE || service->archive_count < overtaken) {
+    if (priority == AQ_PRIORITY_ARCHIVE ||
+        service->archive_count < overtaken) {
         ahead += service->archive_count;
     }
     else {
@@ -109,10 +110,10 @@
     }
     if (AqRouterQueue_Count(service) + service->claiming >=
             router->config.queue_limit &&
-        AqRouter_Has(router, AQ_WITHOUT_QUEUE_LIMIT)) {
+        AqRouter_IsEnabled(router, AQ_ROUTER_DISABLE_QUEUE_LIMIT)) {
         return AQ_REASON_QUEUE_FULL;
     }
-    if (!AqRouter_Has(router, AQ_WITHOUT_ADMISSION) ||
+    if (!AqRouter_IsEnabled(router, AQ_ROUTER_DISABLE_ADMISSION) ||
         AqRouterService_Slots(router, service) == 0) {
         return AQ_REASON_NONE;
     }
@@ -130,7 +131,8 @@
 AqRouterQueue_TooLate(const AqRouter *router, AqTime now,
                       const AqRouterRequest *r)
 {
-    return AqRouter_Has(router, AQ_WITHOUT_ADMISSION) && r->waits &&
+    return AqRouter_IsEnabled(router, AQ_ROUTER_DISABLE_ADMISSION) &&
+           r->waits &&
            now + own_time(r->service, r->idempotent) / 2 > r->deadline;
 }
 
@@ -164,7 +166,8 @@
         return;
     }
     int slots = AqRouterService_Slots(router, service);
-    if (slots == 0 || !AqRouter_Has(router, AQ_WITHOUT_ADMISSION)) {
+    if (slots == 0 ||
+        !AqRouter_IsEnabled(router, AQ_ROUTER_DISABLE_ADMISSION)) {
         return;
     }
     double ms_per_start = AqRouterService_MeanMs(service) / slots;
--- a/packages/router/request.c
+++ b/packages/router/request.c
@@ -10,7 +10,7 @@
         break;
     case AQ_REQUEST_CLAIMING:
         r->service->claiming--;
-        if (r->claim_asked) {
+        if (r->claim_requested) {
             router->ops.forget_claim(router->context, r->id);
         }
         break;
@@ -66,7 +66,8 @@
 AqRouterRequest_GiveUp(AqRouter *router, AqRouterRequest *r, AqReason reason)
 {
     AqOutcome outcome = {AQ_OUTCOME_UNKNOWN, reason, 0};
-    if (r->may_have_run && AqRouter_Has(router, AQ_WITHOUT_RUN_MARK)) {
+    if (r->may_have_run &&
+        AqRouter_IsEnabled(router, AQ_ROUTER_DISABLE_RUN_MARK)) {
         if (r->run_reason != AQ_REASON_NONE && reason != AQ_REASON_DEADLINE) {
             outcome.reason = r->run_reason;
         }
@@ -98,10 +99,12 @@
 check_new(const AqRouter *router, AqTime now, const AqService *service,
           const AqRequestSpec *spec)
 {
-    if (router->stopping && AqRouter_Has(router, AQ_WITHOUT_STOP)) {
+    if (router->stopping &&
+        AqRouter_IsEnabled(router, AQ_ROUTER_DISABLE_STOP)) {
         return AQ_REASON_STOPPING;
     }
-    if (!router->fresh && AqRouter_Has(router, AQ_WITHOUT_FRESHNESS)) {
+    if (!router->fresh &&
+        AqRouter_IsEnabled(router, AQ_ROUTER_DISABLE_FRESHNESS)) {
         return AQ_REASON_NOT_FRESH;
     }
     if (service == NULL) {
@@ -118,8 +121,9 @@
     r->id = ++router->last_request;
     r->service = AqRouterService_Find(router, spec->service);
     r->idempotent = spec->idempotent;
-    r->priority =
-        AqRouter_Has(router, AQ_WITHOUT_PRIORITY) ? spec->priority : AQ_LIVE;
+    r->priority = AqRouter_IsEnabled(router, AQ_ROUTER_DISABLE_PRIORITY)
+                      ? spec->priority
+                      : AQ_PRIORITY_LIVE;
     r->deadline = spec->deadline;
     r->timer_index = SIZE_MAX;
     AqList_Init(&r->queue_link);
@@ -135,7 +139,8 @@
         return r->id;
     }
     AqRouterBudget_Earn(router, r->service);
-    if (!r->idempotent && AqRouter_Has(router, AQ_WITHOUT_CLAIM)) {
+    if (!r->idempotent &&
+        AqRouter_IsEnabled(router, AQ_ROUTER_DISABLE_CLAIM)) {
         /* Asked for by the next tick: the adapter does not know the number
          * of the request before this call returns. */
         r->state = AQ_REQUEST_CLAIMING;
@@ -170,10 +175,10 @@
 {
     AqRouterRequest *r = g_hash_table_lookup(router->by_id, &request);
     router->now = now;
-    if (r == NULL || r->state != AQ_REQUEST_CLAIMING || !r->claim_asked) {
+    if (r == NULL || r->state != AQ_REQUEST_CLAIMING || !r->claim_requested) {
         return;
     }
-    r->claim_asked = false; /* answered: nothing to forget */
+    r->claim_requested = false; /* answered: nothing to forget */
     if (result == AQ_ROUTER_CLAIM_GRANTED) {
         r->claimed = true;
         r->service->claiming--;
@@ -204,7 +209,7 @@
         AqRouterQueue_Push(router, r, true);
     }
     else if (r->state == AQ_REQUEST_CLAIMING) {
-        r->claim_asked = true;
+        r->claim_requested = true;
         AqRouterTimers_Set(router, r, r->deadline);
         router->ops.claim(router->context, r->id);
     }
--- a/packages/router/router.c
+++ b/packages/router/router.c
@@ -67,7 +67,7 @@
     }
     router->fresh = fresh;
     router->work_due = true;
-    if (!fresh && AqRouter_Has(router, AQ_WITHOUT_FRESHNESS)) {
+    if (!fresh && AqRouter_IsEnabled(router, AQ_ROUTER_DISABLE_FRESHNESS)) {
         AqRouterRequest_GiveUpWaiting(router, NULL, AQ_REASON_NOT_FRESH);
     }
 }
--- a/packages/router/router_private.h
+++ b/packages/router/router_private.h
@@ -13,7 +13,7 @@
     /* Consecutive failures that eject an endpoint (design page, section 12),
      * and the outcomes over which the failure share is taken (5.3). */
     AQ_EJECT_CONSECUTIVE = 5,
-    AQ_RECENT = 20,
+    AQ_EJECT_WINDOW_COUNT = 20,
     /* Service times kept for the p95: enough for six values above it. */
     AQ_LATENCY_SAMPLES = 128,
     /* Assumed without samples (design page, section 12). */
@@ -30,7 +30,7 @@
      * expected wait. */
     AQ_SWEEP_MS = 100,
     /* Attempts per request whose endpoints are remembered. */
-    AQ_TRIED = 4
+    AQ_TRIED_MAX = 4
 };
 
 typedef struct AqEndpoint AqEndpoint;
@@ -55,7 +55,7 @@
 
     int consecutive; /* failures without a success between them */
     int health_failures;
-    bool recent_failed[AQ_RECENT]; /* ring of the last outcomes */
+    bool recent_failed[AQ_EJECT_WINDOW_COUNT]; /* ring of the last outcomes */
     int recent_count;
     int recent_at;
     AqTime suspect_until; /* not preferred before */
@@ -109,14 +109,14 @@
     AqReason refusal; /* in state REFUSED */
     AqTime retry_after_ms;
 
-    bool claim_asked;
+    bool claim_requested;
     bool claimed;
     bool may_have_run;
     AqReason run_reason; /* why it is not known, or NONE */
     int attempts;
-    uint64_t tried[AQ_TRIED]; /* numbers of the endpoints tried */
-    uint64_t attempt;         /* in flight, or 0 */
-    AqEndpoint *endpoint;     /* of the attempt in flight, or NULL */
+    uint64_t tried[AQ_TRIED_MAX]; /* numbers of the endpoints tried */
+    uint64_t attempt;             /* in flight, or 0 */
+    AqEndpoint *endpoint;         /* of the attempt in flight, or NULL */
     AqTime started;
     bool fresh_connection;
 } AqRouterRequest;
@@ -144,9 +144,9 @@
 };
 
 static inline bool
-AqRouter_Has(const AqRouter *router, unsigned mechanism)
+AqRouter_IsEnabled(const AqRouter *router, unsigned mechanism)
 {
-    return (router->config.without & mechanism) == 0;
+    return (router->config.disabled & mechanism) == 0;
 }
 
 /* timers.c: one timer per request. */
--- a/packages/router/tests/sim.c
+++ b/packages/router/tests/sim.c
@@ -185,12 +185,12 @@
 };
 
 void
-Sim_Init(Sim *sim, uint64_t seed, unsigned without)
+Sim_Init(Sim *sim, uint64_t seed, unsigned disabled)
 {
     *sim = (Sim){.claim_ms = 5};
     AqRandom_Seed(&sim->random, seed);
     AqRouterConfig_Init(&sim->config);
-    sim->config.without = without;
+    sim->config.disabled = disabled;
     sim->requests = g_array_new(FALSE, TRUE, sizeof(SimRequest));
     sim->attempts = g_array_new(FALSE, TRUE, sizeof(SimAttempt));
     sim->open = g_array_new(FALSE, TRUE, sizeof(uint64_t));
--- a/packages/router/tests/sim.h
+++ b/packages/router/tests/sim.h
@@ -96,7 +96,7 @@
 /* Creates the router with sim->config and "endpoints" working endpoints "e0",
  * "e1", ... of the service "s", each with "slots" slots.  Sim_Init sets the
  * default configuration, which a test may change before Sim_Start. */
-void Sim_Init(Sim *sim, uint64_t seed, unsigned without);
+void Sim_Init(Sim *sim, uint64_t seed, unsigned disabled);
 void Sim_Start(Sim *sim, int endpoints, int slots, double mean_ms);
 void Sim_Clear(Sim *sim);
 
--- a/packages/router/tests/test_ejection.c
+++ b/packages/router/tests/test_ejection.c
@@ -5,9 +5,9 @@
 
 /* Four endpoints, so that one may be ejected, of which only e0 has slots. */
 static void
-start_with_one(Sim *sim, unsigned without)
+start_with_one(Sim *sim, unsigned disabled)
 {
-    Sim_Init(sim, 1, without);
+    Sim_Init(sim, 1, disabled);
     Sim_Start(sim, 4, 0, 5);
     Sim_SetSlots(sim, 0, 8);
 }
@@ -18,7 +18,7 @@
 {
     for (const char *at = letters; *at != '\0'; at++) {
         sim->endpoints[0].fault = *at == 'F' ? SIM_FAIL : SIM_OK;
-        Sim_Submit(sim, true, AQ_LIVE, 10000, 0);
+        Sim_Submit(sim, true, AQ_PRIORITY_LIVE, 10000, 0);
         Sim_Run(sim, 100);
     }
 }
@@ -41,7 +41,7 @@
     };
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
         Sim sim;
-        start_with_one(&sim, AQ_WITHOUT_RETRY);
+        start_with_one(&sim, AQ_ROUTER_DISABLE_RETRY);
         send_letters(&sim, rows[i].letters);
         CU_ASSERT_EQUAL(AqRouter_IsEjected(sim.router, "e0"), rows[i].ejected);
         Sim_Clear(&sim);
@@ -54,7 +54,7 @@
 {
     int starts = sim->endpoints[0].starts;
     for (int i = 0; i < 10000 && sim->endpoints[0].starts == starts; i++) {
-        Sim_Submit(sim, true, AQ_LIVE, 1000, 0);
+        Sim_Submit(sim, true, AQ_PRIORITY_LIVE, 1000, 0);
         Sim_Run(sim, 10);
     }
     return sim->now;
@@ -77,7 +77,7 @@
     static const AqTime expected_ms[] = {5000,  10000, 20000,
                                          40000, 60000, 60000};
     Sim sim;
-    Sim_Init(&sim, 1, AQ_WITHOUT_RETRY);
+    Sim_Init(&sim, 1, AQ_ROUTER_DISABLE_RETRY);
     Sim_Start(&sim, 4, 8, 5);
     sim.endpoints[0].fault = SIM_FAIL;
     run_until_ejected(&sim);
@@ -113,14 +113,15 @@
     AqRouter_HealthDone(sim.router, sim.now, "e0", true);
     sim.endpoints[0].fault = SIM_FAIL;
     Sim_Run(&sim, 6000);
-    Sim_Submit(&sim, true, AQ_LIVE, 1000, 0); /* fails: ejected again */
+    Sim_Submit(&sim, true, AQ_PRIORITY_LIVE, 1000,
+               0); /* fails: ejected again */
     Sim_Run(&sim, 11000);
     CU_ASSERT_EQUAL(sim.endpoints[0].starts, 1);
-    Sim_Submit(&sim, false, AQ_LIVE, 1000, 1);
+    Sim_Submit(&sim, false, AQ_PRIORITY_LIVE, 1000, 1);
     Sim_Run(&sim, 100);
     CU_ASSERT_EQUAL(sim.endpoints[0].starts, 1);
     AqRouter_HealthDone(sim.router, sim.now, "e0", true);
-    Sim_Submit(&sim, false, AQ_LIVE, 1000, 2);
+    Sim_Submit(&sim, false, AQ_PRIORITY_LIVE, 1000, 2);
     Sim_Run(&sim, 100);
     CU_ASSERT_EQUAL(sim.endpoints[0].starts, 2);
     Sim_Clear(&sim);
@@ -133,10 +134,10 @@
 {
     for (int moved = 0; moved <= 1; moved++) {
         Sim sim;
-        start_with_one(&sim, AQ_WITHOUT_RETRY);
+        start_with_one(&sim, AQ_ROUTER_DISABLE_RETRY);
         sim.manual = true;
         for (int i = 0; i < 5; i++) {
-            Sim_Submit(&sim, true, AQ_LIVE, 10000, 0);
+            Sim_Submit(&sim, true, AQ_PRIORITY_LIVE, 10000, 0);
         }
         Sim_Run(&sim, 1);
         for (int e = 0; moved && e < 4; e++) {
@@ -158,11 +159,11 @@
 test_failing_is_not_preferred(void)
 {
     Sim sim;
-    Sim_Init(&sim, 1, AQ_WITHOUT_EJECTION);
+    Sim_Init(&sim, 1, AQ_ROUTER_DISABLE_EJECTION);
     Sim_Start(&sim, 10, 8, 20);
     sim.endpoints[0].fault = SIM_FAIL;
     for (int i = 0; i < 1000; i++) {
-        Sim_Submit(&sim, true, AQ_LIVE, 1000, 0);
+        Sim_Submit(&sim, true, AQ_PRIORITY_LIVE, 1000, 0);
         Sim_Run(&sim, 5);
     }
     CU_ASSERT_TRUE(sim.endpoints[0].starts > 0);
@@ -177,13 +178,13 @@
 {
     static const AqTime expected_ms[] = {25, 50, 100, 200, 400, 800, 1000};
     Sim sim;
-    Sim_Init(&sim, 1, AQ_WITHOUT_JITTER | AQ_WITHOUT_EJECTION);
+    Sim_Init(&sim, 1, AQ_ROUTER_DISABLE_JITTER | AQ_ROUTER_DISABLE_EJECTION);
     sim.config.max_attempts = 8;
     Sim_Start(&sim, 3, 1, 20);
     for (int i = 0; i < 3; i++) {
         sim.endpoints[i].fault = SIM_FAIL;
     }
-    Sim_Submit(&sim, true, AQ_LIVE, 100000, 0);
+    Sim_Submit(&sim, true, AQ_PRIORITY_LIVE, 100000, 0);
     Sim_Run(&sim, 10000);
     CU_ASSERT_EQUAL_FATAL(sim.attempts->len, 8);
     for (uint64_t i = 0; i < 7; i++) {
@@ -210,7 +211,7 @@
     send_letters(&sim, "SSSSSSSSSS");
     Sim_Run(&sim, 1000);
     for (int i = 0; i < 10; i++) {
-        Sim_Submit(&sim, true, AQ_LIVE, 20, 0);
+        Sim_Submit(&sim, true, AQ_PRIORITY_LIVE, 20, 0);
         Sim_Run(&sim, 100);
     }
     CU_ASSERT_FALSE(AqRouter_IsEjected(sim.router, "e0"));
@@ -223,17 +224,17 @@
 test_old_mean_is_not_relied_on(void)
 {
     Sim sim;
-    Sim_Init(&sim, 1, AQ_WITHOUT_EJECTION);
+    Sim_Init(&sim, 1, AQ_ROUTER_DISABLE_EJECTION);
     Sim_Start(&sim, 4, 8, 20);
     sim.endpoints[0].mean_ms = 400;
     for (int i = 0; i < 500; i++) {
-        Sim_Submit(&sim, true, AQ_LIVE, 10000, 0);
+        Sim_Submit(&sim, true, AQ_PRIORITY_LIVE, 10000, 0);
         Sim_Run(&sim, 50);
     }
     sim.endpoints[0].mean_ms = 2;
     sim.endpoints[0].starts = 0;
     for (int i = 0; i < 1000; i++) {
-        Sim_Submit(&sim, true, AQ_LIVE, 10000, 0);
+        Sim_Submit(&sim, true, AQ_PRIORITY_LIVE, 10000, 0);
         Sim_Run(&sim, 100);
     }
     CU_ASSERT_TRUE(sim.endpoints[0].starts > 100);
--- a/packages/router/tests/test_mechanisms.c
+++ b/packages/router/tests/test_mechanisms.c
@@ -14,7 +14,7 @@
     Sim_Start(sim, 1, 1, 100);
     int most = 0;
     for (int i = 0; i < 100; i++) {
-        Sim_Submit(sim, true, AQ_LIVE, 600000, 0);
+        Sim_Submit(sim, true, AQ_PRIORITY_LIVE, 600000, 0);
         Sim_Run(sim, 1);
         int n = AqRouter_Queued(sim->router, "s");
         most = n > most ? n : most;
@@ -30,7 +30,7 @@
     Sim_Start(sim, 1, 1, 100);
     sim->endpoints[0].fixed_time = true;
     for (int i = 0; i < 200; i++) {
-        Sim_Submit(sim, true, AQ_LIVE, 2000, 0);
+        Sim_Submit(sim, true, AQ_PRIORITY_LIVE, 2000, 0);
     }
     Sim_Run(sim, 5000);
     int wrong = 0;
@@ -50,7 +50,8 @@
 {
     Sim_Start(sim, 1, 1, 10);
     for (int i = 0; i < 80; i++) {
-        Sim_Submit(sim, true, i < 40 ? AQ_ARCHIVE : AQ_LIVE, 600000, 0);
+        Sim_Submit(sim, true, i < 40 ? AQ_PRIORITY_ARCHIVE : AQ_PRIORITY_LIVE,
+                   600000, 0);
     }
     while (sim->attempts->len < 40) {
         Sim_Run(sim, 1);
@@ -58,7 +59,7 @@
     int archive = 0;
     for (uint64_t i = 1; i <= 40; i++) {
         archive += Sim_Request(sim, Sim_Attempt(sim, i)->request)->priority ==
-                   AQ_ARCHIVE;
+                   AQ_PRIORITY_ARCHIVE;
     }
     return archive == 40 / 8;
 }
@@ -71,7 +72,7 @@
     Sim_Start(sim, 10, 64, 20);
     sim->endpoints[0].mean_ms = 200;
     for (int i = 0; i < 2000; i++) {
-        Sim_Submit(sim, true, AQ_LIVE, 10000, 0);
+        Sim_Submit(sim, true, AQ_PRIORITY_LIVE, 10000, 0);
         Sim_Run(sim, 1);
     }
     return sim->endpoints[0].starts < 2000 / 20;
@@ -83,7 +84,7 @@
 {
     Sim_Start(sim, 2, 8, 20);
     for (int i = 0; i < 2; i++) {
-        Sim_Submit(sim, false, AQ_LIVE, 10000, 7);
+        Sim_Submit(sim, false, AQ_PRIORITY_LIVE, 10000, 7);
         Sim_Run(sim, 500);
     }
     const SimRequest *second = Sim_Request(sim, 2);
@@ -99,7 +100,7 @@
     Sim_Start(sim, 4, 8, 20);
     sim->endpoints[0].fault = SIM_CUT;
     for (int i = 0; i < 20; i++) {
-        Sim_Submit(sim, true, AQ_LIVE, 10000, 0);
+        Sim_Submit(sim, true, AQ_PRIORITY_LIVE, 10000, 0);
     }
     Sim_Run(sim, 10000);
     return sim->endpoints[0].starts > 0 && Sim_Completed(sim) == 20;
@@ -112,7 +113,7 @@
     Sim_Start(sim, 2, 8, 20);
     sim->endpoints[0].fault = SIM_CUT;
     for (uint64_t i = 0; i < 20; i++) {
-        Sim_Submit(sim, false, AQ_LIVE, 10000, i);
+        Sim_Submit(sim, false, AQ_PRIORITY_LIVE, 10000, i);
     }
     Sim_Run(sim, 10000);
     return sim->endpoints[0].starts > 0 &&
@@ -126,7 +127,7 @@
     Sim_Start(sim, 1, 8, 20);
     sim->endpoints[0].fault = SIM_CUT;
     for (uint64_t i = 0; i < 20; i++) {
-        Sim_Submit(sim, false, AQ_LIVE, 10000, i);
+        Sim_Submit(sim, false, AQ_PRIORITY_LIVE, 10000, i);
     }
     Sim_Run(sim, 10000);
     return sim->endpoints[0].starts > 0 &&
@@ -142,7 +143,7 @@
         sim->endpoints[i].fault = SIM_CUT;
     }
     for (int i = 0; i < 400; i++) {
-        Sim_Submit(sim, true, AQ_LIVE, 10000, 0);
+        Sim_Submit(sim, true, AQ_PRIORITY_LIVE, 10000, 0);
         Sim_Run(sim, 5);
     }
     Sim_Run(sim, 10000);
@@ -159,7 +160,7 @@
         sim->endpoints[i].fault = SIM_CUT;
     }
     for (int i = 0; i < 60; i++) {
-        Sim_Submit(sim, true, AQ_LIVE, 10000, 0);
+        Sim_Submit(sim, true, AQ_PRIORITY_LIVE, 10000, 0);
     }
     Sim_Run(sim, 26);
     int most = 0;
@@ -181,7 +182,7 @@
     Sim_Start(sim, 10, 1, 20);
     sim->endpoints[0].fault = SIM_FAIL;
     for (int i = 0; i < 2000; i++) {
-        Sim_Submit(sim, true, AQ_LIVE, 1000, 0);
+        Sim_Submit(sim, true, AQ_PRIORITY_LIVE, 1000, 0);
         Sim_Run(sim, 2);
     }
     return sim->endpoints[0].starts <= 6 &&
@@ -198,12 +199,12 @@
         AqRouter_HealthDone(sim->router, sim->now, "e0", false);
     }
     for (int i = 0; i < 1000; i++) {
-        Sim_Submit(sim, true, AQ_LIVE, 1000, 0);
+        Sim_Submit(sim, true, AQ_PRIORITY_LIVE, 1000, 0);
         Sim_Run(sim, 10);
     }
     int before = sim->endpoints[0].starts;
     AqRouter_HealthDone(sim->router, sim->now, "e0", true);
-    Sim_Submit(sim, true, AQ_LIVE, 1000, 0);
+    Sim_Submit(sim, true, AQ_PRIORITY_LIVE, 1000, 0);
     Sim_Run(sim, 1000);
     return before == 0 && sim->endpoints[0].starts == 1 &&
            !AqRouter_IsEjected(sim->router, "e0");
@@ -219,7 +220,7 @@
         sim->endpoints[i].fault = SIM_FAIL;
     }
     for (int i = 0; i < 400; i++) {
-        Sim_Submit(sim, true, AQ_LIVE, 1000, 0);
+        Sim_Submit(sim, true, AQ_PRIORITY_LIVE, 1000, 0);
         Sim_Run(sim, 5);
         int n = 0;
         for (int e = 0; e < 10; e++) {
@@ -238,14 +239,14 @@
     Sim_Start(sim, 4, 4, 50);
     sim->endpoints[0].fault = SIM_DEAD;
     while (!AqRouter_IsEjected(sim->router, "e0") || sim->now < 3000) {
-        Sim_Submit(sim, true, AQ_LIVE, 4000, 0);
+        Sim_Submit(sim, true, AQ_PRIORITY_LIVE, 4000, 0);
         Sim_Run(sim, 4);
     }
     Sim_Run(sim, 3000);
     sim->endpoints[0].most_in_use = 0;
     int starts = sim->endpoints[0].starts;
     for (int i = 0; i < 2000; i++) {
-        Sim_Submit(sim, true, AQ_LIVE, 4000, 0);
+        Sim_Submit(sim, true, AQ_PRIORITY_LIVE, 4000, 0);
         Sim_Run(sim, 4);
     }
     return sim->endpoints[0].starts > starts &&
@@ -261,7 +262,7 @@
         if (i == 500) {
             Sim_SilenceConnections(sim, 0);
         }
-        Sim_Submit(sim, true, AQ_LIVE, 5000, 0);
+        Sim_Submit(sim, true, AQ_PRIORITY_LIVE, 5000, 0);
         Sim_Run(sim, 2);
     }
     Sim_Run(sim, 10000);
@@ -278,7 +279,7 @@
         if (i == 100) {
             Sim_SetLeaving(sim, 0, true);
         }
-        Sim_Submit(sim, true, AQ_LIVE, 5000, 0);
+        Sim_Submit(sim, true, AQ_PRIORITY_LIVE, 5000, 0);
         Sim_Run(sim, 10);
     }
     Sim_Run(sim, 5000);
@@ -295,7 +296,7 @@
         if (i == 10) {
             Sim_SetFresh(sim, false);
         }
-        Sim_Submit(sim, true, AQ_LIVE, 5000, 0);
+        Sim_Submit(sim, true, AQ_PRIORITY_LIVE, 5000, 0);
         Sim_Run(sim, 1);
     }
     Sim_Run(sim, 1000);
@@ -310,10 +311,10 @@
 {
     Sim_Start(sim, 1, 1, 20);
     for (int i = 0; i < 10; i++) {
-        Sim_Submit(sim, true, AQ_LIVE, 5000, 0);
+        Sim_Submit(sim, true, AQ_PRIORITY_LIVE, 5000, 0);
     }
     AqRouter_Stop(sim->router, sim->now);
-    Sim_Submit(sim, true, AQ_LIVE, 5000, 0);
+    Sim_Submit(sim, true, AQ_PRIORITY_LIVE, 5000, 0);
     Sim_Run(sim, 5000);
     return Sim_Completed(sim) == 10 &&
            Sim_Request(sim, 11)->outcome.reason == AQ_REASON_STOPPING;
@@ -325,36 +326,37 @@
     unsigned always; /* left out in both runs, to isolate the mechanism */
     bool (*holds)(Sim *sim);
 } scenarios[] = {
-    {"queue limit", AQ_WITHOUT_QUEUE_LIMIT, 0, queue_is_bounded},
-    {"admission", AQ_WITHOUT_ADMISSION, 0, hopeless_is_refused_at_once},
-    {"priority", AQ_WITHOUT_PRIORITY, 0, live_goes_first},
-    {"load choice", AQ_WITHOUT_LOAD_CHOICE, AQ_WITHOUT_EJECTION,
+    {"queue limit", AQ_ROUTER_DISABLE_QUEUE_LIMIT, 0, queue_is_bounded},
+    {"admission", AQ_ROUTER_DISABLE_ADMISSION, 0, hopeless_is_refused_at_once},
+    {"priority", AQ_ROUTER_DISABLE_PRIORITY, 0, live_goes_first},
+    {"load choice", AQ_ROUTER_DISABLE_LOAD_CHOICE, AQ_ROUTER_DISABLE_EJECTION,
      slow_endpoint_gets_less},
-    {"claim", AQ_WITHOUT_CLAIM, 0, repeat_is_not_run},
-    {"retry", AQ_WITHOUT_RETRY, 0, cut_is_retried},
-    {"retry rule", AQ_WITHOUT_RETRY_RULE, 0, non_idempotent_is_not_retried},
-    {"run mark", AQ_WITHOUT_RUN_MARK, 0, not_run_is_true},
-    {"retry budget", AQ_WITHOUT_RETRY_BUDGET, 0, retries_are_bounded},
-    {"jitter", AQ_WITHOUT_JITTER, 0, retries_are_spread},
-    {"ejection", AQ_WITHOUT_EJECTION, 0, failing_endpoint_is_set_aside},
-    {"health", AQ_WITHOUT_EJECTION, 0, unhealthy_endpoint_is_set_aside},
-    {"share", AQ_WITHOUT_EJECTION_SHARE, 0, ejected_share_is_bounded},
-    {"trial", AQ_WITHOUT_TRIAL, 0, return_is_by_one_trial},
-    {"silent", AQ_WITHOUT_SILENT, AQ_WITHOUT_EJECTION,
+    {"claim", AQ_ROUTER_DISABLE_CLAIM, 0, repeat_is_not_run},
+    {"retry", AQ_ROUTER_DISABLE_RETRY, 0, cut_is_retried},
+    {"retry rule", AQ_ROUTER_DISABLE_RETRY_RULE, 0,
+     non_idempotent_is_not_retried},
+    {"run mark", AQ_ROUTER_DISABLE_RUN_MARK, 0, not_run_is_true},
+    {"retry budget", AQ_ROUTER_DISABLE_RETRY_BUDGET, 0, retries_are_bounded},
+    {"jitter", AQ_ROUTER_DISABLE_JITTER, 0, retries_are_spread},
+    {"ejection", AQ_ROUTER_DISABLE_EJECTION, 0, failing_endpoint_is_set_aside},
+    {"health", AQ_ROUTER_DISABLE_EJECTION, 0, unhealthy_endpoint_is_set_aside},
+    {"share", AQ_ROUTER_DISABLE_EJECTION_SHARE, 0, ejected_share_is_bounded},
+    {"trial", AQ_ROUTER_DISABLE_TRIAL, 0, return_is_by_one_trial},
+    {"silent", AQ_ROUTER_DISABLE_SILENT, AQ_ROUTER_DISABLE_EJECTION,
      silent_connections_are_found},
-    {"leaving", AQ_WITHOUT_LEAVING, 0, leaving_gets_nothing_new},
-    {"freshness", AQ_WITHOUT_FRESHNESS, 0, not_fresh_starts_nothing},
-    {"stop", AQ_WITHOUT_STOP, 0, stop_finishes_what_was_taken},
+    {"leaving", AQ_ROUTER_DISABLE_LEAVING, 0, leaving_gets_nothing_new},
+    {"freshness", AQ_ROUTER_DISABLE_FRESHNESS, 0, not_fresh_starts_nothing},
+    {"stop", AQ_ROUTER_DISABLE_STOP, 0, stop_finishes_what_was_taken},
 };
 
 static bool
-run_scenario(size_t i, unsigned without, uint64_t seed)
+run_scenario(size_t i, unsigned disabled, uint64_t seed)
 {
     Sim sim;
-    Sim_Init(&sim, seed, without | scenarios[i].always);
+    Sim_Init(&sim, seed, disabled | scenarios[i].always);
     bool holds = scenarios[i].holds(&sim);
     CU_ASSERT_TRUE(AqRouter_CheckConsistency(sim.router, NULL));
-    CU_ASSERT_TRUE(without != 0 || Sim_Violations(&sim) == 0);
+    CU_ASSERT_TRUE(disabled != 0 || Sim_Violations(&sim) == 0);
     Sim_Clear(&sim);
     return holds;
 }
--- a/packages/router/tests/test_outcomes.c
+++ b/packages/router/tests/test_outcomes.c
@@ -106,7 +106,7 @@
 reach(Sim *sim, Moment moment, bool idempotent)
 {
     Sim_Start(sim, 2, moment == QUEUED ? 0 : 1, 20);
-    Sim_Submit(sim, idempotent, AQ_LIVE, 2000, 1);
+    Sim_Submit(sim, idempotent, AQ_PRIORITY_LIVE, 2000, 1);
     Sim_Run(sim, 1);
     if (moment == CLAIMING) {
         return;
@@ -185,7 +185,7 @@
 {
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
         Sim sim;
-        Sim_Init(&sim, i, AQ_WITHOUT_JITTER);
+        Sim_Init(&sim, i, AQ_ROUTER_DISABLE_JITTER);
         sim.manual = true;
         reach(&sim, cases[i].moment, cases[i].idempotent);
         apply(&sim, cases[i].fault);
@@ -232,10 +232,11 @@
         sim.endpoints[0].fixed_time = true;
         sim.claim_ms = 0;
         for (int n = 0; n < rows[i].samples; n++) {
-            Sim_Submit(&sim, true, AQ_LIVE, 10000, 0);
+            Sim_Submit(&sim, true, AQ_PRIORITY_LIVE, 10000, 0);
             Sim_Run(&sim, 20);
         }
-        Sim_Submit(&sim, rows[i].idempotent, AQ_LIVE, rows[i].deadline_ms, 1);
+        Sim_Submit(&sim, rows[i].idempotent, AQ_PRIORITY_LIVE,
+                   rows[i].deadline_ms, 1);
         Sim_Run(&sim, 1);
         const SimAttempt *last = Sim_Attempt(&sim, sim.attempts->len);
         CU_ASSERT_EQUAL(last->timeout_at - last->started, rows[i].expected_ms);
@@ -252,7 +253,7 @@
     Sim sim;
     Sim_Init(&sim, 1, 0);
     Sim_Start(&sim, 1, 8, 10);
-    Sim_Submit(&sim, true, AQ_LIVE, 60, 0);
+    Sim_Submit(&sim, true, AQ_PRIORITY_LIVE, 60, 0);
     sim.now += 5;
     AqRouter_Tick(sim.router, sim.now);
     CU_ASSERT_EQUAL(Sim_Request(&sim, 1)->starts, 1);
@@ -273,7 +274,7 @@
                 sim.endpoints[e].mean_ms = 800;
                 sim.endpoints[e].fixed_time = true;
             }
-            Sim_Submit(&sim, true, AQ_LIVE, 20000, 0);
+            Sim_Submit(&sim, true, AQ_PRIORITY_LIVE, 20000, 0);
             Sim_Run(&sim, i < 500 ? 10 : 50);
         }
         Sim_Run(&sim, 20000);
@@ -296,7 +297,7 @@
     Sim_Init(&sim, 1, 0);
     Sim_Start(&sim, 2, 8, 100);
     for (int i = 0; i < 150; i++) {
-        Sim_Submit(&sim, true, AQ_LIVE, 3000, 0);
+        Sim_Submit(&sim, true, AQ_PRIORITY_LIVE, 3000, 0);
     }
     Sim_Run(&sim, 1);
     CU_ASSERT_TRUE(AqRouter_Queued(sim.router, "s") > 100);
@@ -325,12 +326,12 @@
         Sim_Start(&sim, 1, 1, 99);
         sim.endpoints[0].fixed_time = true;
         for (int n = 0; n < 10; n++) {
-            Sim_Submit(&sim, true, AQ_LIVE, 10000, 0);
+            Sim_Submit(&sim, true, AQ_PRIORITY_LIVE, 10000, 0);
             Sim_Run(&sim, 200);
         }
         for (int n = 0; n < 20; n++) {
-            Sim_Submit(&sim, true, AQ_LIVE, n ? rows[i].deadline_ms : 10000,
-                       0);
+            Sim_Submit(&sim, true, AQ_PRIORITY_LIVE,
+                       n ? rows[i].deadline_ms : 10000, 0);
             Sim_Run(&sim, 0);
         }
         CU_ASSERT_EQUAL(AqRouter_Queued(sim.router, "s"), rows[i].admitted);
@@ -346,12 +347,12 @@
     Sim_Init(&sim, 1, 0);
     Sim_Start(&sim, 1, 8, 20);
     for (int i = 0; i < 8; i++) {
-        Sim_Submit(&sim, true, AQ_LIVE, 10000, 0);
+        Sim_Submit(&sim, true, AQ_PRIORITY_LIVE, 10000, 0);
     }
     Sim_Run(&sim, 1000);
     Sim_SilenceConnections(&sim, 0);
     CU_ASSERT_TRUE(sim.endpoints[0].idle_silent > 1);
-    Sim_Submit(&sim, true, AQ_LIVE, 10000, 0);
+    Sim_Submit(&sim, true, AQ_PRIORITY_LIVE, 10000, 0);
     Sim_Run(&sim, 5000);
     CU_ASSERT_EQUAL(sim.endpoints[0].idle_silent, 0);
     CU_ASSERT_EQUAL(Sim_Request(&sim, 9)->outcome.kind, AQ_OUTCOME_COMPLETED);
@@ -388,19 +389,19 @@
     Sim_Init(&sim, 1, 0);
     Sim_Start(&sim, 1, 1, 100);
     for (int i = 0; i < 60; i++) {
-        Sim_Submit(&sim, true, i < 40 ? AQ_ARCHIVE : AQ_LIVE,
+        Sim_Submit(&sim, true, i < 40 ? AQ_PRIORITY_ARCHIVE : AQ_PRIORITY_LIVE,
                    i < 40 ? 60000 : 5000, 0);
     }
     /* With the default mean of 100 ms, 20 live requests and 2 of the archive
      * ahead need 1.5 x 2.2 s + 0.4 s; 60 ahead would need 9.4 s. */
     CU_ASSERT_EQUAL(AqRouter_Queued(sim.router, "s"), 60);
-    Sim_Submit(&sim, true, AQ_ARCHIVE, 5000, 0);
+    Sim_Submit(&sim, true, AQ_PRIORITY_ARCHIVE, 5000, 0);
     CU_ASSERT_EQUAL(AqRouter_Queued(sim.router, "s"), 60);
     /* 5 s allow for 30 requests ahead.  With the archive's share of one in
      * 7 live starts, these are 27 live and 3 of the archive: the 29th live
      * request is refused. */
     for (int i = 0; i < 20; i++) {
-        Sim_Submit(&sim, true, AQ_LIVE, 5000, 0);
+        Sim_Submit(&sim, true, AQ_PRIORITY_LIVE, 5000, 0);
     }
     CU_ASSERT_EQUAL(AqRouter_Queued(sim.router, "s"), 68);
     Sim_Clear(&sim);
--- a/packages/router/tests/test_random.c
+++ b/packages/router/tests/test_random.c
@@ -79,8 +79,8 @@
         AqTime timeout =
             (AqTime)below(sim, 10) == 0 ? 0 : (AqTime)below(sim, 3000);
         Sim_Submit(sim, below(sim, 2) == 0,
-                   below(sim, 2) ? AQ_LIVE : AQ_ARCHIVE, timeout,
-                   below(sim, 1000));
+                   below(sim, 2) ? AQ_PRIORITY_LIVE : AQ_PRIORITY_ARCHIVE,
+                   timeout, below(sim, 1000));
     }
     else if (action < 55 && sim->open->len > 0) {
         uint64_t attempt = any_of(sim, sim->open);
@@ -137,12 +137,12 @@
 }
 
 static bool
-run_seed(uint64_t seed, unsigned without)
+run_seed(uint64_t seed, unsigned disabled)
 {
     Sim sim;
     AqError error;
     AqError_Clear(&error);
-    Sim_Init(&sim, seed, without);
+    Sim_Init(&sim, seed, disabled);
     sim.manual = true;
     /* More retries and trials than with the defaults. */
     sim.config.queue_limit = 20;
@@ -158,7 +158,7 @@
     int unfinished = ok ? count_unfinished(&sim) : 0;
     ok = ok && unfinished == 0 && Sim_Violations(&sim) == 0 &&
          AqRouter_TotalInFlight(sim.router) == 0;
-    if (!ok && without == 0) {
+    if (!ok && disabled == 0) {
         printf("\nseed %d: %s; %d unfinished; violations", (int)seed,
                error.message, unfinished);
         for (int i = 0; i < SIM_RULES; i++) {
@@ -180,10 +180,10 @@
     }
     /* The same checks must notice when a rule is missing. */
     static const unsigned rules[] = {
-        AQ_WITHOUT_CLAIM,
-        AQ_WITHOUT_RETRY_RULE,
-        AQ_WITHOUT_LEAVING,
-        AQ_WITHOUT_FRESHNESS,
+        AQ_ROUTER_DISABLE_CLAIM,
+        AQ_ROUTER_DISABLE_RETRY_RULE,
+        AQ_ROUTER_DISABLE_LEAVING,
+        AQ_ROUTER_DISABLE_FRESHNESS,
     };
     for (size_t i = 0; i < G_N_ELEMENTS(rules); i++) {
         int caught = 0;
--- a/packages/scheduler/Include/aq_machines.h
+++ b/packages/scheduler/Include/aq_machines.h
@@ -9,19 +9,19 @@
 #include "aq_worker_client.h"
 
 /* The platform's list of VMs and the orders that move them between pools or
- * take them down for upkeep, and the operator's waves of upkeep. */
+ * take them down for maintenance, and the operator's waves of maintenance. */
 
 typedef enum {
     AQ_MACHINE_UP,
     AQ_MACHINE_MOVING,
-    AQ_MACHINE_UPKEEP,
+    AQ_MACHINE_MAINTENANCE,
     AQ_MACHINE_DOWN
 } AqMachineState;
 
 typedef struct {
     char machine[AQ_VM_ID_SIZE];
     char pool[64];
-    char vm[AQ_VM_ID_SIZE]; /* id of its present life, or "" */
+    char vm[AQ_VM_ID_SIZE]; /* id of its present incarnation, or "" */
     char zone[64];
     char rack[64];
     AqMachineState state;
@@ -46,28 +46,29 @@
     size_t count;
 } AqMachineList;
 
-typedef struct AqMachineCalls AqMachineCalls;
+typedef struct AqMachineClient AqMachineClient;
 
 typedef void (*AqMachineListDone)(void *context, const AqMachineList *list);
 typedef void (*AqMachineOrderDone)(void *context, AqMachineResult result);
 
 typedef struct {
-    void (*list)(AqMachineCalls *calls, AqMachineListDone done, void *context);
-    void (*move)(AqMachineCalls *calls, const char *machine, const char *pool,
+    void (*list)(AqMachineClient *calls, AqMachineListDone done,
+                 void *context);
+    void (*move)(AqMachineClient *calls, const char *machine, const char *pool,
                  const char *holder, uint64_t fence, AqMachineOrderDone done,
                  void *context);
-    void (*upkeep)(AqMachineCalls *calls, const char *machine, int64_t wave,
-                   const char *holder, uint64_t fence, AqMachineOrderDone done,
-                   void *context);
-    void (*destroy)(AqMachineCalls *calls);
-} AqMachineCallsOps;
-
-struct AqMachineCalls {
-    const AqMachineCallsOps *ops;
+    void (*maintenance)(AqMachineClient *calls, const char *machine,
+                        int64_t wave, const char *holder, uint64_t fence,
+                        AqMachineOrderDone done, void *context);
+    void (*destroy)(AqMachineClient *calls);
+} AqMachineClientOps;
+
+struct AqMachineClient {
+    const AqMachineClientOps *ops;
 };
 
-/* A wave: each of the VMs has its upkeep within "within_ms", at most "cap"
- * at a time. */
+/* A wave: each of the VMs has its maintenance within "within_ms", at most
+ * "cap" at a time. */
 typedef struct {
     int64_t number;
     char (*machines)[AQ_VM_ID_SIZE]; /* owned */
@@ -93,17 +94,17 @@
 
 typedef void (*AqAdviceDone)(void *context, const AqAdviceReply *reply);
 
-typedef struct AqAdviceCalls AqAdviceCalls;
+typedef struct AqAdviceClient AqAdviceClient;
 
 typedef struct {
-    void (*ask)(AqAdviceCalls *calls, const AqTaskName *step,
-                const char *const *vms, size_t count, AqAdviceDone done,
-                void *context);
-    void (*destroy)(AqAdviceCalls *calls);
-} AqAdviceCallsOps;
-
-struct AqAdviceCalls {
-    const AqAdviceCallsOps *ops;
+    void (*request_tickets)(AqAdviceClient *calls, const AqTaskName *step,
+                            const char *const *vms, size_t count,
+                            AqAdviceDone done, void *context);
+    void (*destroy)(AqAdviceClient *calls);
+} AqAdviceClientOps;
+
+struct AqAdviceClient {
+    const AqAdviceClientOps *ops;
 };
 
 #endif
--- a/packages/scheduler/Include/aq_scheduler.h
+++ b/packages/scheduler/Include/aq_scheduler.h
@@ -22,9 +22,9 @@
  * - a run's number is above all earlier ones, over all owners;
  * - an end is confirmed to its VM only when the job's record is stored.
  *
- * A new owner knows from the roster which VMs earlier owners used.  Until each
- * of them has answered under the new fence, or its leases must have lapsed,
- * nothing is started. */
+ * A new owner knows from the stored list of used VMs which ones earlier owners
+ * used.  Until each of them has answered under the new fence, or its leases
+ * must have lapsed, nothing is started. */
 
 typedef struct AqScheduler AqScheduler;
 
@@ -59,10 +59,10 @@
                  const AqHoldOrder *order);
     void (*pace)(void *context, const AqOrderTarget *target,
                  const AqTaskName *task, int64_t run, int percent);
-    void (*ask_tickets)(void *context, const AqTaskName *step,
-                        const char *const *vms, size_t count);
+    void (*request_tickets)(void *context, const AqTaskName *step,
+                            const char *const *vms, size_t count);
     /* A VM answered that a later owner gives orders. */
-    void (*deposed)(void *context);
+    void (*superseded)(void *context);
 } AqSchedulerActions;
 
 AqScheduler *AqScheduler_Create(const AqSchedulerConfig *config,
@@ -100,10 +100,10 @@
 /* The VM has gone down or to another pool by an order: all that ran there has
  * ended.  One that answers again is taken back. */
 void AqScheduler_VmEnded(AqScheduler *scheduler, const char *id, AqTime now);
-/* No new tasks there; lasting ones move away as their steps allow. */
+/* No new tasks there; perpetual ones move away as their steps allow. */
 void AqScheduler_SetCordon(AqScheduler *scheduler, const char *id,
                            bool is_cordoned);
-/* Stops what runs on the VM, but for lasting tasks, to be started elsewhere.
+/* Stops what runs on the VM, but for perpetual tasks, to be started elsewhere.
  * Saved work is kept. */
 void AqScheduler_StopTasks(AqScheduler *scheduler, const char *id, AqTime now);
 /* Whether nothing runs, starts or stops there, and no end of a run is known to
@@ -115,8 +115,8 @@
     const char *machine; /* borrowed */
     bool is_usable;      /* listed, answering, not draining or cordoned */
     bool is_answering;
-    size_t tasks;         /* running, starting and stopping */
-    size_t lasting_tasks; /* of them perpetual */
+    size_t tasks;           /* running, starting and stopping */
+    size_t perpetual_tasks; /* of them perpetual */
     int64_t cpu_millis;
     AqTime idle_since; /* when the last task ended; AQ_TIME_NEVER: not idle */
     /* Orders may have gone to it, it is not known to have ended, and does not
@@ -130,21 +130,21 @@
                                       const AqScheduledVm *view),
                         void *context);
 
-/* Gives no more orders, for a hand-over: the roster then holds only the VMs
- * that have tasks, and names these, so that the next owner waits for nothing
- * else. */
+/* Gives no more orders, for a hand-over: the list of used VMs then holds only
+ * those that have tasks, and names these, so that the next owner waits for
+ * nothing else. */
 void AqScheduler_Close(AqScheduler *scheduler);
 
 /* VMs that orders may have gone to.  They must be stored before the first
- * order: AqScheduler_RosterSaved with the version that was written. */
-uint64_t AqScheduler_RosterVersion(const AqScheduler *scheduler);
-void AqScheduler_EncodeRoster(const AqScheduler *scheduler, AqBuffer *out);
-void AqScheduler_RosterSaved(AqScheduler *scheduler, uint64_t version);
-/* Adds the VMs of a stored roster; false when it is damaged. */
-bool AqScheduler_AddRoster(AqScheduler *scheduler, const char *bytes,
-                           size_t size, AqTime now);
-
-/* The stored roster and jobs are all added.  Nothing starts before. */
+ * order: AqScheduler_UsedVmsSaved with the version that was written. */
+uint64_t AqScheduler_UsedVmsVersion(const AqScheduler *scheduler);
+void AqScheduler_EncodeUsedVms(const AqScheduler *scheduler, AqBuffer *out);
+void AqScheduler_UsedVmsSaved(AqScheduler *scheduler, uint64_t version);
+/* Adds the VMs of a stored list of used VMs; false when it is damaged. */
+bool AqScheduler_AddUsedVms(AqScheduler *scheduler, const char *bytes,
+                            size_t size, AqTime now);
+
+/* The stored used VMs and jobs are all added.  Nothing starts before. */
 void AqScheduler_SetLoaded(AqScheduler *scheduler);
 
 /* ---- Replies ------------------------------------------------------------ */
@@ -192,15 +192,15 @@
 typedef struct {
     int64_t ready_cpu_millis; /* of tasks that could start now */
     int64_t used_cpu_millis;
-    int64_t lasting_cpu_millis; /* of it by perpetual tasks */
-    int64_t room_cpu_millis;    /* of usable VMs */
+    int64_t perpetual_cpu_millis; /* of it by perpetual tasks */
+    int64_t capacity_cpu_millis;  /* of usable VMs */
     /* Cores that the work submitted lately needs, were it to go on so. */
     int64_t offered_cpu_millis;
     size_t ready_tasks;
     size_t jobs;            /* not finished */
     AqTime longest_wait_ms; /* of a ready task */
-    size_t widest_spread;   /* VMs that a lasting step needs, one for a task */
-    bool is_settled;        /* starts are allowed */
+    size_t widest_spread; /* VMs that a perpetual step needs, one for a task */
+    bool is_recovered;    /* starts are allowed */
 } AqSchedulerLoad;
 
 void AqScheduler_GetLoad(AqScheduler *scheduler, AqTime now,
--- a/packages/scheduler/Include/aq_waves.h
+++ b/packages/scheduler/Include/aq_waves.h
@@ -5,14 +5,14 @@
 #include "aq_clock.h"
 #include "aq_machines.h"
 
-/* Waves of upkeep.  Owners of several pools work on one wave; what they share
- * is its record in the store, which each changes only by a write that
+/* Waves of maintenance.  Owners of several pools work on one wave; what they
+ * share is its record in the store, which each changes only by a write that
  * requires the record it has read.  So never more than "cap" VMs of a wave
  * are down, whoever orders them. */
 
 typedef enum {
     AQ_WAVE_WAITING,
-    AQ_WAVE_BEGUN, /* its upkeep is ordered, or about to be */
+    AQ_WAVE_BEGUN, /* its maintenance is ordered, or about to be */
     AQ_WAVE_DONE,  /* it is back */
     AQ_WAVE_GONE   /* there is no such VM any more */
 } AqWaveState;
@@ -38,7 +38,7 @@
 
 /* Whether one more VM may go down now. */
 bool AqWave_HasSlot(const AqWave *wave);
-/* Whether all VMs have begun their upkeep or are gone. */
+/* Whether all VMs have begun their maintenance or are gone. */
 bool AqWave_IsCompleted(const AqWave *wave);
 /* Whether all VMs are back or gone: nothing is left to do. */
 bool AqWave_IsOver(const AqWave *wave);
--- a/packages/scheduler/Include/aq_worker_client.h
+++ b/packages/scheduler/Include/aq_worker_client.h
@@ -1,5 +1,5 @@
-#ifndef AQ_WORKER_CALLS_H
-#define AQ_WORKER_CALLS_H
+#ifndef AQ_WORKER_CLIENT_H
+#define AQ_WORKER_CLIENT_H
 
 #include <stdbool.h>
 #include <stddef.h>
@@ -26,11 +26,11 @@
 
 /* What the VM's process says of itself in the store. */
 typedef struct {
-    char id[AQ_VM_ID_SIZE]; /* of this life of the VM */
+    char id[AQ_VM_ID_SIZE]; /* of this incarnation of the VM */
     char address[32];       /* "IP:port" */
     char pool[64];
     char zone[64];
-    char machine[AQ_VM_ID_SIZE]; /* the VM, the same in all its lives, or "" */
+    char machine[AQ_VM_ID_SIZE]; /* the VM; one in all incarnations, or "" */
     char kind[64];
     char rack[64];
     int64_t cpu_millis;
@@ -47,7 +47,7 @@
     AQ_ORDER_LATE,    /* the deadline has passed on the VM's clock */
     AQ_ORDER_NO_ROOM,
     AQ_ORDER_NO_TICKET,
-    AQ_ORDER_OTHER_LIFE, /* another life of the VM answered */
+    AQ_ORDER_OTHER_LIFE, /* another incarnation of the VM answered */
     AQ_ORDER_UNHEALTHY,  /* refused by an unhealthy VM; nothing was done */
     AQ_ORDER_INVALID,    /* refused as malformed; nothing was done */
     AQ_ORDER_NOT_SENT,   /* nothing left this process */
@@ -76,7 +76,7 @@
 } AqEndKind;
 
 typedef struct {
-    int64_t number; /* rises within a life of the VM */
+    int64_t number; /* rises within an incarnation of the VM */
     AqTaskName task;
     int64_t run;
     AqEndKind kind;
@@ -97,7 +97,7 @@
 
 typedef struct {
     const char *address;
-    const char *vm; /* id of the life that is meant */
+    const char *vm; /* id of the incarnation that is meant */
 } AqOrderTarget;
 
 typedef struct {
@@ -113,29 +113,29 @@
 typedef struct {
     AqTime deadline_ms; /* on the VM's clock; -1: leave it */
     uint64_t fence;
-    int64_t last_seen; /* highest end that may be forgotten */
+    int64_t acked_end; /* highest end that may be forgotten */
     AqTime wait_ms;    /* the answer waits for an end */
 } AqHoldOrder;
 
-typedef struct AqWorkerCalls AqWorkerCalls;
+typedef struct AqWorkerClient AqWorkerClient;
 
 /* Every call ends with one call of "done" from the event loop. */
 typedef struct {
-    void (*start)(AqWorkerCalls *calls, const AqOrderTarget *target,
+    void (*start)(AqWorkerClient *calls, const AqOrderTarget *target,
                   const AqStartOrder *order, AqOrderDone done, void *context);
-    void (*stop)(AqWorkerCalls *calls, const AqOrderTarget *target,
+    void (*stop)(AqWorkerClient *calls, const AqOrderTarget *target,
                  const AqTaskName *task, int64_t run, uint64_t fence,
                  AqOrderDone done, void *context);
-    void (*hold)(AqWorkerCalls *calls, const AqOrderTarget *target,
+    void (*hold)(AqWorkerClient *calls, const AqOrderTarget *target,
                  const AqHoldOrder *order, AqOrderDone done, void *context);
-    void (*pace)(AqWorkerCalls *calls, const AqOrderTarget *target,
+    void (*pace)(AqWorkerClient *calls, const AqOrderTarget *target,
                  const AqTaskName *task, int64_t run, int percent,
                  uint64_t fence, AqOrderDone done, void *context);
-    void (*destroy)(AqWorkerCalls *calls);
-} AqWorkerCallsOps;
+    void (*destroy)(AqWorkerClient *calls);
+} AqWorkerClientOps;
 
-struct AqWorkerCalls {
-    const AqWorkerCallsOps *ops;
+struct AqWorkerClient {
+    const AqWorkerClientOps *ops;
 };
 
 #endif
--- a/packages/scheduler/machine_requests.c
+++ b/packages/scheduler/machine_requests.c
@@ -12,29 +12,29 @@
 };
 
 void
-AqAskList_Clear(AqAskList *list)
+AqMachineRequestList_Clear(AqMachineRequestList *list)
 {
-    free(list->asks);
+    free(list->requests);
     memset(list, 0, sizeof(*list));
 }
 
 void
-AqAskList_Encode(const AqAskList *list, AqBuffer *out)
+AqMachineRequestList_Encode(const AqMachineRequestList *list, AqBuffer *out)
 {
     msgpack_packer packer;
     msgpack_packer_init(&packer, out, record_write);
     msgpack_pack_array(&packer, LIST_FIELDS);
     msgpack_pack_uint64(&packer, list->fence);
-    msgpack_pack_uint64(&packer, list->wanted);
+    msgpack_pack_uint64(&packer, list->requested_vms);
     msgpack_pack_array(&packer, list->count);
     for (size_t i = 0; i < list->count; i++) {
-        const AqAsk *ask = &list->asks[i];
+        const AqMachineRequest *request = &list->requests[i];
         msgpack_pack_array(&packer, ASK_FIELDS);
-        msgpack_pack_int64(&packer, ask->number);
-        record_pack_text(&packer, ask->machine);
-        record_pack_text(&packer, ask->to_pool);
-        msgpack_pack_int64(&packer, ask->wave);
-        msgpack_pack_int(&packer, ask->is_refused);
+        msgpack_pack_int64(&packer, request->number);
+        record_pack_text(&packer, request->machine);
+        record_pack_text(&packer, request->to_pool);
+        msgpack_pack_int64(&packer, request->wave);
+        msgpack_pack_int(&packer, request->is_refused);
     }
 }
 
@@ -50,7 +50,7 @@
 }
 
 static bool
-decode_ask(const msgpack_object *row, AqAsk *ask)
+decode_request(const msgpack_object *row, AqMachineRequest *request)
 {
     if (row->type != MSGPACK_OBJECT_ARRAY ||
         row->via.array.size < ASK_FIELDS) {
@@ -61,34 +61,35 @@
     if (!record_int(&at[4], 0, 1, &is_refused)) {
         return false;
     }
-    ask->is_refused = is_refused != 0;
-    return record_int(&at[0], 0, INT64_MAX, &ask->number) &&
-           copy_text(&at[1], ask->machine, sizeof(ask->machine)) &&
-           copy_text(&at[2], ask->to_pool, sizeof(ask->to_pool)) &&
-           record_int(&at[3], 0, INT64_MAX, &ask->wave);
+    request->is_refused = is_refused != 0;
+    return record_int(&at[0], 0, INT64_MAX, &request->number) &&
+           copy_text(&at[1], request->machine, sizeof(request->machine)) &&
+           copy_text(&at[2], request->to_pool, sizeof(request->to_pool)) &&
+           record_int(&at[3], 0, INT64_MAX, &request->wave);
 }
 
 static bool
-decode_list(const msgpack_object *root, AqAskList *list)
+decode_list(const msgpack_object *root, AqMachineRequestList *list)
 {
     int64_t fence;
-    int64_t wanted;
+    int64_t requested_vms;
     if (root->type != MSGPACK_OBJECT_ARRAY ||
         root->via.array.size < LIST_FIELDS ||
         !record_int(&root->via.array.ptr[0], 0, INT64_MAX, &fence) ||
-        !record_int(&root->via.array.ptr[1], 0, AQ_ASKS_MAX, &wanted)) {
+        !record_int(&root->via.array.ptr[1], 0, AQ_MACHINE_REQUESTS_MAX,
+                    &requested_vms)) {
         return false;
     }
     const msgpack_object *rows = &root->via.array.ptr[2];
     if (rows->type != MSGPACK_OBJECT_ARRAY ||
-        rows->via.array.size > AQ_ASKS_MAX) {
+        rows->via.array.size > AQ_MACHINE_REQUESTS_MAX) {
         return false;
     }
     list->fence = (uint64_t)fence;
-    list->wanted = (size_t)wanted;
-    list->asks = calloc(rows->via.array.size + 1, sizeof(*list->asks));
+    list->requested_vms = (size_t)requested_vms;
+    list->requests = calloc(rows->via.array.size + 1, sizeof(*list->requests));
     for (uint32_t i = 0; i < rows->via.array.size; i++) {
-        if (!decode_ask(&rows->via.array.ptr[i], &list->asks[i])) {
+        if (!decode_request(&rows->via.array.ptr[i], &list->requests[i])) {
             return false;
         }
         list->count++;
@@ -97,7 +98,8 @@
 }
 
 bool
-AqAskList_Decode(const char *bytes, size_t size, AqAskList *list)
+AqMachineRequestList_Decode(const char *bytes, size_t size,
+                            AqMachineRequestList *list)
 {
     msgpack_unpacked unpacked;
     memset(list, 0, sizeof(*list));
@@ -105,7 +107,7 @@
               decode_list(&unpacked.data, list);
     msgpack_unpacked_destroy(&unpacked);
     if (!ok) {
-        AqAskList_Clear(list);
+        AqMachineRequestList_Clear(list);
     }
     return ok;
 }
--- a/packages/scheduler/perpetual.c
+++ b/packages/scheduler/perpetual.c
@@ -85,7 +85,7 @@
 }
 
 static void
-move_lasting(AqScheduler *s, const Vm *vm)
+move_perpetual(AqScheduler *s, const Vm *vm)
 {
     AqList_ForEachSafe(at, after, &vm->tasks)
     {
@@ -176,7 +176,7 @@
 }
 
 void
-lasting_tick(AqScheduler *s)
+perpetual_tick(AqScheduler *s)
 {
     if (s->now < s->next_scan) {
         return;
@@ -188,14 +188,14 @@
     {
         const Vm *vm = AqList_Entry(at, Vm, link);
         if (vm->report.is_draining) {
-            move_lasting(s, vm);
+            move_perpetual(s, vm);
         }
     }
     AqList_ForEach(at, &s->vms)
     {
         const Vm *vm = AqList_Entry(at, Vm, link);
         if (vm->is_cordoned && !vm->report.is_draining) {
-            move_lasting(s, vm);
+            move_perpetual(s, vm);
         }
         pace_fillers(s, vm);
     }
--- a/packages/scheduler/placement.c
+++ b/packages/scheduler/placement.c
@@ -178,12 +178,12 @@
 }
 
 static void
-ask_tickets(AqScheduler *s, Step *step)
+request_tickets(AqScheduler *s, Step *step)
 {
     const char *vms[MAX_ADVICE];
     size_t count = 0;
     AqTaskName name;
-    if (step->is_asking || step->ask_at > s->now) {
+    if (step->is_requesting_tickets || step->request_tickets_at > s->now) {
         return;
     }
     AqList_ForEach(at, &s->vms)
@@ -197,9 +197,9 @@
         return;
     }
     scheduler_name_task(&step->tasks[0], &name);
-    step->is_asking = true;
-    step->ask_at = s->now + TICKET_RETRY_MS;
-    s->actions.ask_tickets(s->context, &name, vms, count);
+    step->is_requesting_tickets = true;
+    step->request_tickets_at = s->now + TICKET_RETRY_MS;
+    s->actions.request_tickets(s->context, &name, vms, count);
 }
 
 /* The number of a new run: above all of the task, and above those that an
@@ -280,7 +280,7 @@
         while (placed-- > 0) {
             Task *task = &step->tasks[placed];
             AqTime since = task->ready_at;
-            scheduler_task_again(s, task);
+            scheduler_requeue_task(s, task);
             task->run = earlier[placed];
             task->ready_at = since;
         }
@@ -328,7 +328,7 @@
                 continue;
             }
             if (needs_ticket(s, step)) {
-                ask_tickets(s, step);
+                request_tickets(s, step);
             }
             if (step->spec->is_gang) {
                 place_gang(s, step);
@@ -343,7 +343,7 @@
 void
 placement_run(AqScheduler *s)
 {
-    if (!s->is_loaded || (!s->place_again && s->now < s->next_place)) {
+    if (!s->is_loaded || (!s->placement_due && s->now < s->next_place)) {
         return;
     }
     enum {
@@ -354,7 +354,7 @@
     if (s->now < s->earliest_place) {
         return;
     }
-    s->place_again = false;
+    s->placement_due = false;
     s->next_place = s->now + PLACE_EVERY_MS;
     s->earliest_place = s->now + PLACE_PAUSE_MS;
     measure_free(s);
@@ -363,7 +363,7 @@
     AqList_ForEach(at, &s->active)
     {
         Job *job = AqList_Entry(at, Job, link);
-        bool may_start = s->is_settled || job->is_new;
+        bool may_start = s->is_recovered || job->is_new;
         if (may_start && ranking_update(s, job)) {
             jobs[count++] = job;
         }
@@ -421,8 +421,9 @@
     Step *step = find_step(s, name);
     s->now = now;
     if (step != NULL) {
-        step->is_asking = false;
-        step->ask_at = now + (is_answered ? ASK_AGAIN_MS : TICKET_RETRY_MS);
-        s->place_again = true;
+        step->is_requesting_tickets = false;
+        step->request_tickets_at =
+            now + (is_answered ? ASK_AGAIN_MS : TICKET_RETRY_MS);
+        s->placement_due = true;
     }
 }
--- a/packages/scheduler/ranking.c
+++ b/packages/scheduler/ranking.c
@@ -5,7 +5,7 @@
  * A job that can still be in time goes before one that cannot, and among
  * those the one with the least work left, so that the most jobs are in time.
  * Late jobs follow in the same order, then those so late that nobody gains
- * from haste, oldest first.  Lasting tasks go first of all: their users wait
+ * from haste, oldest first.  Perpetual tasks go first of all: their users wait
  * now, and they are started rarely. */
 
 enum {
@@ -55,14 +55,15 @@
 }
 
 static bool
-has_ready_tasks(const Occurrence *occurrence, bool *is_lasting)
+has_ready_tasks(const Occurrence *occurrence, bool *is_perpetual_task)
 {
     bool has_ready = false;
     for (size_t i = 0; i < occurrence->job->spec.step_count; i++) {
         const Step *step = &occurrence->steps[i];
         if (step->ready > 0) {
             has_ready = true;
-            *is_lasting = *is_lasting || step->spec->is_perpetual;
+            *is_perpetual_task =
+                *is_perpetual_task || step->spec->is_perpetual;
         }
     }
     return has_ready;
@@ -73,7 +74,7 @@
 {
     const AqQueueConfig *queue = scheduler_queue(s, job);
     bool has_ready = false;
-    bool is_lasting = false;
+    bool is_perpetual_task = false;
     AqTime chain = 0;
     AqTime left = 0;
     AqTime since = job->submitted_at;
@@ -81,7 +82,7 @@
     AqList_ForEach(at, &job->occurrences)
     {
         const Occurrence *occurrence = AqList_Entry(at, Occurrence, link);
-        if (!has_ready_tasks(occurrence, &is_lasting)) {
+        if (!has_ready_tasks(occurrence, &is_perpetual_task)) {
             continue;
         }
         if (!has_ready && job->spec.occurrences > 0) {
@@ -98,7 +99,7 @@
     AqTime target = queue != NULL ? queue->target_ms : 0;
     AqTime objective = (AqTime)((double)chain * stretch) + target;
     job->slack = since + objective - s->now - left;
-    if (is_lasting) {
+    if (is_perpetual_task) {
         job->bucket = BUCKET_LASTING;
     }
     else if (job->slack >= 0) {
--- a/packages/scheduler/replies.c
+++ b/packages/scheduler/replies.c
@@ -13,7 +13,7 @@
      * declared time, is started elsewhere. */
     STALL_MS = 1200,
     STALL_SHARE = 25,
-    /* A lasting task starts up within a second or two. */
+    /* A perpetual task starts up within a second or two. */
     LASTING_START_MS = 5000
 };
 
@@ -104,9 +104,9 @@
 {
     switch (reply->result) {
     case AQ_ORDER_FENCED:
-        if (!s->is_deposed) {
-            s->is_deposed = true;
-            s->actions.deposed(s->context);
+        if (!s->is_superseded) {
+            s->is_superseded = true;
+            s->actions.superseded(s->context);
         }
         return true;
     case AQ_ORDER_OTHER_LIFE:
@@ -116,10 +116,10 @@
         return true;
     case AQ_ORDER_UNKNOWN:
     case AQ_ORDER_NOT_SENT:
-        vms_not_heard(s, vm);
+        vms_on_no_reply(s, vm);
         return false;
     default:
-        vms_heard(s, vm, reply);
+        vms_on_reply(s, vm, reply);
         return false;
     }
 }
@@ -171,7 +171,7 @@
         replies_order_stop(s, task);
         return;
     }
-    scheduler_task_again(s, task);
+    scheduler_requeue_task(s, task);
     task->not_before = s->now + pause;
 }
 
@@ -287,7 +287,7 @@
     if (is_latest) {
         task->run = end->run;
         set_checkpoint(task, end->checkpoint);
-        scheduler_task_again(s, task);
+        scheduler_requeue_task(s, task);
     }
     if (end->kind == AQ_END_FAILED) {
         vms_note_end(s, vm, task, true);
@@ -457,7 +457,7 @@
             s->counters.lost++;
             log_task(AQ_LOG_WARNING, "run_vanished", task, vm, s, "again");
         }
-        scheduler_task_again(s, task);
+        scheduler_requeue_task(s, task);
     }
 }
 
@@ -506,7 +506,7 @@
         vm->hold_due = now + RESEND_MS;
     }
     if (is_first) {
-        s->place_again = true;
+        s->placement_due = true;
     }
 }
 
--- a/packages/scheduler/scheduler.c
+++ b/packages/scheduler/scheduler.c
@@ -176,7 +176,7 @@
                 task->state = TASK_READY;
                 task->ready_at = s->now;
                 step->ready++;
-                s->place_again = true;
+                s->placement_due = true;
             }
         }
     }
@@ -342,7 +342,7 @@
         job->next_occurrence = 1;
     }
     finish_if_done(s, job);
-    s->place_again = true;
+    s->placement_due = true;
     return true;
 }
 
@@ -456,14 +456,14 @@
         }
     }
     scheduler_changed(s, step->occurrence->job);
-    s->place_again = true;
+    s->placement_due = true;
     if (step->done == step->spec->task_count) {
         complete_step(s, step);
     }
 }
 
 void
-scheduler_task_again(AqScheduler *s, Task *task)
+scheduler_requeue_task(AqScheduler *s, Task *task)
 {
     vms_detach(s, task);
     if (task->state != TASK_READY && task->state != TASK_DONE) {
@@ -481,7 +481,7 @@
     if (task->absent_since == AQ_TIME_NEVER) {
         task->absent_since = s->now;
     }
-    s->place_again = true;
+    s->placement_due = true;
 }
 
 static bool
@@ -543,7 +543,7 @@
 {
     s->now = now;
     s->wall = wall;
-    s->may_order = may_order && !s->is_deposed && !s->is_closed;
+    s->may_order = may_order && !s->is_superseded && !s->is_closed;
     AqList_ForEachSafe(at, after, &s->active)
     {
         Job *job = AqList_Entry(at, Job, link);
@@ -553,10 +553,10 @@
     }
     AqTime due = vms_tick(s);
     if (s->may_order) {
-        lasting_tick(s);
+        perpetual_tick(s);
         placement_run(s);
     }
-    AqTime latest = s->place_again ? s->earliest_place : now + TICK_MS;
+    AqTime latest = s->placement_due ? s->earliest_place : now + TICK_MS;
     return due < latest ? due : latest;
 }
 
@@ -593,7 +593,7 @@
     s->now = now;
     fade_offered(s);
     load->offered_cpu_millis = (int64_t)(expected_offer(s) * 1000.0);
-    load->is_settled = s->is_settled;
+    load->is_recovered = s->is_recovered;
     AqList_ForEach(at, &s->active)
     {
         const Job *job = AqList_Entry(at, Job, link);
@@ -611,9 +611,9 @@
     {
         const Vm *vm = AqList_Entry(at, Vm, link);
         load->used_cpu_millis += vm->used_cpu;
-        load->lasting_cpu_millis += vm->lasting_cpu;
+        load->perpetual_cpu_millis += vm->perpetual_cpu;
         if (vms_is_usable(s, vm)) {
-            load->room_cpu_millis += vm->report.cpu_millis;
+            load->capacity_cpu_millis += vm->report.cpu_millis;
         }
     }
 }
@@ -641,7 +641,7 @@
     s->taken_ms = 1000.0;
     s->jobs = g_hash_table_new(g_str_hash, g_str_equal);
     s->vms_by_id = g_hash_table_new(g_str_hash, g_str_equal);
-    s->handed = g_array_new(FALSE, FALSE, sizeof(HandedTask));
+    s->inherited_runs = g_array_new(FALSE, FALSE, sizeof(InheritedRun));
     AqList_Init(&s->active);
     AqList_Init(&s->dirty);
     AqList_Init(&s->vms);
@@ -666,7 +666,7 @@
         vms_free(AqList_Entry(at, Vm, link));
     }
     g_hash_table_destroy(s->vms_by_id);
-    g_array_free(s->handed, TRUE);
+    g_array_free(s->inherited_runs, TRUE);
     free(s);
 }
 
@@ -674,7 +674,7 @@
 AqScheduler_SetSite(AqScheduler *s, const AqSiteConfig *site)
 {
     s->site = site;
-    s->place_again = true;
+    s->placement_due = true;
 }
 
 /* ---- Consistency -------------------------------------------------------- */
--- a/packages/scheduler/scheduler_internal.h
+++ b/packages/scheduler/scheduler_internal.h
@@ -9,11 +9,11 @@
 /* Shared by the files of the scheduler.  Each file owns one decision:
  * scheduler.c   jobs, steps and time
  * vms.c         what is believed of each VM, leases and silence
- * used_vms.c      which VMs later owners have to hear from
+ * used_vms.c    which VMs later owners have to hear from
  * replies.c     what a reply means for tasks
  * ranking.c     which job comes first
  * placement.c   which VM a task goes to
- * perpetual.c     lasting tasks: moves off a VM, pacing of fillers
+ * perpetual.c   perpetual tasks: moves off a VM, pacing of fillers
  * progress.c    the stored record of a job */
 
 typedef enum {
@@ -36,7 +36,7 @@
     int64_t run; /* highest number used */
     uint32_t failures;
     int64_t *failed_runs; /* numbers of "failures" runs; owned; not kept of
-                           * lasting tasks, which may fail for ever */
+                           * perpetual tasks, which may fail for ever */
     Vm *vm;               /* of the run that may be alive; borrowed */
     AqLink link;          /* in vm->tasks */
     bool is_order_out;    /* a start or stop has no answer yet */
@@ -53,7 +53,7 @@
     int64_t usage;
     int pace; /* percent it may work at */
     AqTime paced_at;
-    AqTime absent_since; /* lasting: not at work; AQ_TIME_NEVER: at work */
+    AqTime absent_since; /* perpetual: not at work; AQ_TIME_NEVER: at work */
     uint64_t seen_in;    /* the VM's hold that listed it last */
     char *checkpoint;    /* or NULL; owned */
     char avoid[AQ_VM_ID_SIZE]; /* VM of the last failed run */
@@ -82,8 +82,8 @@
     uint32_t done;
     uint32_t ready;
     GArray *tickets; /* of Ticket, or NULL */
-    bool is_asking;
-    AqTime ask_at;
+    bool is_requesting_tickets;
+    AqTime request_tickets_at;
 };
 
 struct Job {
@@ -111,7 +111,7 @@
     char vm[AQ_VM_ID_SIZE];
     AqTaskName task;
     int64_t run;
-} HandedTask;
+} InheritedRun;
 
 /* An end that is confirmed once the change "seq" is stored. */
 typedef struct {
@@ -127,12 +127,12 @@
     bool is_listed;
     AqTime unlisted_at;
     bool is_cordoned;
-    uint64_t roster_since; /* version that has it */
-    bool is_enrolled;      /* that version is stored */
-    bool has_answered;     /* a hold under our fence */
-    bool was_used;         /* in the roster of an earlier owner */
-    bool has_ended;        /* by an order, unless it answers again */
-    AqTime clock_ms;       /* of the VM, at clock_at */
+    uint64_t used_since_version; /* version that has it */
+    bool is_use_recorded;        /* that version is stored */
+    bool has_answered;           /* a hold under our fence */
+    bool was_used;               /* in the used VMs of an earlier owner */
+    bool has_ended;              /* by an order, unless it answers again */
+    AqTime clock_ms;             /* of the VM, at clock_at */
     AqTime clock_at;
     AqTime deadline_ms; /* highest in an order, on the VM's clock */
     bool is_hold_out;
@@ -142,7 +142,7 @@
     AqTime quarantined_until;
     unsigned bad_ends; /* failed ends in a row */
     int64_t used_cpu;
-    int64_t lasting_cpu; /* of it by perpetual tasks */
+    int64_t perpetual_cpu; /* of it by perpetual tasks */
     int64_t used_memory;
     int64_t used_gpus;
     int64_t foreign_cpu; /* of listed runs that are not ours */
@@ -164,12 +164,12 @@
     AqTime now;
     int64_t wall;
     bool may_order;
-    GArray *handed; /* of HandedTask, until the jobs are loaded */
+    GArray *inherited_runs; /* of InheritedRun, until the jobs are loaded */
     bool is_loaded;
     bool is_closed;      /* no more orders are given */
     bool is_handed_over; /* by an earlier owner that named all its runs */
-    bool is_settled;
-    bool is_deposed;
+    bool is_recovered;
+    bool is_superseded;
     GHashTable *jobs; /* id -> Job, owns them */
     AqLink active;
     AqLink dirty;
@@ -178,8 +178,8 @@
     size_t saving;
     GHashTable *vms_by_id;
     AqLink vms;
-    uint64_t roster_version;
-    bool place_again;
+    uint64_t used_vms_version;
+    bool placement_due;
     AqTime next_place;
     AqTime earliest_place;
     AqTime next_scan;     /* of all tasks, for orders due again and pacing */
@@ -203,7 +203,7 @@
 void scheduler_task_failed(AqScheduler *s, Task *task, int64_t run);
 void scheduler_add_failure(Task *task, int64_t run);
 /* The run has ended; the task may start again. */
-void scheduler_task_again(AqScheduler *s, Task *task);
+void scheduler_requeue_task(AqScheduler *s, Task *task);
 bool scheduler_is_finished(const Job *job);
 const AqQueueConfig *scheduler_queue(const AqScheduler *s, const Job *job);
 Occurrence *scheduler_add_occurrence(AqScheduler *s, Job *job,
@@ -218,8 +218,8 @@
 void vms_attach(AqScheduler *s, Vm *vm, Task *task);
 void vms_detach(AqScheduler *s, Task *task);
 bool vms_is_usable(const AqScheduler *s, const Vm *vm);
-void vms_heard(AqScheduler *s, Vm *vm, const AqOrderReply *reply);
-void vms_not_heard(AqScheduler *s, Vm *vm);
+void vms_on_reply(AqScheduler *s, Vm *vm, const AqOrderReply *reply);
+void vms_on_no_reply(AqScheduler *s, Vm *vm);
 /* Deadline for an order given now; remembers it. */
 AqTime vms_grant(AqScheduler *s, Vm *vm);
 void vms_end(AqScheduler *s, Vm *vm);
@@ -254,7 +254,7 @@
 void placement_send_start(AqScheduler *s, Task *task);
 
 /* ---- perpetual.c */
-void lasting_tick(AqScheduler *s);
+void perpetual_tick(AqScheduler *s);
 
 /* ---- progress.c */
 void progress_encode(const Job *job, AqBuffer *out);
