--- a/packages/scheduler/sizing.c
+++ b/packages/scheduler/sizing.c
@@ -5,8 +5,8 @@
 enum {
     /* Room that stays free of the room in use, in hundredths. */
     RESERVE_PERCENT = 30,
-    LEAST_VMS = 3,   /* so that lasting tasks do not all share one VM */
-    RESERVE_VMS = 1, /* so that a turn can begin before VMs come */
+    LEAST_VMS = 3,   /* so that perpetual tasks do not all share one VM */
+    RESERVE_VMS = 1, /* so that a burst can begin before VMs come */
     /* Taken in one decision at most, so that one mistaken estimate does not
      * empty the other pools: so many, or this part of a large site. */
     MOST_TAKEN = 16,
@@ -20,8 +20,8 @@
 least_vms(const AqSizingInput *input)
 {
     size_t spread = input->widest_spread + 1;
-    size_t lasting = input->lasting_vms;
-    size_t least = spread > lasting ? spread : lasting;
+    size_t perpetual = input->perpetual_vms;
+    size_t least = spread > perpetual ? spread : perpetual;
     return least > LEAST_VMS ? least : LEAST_VMS;
 }
 
@@ -38,33 +38,33 @@
 static int64_t
 offered_need(const AqSizingInput *input)
 {
-    return input->lasting_cpu_millis + input->offered_cpu_millis +
+    return input->perpetual_cpu_millis + input->offered_cpu_millis +
            input->offered_cpu_millis * RESERVE_PERCENT / 100;
 }
 
 static size_t
 decide_need(const AqSizingInput *input)
 {
-    size_t coming_vms = input->coming_vms + input->upkeep_vms;
-    int64_t coming = (int64_t)coming_vms * input->vm_cpu_millis;
-    int64_t have = input->room_cpu_millis + coming;
+    size_t pending_vms = input->pending_vms + input->maintenance_vms;
+    int64_t pending = (int64_t)pending_vms * input->vm_cpu_millis;
+    int64_t have = input->capacity_cpu_millis + pending;
     int64_t need = input->used_cpu_millis + input->ready_cpu_millis;
     size_t take = 0;
     if (input->ready_cpu_millis > 0) {
-        bool is_stuck = input->longest_wait_ms > STUCK_MS && coming == 0;
+        bool is_stuck = input->longest_wait_ms > STUCK_MS && pending == 0;
         take = vms_for(input, need - have);
         take = take == 0 && is_stuck ? 1 : take;
     }
     /* What is submitted counts only once the pool fills up: a few large jobs
      * look like a lot for a moment. */
-    if (need * 100 > input->room_cpu_millis * FULL_PERCENT) {
+    if (need * 100 > input->capacity_cpu_millis * FULL_PERCENT) {
         int64_t most = need + need * AHEAD_PERCENT / 100;
         int64_t offered = offered_need(input);
         size_t for_offered =
             vms_for(input, (offered < most ? offered : most) - have);
         take = for_offered > take ? for_offered : take;
     }
-    size_t vms = input->usable_vms + coming_vms;
+    size_t vms = input->usable_vms + pending_vms;
     size_t least = input->widest_spread + 1;
     if (vms < least && take < least - vms) {
         take = least - vms;
@@ -85,7 +85,7 @@
 static size_t
 decide_give(const AqSizingInput *input)
 {
-    if (input->ready_cpu_millis > 0 || input->coming_vms > 0) {
+    if (input->ready_cpu_millis > 0 || input->pending_vms > 0) {
         return 0;
     }
     int64_t used = input->used_cpu_millis +
@@ -102,9 +102,9 @@
 AqSizing_Decide(const AqSizingInput *input, AqSizingDecision *decision)
 {
     memset(decision, 0, sizeof(*decision));
-    decision->need = decide_need(input);
-    decision->take = limit_take(input, decision->need);
-    if (decision->need == 0) {
-        decision->give = decide_give(input);
+    decision->needed_vms = decide_need(input);
+    decision->acquire_vms = limit_take(input, decision->needed_vms);
+    if (decision->needed_vms == 0) {
+        decision->release_vms = decide_give(input);
     }
 }
--- a/packages/scheduler/tests/sim.c
+++ b/packages/scheduler/tests/sim.c
@@ -133,7 +133,7 @@
     bool is_certain;
     GHashTable *jobs;   /* id -> Stored */
     GHashTable *truths; /* task -> Truth */
-    AqBuffer roster;
+    AqBuffer used_vms;
     AqSiteConfig site;
     AqQueueConfig queue;
     char broken[256];
@@ -460,8 +460,9 @@
     return AQ_ORDER_DONE;
 }
 
-/* Whether too many of a lasting step are away by orders when another is taken
- * away.  One on a VM that drains has to go whatever the step may miss. */
+/* Whether too many of a perpetual step are away by orders when another is
+ * taken away.  One on a VM that drains has to go whatever the step may
+ * miss. */
 static void
 check_stop(Sim *sim, const SimVm *vm, const AqTaskName *name)
 {
@@ -501,11 +502,11 @@
 }
 
 static void
-forget_ends(Sim *sim, SimVm *vm, int64_t last_seen)
+forget_ends(Sim *sim, SimVm *vm, int64_t acked_end)
 {
     for (guint i = vm->ends->len; i-- > 0;) {
         const End *end = &g_array_index(vm->ends, End, i);
-        if (end->number > last_seen) {
+        if (end->number > acked_end) {
             continue;
         }
         Truth *truth = truth_of(sim, &end->name);
@@ -577,7 +578,7 @@
         do_stop(sim, vm, event);
         break;
     case ORDER_HOLD:
-        forget_ends(sim, vm, event->hold.last_seen);
+        forget_ends(sim, vm, event->hold.acked_end);
         if (event->hold.deadline_ms > vm->deadline) {
             vm->deadline = event->hold.deadline_ms;
         }
@@ -808,8 +809,8 @@
 }
 
 static void
-on_ask_tickets(void *context, const AqTaskName *step, const char *const *vms,
-               size_t count)
+on_request_tickets(void *context, const AqTaskName *step,
+                   const char *const *vms, size_t count)
 {
     SimOwner *owner = context;
     for (size_t i = 0; i < count; i++) {
@@ -820,7 +821,7 @@
 }
 
 static void
-on_deposed(void *context)
+on_superseded(void *context)
 {
     SimOwner *owner = context;
     owner->expires_at = owner->sim->now;
@@ -863,9 +864,9 @@
     owner->save_count = AqScheduler_BeginSave(s, owner->saves, 16);
     owner->save_due = sim->now + SAVE_MS;
     if (owner == sim->owner) {
-        AqBuffer_Clear(&sim->roster);
-        AqScheduler_EncodeRoster(s, &sim->roster);
-        AqScheduler_RosterSaved(s, AqScheduler_RosterVersion(s));
+        AqBuffer_Clear(&sim->used_vms);
+        AqScheduler_EncodeUsedVms(s, &sim->used_vms);
+        AqScheduler_UsedVmsSaved(s, AqScheduler_UsedVmsVersion(s));
     }
 }
 
@@ -907,10 +908,10 @@
 }
 
 void
-sim_start_owner(Sim *sim, bool is_rival)
+sim_start_owner(Sim *sim, bool previous_may_be_active)
 {
     static const AqSchedulerActions actions = {
-        on_start, on_stop, on_hold, on_pace, on_ask_tickets, on_deposed,
+        on_start, on_stop, on_hold, on_pace, on_request_tickets, on_superseded,
     };
     GHashTableIter iter;
     gpointer value;
@@ -920,11 +921,11 @@
         .fence = ++sim->fence,
         .generation = sim->generation++,
         .lease_ms = SIM_LEASE_MS,
-        .earlier_owner_ms = is_rival ? SIM_OWNER_LEASE_MS : 0,
+        .earlier_owner_ms = previous_may_be_active ? SIM_OWNER_LEASE_MS : 0,
     };
     if (sim->owner != NULL) {
         sim->owner->expires_at =
-            is_rival ? sim->now + SIM_OWNER_LEASE_MS : sim->now;
+            previous_may_be_active ? sim->now + SIM_OWNER_LEASE_MS : sim->now;
     }
     owner->sim = sim;
     owner->fence = config.fence;
@@ -942,9 +943,9 @@
             AqScheduler_SetVm(owner->scheduler, &report, sim->now);
         }
     }
-    if (sim->roster.size > 0) {
-        AqScheduler_AddRoster(owner->scheduler, AqBuffer_Text(&sim->roster),
-                              sim->roster.size, sim->now);
+    if (sim->used_vms.size > 0) {
+        AqScheduler_AddUsedVms(owner->scheduler, AqBuffer_Text(&sim->used_vms),
+                               sim->used_vms.size, sim->now);
     }
     g_hash_table_iter_init(&iter, sim->jobs);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
@@ -969,8 +970,8 @@
     while (AqScheduler_HasUnsaved(s) && sim->broken[0] == '\0') {
         step(sim);
     }
-    AqBuffer_Clear(&sim->roster);
-    AqScheduler_EncodeRoster(s, &sim->roster);
+    AqBuffer_Clear(&sim->used_vms);
+    AqScheduler_EncodeUsedVms(s, &sim->used_vms);
     sim_kill_owner(sim);
     sim_start_owner(sim, false);
 }
@@ -1249,7 +1250,7 @@
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_stored);
     sim->truths =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    AqBuffer_Init(&sim->roster);
+    AqBuffer_Init(&sim->used_vms);
     sim->queue = (AqQueueConfig){
         .name = queue_name,
         .pool = pool_name,
@@ -1280,7 +1281,7 @@
     g_ptr_array_free(sim->past, TRUE);
     g_hash_table_destroy(sim->jobs);
     g_hash_table_destroy(sim->truths);
-    AqBuffer_Clear(&sim->roster);
+    AqBuffer_Clear(&sim->used_vms);
     for (unsigned i = 0; i < SIM_VMS; i++) {
         free_vm(sim->vms[i]);
     }
--- a/packages/scheduler/tests/sim.h
+++ b/packages/scheduler/tests/sim.h
@@ -44,9 +44,9 @@
 
 /* ---- Owners ------------------------------------------------------------- */
 
-/* Starts an owner that loads what is stored.  "rival": the earlier one is
- * unaware and gives orders for the rest of its lease. */
-void sim_start_owner(Sim *sim, bool is_rival);
+/* Starts an owner that loads what is stored.  "previous_may_be_active": the
+ * earlier one is unaware and gives orders for the rest of its lease. */
+void sim_start_owner(Sim *sim, bool previous_may_be_active);
 void sim_kill_owner(Sim *sim);
 /* Ends the owner as a graceful stop does, and starts the next one. */
 void sim_hand_over(Sim *sim);
@@ -58,7 +58,7 @@
 
 /* Silent for so long; its tasks go on. */
 void sim_silence_vm(Sim *sim, unsigned vm, AqTime ms);
-/* A new life, empty, under another id; the old one has ended. */
+/* A new incarnation, empty, under another id; the old one has ended. */
 void sim_crash_vm(Sim *sim, unsigned vm);
 /* Its runs make no progress. */
 void sim_stall_vm(Sim *sim, unsigned vm, bool is_stalled);
--- a/packages/scheduler/tests/test_records.c
+++ b/packages/scheduler/tests/test_records.c
@@ -161,30 +161,32 @@
     CU_ASSERT_EQUAL(stage, AQ_STAGE_COMPLETED);
 }
 
-/* ---- Asks --------------------------------------------------------------- */
+/* ---- Machine requests --------------------------------------------------- */
 
-/* Guards against asks that change on their way, and damaged lists. */
+/* Guards against requests that change on their way, and damaged lists. */
 static void
 test_asks(void)
 {
-    AqAsk asks[] = {
+    AqMachineRequest requests[] = {
         {.number = 7, .machine = "m-1", .to_pool = "spare"},
         {.number = 8, .machine = "m-2", .wave = 3, .is_refused = true}};
-    AqAskList list = {.fence = 99, .wanted = 5, .asks = asks, .count = 2};
-    AqAskList copy;
+    AqMachineRequestList list = {
+        .fence = 99, .requested_vms = 5, .requests = requests, .count = 2};
+    AqMachineRequestList copy;
     AqBuffer bytes;
     AqBuffer_Init(&bytes);
-    AqAskList_Encode(&list, &bytes);
-    CU_ASSERT_TRUE_FATAL(AqAskList_Decode(bytes.bytes, bytes.size, &copy));
+    AqMachineRequestList_Encode(&list, &bytes);
+    CU_ASSERT_TRUE_FATAL(
+        AqMachineRequestList_Decode(bytes.bytes, bytes.size, &copy));
     CU_ASSERT_EQUAL(copy.fence, 99);
-    CU_ASSERT_EQUAL(copy.wanted, 5);
+    CU_ASSERT_EQUAL(copy.requested_vms, 5);
     CU_ASSERT_EQUAL(copy.count, 2);
-    CU_ASSERT_STRING_EQUAL(copy.asks[0].to_pool, "spare");
-    CU_ASSERT_EQUAL(copy.asks[1].wave, 3);
-    CU_ASSERT_TRUE(copy.asks[1].is_refused);
-    AqAskList_Clear(&copy);
+    CU_ASSERT_STRING_EQUAL(copy.requests[0].to_pool, "spare");
+    CU_ASSERT_EQUAL(copy.requests[1].wave, 3);
+    CU_ASSERT_TRUE(copy.requests[1].is_refused);
+    AqMachineRequestList_Clear(&copy);
     for (size_t i = 0; i < bytes.size; i++) {
-        CU_ASSERT_FALSE(AqAskList_Decode(bytes.bytes, i, &copy));
+        CU_ASSERT_FALSE(AqMachineRequestList_Decode(bytes.bytes, i, &copy));
     }
     AqBuffer_Clear(&bytes);
 }
--- a/packages/scheduler/tests/test_scheduler.c
+++ b/packages/scheduler/tests/test_scheduler.c
@@ -158,7 +158,7 @@
 }
 
 /* Guards against tasks of a crashed VM that wait for a lease although its new
- * life says that nothing runs there. */
+ * incarnation says that nothing runs there. */
 static void
 test_crash_restarts_at_once(void)
 {
@@ -202,8 +202,8 @@
     sim_destroy(sim);
 }
 
-/* Guards against a new owner that waits for the old life of a VM which an
- * order has ended. */
+/* Guards against a new owner that waits for the old incarnation of a VM which
+ * an order has ended. */
 static void
 test_ended_vm_is_not_awaited(void)
 {
@@ -226,8 +226,8 @@
     unsigned ended;
 } Replaced;
 
-/* Tells the scheduler, as the platform's list would, that a silent life of a
- * known VM has ended. */
+/* Tells the scheduler, as the platform's list would, that a silent incarnation
+ * of a known VM has ended. */
 static void
 end_silent(void *context, const AqScheduledVm *view)
 {
@@ -239,8 +239,8 @@
 }
 
 /* Guards against a new owner that waits for the leases of a VM which was
- * ended by an order of the owner before it: the roster must name the machine,
- * so that the platform's list can tell. */
+ * ended by an order of the owner before it: the stored list of used VMs must
+ * name the machine, so that the platform's list can tell. */
 static void
 test_replaced_vm_is_not_awaited(void)
 {
@@ -255,12 +255,12 @@
     Replaced replaced = {sim_scheduler(sim), sim_now(sim), 0};
     AqSchedulerLoad load;
     AqScheduler_GetLoad(replaced.scheduler, replaced.now, &load);
-    CU_ASSERT_FALSE(load.is_settled);
+    CU_ASSERT_FALSE(load.is_recovered);
     AqScheduler_EachVm(replaced.scheduler, end_silent, &replaced);
     CU_ASSERT_EQUAL(replaced.ended, 1);
     sim_run(sim, 100);
     AqScheduler_GetLoad(replaced.scheduler, sim_now(sim), &load);
-    CU_ASSERT_TRUE(load.is_settled);
+    CU_ASSERT_TRUE(load.is_recovered);
     CU_ASSERT_TRUE(sim_finish(sim, 1500));
     expect_unbroken(sim);
     sim_destroy(sim);
@@ -343,10 +343,10 @@
     sim_destroy(sim);
 }
 
-/* ---- Lasting tasks ------------------------------------------------------ */
+/* ---- Perpetual tasks ---------------------------------------------------- */
 
 static void
-add_lasting(Sim *sim, const char *id, unsigned tasks, unsigned may_miss)
+add_perpetual(Sim *sim, const char *id, unsigned tasks, unsigned may_miss)
 {
     AqJobSpec spec = {.step_count = 1};
     g_strlcpy(spec.id, id, sizeof(spec.id));
@@ -374,7 +374,7 @@
     return count;
 }
 
-/* The least tasks of a lasting job that run at any moment of so many ms. */
+/* The least tasks of a perpetual job that run at any moment of so many ms. */
 static unsigned
 least_running(Sim *sim, const char *id, AqTime ms)
 {
@@ -393,7 +393,7 @@
 test_lasting_moves_one_by_one(void)
 {
     Sim *sim = sim_create(10);
-    add_lasting(sim, "b1", 4, 1);
+    add_perpetual(sim, "b1", 4, 1);
     sim_run(sim, 1500);
     CU_ASSERT_EQUAL(count_running(sim, "b1"), 4);
     for (unsigned i = 0; i < SIM_VMS; i++) {
@@ -420,7 +420,7 @@
     return count;
 }
 
-/* Guards against a lasting task that is taken off a cordoned VM while others
+/* Guards against a perpetual task that is taken off a cordoned VM while others
  * of its step leave VMs that drain: these go whatever the step may miss, and
  * their stops may reach the VMs first. */
 static void
@@ -433,7 +433,7 @@
         for (uint64_t seed = 1; seed <= 20; seed++) {
             unsigned vms[SIM_VMS];
             Sim *sim = sim_create(seed);
-            add_lasting(sim, "b1", 4, 1);
+            add_perpetual(sim, "b1", 4, 1);
             sim_run(sim, 1500);
             CU_ASSERT_EQUAL_FATAL(find_vms(sim, "b1", vms), 4);
             AqScheduler_SetCordon(sim_scheduler(sim), sim_vm_id(sim, vms[0]),
@@ -450,13 +450,13 @@
     }
 }
 
-/* Guards against a lasting task being taken away while another of its step is
- * on a VM that has gone silent. */
+/* Guards against a perpetual task being taken away while another of its step
+ * is on a VM that has gone silent. */
 static void
 test_lasting_stays_beside_silence(void)
 {
     Sim *sim = sim_create(11);
-    add_lasting(sim, "b1", 3, 1);
+    add_perpetual(sim, "b1", 3, 1);
     sim_run(sim, 1500);
     unsigned silent = 0;
     while (sim_count_runs(sim, silent, "b1") == 0) {
@@ -481,7 +481,7 @@
 test_fillers_are_paced(void)
 {
     Sim *sim = sim_create(12);
-    add_lasting(sim, "b1", SIM_VMS, 1);
+    add_perpetual(sim, "b1", SIM_VMS, 1);
     AqJobSpec spec = {.step_count = 1};
     g_strlcpy(spec.id, "c1", sizeof(spec.id));
     spec.steps = calloc(1, sizeof(*spec.steps));
@@ -575,7 +575,7 @@
     }
 }
 
-/* Guards against VMs that come too late for a turn: while the load rises, the
+/* Guards against VMs that come too late for a burst: while the load rises, the
  * offer must not lag behind it, and while it is steady not exceed it. */
 static void
 test_offer_rises_on(void)
--- a/packages/scheduler/tests/test_scheduler_random.c
+++ b/packages/scheduler/tests/test_scheduler_random.c
@@ -7,7 +7,8 @@
 
 /* Random days of a pool.  Guards the rules that the sim checks at each start
  * (no task twice at once or after a noted end, steps in order, attempts, room)
- * under lost and late orders, crashes, silence, kills and unaware rivals. */
+ * under lost and late orders, crashes, silence, kills and unaware previous
+ * owners. */
 
 static void
 disturb(Sim *sim, AqRandom *random)
--- a/packages/scheduler/tests/test_sizing.c
+++ b/packages/scheduler/tests/test_sizing.c
@@ -12,28 +12,29 @@
 static const struct {
     const char *pattern;
     AqSizingInput input;
-    size_t take;
-    size_t give;
-    size_t need; /* with those that only come when other pools give them */
+    size_t acquire_vms;
+    size_t release_vms;
+    size_t
+        needed_vms; /* with those that only come when other pools give them */
 } cases[] = {
     {"quiet pool with its lasting tasks gives its idle VMs",
      {.used_cpu_millis = 2 * VM,
-      .lasting_cpu_millis = 2 * VM,
-      .room_cpu_millis = 12 * VM,
+      .perpetual_cpu_millis = 2 * VM,
+      .capacity_cpu_millis = 12 * VM,
       .vm_cpu_millis = VM,
       .usable_vms = 12,
-      .lasting_vms = 4,
+      .perpetual_vms = 4,
       .widest_spread = 4},
      0,
      7,
      0},
     {"quiet pool keeps one VM beside those that a lasting step needs",
      {.used_cpu_millis = VM / 2,
-      .lasting_cpu_millis = VM / 2,
-      .room_cpu_millis = 9 * VM,
+      .perpetual_cpu_millis = VM / 2,
+      .capacity_cpu_millis = 9 * VM,
       .vm_cpu_millis = VM,
       .usable_vms = 9,
-      .lasting_vms = 6,
+      .perpetual_vms = 6,
       .widest_spread = 6},
      0,
      2,
@@ -42,7 +43,7 @@
      {.used_cpu_millis = 4 * VM,
       .ready_cpu_millis = 2 * VM,
       .offered_cpu_millis = 10 * VM,
-      .room_cpu_millis = 4 * VM,
+      .capacity_cpu_millis = 4 * VM,
       .vm_cpu_millis = VM,
       .usable_vms = 4},
      9,
@@ -51,7 +52,7 @@
     {"turn rises in a pool that is half full: VMs are taken ahead of need",
      {.used_cpu_millis = 11 * VM,
       .offered_cpu_millis = 30 * VM,
-      .room_cpu_millis = 20 * VM,
+      .capacity_cpu_millis = 20 * VM,
       .vm_cpu_millis = VM,
       .usable_vms = 20},
      13,
@@ -60,7 +61,7 @@
     {"a few large jobs in one second, the pool half empty",
      {.used_cpu_millis = 2 * VM,
       .offered_cpu_millis = 20 * VM,
-      .room_cpu_millis = 8 * VM,
+      .capacity_cpu_millis = 8 * VM,
       .vm_cpu_millis = VM,
       .usable_vms = 8},
      0,
@@ -70,7 +71,7 @@
      {.used_cpu_millis = 28 * VM,
       .ready_cpu_millis = 26 * VM,
       .offered_cpu_millis = 133 * VM,
-      .room_cpu_millis = 31 * VM,
+      .capacity_cpu_millis = 31 * VM,
       .vm_cpu_millis = VM,
       .usable_vms = 31,
       .site_vms = 50},
@@ -81,7 +82,7 @@
      {.used_cpu_millis = 28 * VM,
       .ready_cpu_millis = 26 * VM,
       .offered_cpu_millis = 133 * VM,
-      .room_cpu_millis = 31 * VM,
+      .capacity_cpu_millis = 31 * VM,
       .vm_cpu_millis = VM,
       .usable_vms = 31,
       .site_vms = 350},
@@ -92,7 +93,7 @@
      "from pools that give VMs away",
      {.used_cpu_millis = 100 * VM,
       .ready_cpu_millis = 250 * VM,
-      .room_cpu_millis = 100 * VM,
+      .capacity_cpu_millis = 100 * VM,
       .vm_cpu_millis = VM,
       .usable_vms = 100,
       .site_vms = 352},
@@ -103,17 +104,17 @@
      {.used_cpu_millis = 4 * VM,
       .ready_cpu_millis = 5 * VM,
       .offered_cpu_millis = 6 * VM,
-      .room_cpu_millis = 4 * VM,
+      .capacity_cpu_millis = 4 * VM,
       .vm_cpu_millis = VM,
       .usable_vms = 4,
-      .coming_vms = 5},
+      .pending_vms = 5},
      0,
      0,
      0},
     {"turn has ended: VMs go back as far as the rest leaves them",
      {
          .used_cpu_millis = 4 * VM,
-         .room_cpu_millis = 16 * VM,
+         .capacity_cpu_millis = 16 * VM,
          .vm_cpu_millis = VM,
          .usable_vms = 16,
      },
@@ -122,10 +123,10 @@
      0},
     {"wave: VMs away for upkeep do not keep idle ones in the pool",
      {.used_cpu_millis = 4 * VM,
-      .room_cpu_millis = 16 * VM,
+      .capacity_cpu_millis = 16 * VM,
       .vm_cpu_millis = VM,
       .usable_vms = 16,
-      .upkeep_vms = 2},
+      .maintenance_vms = 2},
      0,
      9,
      0},
@@ -133,7 +134,7 @@
      {
          .used_cpu_millis = 4 * VM,
          .ready_cpu_millis = CORE,
-         .room_cpu_millis = 16 * VM,
+         .capacity_cpu_millis = 16 * VM,
          .vm_cpu_millis = VM,
          .usable_vms = 16,
      },
@@ -144,7 +145,7 @@
      {.used_cpu_millis = 2 * VM,
       .ready_cpu_millis = CORE,
       .longest_wait_ms = 1500,
-      .room_cpu_millis = 8 * VM,
+      .capacity_cpu_millis = 8 * VM,
       .vm_cpu_millis = VM,
       .usable_vms = 8},
      1,
@@ -152,18 +153,18 @@
      1},
     {"a rack is lost: fewer VMs than a lasting step needs",
      {.used_cpu_millis = VM,
-      .lasting_cpu_millis = VM,
-      .room_cpu_millis = 3 * VM,
+      .perpetual_cpu_millis = VM,
+      .capacity_cpu_millis = 3 * VM,
       .vm_cpu_millis = VM,
       .usable_vms = 3,
-      .lasting_vms = 3,
+      .perpetual_vms = 3,
       .widest_spread = 5},
      3,
      0,
      3},
 };
 
-/* Guards against pools that lag behind a turn, hoard VMs after it, or send
+/* Guards against pools that lag behind a burst, hoard VMs after it, or send
  * them back and forth. */
 static void
 test_patterns(void)
@@ -171,13 +172,14 @@
     for (size_t i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
         AqSizingDecision decision;
         AqSizing_Decide(&cases[i].input, &decision);
-        if (decision.take != cases[i].take || decision.give != cases[i].give) {
+        if (decision.acquire_vms != cases[i].acquire_vms ||
+            decision.release_vms != cases[i].release_vms) {
             fprintf(stderr, "%s: take %zu, give %zu\n", cases[i].pattern,
-                    decision.take, decision.give);
+                    decision.acquire_vms, decision.release_vms);
         }
-        CU_ASSERT_EQUAL(decision.take, cases[i].take);
-        CU_ASSERT_EQUAL(decision.give, cases[i].give);
-        CU_ASSERT_EQUAL(decision.need, cases[i].need);
+        CU_ASSERT_EQUAL(decision.acquire_vms, cases[i].acquire_vms);
+        CU_ASSERT_EQUAL(decision.release_vms, cases[i].release_vms);
+        CU_ASSERT_EQUAL(decision.needed_vms, cases[i].needed_vms);
     }
 }
 
@@ -190,16 +192,16 @@
         for (int64_t offered = 0; offered < 20; offered++) {
             AqSizingInput input = {.used_cpu_millis = used * VM / 2,
                                    .offered_cpu_millis = offered * VM / 2,
-                                   .room_cpu_millis = 4 * VM,
+                                   .capacity_cpu_millis = 4 * VM,
                                    .vm_cpu_millis = VM,
                                    .usable_vms = 4};
             AqSizingDecision decision;
             AqSizing_Decide(&input, &decision);
-            input.usable_vms += decision.take;
-            input.room_cpu_millis += (int64_t)decision.take * VM;
-            size_t taken = decision.take;
+            input.usable_vms += decision.acquire_vms;
+            input.capacity_cpu_millis += (int64_t)decision.acquire_vms * VM;
+            size_t taken = decision.acquire_vms;
             AqSizing_Decide(&input, &decision);
-            CU_ASSERT_TRUE(taken == 0 || decision.give == 0);
+            CU_ASSERT_TRUE(taken == 0 || decision.release_vms == 0);
         }
     }
 }
--- a/packages/scheduler/used_vms.c
+++ b/packages/scheduler/used_vms.c
@@ -9,20 +9,20 @@
  * it; on a hand-over with the runs that it leaves. */
 
 enum {
-    TASK_FIELDS = 5, /* of a task in the roster */
+    TASK_FIELDS = 5, /* of a task in the stored list of used VMs */
     VM_FIELDS = 4
 };
 
 uint64_t
-AqScheduler_RosterVersion(const AqScheduler *s)
+AqScheduler_UsedVmsVersion(const AqScheduler *s)
 {
-    return s->roster_version;
+    return s->used_vms_version;
 }
 
 /* Whether a later owner has to hear from the VM.  Once no more orders are
  * given, only those with tasks matter. */
 static bool
-is_on_roster(const AqScheduler *s, const Vm *vm)
+is_in_used_vms(const AqScheduler *s, const Vm *vm)
 {
     return !vm->has_ended && (!s->is_closed || vm->task_count > 0 ||
                               vm->foreign_cpu > 0 || vm->was_used);
@@ -32,7 +32,7 @@
 AqScheduler_Close(AqScheduler *s)
 {
     s->is_closed = true;
-    s->roster_version++;
+    s->used_vms_version++;
 }
 
 static void
@@ -56,22 +56,22 @@
 /* The stored form: [is_handed_over, [[id, address, [[job, occurrence, step,
  * task, run] ...], machine] ...]].  Only a hand-over names the tasks. */
 void
-AqScheduler_EncodeRoster(const AqScheduler *s, AqBuffer *out)
+AqScheduler_EncodeUsedVms(const AqScheduler *s, AqBuffer *out)
 {
     msgpack_packer packer;
     size_t count = 0;
     msgpack_packer_init(&packer, out, record_write);
     AqList_ForEach(at, &s->vms)
     {
-        count += is_on_roster(s, AqList_Entry(at, Vm, link));
+        count += is_in_used_vms(s, AqList_Entry(at, Vm, link));
     }
     msgpack_pack_array(&packer, 2);
-    msgpack_pack_int(&packer, s->is_closed && s->is_settled);
+    msgpack_pack_int(&packer, s->is_closed && s->is_recovered);
     msgpack_pack_array(&packer, count);
     AqList_ForEach(at, &s->vms)
     {
         const Vm *vm = AqList_Entry(at, Vm, link);
-        if (!is_on_roster(s, vm)) {
+        if (!is_in_used_vms(s, vm)) {
             continue;
         }
         msgpack_pack_array(&packer, VM_FIELDS);
@@ -88,14 +88,14 @@
 }
 
 void
-AqScheduler_RosterSaved(AqScheduler *s, uint64_t version)
+AqScheduler_UsedVmsSaved(AqScheduler *s, uint64_t version)
 {
     AqList_ForEach(at, &s->vms)
     {
         Vm *vm = AqList_Entry(at, Vm, link);
-        if (!vm->is_enrolled && vm->roster_since <= version) {
-            vm->is_enrolled = true;
-            s->place_again = true;
+        if (!vm->is_use_recorded && vm->used_since_version <= version) {
+            vm->is_use_recorded = true;
+            s->placement_due = true;
         }
     }
 }
@@ -103,7 +103,7 @@
 static bool
 add_handed_task(AqScheduler *s, const Vm *vm, const msgpack_object *row)
 {
-    HandedTask handed = {0};
+    InheritedRun inherited = {0};
     char *job = NULL;
     int64_t numbers[TASK_FIELDS];
     bool ok = row->type == MSGPACK_OBJECT_ARRAY &&
@@ -113,21 +113,21 @@
         ok = record_int(&row->via.array.ptr[i], 0, INT64_MAX, &numbers[i]);
     }
     if (ok) {
-        g_strlcpy(handed.vm, vm->report.id, sizeof(handed.vm));
-        g_strlcpy(handed.task.job, job, sizeof(handed.task.job));
-        handed.task.occurrence = (uint32_t)numbers[1];
-        handed.task.step = (uint32_t)numbers[2];
-        handed.task.index = (uint32_t)numbers[3];
-        handed.run = numbers[4];
-        g_array_append_val(s->handed, handed);
+        g_strlcpy(inherited.vm, vm->report.id, sizeof(inherited.vm));
+        g_strlcpy(inherited.task.job, job, sizeof(inherited.task.job));
+        inherited.task.occurrence = (uint32_t)numbers[1];
+        inherited.task.step = (uint32_t)numbers[2];
+        inherited.task.index = (uint32_t)numbers[3];
+        inherited.run = numbers[4];
+        g_array_append_val(s->inherited_runs, inherited);
     }
     free(job);
     return ok;
 }
 
 static Vm *
-add_roster_vm(AqScheduler *s, const char *id, const char *address,
-              const char *machine)
+add_used_vm(AqScheduler *s, const char *id, const char *address,
+            const char *machine)
 {
     AqVmReport report = {.leaves_ms = -1};
     g_strlcpy(report.id, id, sizeof(report.id));
@@ -143,7 +143,7 @@
 }
 
 static bool
-add_roster_entry(AqScheduler *s, const msgpack_object *row)
+add_used_vm_entry(AqScheduler *s, const msgpack_object *row)
 {
     char *id = NULL;
     char *address = NULL;
@@ -156,7 +156,7 @@
               row->via.array.ptr[2].type == MSGPACK_OBJECT_ARRAY &&
               record_text(&row->via.array.ptr[3], &machine) && machine != NULL;
     if (ok) {
-        const Vm *vm = add_roster_vm(s, id, address, machine);
+        const Vm *vm = add_used_vm(s, id, address, machine);
         const msgpack_object_array *tasks = &row->via.array.ptr[2].via.array;
         for (uint32_t i = 0; ok && i < tasks->size; i++) {
             ok = add_handed_task(s, vm, &tasks->ptr[i]);
@@ -169,8 +169,8 @@
 }
 
 bool
-AqScheduler_AddRoster(AqScheduler *s, const char *bytes, size_t size,
-                      AqTime now)
+AqScheduler_AddUsedVms(AqScheduler *s, const char *bytes, size_t size,
+                       AqTime now)
 {
     msgpack_unpacked unpacked;
     int64_t is_handed_over = 0;
@@ -184,7 +184,7 @@
     if (ok) {
         const msgpack_object_array *rows = &root->via.array.ptr[1].via.array;
         for (uint32_t i = 0; ok && i < rows->size; i++) {
-            ok = add_roster_entry(s, &rows->ptr[i]);
+            ok = add_used_vm_entry(s, &rows->ptr[i]);
         }
         s->is_handed_over = ok && is_handed_over != 0;
     }
@@ -197,20 +197,21 @@
 static void
 take_handed_tasks(AqScheduler *s)
 {
-    for (guint i = 0; i < s->handed->len && s->is_handed_over; i++) {
-        const HandedTask *handed = &g_array_index(s->handed, HandedTask, i);
-        Task *task = scheduler_find_task(s, &handed->task);
-        Vm *vm = vms_find(s, handed->vm);
+    for (guint i = 0; i < s->inherited_runs->len && s->is_handed_over; i++) {
+        const InheritedRun *inherited =
+            &g_array_index(s->inherited_runs, InheritedRun, i);
+        Task *task = scheduler_find_task(s, &inherited->task);
+        Vm *vm = vms_find(s, inherited->vm);
         if (task != NULL && vm != NULL && task->state == TASK_READY) {
             task->step->ready--;
             vms_attach(s, vm, task);
-            task->run = handed->run;
+            task->run = inherited->run;
             task->state = TASK_RUNNING;
             task->progress_at = s->now;
         }
     }
-    s->is_settled = s->is_settled || s->is_handed_over;
-    g_array_set_size(s->handed, 0);
+    s->is_recovered = s->is_recovered || s->is_handed_over;
+    g_array_set_size(s->inherited_runs, 0);
 }
 
 void
--- a/packages/scheduler/vms.c
+++ b/packages/scheduler/vms.c
@@ -48,7 +48,7 @@
     vm->clock_ms = -1;
     vm->hold_due = s->now;
     vm->pending_ends = g_array_new(FALSE, FALSE, sizeof(PendingEnd));
-    vm->roster_since = ++s->roster_version;
+    vm->used_since_version = ++s->used_vms_version;
     AqList_Init(&vm->tasks);
     AqList_Append(&s->vms, &vm->link);
     g_hash_table_insert(s->vms_by_id, vm->report.id, vm);
@@ -70,7 +70,7 @@
 {
     int64_t cpu = sign * (spec->is_filler ? 0 : spec->cpu_millis);
     vm->used_cpu += cpu;
-    vm->lasting_cpu += spec->is_perpetual ? cpu : 0;
+    vm->perpetual_cpu += spec->is_perpetual ? cpu : 0;
     vm->used_memory += sign * spec->memory_mb;
     vm->used_gpus += sign * spec->gpus;
 }
@@ -107,15 +107,15 @@
     bool is_present =
         vm->is_listed || s->now - vm->unlisted_at < UNLISTED_GRACE_MS;
     return is_present && !vm->has_ended && vm->has_answered &&
-           vm->is_enrolled && !vm->is_cordoned && !vm->report.is_draining &&
-           vm->silent_since == AQ_TIME_NEVER &&
+           vm->is_use_recorded && !vm->is_cordoned &&
+           !vm->report.is_draining && vm->silent_since == AQ_TIME_NEVER &&
            vm->quarantined_until <= s->now;
 }
 
 /* ---- Belief ------------------------------------------------------------- */
 
 void
-vms_heard(AqScheduler *s, Vm *vm, const AqOrderReply *reply)
+vms_on_reply(AqScheduler *s, Vm *vm, const AqOrderReply *reply)
 {
     if (reply->clock_ms < 0) {
         return;
@@ -129,12 +129,12 @@
     vm->clock_at = s->now;
     if (vm->silent_since != AQ_TIME_NEVER) {
         vm->silent_since = AQ_TIME_NEVER;
-        s->place_again = true;
+        s->placement_due = true;
     }
     if (vm->has_ended) {
         vm->has_ended = false;
-        vm->is_enrolled = false;
-        vm->roster_since = ++s->roster_version;
+        vm->is_use_recorded = false;
+        vm->used_since_version = ++s->used_vms_version;
     }
 }
 
@@ -155,12 +155,12 @@
         vm->foreign_cpu += spec->cpu_millis;
         vm->foreign_memory += spec->memory_mb;
         g_strlcpy(task->avoid, vm->report.id, sizeof(task->avoid));
-        scheduler_task_again(s, task);
+        scheduler_requeue_task(s, task);
     }
 }
 
 void
-vms_not_heard(AqScheduler *s, Vm *vm)
+vms_on_no_reply(AqScheduler *s, Vm *vm)
 {
     if (vm->silent_since == AQ_TIME_NEVER) {
         vm->silent_since = s->now;
@@ -186,7 +186,7 @@
         Task *task = AqList_Entry(at, Task, link);
         s->counters.lost++;
         replies_log_lost(s, task, reason);
-        scheduler_task_again(s, task);
+        scheduler_requeue_task(s, task);
     }
 }
 
@@ -195,8 +195,8 @@
 {
     lose_tasks(s, vm, "other_life");
     g_hash_table_remove(s->vms_by_id, vm->report.id);
-    s->roster_version++;
-    s->place_again = true;
+    s->used_vms_version++;
+    s->placement_due = true;
     vms_free(vm);
 }
 
@@ -253,7 +253,7 @@
     AqHoldOrder order = {
         .deadline_ms = may_extend ? vms_grant(s, vm) : -1,
         .fence = s->config.fence,
-        .last_seen = vm->confirmed,
+        .acked_end = vm->confirmed,
         .wait_ms = hold_wait(vm),
     };
     vm->is_hold_out = true;
@@ -283,9 +283,9 @@
 /* ---- Time --------------------------------------------------------------- */
 
 static void
-update_settled(AqScheduler *s)
+update_recovered(AqScheduler *s)
 {
-    if (s->is_settled || !s->is_loaded) {
+    if (s->is_recovered || !s->is_loaded) {
         return;
     }
     AqList_ForEach(at, &s->vms)
@@ -296,8 +296,8 @@
             return;
         }
     }
-    s->is_settled = true;
-    s->place_again = true;
+    s->is_recovered = true;
+    s->placement_due = true;
 }
 
 static AqTime
@@ -328,7 +328,7 @@
         AqTime next = tick_vm(s, AqList_Entry(at, Vm, link));
         due = next < due ? next : due;
     }
-    update_settled(s);
+    update_recovered(s);
     return due;
 }
 
@@ -346,7 +346,7 @@
         vm->report = *report;
     }
     vm->is_listed = true;
-    s->place_again = true;
+    s->placement_due = true;
 }
 
 void
@@ -368,7 +368,7 @@
     if (vm != NULL && !vm->has_ended) {
         vm->has_ended = true;
         lose_tasks(s, vm, "vm_ended");
-        s->roster_version++;
+        s->used_vms_version++;
     }
 }
 
@@ -378,7 +378,7 @@
     Vm *vm = vms_find(s, id);
     if (vm != NULL && vm->is_cordoned != is_cordoned) {
         vm->is_cordoned = is_cordoned;
-        s->place_again = true;
+        s->placement_due = true;
     }
 }
 
@@ -439,7 +439,7 @@
         AqList_ForEach(each, &vm->tasks)
         {
             const Task *task = AqList_Entry(each, Task, link);
-            view.lasting_tasks += task->step->spec->is_perpetual;
+            view.perpetual_tasks += task->step->spec->is_perpetual;
         }
         visit(context, &view);
     }
--- a/packages/scheduler/waves.c
+++ b/packages/scheduler/waves.c
@@ -8,7 +8,7 @@
 #include "record_codec.h"
 
 enum {
-    /* Time that one VM takes: tasks end, upkeep, and it is seen back. */
+    /* Time that one VM takes: tasks end, maintenance, and it is seen back. */
     VM_MS = 5000,
     /* Tasks that have not ended after this are stopped. */
     PATIENCE_MS = 5000,
--- a/packages/store/store_http.c
+++ b/packages/store/store_http.c
@@ -167,7 +167,7 @@
         .fresh_connection = pending->is_write,
         .timeout_ms = store->timeout_ms + extra_ms,
         .connect_timeout_ms = store->timeout_ms,
-        .max_answer = MAX_REPLY,
+        .max_response_bytes = MAX_REPLY,
     };
     AqHttpClient_Start(store->client, &request, on_reply, pending);
 }
--- a/packages/testkit/caller.c
+++ b/packages/testkit/caller.c
@@ -35,7 +35,7 @@
     int service;
     int daemon;
     int tries;
-    AqHttpReply reply;
+    AqTestHttpReply reply;
 } Transfer;
 
 struct Caller {
@@ -109,7 +109,7 @@
     curl_multi_remove_handle(transfer->caller->multi, transfer->easy);
     curl_easy_cleanup(transfer->easy);
     curl_slist_free_all(transfer->headers);
-    AqHttpReply_Clear(&transfer->reply);
+    AqTestHttpReply_Clear(&transfer->reply);
     AqList_Remove(&transfer->link);
     free(transfer);
 }
@@ -250,13 +250,13 @@
     char outcome[32] = "";
     char id[160] = "";
     char text[32];
-    const AqHttpReply *reply = &transfer->reply;
+    const AqTestHttpReply *reply = &transfer->reply;
     const Group *group = transfer->group;
-    AqHttpReply_Header(reply, "Aq-Outcome", outcome, sizeof(outcome));
-    AqHttpReply_Header(reply, "Aq-Request-Id", id, sizeof(id));
+    AqTestHttpReply_Header(reply, "Aq-Outcome", outcome, sizeof(outcome));
+    AqTestHttpReply_Header(reply, "Aq-Request-Id", id, sizeof(id));
     result->retry_after =
-        AqHttpReply_Header(reply, "Retry-After", text, sizeof(text)) &&
-        AqHttpReply_Header(reply, "Aq-Retry-After-Ms", text, sizeof(text));
+        AqTestHttpReply_Header(reply, "Retry-After", text, sizeof(text)) &&
+        AqTestHttpReply_Header(reply, "Aq-Retry-After-Ms", text, sizeof(text));
     result->kind = RESULT_WRONG;
     if (strcmp(id, group->id) != 0) {
         result->detail = "wrong or no Aq-Request-Id";
--- a/packages/testkit/demo.h
+++ b/packages/testkit/demo.h
@@ -83,7 +83,7 @@
 int Demo_ZoneOf(int vm);
 void Demo_VmName(int vm, char out[16]);
 /* One line of progress with the time since the start. */
-void Demo_Say(const Demo *demo, const char *format, ...)
+void Demo_Log(const Demo *demo, const char *format, ...)
     __attribute__((format(printf, 2, 3)));
 
 /* demo_setup.c */
--- a/packages/testkit/demo_common.c
+++ b/packages/testkit/demo_common.c
@@ -36,7 +36,7 @@
 }
 
 void
-Demo_Say(const Demo *demo, const char *format, ...)
+Demo_Log(const Demo *demo, const char *format, ...)
 {
     char text[512];
     va_list args;
--- a/packages/testkit/demo_main.c
+++ b/packages/testkit/demo_main.c
@@ -70,11 +70,11 @@
 static bool
 set_up(Demo *demo, AqError *error)
 {
-    Demo_Say(demo, "starting the platform and %d endpoints", DEMO_ENDPOINTS);
+    Demo_Log(demo, "starting the platform and %d endpoints", DEMO_ENDPOINTS);
     if (!Demo_StartStandIns(demo, error)) {
         return false;
     }
-    Demo_Say(demo, "starting %d daemons", DEMO_DAEMONS);
+    Demo_Log(demo, "starting %d daemons", DEMO_DAEMONS);
     if (!Demo_StartDaemons(demo, error)) {
         return false;
     }
@@ -84,7 +84,7 @@
                            "logs in %s",
                            SETTLE_MS, demo->options.directory);
     }
-    Demo_Say(demo, "setting %d pools and %d VMs", DEMO_POOLS, DEMO_ENDPOINTS);
+    Demo_Log(demo, "setting %d pools and %d VMs", DEMO_POOLS, DEMO_ENDPOINTS);
     if (!Demo_WaitFor(demo, Demo_Configure, SETTLE_MS)) {
         *error = demo->error;
         return false;
@@ -95,7 +95,7 @@
                            "read the logs in %s",
                            DEMO_ENDPOINTS, SETTLE_MS, demo->options.directory);
     }
-    Demo_Say(demo, "starting %d callers", DEMO_POOLS);
+    Demo_Log(demo, "starting %d callers", DEMO_POOLS);
     return Demo_StartCallers(demo, error);
 }
 
--- a/packages/testkit/demo_plan.c
+++ b/packages/testkit/demo_plan.c
@@ -61,7 +61,7 @@
     AqError error;
     snprintf(url, sizeof(url), "http://%s%s",
              AqProcess_Address(process->process, "control"), path);
-    json_t *reply = AqHttp_Json("POST", url, NULL, body, NULL, &error);
+    json_t *reply = AqTestHttp_Json("POST", url, NULL, body, NULL, &error);
     json_decref(body);
     json_decref(reply);
     return reply != NULL;
@@ -73,7 +73,7 @@
     char vm[16];
     AqError error;
     Demo_VmName(DEMO_DRAINED, vm);
-    Demo_Say(demo, "operator: amaranthquay drain start %s", vm);
+    Demo_Log(demo, "operator: amaranthquay drain start %s", vm);
     /* The endpoint records what it receives from now on, and says nothing
      * about its leave, so that only the drain can stop new work. */
     post_control(
@@ -81,7 +81,7 @@
         json_pack("{s:i s:b}", "endpoint", DEMO_DRAINED, "announce", 0));
     demo->drain_started = AqClock_ReadMonotonic();
     if (!Demo_StartCommand(demo, &demo->drain, "drain", vm, &error)) {
-        Demo_Say(demo, "%s", error.message);
+        Demo_Log(demo, "%s", error.message);
     }
 }
 
@@ -91,10 +91,10 @@
     char vm[16];
     AqError error;
     Demo_VmName(DEMO_DRAINED + DEMO_POOLS, vm);
-    Demo_Say(demo, "operator: amaranthquay drain start %s (over the budget)",
+    Demo_Log(demo, "operator: amaranthquay drain start %s (over the budget)",
              vm);
     if (!Demo_StartCommand(demo, &demo->refuse, "refuse", vm, &error)) {
-        Demo_Say(demo, "%s", error.message);
+        Demo_Log(demo, "%s", error.message);
     }
 }
 
@@ -102,14 +102,14 @@
 kill_daemon(Demo *demo)
 {
     AqError error = {0};
-    Demo_Say(demo, "SIGKILL to entry-%d", DEMO_KILLED + 1);
+    Demo_Log(demo, "SIGKILL to entry-%d", DEMO_KILLED + 1);
     AqProcess_Signal(demo->daemons[DEMO_KILLED].process, SIGKILL, &error);
 }
 
 static void
 take_store_away(Demo *demo)
 {
-    Demo_Say(demo, "the store refuses connections");
+    Demo_Log(demo, "the store refuses connections");
     post_control(&demo->platform, "/test/v1/faults",
                  json_pack("{s:s}", "down", "refused"));
 }
@@ -117,7 +117,7 @@
 static void
 bring_store_back(Demo *demo)
 {
-    Demo_Say(demo, "the store is back");
+    Demo_Log(demo, "the store is back");
     post_control(&demo->platform, "/test/v1/faults",
                  json_pack("{s:s}", "down", "none"));
 }
@@ -126,7 +126,7 @@
 stop_daemon(Demo *demo)
 {
     AqError error = {0};
-    Demo_Say(demo, "SIGTERM to entry-%d", DEMO_STOPPED + 1);
+    Demo_Log(demo, "SIGTERM to entry-%d", DEMO_STOPPED + 1);
     demo->stop_started = AqClock_ReadMonotonic();
     AqProcess_Signal(demo->daemons[DEMO_STOPPED].process, SIGTERM, &error);
 }
@@ -163,7 +163,7 @@
     }
     snprintf(url, sizeof(url), "http://%s/test/v1/summary",
              AqProcess_Address(caller->process, "control"));
-    json_t *summary = AqHttp_Json("GET", url, NULL, NULL, NULL, &error);
+    json_t *summary = AqTestHttp_Json("GET", url, NULL, NULL, NULL, &error);
     for (int i = 0; i < 4; i++) {
         counts[i] += json_integer_value(json_object_get(summary, fields[i]));
     }
@@ -182,7 +182,7 @@
         running += read_counts(&demo->callers[i], counts);
     }
     if (running == DEMO_POOLS) {
-        Demo_Say(demo, "sent %lld, completed %lld, not run %lld, unknown %lld",
+        Demo_Log(demo, "sent %lld, completed %lld, not run %lld, unknown %lld",
                  (long long)counts[0], (long long)counts[1],
                  (long long)counts[2], (long long)counts[3]);
     }
--- a/packages/testkit/demo_report.c
+++ b/packages/testkit/demo_report.c
@@ -79,7 +79,7 @@
     tally->last_ms = -1;
     snprintf(url, sizeof(url), "http://%s/test/v1/runs?ids",
              AqProcess_Address(demo->endpoints.process, "control"));
-    json_t *record = AqHttp_Json("GET", url, NULL, NULL, NULL, error);
+    json_t *record = AqTestHttp_Json("GET", url, NULL, NULL, NULL, error);
     if (record == NULL) {
         return false;
     }
--- a/packages/testkit/demo_setup.c
+++ b/packages/testkit/demo_setup.c
@@ -118,7 +118,7 @@
     }
     snprintf(url, sizeof(url), "http://%s/test/v1/vms",
              AqProcess_Address(demo->platform.process, "control"));
-    json_t *reply = AqHttp_Json("POST", url, NULL, vms, NULL, error);
+    json_t *reply = AqTestHttp_Json("POST", url, NULL, vms, NULL, error);
     json_decref(vms);
     json_decref(reply);
     return reply != NULL;
@@ -206,7 +206,7 @@
 send_intents(const Demo *demo, json_t *const *intents, int count,
              AqError *error)
 {
-    AqHttpClient *clients[DEMO_ENDPOINTS];
+    AqTestHttpClient *clients[DEMO_ENDPOINTS];
     char *texts[DEMO_ENDPOINTS];
     char url[128];
     bool ok = true;
@@ -214,25 +214,25 @@
              AqProcess_Address(demo->daemons[DEMO_KEPT].process, "operators"));
     for (int i = 0; i < count; i++) {
         texts[i] = AqJson_Dump(intents[i]);
-        AqHttpCall call = {.method = "POST",
-                           .url = url,
-                           .headers = auth,
-                           .body = texts[i],
-                           .size = strlen(texts[i]),
-                           .timeout_ms = READY_MS};
-        clients[i] = AqHttpClient_Create();
-        ok = ok && AqHttpClient_Start(clients[i], &call, error);
+        AqTestHttpCall call = {.method = "POST",
+                               .url = url,
+                               .headers = auth,
+                               .body = texts[i],
+                               .size = strlen(texts[i]),
+                               .timeout_ms = READY_MS};
+        clients[i] = AqTestHttpClient_Create();
+        ok = ok && AqTestHttpClient_Start(clients[i], &call, error);
     }
     for (int i = 0; i < count; i++) {
-        AqHttpReply reply = {0};
-        ok = ok && AqHttpClient_Finish(clients[i], &reply, error);
+        AqTestHttpReply reply = {0};
+        ok = ok && AqTestHttpClient_Finish(clients[i], &reply, error);
         if (ok && reply.status != 200 && reply.status != 202) {
             ok = AqError_Set(error, AQ_ERR_REFUSED,
                              "intent %.120s: status %ld: %.200s", texts[i],
                              reply.status, AqBuffer_Text(&reply.body));
         }
-        AqHttpReply_Clear(&reply);
-        AqHttpClient_Destroy(clients[i]);
+        AqTestHttpReply_Clear(&reply);
+        AqTestHttpClient_Destroy(clients[i]);
         free(texts[i]);
     }
     return ok;
--- a/packages/testkit/demo_state.c
+++ b/packages/testkit/demo_state.c
@@ -13,7 +13,7 @@
 
 static bool
 get(const Demo *demo, int daemon, const char *listener, const char *path,
-    AqHttpReply *reply)
+    AqTestHttpReply *reply)
 {
     static const char *const headers[] = {
         "Authorization: Bearer demo-operator-token", NULL};
@@ -21,18 +21,18 @@
     AqError error;
     snprintf(url, sizeof(url), "http://%s%s",
              AqProcess_Address(demo->daemons[daemon].process, listener), path);
-    AqHttpCall call = {.method = "GET",
-                       .url = url,
-                       .headers = headers,
-                       .timeout_ms = READ_TIMEOUT_MS};
-    return AqHttp_Call(&call, reply, &error);
+    AqTestHttpCall call = {.method = "GET",
+                           .url = url,
+                           .headers = headers,
+                           .timeout_ms = READ_TIMEOUT_MS};
+    return AqTestHttp_Call(&call, reply, &error);
 }
 
 json_t *
 Demo_ReadState(Demo *demo, int daemon, const char *kind)
 {
     char path[64];
-    AqHttpReply reply = {0};
+    AqTestHttpReply reply = {0};
     AqError error;
     json_t *value = NULL;
     snprintf(path, sizeof(path), "/admin/v1/state?kind=%s", kind);
@@ -40,17 +40,17 @@
         value =
             AqJson_Parse(AqBuffer_Text(&reply.body), reply.body.size, &error);
     }
-    AqHttpReply_Clear(&reply);
+    AqTestHttpReply_Clear(&reply);
     return value;
 }
 
 bool
 Demo_IsReady(Demo *demo, int daemon)
 {
-    AqHttpReply reply = {0};
+    AqTestHttpReply reply = {0};
     bool ready =
         get(demo, daemon, "callers", "/readyz", &reply) && reply.status == 200;
-    AqHttpReply_Clear(&reply);
+    AqTestHttpReply_Clear(&reply);
     return ready;
 }
 
@@ -109,7 +109,7 @@
     if (field_is(record, "state", "drained") &&
         demo->observed.drained_at == 0) {
         demo->observed.drained_at = now;
-        Demo_Say(demo, "the drained VM is free, %lld ms after the command",
+        Demo_Log(demo, "the drained VM is free, %lld ms after the command",
                  (long long)(now - demo->drain_started));
     }
     if (demo->drain_accepted > 0 && now - demo->drain_accepted > IN_FORCE_MS &&
--- a/packages/testkit/http.c
+++ b/packages/testkit/http.c
@@ -9,16 +9,16 @@
 
 #define DEFAULT_TIMEOUT_MS 10000L
 
-struct AqHttpClient {
+struct AqTestHttpClient {
     CURLM *multi;
     CURL *easy;
     struct curl_slist *headers;
-    AqHttpReply reply; /* being received */
+    AqTestHttpReply reply; /* being received */
     bool added;
 };
 
 void
-AqHttpReply_Clear(AqHttpReply *reply)
+AqTestHttpReply_Clear(AqTestHttpReply *reply)
 {
     AqBuffer_Clear(&reply->headers);
     AqBuffer_Clear(&reply->body);
@@ -26,8 +26,8 @@
 }
 
 bool
-AqHttpReply_Header(const AqHttpReply *reply, const char *name, char *out,
-                   size_t room)
+AqTestHttpReply_Header(const AqTestHttpReply *reply, const char *name,
+                       char *out, size_t room)
 {
     size_t size = strlen(name);
     const char *line = AqBuffer_Text(&reply->headers);
@@ -54,10 +54,10 @@
     return size * count;
 }
 
-AqHttpClient *
-AqHttpClient_Create(void)
+AqTestHttpClient *
+AqTestHttpClient_Create(void)
 {
-    AqHttpClient *client = calloc(1, sizeof(*client));
+    AqTestHttpClient *client = calloc(1, sizeof(*client));
     client->multi = curl_multi_init();
     client->easy = curl_easy_init();
     AqBuffer_Init(&client->reply.headers);
@@ -66,7 +66,7 @@
 }
 
 static void
-detach(AqHttpClient *client)
+detach(AqTestHttpClient *client)
 {
     if (client->added) {
         curl_multi_remove_handle(client->multi, client->easy);
@@ -77,7 +77,7 @@
 }
 
 void
-AqHttpClient_Destroy(AqHttpClient *client)
+AqTestHttpClient_Destroy(AqTestHttpClient *client)
 {
     if (client == NULL) {
         return;
@@ -85,12 +85,12 @@
     detach(client);
     curl_easy_cleanup(client->easy);
     curl_multi_cleanup(client->multi);
-    AqHttpReply_Clear(&client->reply);
+    AqTestHttpReply_Clear(&client->reply);
     free(client);
 }
 
 static void
-set_options(AqHttpClient *client, const AqHttpCall *call)
+set_options(AqTestHttpClient *client, const AqTestHttpCall *call)
 {
     CURL *easy = client->easy;
     curl_easy_reset(easy);
@@ -121,7 +121,7 @@
 
 /* Whether the request has left, or the call has ended. */
 static bool
-step(AqHttpClient *client, bool until_sent)
+step(AqTestHttpClient *client, bool until_sent)
 {
     int running = 0;
     long sent = 0;
@@ -135,10 +135,10 @@
 }
 
 bool
-AqHttpClient_Start(AqHttpClient *client, const AqHttpCall *call,
-                   AqError *error)
+AqTestHttpClient_Start(AqTestHttpClient *client, const AqTestHttpCall *call,
+                       AqError *error)
 {
-    AqHttpReply_Clear(&client->reply);
+    AqTestHttpReply_Clear(&client->reply);
     set_options(client, call);
     if (curl_multi_add_handle(client->multi, client->easy) != CURLM_OK) {
         return AqError_Set(error, AQ_ERR_SYSTEM,
@@ -161,7 +161,8 @@
 }
 
 bool
-AqHttpClient_Finish(AqHttpClient *client, AqHttpReply *reply, AqError *error)
+AqTestHttpClient_Finish(AqTestHttpClient *client, AqTestHttpReply *reply,
+                        AqError *error)
 {
     int left;
     CURLcode code = CURLE_FAILED_INIT;
@@ -186,35 +187,37 @@
 }
 
 bool
-AqHttpClient_Call(AqHttpClient *client, const AqHttpCall *call,
-                  AqHttpReply *reply, AqError *error)
+AqTestHttpClient_Call(AqTestHttpClient *client, const AqTestHttpCall *call,
+                      AqTestHttpReply *reply, AqError *error)
 {
-    return AqHttpClient_Start(client, call, error) &&
-           AqHttpClient_Finish(client, reply, error);
+    return AqTestHttpClient_Start(client, call, error) &&
+           AqTestHttpClient_Finish(client, reply, error);
 }
 
 bool
-AqHttp_Call(const AqHttpCall *call, AqHttpReply *reply, AqError *error)
+AqTestHttp_Call(const AqTestHttpCall *call, AqTestHttpReply *reply,
+                AqError *error)
 {
-    AqHttpClient *client = AqHttpClient_Create();
-    bool ok = AqHttpClient_Call(client, call, reply, error);
-    AqHttpClient_Destroy(client);
+    AqTestHttpClient *client = AqTestHttpClient_Create();
+    bool ok = AqTestHttpClient_Call(client, call, reply, error);
+    AqTestHttpClient_Destroy(client);
     return ok;
 }
 
 json_t *
-AqHttp_Json(const char *method, const char *url, const char *const *headers,
-            const json_t *body, long *status, AqError *error)
+AqTestHttp_Json(const char *method, const char *url,
+                const char *const *headers, const json_t *body, long *status,
+                AqError *error)
 {
     char *text = body != NULL ? AqJson_Dump(body) : NULL;
-    AqHttpCall call = {.method = method,
-                       .url = url,
-                       .headers = headers,
-                       .body = text,
-                       .size = text != NULL ? strlen(text) : 0};
-    AqHttpReply reply = {0};
+    AqTestHttpCall call = {.method = method,
+                           .url = url,
+                           .headers = headers,
+                           .body = text,
+                           .size = text != NULL ? strlen(text) : 0};
+    AqTestHttpReply reply = {0};
     json_t *value = NULL;
-    bool ok = AqHttp_Call(&call, &reply, error);
+    bool ok = AqTestHttp_Call(&call, &reply, error);
     free(text);
     if (status != NULL) {
         *status = ok ? reply.status : 0;
@@ -230,6 +233,6 @@
         value =
             AqJson_Parse(AqBuffer_Text(&reply.body), reply.body.size, error);
     }
-    AqHttpReply_Clear(&reply);
+    AqTestHttpReply_Clear(&reply);
     return value;
 }
--- a/packages/testkit/platform.h
+++ b/packages/testkit/platform.h
@@ -1,5 +1,5 @@
-#ifndef AQ_PLATFORM_H
-#define AQ_PLATFORM_H
+#ifndef AQ_TESTKIT_PLATFORM_H
+#define AQ_TESTKIT_PLATFORM_H
 
 #include <stdbool.h>
 #include <stdint.h>
--- a/packages/testkit/tests/test_demo.c
+++ b/packages/testkit/tests/test_demo.c
@@ -96,10 +96,11 @@
     snprintf(url, sizeof(url), "http://%s/",
              AqProcess_Address(process, "endpoint0"));
     for (int i = 0; i < runs; i++) {
-        AqHttpCall call = {.method = "GET", .url = url, .headers = headers};
-        AqHttpReply reply = {0};
-        CU_ASSERT_TRUE(AqHttp_Call(&call, &reply, &error));
-        AqHttpReply_Clear(&reply);
+        AqTestHttpCall call = {
+            .method = "GET", .url = url, .headers = headers};
+        AqTestHttpReply reply = {0};
+        CU_ASSERT_TRUE(AqTestHttp_Call(&call, &reply, &error));
+        AqTestHttpReply_Clear(&reply);
     }
     return process;
 }
--- a/packages/testkit/tests/test_endpoint.c
+++ b/packages/testkit/tests/test_endpoint.c
@@ -24,7 +24,7 @@
     char id[64];
     char id_header[96];
     const char *headers[3];
-    AqHttpCall call;
+    AqTestHttpCall call;
 } EndpointCall;
 
 static void
@@ -92,20 +92,20 @@
 test_own_answer(void)
 {
     EndpointCall call;
-    AqHttpReply reply = {0};
+    AqTestHttpReply reply = {0};
     AqError error = {0};
     char attempt[32] = "";
     prepare(&call, "own", "/any/path", "payload");
     for (int i = 1; i <= 2; i++) {
-        CU_ASSERT_TRUE(AqHttp_Call(&call.call, &reply, &error));
+        CU_ASSERT_TRUE(AqTestHttp_Call(&call.call, &reply, &error));
         CU_ASSERT_EQUAL(reply.status, 200);
         CU_ASSERT_EQUAL(AqAnswer_Check(reply.body.bytes, reply.body.size,
                                        "own", "payload", 7),
                         AQ_ANSWER_OWN);
-        CU_ASSERT_TRUE(AqHttpReply_Header(&reply, "aq-attempt-id", attempt,
-                                          sizeof(attempt)));
+        CU_ASSERT_TRUE(AqTestHttpReply_Header(&reply, "aq-attempt-id", attempt,
+                                              sizeof(attempt)));
         CU_ASSERT_STRING_EQUAL(attempt, "attempt-7");
-        AqHttpReply_Clear(&reply);
+        AqTestHttpReply_Clear(&reply);
         CU_ASSERT_EQUAL(runs_of("own"), i);
     }
 }
@@ -115,18 +115,18 @@
 test_crossed_answer(void)
 {
     EndpointCall call;
-    AqHttpReply reply = {0};
+    AqTestHttpReply reply = {0};
     AqError error = {0};
     char attempt[32] = "";
     prepare(&call, "crossed", "/", "");
     post(endpoint, "/test/v1/faults", "{\"crossed\": 1, \"endpoint\": 0}");
-    CU_ASSERT_TRUE(AqHttp_Call(&call.call, &reply, &error));
-    AqHttpReply_Header(&reply, "Aq-Attempt-Id", attempt, sizeof(attempt));
+    CU_ASSERT_TRUE(AqTestHttp_Call(&call.call, &reply, &error));
+    AqTestHttpReply_Header(&reply, "Aq-Attempt-Id", attempt, sizeof(attempt));
     CU_ASSERT_STRING_NOT_EQUAL(attempt, "attempt-7");
     CU_ASSERT_EQUAL(
         AqAnswer_Check(reply.body.bytes, reply.body.size, "crossed", "", 0),
         AQ_ANSWER_FOREIGN);
-    AqHttpReply_Clear(&reply);
+    AqTestHttpReply_Clear(&reply);
 }
 
 /* Guards against a refusal for want of a slot that ran all the same, and
@@ -136,24 +136,24 @@
 {
     EndpointCall slow;
     EndpointCall refused;
-    AqHttpReply reply = {0};
+    AqTestHttpReply reply = {0};
     AqError error = {0};
     char header[8] = "";
-    AqHttpClient *client = AqHttpClient_Create();
+    AqTestHttpClient *client = AqTestHttpClient_Create();
     prepare(&slow, "slow", "", "");
     prepare(&refused, "refused", "", "");
     /* The second endpoint, whose only slot stays in use. */
     slow.call.url = url_of(endpoint, "endpoint1", "/?service_ms=600000");
     refused.call.url = url_of(endpoint, "endpoint1", "/");
-    CU_ASSERT_TRUE(AqHttpClient_Start(client, &slow.call, &error));
+    CU_ASSERT_TRUE(AqTestHttpClient_Start(client, &slow.call, &error));
     while (runs_of("slow") == 0) {
     }
-    CU_ASSERT_TRUE(AqHttp_Call(&refused.call, &reply, &error));
+    CU_ASSERT_TRUE(AqTestHttp_Call(&refused.call, &reply, &error));
     CU_ASSERT_EQUAL(reply.status, 503);
     CU_ASSERT_TRUE(
-        AqHttpReply_Header(&reply, "Aq-Not-Run", header, sizeof(header)));
+        AqTestHttpReply_Header(&reply, "Aq-Not-Run", header, sizeof(header)));
     CU_ASSERT_STRING_EQUAL(header, "1");
-    AqHttpReply_Clear(&reply);
+    AqTestHttpReply_Clear(&reply);
     CU_ASSERT_EQUAL(runs_of("refused"), 0);
     json_t *runs = read_runs();
     const json_t *second =
@@ -162,7 +162,7 @@
     CU_ASSERT_EQUAL(int_at(second, "max_connections"), 2);
     CU_ASSERT_EQUAL(int_at(second, "not_run"), 1);
     json_decref(runs);
-    AqHttpClient_Destroy(client);
+    AqTestHttpClient_Destroy(client);
 }
 
 /* Guards against a close at the wrong place: the record of runs must say
@@ -179,7 +179,7 @@
                  {"inside-answer", 1}};
     for (size_t i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
         EndpointCall call;
-        AqHttpReply reply = {0};
+        AqTestHttpReply reply = {0};
         AqError error = {0};
         char faults[96];
         prepare(&call, cases[i].mode, "/", "some body");
@@ -187,12 +187,12 @@
                  "{\"close\": \"%s\", \"close_count\": 1, \"endpoint\": 0}",
                  cases[i].mode);
         post(endpoint, "/test/v1/faults", faults);
-        CU_ASSERT_FALSE(AqHttp_Call(&call.call, &reply, &error));
+        CU_ASSERT_FALSE(AqTestHttp_Call(&call.call, &reply, &error));
         CU_ASSERT_EQUAL(error.kind, AQ_ERR_PROTOCOL);
         CU_ASSERT_EQUAL(runs_of(cases[i].mode), cases[i].runs);
-        CU_ASSERT_TRUE(AqHttp_Call(&call.call, &reply, &error));
+        CU_ASSERT_TRUE(AqTestHttp_Call(&call.call, &reply, &error));
         CU_ASSERT_EQUAL(runs_of(cases[i].mode), cases[i].runs + 1);
-        AqHttpReply_Clear(&reply);
+        AqTestHttpReply_Clear(&reply);
     }
     post(endpoint, "/test/v1/faults", "{\"close\": \"none\"}");
 }
@@ -203,23 +203,23 @@
 test_silent_connection(void)
 {
     EndpointCall call;
-    AqHttpReply reply = {0};
+    AqTestHttpReply reply = {0};
     AqError error = {0};
-    AqHttpClient *client = AqHttpClient_Create();
+    AqTestHttpClient *client = AqTestHttpClient_Create();
     prepare(&call, "heard", "/", "x");
-    CU_ASSERT_TRUE(AqHttpClient_Call(client, &call.call, &reply, &error));
-    AqHttpReply_Clear(&reply);
+    CU_ASSERT_TRUE(AqTestHttpClient_Call(client, &call.call, &reply, &error));
+    AqTestHttpReply_Clear(&reply);
     post(endpoint, "/test/v1/faults", "{\"silence_open\": true}");
     prepare(&call, "unheard", "/", "x");
     call.call.timeout_ms = 100;
-    CU_ASSERT_FALSE(AqHttpClient_Call(client, &call.call, &reply, &error));
+    CU_ASSERT_FALSE(AqTestHttpClient_Call(client, &call.call, &reply, &error));
     CU_ASSERT_EQUAL(error.kind, AQ_ERR_TIMEOUT);
     CU_ASSERT_EQUAL(runs_of("unheard"), 0);
     call.call.timeout_ms = 0;
-    CU_ASSERT_TRUE(AqHttp_Call(&call.call, &reply, &error));
+    CU_ASSERT_TRUE(AqTestHttp_Call(&call.call, &reply, &error));
     CU_ASSERT_EQUAL(reply.status, 200);
-    AqHttpReply_Clear(&reply);
-    AqHttpClient_Destroy(client);
+    AqTestHttpReply_Clear(&reply);
+    AqTestHttpClient_Destroy(client);
 }
 
 /* Guards against a worker that fails everything but is not seen to run it,
@@ -228,16 +228,16 @@
 test_fail_all(void)
 {
     EndpointCall call;
-    AqHttpReply reply = {0};
+    AqTestHttpReply reply = {0};
     AqError error = {0};
     prepare(&call, "failed", "/?service_ms=600000", "x");
     post(endpoint, "/test/v1/faults", "{\"fail_all\": true}");
-    CU_ASSERT_TRUE(AqHttp_Call(&call.call, &reply, &error));
+    CU_ASSERT_TRUE(AqTestHttp_Call(&call.call, &reply, &error));
     CU_ASSERT_EQUAL(reply.status, 500);
     CU_ASSERT_EQUAL(AqAnswer_Check(AqBuffer_Text(&reply.body), reply.body.size,
                                    "failed", "x", 1),
                     AQ_ANSWER_OWN);
-    AqHttpReply_Clear(&reply);
+    AqTestHttpReply_Clear(&reply);
     CU_ASSERT_EQUAL(runs_of("failed"), 1);
     post(endpoint, "/test/v1/faults", "{\"fail_all\": false}");
 }
@@ -248,20 +248,20 @@
 test_leaving(void)
 {
     EndpointCall call;
-    AqHttpReply reply = {0};
+    AqTestHttpReply reply = {0};
     AqError error = {0};
     char header[8] = "";
-    AqHttpCall health = {.method = "GET",
-                         .url = url_of(endpoint, "endpoint0", "/health")};
+    AqTestHttpCall health = {.method = "GET",
+                             .url = url_of(endpoint, "endpoint0", "/health")};
     post(endpoint, "/test/v1/leave", "{\"endpoint\": 0}");
-    CU_ASSERT_TRUE(AqHttp_Call(&health, &reply, &error));
+    CU_ASSERT_TRUE(AqTestHttp_Call(&health, &reply, &error));
     CU_ASSERT_EQUAL(reply.status, 200);
     CU_ASSERT_TRUE(
-        AqHttpReply_Header(&reply, "Aq-Leaving", header, sizeof(header)));
-    AqHttpReply_Clear(&reply);
+        AqTestHttpReply_Header(&reply, "Aq-Leaving", header, sizeof(header)));
+    AqTestHttpReply_Clear(&reply);
     prepare(&call, "late", "/", "");
-    CU_ASSERT_TRUE(AqHttp_Call(&call.call, &reply, &error));
-    AqHttpReply_Clear(&reply);
+    CU_ASSERT_TRUE(AqTestHttp_Call(&call.call, &reply, &error));
+    AqTestHttpReply_Clear(&reply);
     json_t *runs = read_runs();
     const json_t *first =
         json_array_get(json_object_get(runs, "endpoints"), 0);
--- a/packages/testkit/tests/test_platform.c
+++ b/packages/testkit/tests/test_platform.c
@@ -29,32 +29,33 @@
 
 /* One call; the reply's status, 0 without one. */
 static long
-call(const char *method, const char *path, const char *body, AqHttpReply *out)
+call(const char *method, const char *path, const char *body,
+     AqTestHttpReply *out)
 {
-    AqHttpCall call = {.method = method,
-                       .url = store_url(path),
-                       .body = body,
-                       .size = body != NULL ? strlen(body) : 0};
+    AqTestHttpCall call = {.method = method,
+                           .url = store_url(path),
+                           .body = body,
+                           .size = body != NULL ? strlen(body) : 0};
     AqError error = {0};
-    return AqHttp_Call(&call, out, &error) ? out->status : 0;
+    return AqTestHttp_Call(&call, out, &error) ? out->status : 0;
 }
 
 static uint64_t
-index_of(const AqHttpReply *reply)
+index_of(const AqTestHttpReply *reply)
 {
     char text[32] = "0";
     CU_ASSERT_TRUE(
-        AqHttpReply_Header(reply, "X-Consul-Index", text, sizeof(text)));
+        AqTestHttpReply_Header(reply, "X-Consul-Index", text, sizeof(text)));
     return strtoull(text, NULL, 10);
 }
 
 static uint64_t
 read_index(const char *path)
 {
-    AqHttpReply reply = {0};
+    AqTestHttpReply reply = {0};
     call("GET", path, NULL, &reply);
     uint64_t index = index_of(&reply);
-    AqHttpReply_Clear(&reply);
+    AqTestHttpReply_Clear(&reply);
     return index;
 }
 
@@ -62,11 +63,11 @@
 static bool
 write_key(const char *method, const char *path, const char *body)
 {
-    AqHttpReply reply = {0};
+    AqTestHttpReply reply = {0};
     CU_ASSERT_EQUAL(call(method, path, body, &reply), 200);
     bool done = strcmp(AqBuffer_Text(&reply.body), "true") == 0;
     CU_ASSERT_TRUE(done || strcmp(AqBuffer_Text(&reply.body), "false") == 0);
-    AqHttpReply_Clear(&reply);
+    AqTestHttpReply_Clear(&reply);
     return done;
 }
 
@@ -94,7 +95,7 @@
 static void
 test_read_format(void)
 {
-    AqHttpReply reply = {0};
+    AqTestHttpReply reply = {0};
     write_key("PUT", "/v1/kv/read/b", "two");
     write_key("PUT", "/v1/kv/read/a", "one");
     write_key("PUT", "/v1/kv/readiness", "");
@@ -110,18 +111,18 @@
     json_decref(items);
     CU_ASSERT_TRUE(write_key("DELETE", "/v1/kv/read/?recurse", NULL));
     CU_ASSERT_EQUAL(call("GET", "/v1/kv/read/a", NULL, &reply), 404);
-    AqHttpReply_Clear(&reply);
+    AqTestHttpReply_Clear(&reply);
     CU_ASSERT_EQUAL(call("PUT", "/v1/kv/read/a?cas=x", "1", &reply), 400);
-    AqHttpReply_Clear(&reply);
+    AqTestHttpReply_Clear(&reply);
 }
 
-static AqHttpClient *
+static AqTestHttpClient *
 start_watch(const char *path)
 {
-    AqHttpClient *client = AqHttpClient_Create();
-    AqHttpCall call = {.method = "GET", .url = store_url(path)};
+    AqTestHttpClient *client = AqTestHttpClient_Create();
+    AqTestHttpCall call = {.method = "GET", .url = store_url(path)};
     AqError error = {0};
-    CU_ASSERT_TRUE_FATAL(AqHttpClient_Start(client, &call, &error));
+    CU_ASSERT_TRUE_FATAL(AqTestHttpClient_Start(client, &call, &error));
     return client;
 }
 
@@ -137,10 +138,10 @@
 
 /* Finishes a watch; whether it was answered. */
 static bool
-finish_watch(AqHttpClient *client, AqHttpReply *reply, AqError *error)
+finish_watch(AqTestHttpClient *client, AqTestHttpReply *reply, AqError *error)
 {
-    bool ok = AqHttpClient_Finish(client, reply, error);
-    AqHttpClient_Destroy(client);
+    bool ok = AqTestHttpClient_Finish(client, reply, error);
+    AqTestHttpClient_Destroy(client);
     return ok;
 }
 
@@ -150,23 +151,23 @@
 test_blocking_query(void)
 {
     char path[96];
-    AqHttpReply reply = {0};
+    AqTestHttpReply reply = {0};
     AqError error = {0};
     write_key("PUT", "/v1/kv/watch/a", "1");
     uint64_t index = read_index("/v1/kv/watch/a");
     snprintf(path, sizeof(path), "/v1/kv/watch/a?index=%llu&wait=9s",
              (unsigned long long)index);
-    AqHttpClient *client = start_watch(path);
+    AqTestHttpClient *client = start_watch(path);
     write_key("PUT", "/v1/kv/watch/other", "1");
     write_key("PUT", "/v1/kv/watch/a", "2");
     CU_ASSERT_TRUE(finish_watch(client, &reply, &error));
     CU_ASSERT_EQUAL(index_of(&reply), index + 2);
-    AqHttpReply_Clear(&reply);
+    AqTestHttpReply_Clear(&reply);
     snprintf(path, sizeof(path), "/v1/kv/watch/a?index=%llu&wait=10ms",
              (unsigned long long)index + 2);
     CU_ASSERT_EQUAL(call("GET", path, NULL, &reply), 200);
     CU_ASSERT_EQUAL(index_of(&reply), index + 2);
-    AqHttpReply_Clear(&reply);
+    AqTestHttpReply_Clear(&reply);
 }
 
 /* Guards against a delayed watch that is answered at once, or with the state
@@ -175,14 +176,14 @@
 test_delayed_watch(void)
 {
     char path[96];
-    AqHttpReply reply = {0};
+    AqTestHttpReply reply = {0};
     AqError error = {0};
     write_key("PUT", "/v1/kv/late", "1");
     uint64_t index = read_index("/v1/kv/late");
     post(platform, "/test/v1/faults", "{\"delay_watches_ms\": 100}");
     snprintf(path, sizeof(path), "/v1/kv/late?index=%llu&wait=9s",
              (unsigned long long)index);
-    AqHttpClient *client = start_watch(path);
+    AqTestHttpClient *client = start_watch(path);
     while (watches_waiting() == 0) {
     }
     AqTime start = AqClock_ReadMonotonic();
@@ -191,7 +192,7 @@
     CU_ASSERT_TRUE(finish_watch(client, &reply, &error));
     CU_ASSERT_TRUE(AqClock_ReadMonotonic() - start >= 100);
     CU_ASSERT_EQUAL(index_of(&reply), index + 2);
-    AqHttpReply_Clear(&reply);
+    AqTestHttpReply_Clear(&reply);
     post(platform, "/test/v1/faults", "{\"delay_watches_ms\": 0}");
 }
 
@@ -200,11 +201,11 @@
 static void
 test_lost_reply(void)
 {
-    AqHttpReply reply = {0};
+    AqTestHttpReply reply = {0};
     post(platform, "/test/v1/faults", "{\"lose_replies\": 1}");
     CU_ASSERT_EQUAL(call("PUT", "/v1/kv/lost?cas=0", "x", &reply), 0);
     CU_ASSERT_EQUAL(call("GET", "/v1/kv/lost", NULL, &reply), 200);
-    AqHttpReply_Clear(&reply);
+    AqTestHttpReply_Clear(&reply);
     CU_ASSERT_FALSE(write_key("PUT", "/v1/kv/lost?cas=0", "y"));
     json_t *calls =
         call_json("GET", url_of(platform, "control", "/test/v1/calls"), NULL);
@@ -217,23 +218,24 @@
 static void
 test_store_down(void)
 {
-    AqHttpReply reply = {0};
+    AqTestHttpReply reply = {0};
     AqError error = {0};
-    AqHttpCall get = {.method = "GET", .url = store_url("/v1/kv/down")};
+    AqTestHttpCall get = {.method = "GET", .url = store_url("/v1/kv/down")};
     write_key("PUT", "/v1/kv/down", "x");
     post(platform, "/test/v1/faults", "{\"down\": \"503\"}");
     CU_ASSERT_EQUAL(call("GET", "/v1/kv/down", NULL, &reply), 503);
-    AqHttpReply_Clear(&reply);
+    AqTestHttpReply_Clear(&reply);
     post(platform, "/test/v1/faults", "{\"down\": \"none\"}");
-    AqHttpClient *client = start_watch("/v1/kv/down?index=1000000&wait=9s");
+    AqTestHttpClient *client =
+        start_watch("/v1/kv/down?index=1000000&wait=9s");
     post(platform, "/test/v1/faults", "{\"down\": \"refused\"}");
     CU_ASSERT_FALSE(finish_watch(client, &reply, &error));
     CU_ASSERT_EQUAL(error.kind, AQ_ERR_PROTOCOL);
-    CU_ASSERT_FALSE(AqHttp_Call(&get, &reply, &error));
+    CU_ASSERT_FALSE(AqTestHttp_Call(&get, &reply, &error));
     CU_ASSERT_EQUAL(error.kind, AQ_ERR_UNAVAILABLE);
     post(platform, "/test/v1/faults", "{\"down\": \"none\"}");
     CU_ASSERT_EQUAL(call("GET", "/v1/kv/down", NULL, &reply), 200);
-    AqHttpReply_Clear(&reply);
+    AqTestHttpReply_Clear(&reply);
 }
 
 /* Guards against a store connection that still answers after it went silent,
@@ -241,21 +243,21 @@
 static void
 test_store_silent(void)
 {
-    AqHttpReply reply = {0};
+    AqTestHttpReply reply = {0};
     AqError error = {0};
-    AqHttpCall get = {.method = "GET", .url = store_url("/v1/kv/silent")};
-    AqHttpClient *client = AqHttpClient_Create();
-    CU_ASSERT_TRUE(AqHttpClient_Call(client, &get, &reply, &error));
-    AqHttpReply_Clear(&reply);
+    AqTestHttpCall get = {.method = "GET", .url = store_url("/v1/kv/silent")};
+    AqTestHttpClient *client = AqTestHttpClient_Create();
+    CU_ASSERT_TRUE(AqTestHttpClient_Call(client, &get, &reply, &error));
+    AqTestHttpReply_Clear(&reply);
     post(platform, "/test/v1/faults", "{\"silence_open\": true}");
     get.timeout_ms = 100;
-    CU_ASSERT_FALSE(AqHttpClient_Call(client, &get, &reply, &error));
+    CU_ASSERT_FALSE(AqTestHttpClient_Call(client, &get, &reply, &error));
     CU_ASSERT_EQUAL(error.kind, AQ_ERR_TIMEOUT);
     get.timeout_ms = 0;
-    CU_ASSERT_TRUE(AqHttp_Call(&get, &reply, &error));
+    CU_ASSERT_TRUE(AqTestHttp_Call(&get, &reply, &error));
     CU_ASSERT_EQUAL(reply.status, 404);
-    AqHttpReply_Clear(&reply);
-    AqHttpClient_Destroy(client);
+    AqTestHttpReply_Clear(&reply);
+    AqTestHttpClient_Destroy(client);
 }
 
 /* Guards against a slow store that answers at once, and against a write that
@@ -263,27 +265,27 @@
 static void
 test_store_slow(void)
 {
-    AqHttpReply reply = {0};
+    AqTestHttpReply reply = {0};
     AqError error = {0};
     char path[96];
-    AqHttpCall put = {.method = "PUT",
-                      .url = store_url("/v1/kv/slow"),
-                      .body = "x",
-                      .size = 1};
+    AqTestHttpCall put = {.method = "PUT",
+                          .url = store_url("/v1/kv/slow"),
+                          .body = "x",
+                          .size = 1};
     uint64_t index = read_index("/v1/kv/slow");
     post(platform, "/test/v1/faults", "{\"slow_ms\": 80}");
     AqTime start = AqClock_ReadMonotonic();
-    AqHttpClient *client = AqHttpClient_Create();
-    CU_ASSERT_TRUE(AqHttpClient_Start(client, &put, &error));
-    AqHttpClient_Destroy(client);
+    AqTestHttpClient *client = AqTestHttpClient_Create();
+    CU_ASSERT_TRUE(AqTestHttpClient_Start(client, &put, &error));
+    AqTestHttpClient_Destroy(client);
     CU_ASSERT_EQUAL(call("GET", "/v1/kv/other", NULL, &reply), 404);
     CU_ASSERT_TRUE(AqClock_ReadMonotonic() - start >= 80);
-    AqHttpReply_Clear(&reply);
+    AqTestHttpReply_Clear(&reply);
     post(platform, "/test/v1/faults", "{\"slow_ms\": 0}");
     snprintf(path, sizeof(path), "/v1/kv/slow?index=%llu&wait=9s",
              (unsigned long long)index);
     CU_ASSERT_EQUAL(call("GET", path, NULL, &reply), 200);
-    AqHttpReply_Clear(&reply);
+    AqTestHttpReply_Clear(&reply);
 }
 
 /* Follows the VM list until a VM has a state; false when it never has. */
@@ -337,9 +339,9 @@
     CU_ASSERT_STRING_EQUAL(json_string_value(json_object_get(vm, "state")),
                            "live");
     json_decref(vm);
-    AqHttpReply reply = {0};
+    AqTestHttpReply reply = {0};
     CU_ASSERT_EQUAL(call("PUT", "/v1/vms/none/reboot", NULL, &reply), 404);
-    AqHttpReply_Clear(&reply);
+    AqTestHttpReply_Clear(&reply);
 }
 
 /* Follows the task list until a task has a state. */
@@ -389,7 +391,7 @@
 static void
 test_tasks(void)
 {
-    AqHttpReply reply = {0};
+    AqTestHttpReply reply = {0};
     static const struct {
         const char *method;
         const char *path;
@@ -420,7 +422,7 @@
         CU_ASSERT_EQUAL(
             call(cases[i].method, cases[i].path, cases[i].body, &reply),
             cases[i].status);
-        AqHttpReply_Clear(&reply);
+        AqTestHttpReply_Clear(&reply);
     }
     CU_ASSERT_TRUE(wait_for_task("t3", "finished", true));
     CU_ASSERT_TRUE(wait_for_task("t4", "lapsed", true));
--- a/packages/testkit/tests/test_testkit.c
+++ b/packages/testkit/tests/test_testkit.c
@@ -53,7 +53,7 @@
     AqError error = {0};
     json_t *value = body != NULL ? json_loads(body, 0, NULL) : NULL;
     CU_ASSERT_TRUE_FATAL(body == NULL || value != NULL);
-    json_t *reply = AqHttp_Json(method, url, NULL, value, NULL, &error);
+    json_t *reply = AqTestHttp_Json(method, url, NULL, value, NULL, &error);
     json_decref(value);
     if (reply == NULL) {
         printf("%s\n", error.message);
--- a/packages/wire/Include/aq_wire.h
+++ b/packages/wire/Include/aq_wire.h
@@ -58,32 +58,32 @@
     int64_t idle;                /* free slots of this member */
 } AqWireService;
 
-/* Slots of an endpoint that the sender holds on loan. */
+/* Slots of an endpoint that the sender has leased in. */
 typedef struct {
-    char lender[AQ_WIRE_MAX_NAME];
+    char lessor[AQ_WIRE_MAX_NAME];
     char endpoint[AQ_WIRE_MAX_NAME];
     int64_t count;
-} AqWireLoan;
+} AqWireSlotLease;
 
 typedef struct {
     uint64_t seq; /* never falls in one instance */
     uint64_t instance;
-    int64_t epoch;        /* adopted epoch; 0 while the start guard runs */
-    int64_t version;      /* fleet document in force */
-    int64_t store_age_ms; /* since the last confirmed store contact */
-    bool stopping;        /* graceful stop has begun */
-    bool joining;         /* not counted in a majority yet */
-    bool slots_known;     /* "over" and "loans" have been filled in */
-    AqWireCount *heard;   /* owned by the message, as the lists below */
-    size_t heard_count;
-    uint64_t *heard_seq;  /* heard_count elements: the last seq received from
-                             that peer, 0 for none; NULL stands for zeros */
+    int64_t epoch;          /* adopted epoch; 0 while the start guard runs */
+    int64_t version;        /* fleet document in force */
+    int64_t store_age_ms;   /* since the last confirmed store contact */
+    bool stopping;          /* graceful stop has begun */
+    bool joining;           /* not counted in a majority yet */
+    bool slots_known;       /* over and slot_leases have been filled in */
+    AqWireCount *peer_ages; /* owned by the message, as the lists below */
+    size_t peer_age_count;
+    uint64_t *acked_seq; /* peer_age_count elements: the last seq received from
+                            that peer, 0 for none; NULL stands for zeros */
     AqWireCount *leaving; /* VMs with requests in flight; not listed: 0 */
     size_t leaving_count;
     AqWireCount *over; /* endpoints with more in flight than the share */
     size_t over_count;
-    AqWireLoan *loans;
-    size_t loan_count;
+    AqWireSlotLease *slot_leases;
+    size_t slot_lease_count;
     AqWireService *services;
     size_t service_count;
 } AqMsgHeartbeat;
--- a/packages/wire/decode.c
+++ b/packages/wire/decode.c
@@ -178,23 +178,24 @@
 read_heard(Reader *r, AqMsgHeartbeat *beat)
 {
     const msgpack_object *elements;
-    if (!read_list(r, "heard", sizeof(*beat->heard), (void **)&beat->heard,
-                   &elements, &beat->heard_count)) {
+    if (!read_list(r, "heard", sizeof(*beat->peer_ages),
+                   (void **)&beat->peer_ages, &elements,
+                   &beat->peer_age_count)) {
         return false;
     }
-    if (beat->heard_count > 0) {
-        beat->heard_seq = calloc(beat->heard_count, sizeof(uint64_t));
-        if (beat->heard_seq == NULL) {
+    if (beat->peer_age_count > 0) {
+        beat->acked_seq = calloc(beat->peer_age_count, sizeof(uint64_t));
+        if (beat->acked_seq == NULL) {
             abort();
         }
     }
-    for (size_t i = 0; i < beat->heard_count; i++) {
+    for (size_t i = 0; i < beat->peer_age_count; i++) {
         Reader e;
         if (!open_array(&e, r->message, &elements[i], 3, r->error) ||
-            !read_name(&e, "heard", beat->heard[i].name) ||
+            !read_name(&e, "heard", beat->peer_ages[i].name) ||
             !read_int(&e, "heard", AQ_WIRE_MAX_AGE_MS,
-                      &beat->heard[i].value) ||
-            !read_uint(&e, "heard", &beat->heard_seq[i])) {
+                      &beat->peer_ages[i].value) ||
+            !read_uint(&e, "heard", &beat->acked_seq[i])) {
             return false;
         }
     }
@@ -202,20 +203,21 @@
 }
 
 static bool
-read_loans(Reader *r, AqMsgHeartbeat *beat)
+read_slot_leases(Reader *r, AqMsgHeartbeat *beat)
 {
     const msgpack_object *elements;
-    if (!read_list(r, "loans", sizeof(*beat->loans), (void **)&beat->loans,
-                   &elements, &beat->loan_count)) {
+    if (!read_list(r, "loans", sizeof(*beat->slot_leases),
+                   (void **)&beat->slot_leases, &elements,
+                   &beat->slot_lease_count)) {
         return false;
     }
-    for (size_t i = 0; i < beat->loan_count; i++) {
+    for (size_t i = 0; i < beat->slot_lease_count; i++) {
         Reader e;
-        AqWireLoan *loan = &beat->loans[i];
+        AqWireSlotLease *lease = &beat->slot_leases[i];
         if (!open_array(&e, r->message, &elements[i], 3, r->error) ||
-            !read_name(&e, "loans", loan->lender) ||
-            !read_name(&e, "loans", loan->endpoint) ||
-            !read_int(&e, "loans", WIRE_MAX_SLOTS, &loan->count)) {
+            !read_name(&e, "loans", lease->lessor) ||
+            !read_name(&e, "loans", lease->endpoint) ||
+            !read_int(&e, "loans", WIRE_MAX_SLOTS, &lease->count)) {
             return false;
         }
     }
@@ -259,7 +261,7 @@
            read_heard(r, beat) &&
            read_counts(r, "leaving", &beat->leaving, &beat->leaving_count) &&
            read_counts(r, "over", &beat->over, &beat->over_count) &&
-           read_loans(r, beat) && read_services(r, beat);
+           read_slot_leases(r, beat) && read_services(r, beat);
 }
 
 static bool
@@ -479,11 +481,11 @@
 AqMsg_Clear(AqMsg *msg)
 {
     if (msg->type == AQ_MSG_HEARTBEAT) {
-        free(msg->as.heartbeat.heard);
-        free(msg->as.heartbeat.heard_seq);
+        free(msg->as.heartbeat.peer_ages);
+        free(msg->as.heartbeat.acked_seq);
         free(msg->as.heartbeat.leaving);
         free(msg->as.heartbeat.over);
-        free(msg->as.heartbeat.loans);
+        free(msg->as.heartbeat.slot_leases);
         free(msg->as.heartbeat.services);
     }
     else if (msg->type == AQ_MSG_FLEET) {
--- a/packages/wire/encode.c
+++ b/packages/wire/encode.c
@@ -56,24 +56,25 @@
 static void
 pack_heard(msgpack_packer *pk, const AqMsgHeartbeat *beat)
 {
-    size_t count = pack_list(pk, beat->heard_count);
+    size_t count = pack_list(pk, beat->peer_age_count);
     for (size_t i = 0; i < count; i++) {
         msgpack_pack_array(pk, 3);
-        pack_name(pk, beat->heard[i].name);
-        pack_int(pk, beat->heard[i].value, AQ_WIRE_MAX_AGE_MS);
-        msgpack_pack_uint64(pk, beat->heard_seq ? beat->heard_seq[i] : 0);
+        pack_name(pk, beat->peer_ages[i].name);
+        pack_int(pk, beat->peer_ages[i].value, AQ_WIRE_MAX_AGE_MS);
+        msgpack_pack_uint64(pk, beat->acked_seq ? beat->acked_seq[i] : 0);
     }
 }
 
 static void
-pack_loans(msgpack_packer *pk, const AqWireLoan *loans, size_t count)
+pack_slot_leases(msgpack_packer *pk, const AqWireSlotLease *slot_leases,
+                 size_t count)
 {
     count = pack_list(pk, count);
     for (size_t i = 0; i < count; i++) {
         msgpack_pack_array(pk, 3);
-        pack_name(pk, loans[i].lender);
-        pack_name(pk, loans[i].endpoint);
-        pack_int(pk, loans[i].count, WIRE_MAX_SLOTS);
+        pack_name(pk, slot_leases[i].lessor);
+        pack_name(pk, slot_leases[i].endpoint);
+        pack_int(pk, slot_leases[i].count, WIRE_MAX_SLOTS);
     }
 }
 
@@ -105,7 +106,7 @@
     pack_heard(pk, beat);
     pack_counts(pk, beat->leaving, beat->leaving_count);
     pack_counts(pk, beat->over, beat->over_count);
-    pack_loans(pk, beat->loans, beat->loan_count);
+    pack_slot_leases(pk, beat->slot_leases, beat->slot_lease_count);
     pack_services(pk, beat->services, beat->service_count);
 }
 
@@ -231,10 +232,10 @@
         bare.epoch = 0;
         bare.version = 0;
         bare.slots_known = false;
-        bare.heard_count = 0;
+        bare.peer_age_count = 0;
         bare.leaving_count = 0;
         bare.over_count = 0;
-        bare.loan_count = 0;
+        bare.slot_lease_count = 0;
         bare.service_count = 0;
         msgpack_sbuffer_clear(&body);
         pack_heartbeat(&pk, &bare);
--- a/packages/wire/tests/test_wire.c
+++ b/packages/wire/tests/test_wire.c
@@ -76,11 +76,11 @@
     CU_ASSERT_TRUE(beat->stopping);
     CU_ASSERT_FALSE(beat->joining);
     CU_ASSERT_TRUE(beat->slots_known);
-    CU_ASSERT_STRING_EQUAL(beat->heard[0].name, "vm-0");
+    CU_ASSERT_STRING_EQUAL(beat->peer_ages[0].name, "vm-0");
     CU_ASSERT_STRING_EQUAL(beat->leaving[0].name, "worker-0");
     CU_ASSERT_STRING_EQUAL(beat->over[0].name, "endpoint-0");
-    CU_ASSERT_STRING_EQUAL(beat->loans[0].lender, "vm-0");
-    CU_ASSERT_STRING_EQUAL(beat->loans[0].endpoint, "endpoint-0");
+    CU_ASSERT_STRING_EQUAL(beat->slot_leases[0].lessor, "vm-0");
+    CU_ASSERT_STRING_EQUAL(beat->slot_leases[0].endpoint, "endpoint-0");
     CU_ASSERT_STRING_EQUAL(beat->services[0].name, "service-0");
     CU_ASSERT_EQUAL(beat->services[0].queued, 0);
     CU_ASSERT_EQUAL(beat->services[0].idle, 3);
