--- a/packages/explain/explain.c
+++ b/packages/explain/explain.c
@@ -46,7 +46,7 @@
 }
 
 static void
-sort_life(AqExplain *explain)
+sort_timeline(AqExplain *explain)
 {
     if (!explain->is_sorted) {
         g_ptr_array_sort(explain->timeline, compare_lines);
@@ -122,7 +122,7 @@
         add_own_line(explain, line, size);
     }
     else {
-        sort_life(explain);
+        sort_timeline(explain);
         add_context_line(explain, line, size);
     }
 }
@@ -165,7 +165,7 @@
                                "unreadable", (json_int_t)explain->unreadable);
     json_t *timeline = json_array();
     json_t *missing = json_array();
-    sort_life(explain);
+    sort_timeline(explain);
     g_ptr_array_sort(explain->context, compare_lines);
     for (guint i = 0; i < explain->timeline->len; i++) {
         const Line *first = g_ptr_array_index(explain->timeline, 0);
--- a/packages/membership/endpoints.c
+++ b/packages/membership/endpoints.c
@@ -102,7 +102,7 @@
 
 /* Index of the member that a slot is assigned to. */
 static uint16_t
-deal_slot(const uint64_t *hashes, size_t count, const Endpoint *e, int slot)
+assign_slot(const uint64_t *hashes, size_t count, const Endpoint *e, int slot)
 {
     uint64_t key = AqHash_Rendezvous(e->hash, (uint64_t)slot);
     uint64_t best = 0;
@@ -125,8 +125,9 @@
     e->pending = 0;
     e->held = 0;
     for (int i = 0; i < e->slots; i++) {
-        bool mine = self >= 0 && deal_slot(slices->hashes,
-                                           slices->member_count, e, i) == self;
+        bool mine =
+            self >= 0 &&
+            assign_slot(slices->hashes, slices->member_count, e, i) == self;
         if (!mine) {
             e->state[i] = SLOT_OTHER;
         }
@@ -154,7 +155,7 @@
         e->previous = calloc(SLOTS_MAX, sizeof(*e->previous));
     }
     for (int i = 0; e->previous != NULL && i < e->slots; i++) {
-        uint16_t holder = deal_slot(old_hashes, old_count, e, i);
+        uint16_t holder = assign_slot(old_hashes, old_count, e, i);
         int now_at = holder == NO_MEMBER
                          ? -1
                          : AqMembership_Index(slices->membership, old[holder]);
--- a/packages/membership/membership.c
+++ b/packages/membership/membership.c
@@ -297,7 +297,7 @@
 }
 
 static void
-fill_heard(const AqMembership *m, AqTime now, AqMsgHeartbeat *beat)
+fill_peer_ages(const AqMembership *m, AqTime now, AqMsgHeartbeat *beat)
 {
     size_t room = m->peers.count;
     beat->peer_ages = calloc(room + 1, sizeof(*beat->peer_ages));
@@ -336,7 +336,7 @@
         beat->store_age_ms = now - m->contact;
     }
     beat->joining = !m->counts_for_majority;
-    fill_heard(m, now, beat);
+    fill_peer_ages(m, now, beat);
 }
 
 size_t
--- a/packages/pool/member.c
+++ b/packages/pool/member.c
@@ -101,7 +101,7 @@
 }
 
 static void
-note_heard(Member *member, AqTime sent_at)
+note_reply(Member *member, AqTime sent_at)
 {
     AqTime certain = sent_at + MEMBER_LEASE_MS - LEASE_MARGIN_MS;
     member->last_reply_at = AqLoop_Now(member->node->loop);
@@ -141,7 +141,7 @@
     AqLog_Event(AQ_LOG_INFO, "member_joined", "lease=%llu incarnation=%s",
                 (unsigned long long)member->lease, member->node->incarnation);
     member->joined_at = AqLoop_Now(member->node->loop);
-    note_heard(member, member->keep_sent_at);
+    note_reply(member, member->keep_sent_at);
     schedule_keep(member, KEEP_MS);
     consider_all(member);
 }
@@ -184,7 +184,7 @@
     Member *member = context;
     store_health_note(&member->node->store_health, reply->status);
     if (reply->status == AQ_STORE_OK) {
-        note_heard(member, member->keep_sent_at);
+        note_reply(member, member->keep_sent_at);
         schedule_keep(member, KEEP_MS);
     }
     else if (reply->status == AQ_STORE_ABSENT) {
--- a/packages/scheduler/machine_requests.c
+++ b/packages/scheduler/machine_requests.c
@@ -8,7 +8,7 @@
 
 enum {
     LIST_FIELDS = 3,
-    ASK_FIELDS = 5
+    REQUEST_FIELDS = 5
 };
 
 void
@@ -29,7 +29,7 @@
     msgpack_pack_array(&packer, list->count);
     for (size_t i = 0; i < list->count; i++) {
         const AqMachineRequest *request = &list->requests[i];
-        msgpack_pack_array(&packer, ASK_FIELDS);
+        msgpack_pack_array(&packer, REQUEST_FIELDS);
         msgpack_pack_int64(&packer, request->number);
         record_pack_text(&packer, request->machine);
         record_pack_text(&packer, request->to_pool);
@@ -53,7 +53,7 @@
 decode_request(const msgpack_object *row, AqMachineRequest *request)
 {
     if (row->type != MSGPACK_OBJECT_ARRAY ||
-        row->via.array.size < ASK_FIELDS) {
+        row->via.array.size < REQUEST_FIELDS) {
         return false;
     }
     const msgpack_object *at = row->via.array.ptr;
--- a/packages/scheduler/ranking.c
+++ b/packages/scheduler/ranking.c
@@ -9,7 +9,7 @@
  * now, and they are started rarely. */
 
 enum {
-    BUCKET_LASTING,
+    BUCKET_PERPETUAL,
     BUCKET_IN_TIME,
     BUCKET_LATE,
     BUCKET_VERY_LATE,
@@ -100,7 +100,7 @@
     AqTime objective = (AqTime)((double)chain * stretch) + target;
     job->slack = since + objective - s->now - left;
     if (is_perpetual_task) {
-        job->bucket = BUCKET_LASTING;
+        job->bucket = BUCKET_PERPETUAL;
     }
     else if (job->slack >= 0) {
         job->bucket = BUCKET_IN_TIME;
--- a/packages/scheduler/replies.c
+++ b/packages/scheduler/replies.c
@@ -14,7 +14,7 @@
     STALL_MS = 1200,
     STALL_SHARE = 25,
     /* A perpetual task starts up within a second or two. */
-    LASTING_START_MS = 5000
+    PERPETUAL_START_MS = 5000
 };
 
 static void
@@ -342,7 +342,7 @@
         return;
     }
     AqTime limit = spec->is_perpetual
-                       ? LASTING_START_MS
+                       ? PERPETUAL_START_MS
                        : STALL_MS + spec->estimate_ms / STALL_SHARE;
     bool is_at_work = spec->is_perpetual && row->percent >= 100;
     if (!is_at_work && s->now - task->progress_at > limit) {
--- a/packages/wire/decode.c
+++ b/packages/wire/decode.c
@@ -175,7 +175,7 @@
 }
 
 static bool
-read_heard(Reader *r, AqMsgHeartbeat *beat)
+read_peer_ages(Reader *r, AqMsgHeartbeat *beat)
 {
     const msgpack_object *elements;
     if (!read_list(r, "heard", sizeof(*beat->peer_ages),
@@ -258,7 +258,7 @@
            read_bool(r, "stopping", &beat->stopping) &&
            read_bool(r, "joining", &beat->joining) &&
            read_bool(r, "slots_known", &beat->slots_known) &&
-           read_heard(r, beat) &&
+           read_peer_ages(r, beat) &&
            read_counts(r, "leaving", &beat->leaving, &beat->leaving_count) &&
            read_counts(r, "over", &beat->over, &beat->over_count) &&
            read_slot_leases(r, beat) && read_services(r, beat);
--- a/packages/wire/encode.c
+++ b/packages/wire/encode.c
@@ -54,7 +54,7 @@
 }
 
 static void
-pack_heard(msgpack_packer *pk, const AqMsgHeartbeat *beat)
+pack_peer_ages(msgpack_packer *pk, const AqMsgHeartbeat *beat)
 {
     size_t count = pack_list(pk, beat->peer_age_count);
     for (size_t i = 0; i < count; i++) {
@@ -103,7 +103,7 @@
     pack_bool(pk, beat->stopping);
     pack_bool(pk, beat->joining);
     pack_bool(pk, beat->slots_known);
-    pack_heard(pk, beat);
+    pack_peer_ages(pk, beat);
     pack_counts(pk, beat->leaving, beat->leaving_count);
     pack_counts(pk, beat->over, beat->over_count);
     pack_slot_leases(pk, beat->slot_leases, beat->slot_lease_count);
