--- a/packages/pool/caller_responses.h
+++ b/packages/pool/caller_responses.h
@@ -5,13 +5,15 @@
 
 #include "aq_http_server.h"
 
-/* Answers to callers, by this node or with what a peer has answered. */
+/* HTTP responses to callers, from this node or passed on from a peer. */
 
-/* Nothing was done (503), and: what was done is not known (504). */
+/* JSON bodies: nothing was done (status 503), and: the outcome is unknown
+ * (504). */
 extern const char response_unavailable[];
 extern const char response_unknown[];
 
-/* Answers with JSON; a refusal says when to come back. */
+/* Sends a JSON response; statuses 429 and 503 get a Retry-After header of
+ * one second. */
 void respond_json(AqExchange *exchange, int status, const char *body,
                   size_t size);
 
--- a/packages/pool/forwarder.c
+++ b/packages/pool/forwarder.c
@@ -8,14 +8,17 @@
 #include "aq_log.h"
 
 enum {
-    LEAST_MS = 300, /* less time than that is not enough for a second node */
-    RESERVE_MS = 150,
-    CONNECT_MS = 250,
-    PAUSE_MS = 500, /* after a peer that could not help either */
-    MAX_ANSWER = 65536
+    /* Time until the deadline below which a second node could not
+     * respond, so the request is not forwarded. */
+    MIN_REMAINING_MS = 300,
+    RESPONSE_RESERVE_MS = 150, /* for the response to reach the caller */
+    CONNECT_TIMEOUT_MS = 250,
+    PEER_FAILURE_PAUSE_MS = 500, /* after a peer failed to serve a request */
+    MAX_RESPONSE_BYTES = 65536
 };
 
-static const char mark[] = "Aq-Forwarded";
+/* Header of forwarded requests, which are not forwarded again. */
+static const char forwarded_header[] = "Aq-Forwarded";
 
 struct Forwarder {
     NodeContext *node;
@@ -29,7 +32,7 @@
     ForwardOrder order;
     char peer[32];
     AqTime sent_at;
-    bool is_read; /* it can be asked again without harm */
+    bool is_read; /* a GET, which is safe to repeat */
 } Forward;
 
 static void
@@ -59,26 +62,27 @@
 }
 
 static void
-on_answer(void *context, const AqHttpReply *reply)
+on_peer_reply(void *context, const AqHttpReply *reply)
 {
     Forward *forward = context;
     Forwarder *forwarder = forward->forwarder;
-    bool is_whole = reply->result == AQ_HTTP_DONE;
-    if (!is_whole || reply->status == 503) {
-        forwarder->pause_until = AqLoop_Now(forwarder->node->loop) + PAUSE_MS;
+    bool is_complete = reply->result == AQ_HTTP_DONE;
+    if (!is_complete || reply->status == 503) {
+        forwarder->pause_until =
+            AqLoop_Now(forwarder->node->loop) + PEER_FAILURE_PAUSE_MS;
     }
     int status = forwarder_status(
-        is_whole ? reply->status : 0, reply->result != AQ_HTTP_NOT_SENT,
+        is_complete ? reply->status : 0, reply->result != AQ_HTTP_NOT_SENT,
         forward->is_read, forward->order.may_have_effect);
-    bool is_answered = status != 504 || !forward->order.may_have_effect ||
-                       forward->order.done == NULL;
-    if (!is_answered) {
+    bool has_responded = status != 504 || !forward->order.may_have_effect ||
+                         forward->order.done == NULL;
+    if (!has_responded) {
         AqLog_Event(AQ_LOG_WARNING, "forward_failed",
                     "path=%s peer=%s result=%d status=%d",
                     AqLog_Quote(AqExchange_Path(forward->order.exchange)),
                     forward->peer, (int)reply->result, reply->status);
     }
-    else if (is_whole && status == reply->status) {
+    else if (is_complete && status == reply->status) {
         respond(forward, status, reply->body, reply->size);
     }
     else {
@@ -87,7 +91,7 @@
         respond(forward, status, body, strlen(body));
     }
     if (forward->order.done != NULL) {
-        forward->order.done(forward->order.context, is_answered);
+        forward->order.done(forward->order.context, has_responded);
     }
     free(forward);
 }
@@ -97,8 +101,8 @@
             AqTime deadline)
 {
     AqTime now = AqLoop_Now(forwarder->node->loop);
-    return AqExchange_Header(exchange, mark) == NULL &&
-           forwarder->pause_until <= now && deadline - now > LEAST_MS;
+    return AqExchange_Header(exchange, forwarded_header) == NULL &&
+           forwarder->pause_until <= now && deadline - now > MIN_REMAINING_MS;
 }
 
 bool
@@ -121,8 +125,8 @@
     char *url =
         g_strdup_printf("http://%s%s", peer, AqExchange_Path(exchange));
     char *host_line = g_strdup_printf("Host: %s", host);
-    char *mark_line = g_strdup_printf("%s: 1", mark);
-    const char *headers[] = {host_line, mark_line,
+    char *forwarded_line = g_strdup_printf("%s: 1", forwarded_header);
+    const char *headers[] = {host_line, forwarded_line,
                              "Content-Type: application/json", NULL};
     const char *body = AqExchange_Body(exchange, &size);
     AqHttpRequest request = {
@@ -132,14 +136,15 @@
         .body = body,
         .size = size,
         .has_body = size > 0,
-        .timeout_ms = order->deadline - forward->sent_at - RESERVE_MS,
-        .connect_timeout_ms = CONNECT_MS,
-        .max_response_bytes = MAX_ANSWER,
+        .timeout_ms = order->deadline - forward->sent_at - RESPONSE_RESERVE_MS,
+        .connect_timeout_ms = CONNECT_TIMEOUT_MS,
+        .max_response_bytes = MAX_RESPONSE_BYTES,
     };
-    AqHttpClient_Start(forwarder->node->http, &request, on_answer, forward);
+    AqHttpClient_Start(forwarder->node->http, &request, on_peer_reply,
+                       forward);
     g_free(url);
     g_free(host_line);
-    g_free(mark_line);
+    g_free(forwarded_line);
     return true;
 }
 
--- a/packages/pool/forwarder.h
+++ b/packages/pool/forwarder.h
@@ -4,13 +4,15 @@
 #include "aq_http_server.h"
 #include "node.h"
 
-/* Hands a caller's request to another node, for a node that the store turns
- * away while it serves others.  The peer does not hand it on again. */
+/* Forwards callers' requests to another node when the store fails this
+ * node's calls but may serve those of others.  The peer does not forward
+ * them again. */
 
 typedef struct Forwarder Forwarder;
 
 typedef struct {
-    /* "IP:port" where another node takes callers, or NULL.  Borrowed. */
+    /* Returns "IP:port" on which another node serves callers, or NULL.
+     * Borrowed. */
     const char *(*peer)(void *context);
 } ForwarderOps;
 
@@ -21,24 +23,30 @@
 typedef struct {
     AqExchange *exchange;
     AqTime deadline;
-    /* This node has sent the request to the store and does not know what
-     * became of it, so that no later failure shows that nothing was done. */
+    /* This node has sent a write of the request to the store without
+     * getting its outcome, so no later failure proves that nothing was
+     * done. */
     bool may_have_effect;
-    /* Called once when the peer is done with it, NULL: not wanted.  With
-     * "is_answered" false the outcome is still not known and the exchange is
-     * the caller's again. */
-    void (*done)(void *context, bool is_answered);
+    /* Called once when the peer's response has arrived or the call has
+     * failed.  With "has_responded" false, the outcome is still unknown and
+     * the caller of forwarder_send owns the exchange again.  NULL: no
+     * callback; the exchange always gets a response. */
+    void (*done)(void *context, bool has_responded);
     void *context;
 } ForwardOrder;
 
-/* Sends the request to a peer and answers the exchange with its answer; false,
- * and nothing is done, when there is no peer, the request has been handed on
- * already, or peers have lately been turned away too. */
+/* Sends the request to a peer and responds to the exchange with the peer's
+ * response.  Returns false, and does nothing, when there is no peer, the
+ * request has been forwarded already, too little time is left, or a peer
+ * failed to serve a request within the last 500 ms. */
 bool forwarder_send(Forwarder *forwarder, const ForwardOrder *order);
 
-/* What the caller is told when a peer's answer is "status", or none came (0)
- * and "was_sent" says whether the peer may have got the request.  A refusal
- * says that nothing was done, which holds only where nothing can have been. */
+/* Returns the HTTP status for the caller when the peer responded with
+ * "status", or didn't respond (0), in which case "was_sent" says whether
+ * the peer may have received the request.  "is_read": the request has no
+ * effect.  A 429 or 503 tells the caller that nothing was done, so it is
+ * returned only if no write can have taken effect; otherwise the status is
+ * 504. */
 int forwarder_status(int status, bool was_sent, bool is_read,
                      bool may_have_effect);
 
--- a/packages/pool/job_api.c
+++ b/packages/pool/job_api.c
@@ -11,14 +11,14 @@
 #include "store_keys.h"
 
 enum {
-    DEFAULT_DEADLINE_MS = 2500, /* of a request that names none */
-    DEADLINE_RESERVE_MS = 150,  /* for the answer to arrive */
-    RETRY_MS = 100,             /* between two tries of a store call */
-    REPORT_AGE_MS = 400         /* a copy of a report is good for so long */
+    DEFAULT_DEADLINE_MS = 2500, /* of a request without the deadline header */
+    RESPONSE_RESERVE_MS = 150,  /* for the response to reach the caller */
+    STORE_RETRY_MS = 100,       /* between two attempts of a store call */
+    REPORT_MAX_AGE_MS = 400     /* of a cached report that is still used */
 };
 
-static const char no_owner[] =
-    "{\"error\":\"no node counts the queue's jobs now; come back later\"}";
+static const char response_no_owner[] =
+    "{\"error\":\"the queue's pool has no owner now; retry later\"}";
 
 struct JobApi {
     NodeContext *node;
@@ -27,7 +27,8 @@
     GHashTable *reports; /* pool -> Report */
 };
 
-/* The waiting counts of a pool's queues, as its owner wrote them. */
+/* A cached copy of the counts of waiting jobs in a pool's queues, as its
+ * owner wrote them. */
 typedef struct {
     char *text;
     AqTime read_at;
@@ -41,11 +42,11 @@
     char id[AQ_JOB_ID_SIZE];
     AqTime deadline;
     AqTime arrived_at;
-    AqTimer retry;
+    AqTimer retry_timer;
     void (*try)(void *request);
-    AqBuffer job; /* stored form, of a submission */
-    unsigned tries;
-    bool may_have_effect; /* a write of an earlier try had no answer */
+    AqBuffer encoded_job; /* the encoded job of a submission, else empty */
+    unsigned attempts;
+    bool may_have_effect; /* an earlier write of it got no reply */
 } Request;
 
 static AqTime
@@ -55,9 +56,9 @@
 }
 
 static void try_state(void *context);
-static void on_forwarded(void *context, bool is_answered);
+static void on_forwarded(void *context, bool has_responded);
 
-/* ---- Answers ------------------------------------------------------------ */
+/* ---- Responses ---------------------------------------------------------- */
 
 static void
 respond_error(AqExchange *exchange, int status, const char *message)
@@ -68,14 +69,15 @@
 }
 
 static void
-count_answer(const Request *request, int status)
+count_response(const Request *request, int status)
 {
     const NodeMetrics *metrics = &request->job_api->node->metrics;
-    AqTime took = now_of(request->job_api) - request->arrived_at;
-    bool is_submission = request->job.size > 0;
+    AqTime elapsed_ms = now_of(request->job_api) - request->arrived_at;
+    bool is_submission = request->encoded_job.size > 0;
     if (status == 200 && (is_submission || request->try == try_state)) {
-        AqMetric_Observe(
-            is_submission ? metrics->accept_ms : metrics->state_ms, took);
+        AqMetric_Observe(is_submission ? metrics->accept_ms
+                                       : metrics->state_ms,
+                         elapsed_ms);
     }
     if (status == 200 && is_submission) {
         AqMetric_Add(metrics->stored, 1);
@@ -91,29 +93,31 @@
 static void
 free_request(Request *request)
 {
-    AqTimer_Stop(&request->retry);
-    AqBuffer_Clear(&request->job);
+    AqTimer_Stop(&request->retry_timer);
+    AqBuffer_Clear(&request->encoded_job);
     free(request);
 }
 
 static void
-finish(Request *request, int status, const char *body, const char *reason)
+finish_request(Request *request, int status, const char *body,
+               const char *reason)
 {
     AqLog_Event(status >= 400 ? AQ_LOG_WARNING : AQ_LOG_INFO, "answered",
                 "request=%s queue=%s method=%s status=%d reason=%s tries=%u "
                 "took_ms=%lld config=%lld",
                 request->id, request->queue,
                 AqExchange_Method(request->exchange), status, reason,
-                request->tries,
+                request->attempts,
                 (long long)(now_of(request->job_api) - request->arrived_at),
                 (long long)request->job_api->node->site.version);
-    count_answer(request, status);
+    count_response(request, status);
     respond_json(request->exchange, status, body, strlen(body));
     free_request(request);
 }
 
-/* Hands a request to another node.  Submitting and cancelling do nothing the
- * second time, so that it may go there after a try without an answer too. */
+/* Forwards a request to another node; returns false if that is not
+ * possible.  Submissions and cancellations are idempotent, so they may be
+ * forwarded even after a write without a reply. */
 static bool
 forward(Request *request)
 {
@@ -123,15 +127,18 @@
     return job_api->ops.forward(job_api->context, &order);
 }
 
-/* Refuses, which says that nothing was done, only where that is certain. */
+/* Ends a request that the store didn't serve.  Status 503 states that
+ * nothing was done, so it is sent only if that is certain; otherwise the
+ * status is 504. */
 static void
 finish_unserved(Request *request)
 {
     if (request->may_have_effect) {
-        finish(request, 504, response_unknown, "store_silent");
+        finish_request(request, 504, response_unknown, "store_silent");
     }
     else {
-        finish(request, 503, response_unavailable, "store_unavailable");
+        finish_request(request, 503, response_unavailable,
+                       "store_unavailable");
     }
 }
 
@@ -144,12 +151,13 @@
 }
 
 static void
-note_store(const Request *request, const AqStoreReply *reply)
+record_store_status(const Request *request, const AqStoreReply *reply)
 {
     store_health_note(&request->job_api->node->store_health, reply->status);
 }
 
-/* Begins with a write, unless the store is known not to serve this node. */
+/* Starts the first attempt of a request that writes; forwards the request
+ * instead if the store is known not to serve this node. */
 static void
 begin_write(Request *request, void (*try)(void *request))
 {
@@ -168,28 +176,30 @@
     request->try(request);
 }
 
-/* Tries again while there is time; false when there is none. */
+/* Schedules another attempt; returns false if too little time is left
+ * before the deadline. */
 static bool
-try_again(Request *request)
+schedule_retry(Request *request)
 {
-    AqTime next = now_of(request->job_api) + RETRY_MS;
-    if (next + DEADLINE_RESERVE_MS > request->deadline) {
+    AqTime next = now_of(request->job_api) + STORE_RETRY_MS;
+    if (next + RESPONSE_RESERVE_MS > request->deadline) {
         return false;
     }
-    AqTimer_Start(request->job_api->node->loop, &request->retry, next);
+    AqTimer_Start(request->job_api->node->loop, &request->retry_timer, next);
     return true;
 }
 
 static void
 retry_or_finish(Request *request)
 {
-    if (!try_again(request)) {
+    if (!schedule_retry(request)) {
         finish_unserved(request);
     }
 }
 
-/* Of reads, which change nothing, and of writes without an answer: only an
- * answer shows what they did, so that tries go on, here or at a peer. */
+/* For reads, which have no effect, and for requests with a write that got
+ * no reply, whose outcome only another attempt can show: forwards the
+ * request, or schedules another attempt here. */
 static void
 forward_or_retry(Request *request)
 {
@@ -198,12 +208,13 @@
     }
 }
 
-/* A peer that does not know the outcome either leaves the request here. */
+/* Called when forwarding has ended.  If the peer doesn't know the outcome
+ * either, this node goes on trying. */
 static void
-on_forwarded(void *context, bool is_answered)
+on_forwarded(void *context, bool has_responded)
 {
     Request *request = context;
-    if (is_answered) {
+    if (has_responded) {
         free_request(request);
     }
     else {
@@ -217,21 +228,21 @@
 on_submitted(void *context, const AqStoreReply *reply)
 {
     Request *request = context;
-    note_store(request, reply);
+    record_store_status(request, reply);
     switch (reply->status) {
     case AQ_STORE_OK:
-        finish(request, 200, "{}", "stored");
+        finish_request(request, 200, "{}", "stored");
         break;
     case AQ_STORE_CONFLICT:
-        /* The job is there already, or was cancelled before it came. */
-        finish(request, 200, "{}", "known");
+        /* The job exists already, or was cancelled before it arrived. */
+        finish_request(request, 200, "{}", "known");
         break;
     case AQ_STORE_UNKNOWN:
         request->may_have_effect = true;
         forward_or_retry(request);
         break;
     default:
-        /* Nothing was done now; an earlier try may still have effect. */
+        /* This write had no effect; an earlier one may still take effect. */
         if (request->may_have_effect) {
             forward_or_retry(request);
         }
@@ -251,11 +262,11 @@
         {key_of_job(request->pool, request->id), 0},
         {key_of_cancel(request->pool, request->id), 0},
     };
-    AqStorePut put = {expects[0].key, AqBuffer_Text(&request->job),
-                      request->job.size, 0};
+    AqStorePut put = {expects[0].key, AqBuffer_Text(&request->encoded_job),
+                      request->encoded_job.size, 0};
     AqStoreCommit commit = {
         .expects = expects, .expect_count = 2, .puts = &put, .put_count = 1};
-    request->tries++;
+    request->attempts++;
     store->ops->commit(store, &commit, on_submitted, request);
 }
 
@@ -267,8 +278,8 @@
     size_t size;
     const char *body = AqExchange_Body(request->exchange, &size);
     if (!AqPlatform_DecodeJob(body, size, &spec, &error)) {
-        finish(request, 400, "{\"error\":\"the job is malformed\"}",
-               "malformed");
+        finish_request(request, 400, "{\"error\":\"the job is malformed\"}",
+                       "malformed");
         return;
     }
     g_strlcpy(spec.id, request->id, sizeof(spec.id));
@@ -277,12 +288,12 @@
     if (!AqJobSpec_Check(&spec, &error)) {
         AqLog_Event(AQ_LOG_WARNING, "job_refused", "request=%s error=%s",
                     request->id, AqLog_Quote(error.message));
-        finish(request, 400, "{\"error\":\"the job is malformed\"}",
-               "invalid");
+        finish_request(request, 400, "{\"error\":\"the job is malformed\"}",
+                       "invalid");
         AqJobSpec_Clear(&spec);
         return;
     }
-    AqJobSpec_Encode(&spec, &request->job);
+    AqJobSpec_Encode(&spec, &request->encoded_job);
     AqJobSpec_Clear(&spec);
     begin_write(request, try_submit);
 }
@@ -295,7 +306,7 @@
     AqBuffer body;
     AqBuffer_Init(&body);
     AqPlatform_EncodeState(state, &body);
-    finish(request, 200, AqBuffer_Text(&body), "read");
+    finish_request(request, 200, AqBuffer_Text(&body), "read");
     AqBuffer_Clear(&body);
 }
 
@@ -303,12 +314,13 @@
 on_job_read(void *context, const AqStoreReply *reply)
 {
     Request *request = context;
-    note_store(request, reply);
+    record_store_status(request, reply);
     if (reply->status == AQ_STORE_OK) {
         finish_state(request, AQ_JOB_QUEUED);
     }
     else if (reply->status == AQ_STORE_ABSENT) {
-        finish(request, 410, "{\"error\":\"there is no such job\"}", "absent");
+        finish_request(request, 410, "{\"error\":\"there is no such job\"}",
+                       "absent");
     }
     else {
         forward_or_retry(request);
@@ -326,7 +338,7 @@
         [AQ_STAGE_CANCELLED] = AQ_JOB_CANCELLED,
     };
     Request *request = context;
-    note_store(request, reply);
+    record_store_status(request, reply);
     AqStore *store = request->job_api->node->store;
     AqError error;
     AqJobStage stage;
@@ -341,8 +353,9 @@
                                     reply->items[0].size, &stage, &error)) {
         AqLog_Event(AQ_LOG_ERROR, "progress_unreadable", "request=%s error=%s",
                     request->id, AqLog_Quote(error.message));
-        finish(request, 500, "{\"error\":\"the job's record is damaged\"}",
-               "damaged");
+        finish_request(request, 500,
+                       "{\"error\":\"the job's record is damaged\"}",
+                       "damaged");
     }
     else {
         finish_state(request, states[stage]);
@@ -354,14 +367,14 @@
 {
     Request *request = context;
     AqStore *store = request->job_api->node->store;
-    request->tries++;
+    request->attempts++;
     store->ops->get(store, key_of_progress(request->pool, request->id),
                     on_progress_read, request);
 }
 
 /* ---- Cancelling --------------------------------------------------------- */
 
-/* After a write that was not carried out, or had no answer. */
+/* Handles a cancellation whose write was not carried out or got no reply. */
 static void
 retry_cancel(Request *request, const AqStoreReply *reply)
 {
@@ -381,16 +394,17 @@
 on_cancelled(void *context, const AqStoreReply *reply)
 {
     Request *request = context;
-    note_store(request, reply);
+    record_store_status(request, reply);
     if (reply->status == AQ_STORE_OK) {
-        finish(request, 200, "{}", "cancelled");
+        finish_request(request, 200, "{}", "cancelled");
     }
     else {
         retry_cancel(request, reply);
     }
 }
 
-/* Marks a job that is in the store as cancelled. */
+/* Writes the cancellation mark of a job that is in the store; requires that
+ * the job still has the given modify index. */
 static void
 mark_cancelled(Request *request, uint64_t job_index)
 {
@@ -402,16 +416,18 @@
     store->ops->commit(store, &commit, on_cancelled, request);
 }
 
-/* The answer to a cancelling that required that there is no job. */
+/* Handles the reply to a write of the cancellation mark that required the
+ * job to be absent. */
 static void
-on_cancel_first(void *context, const AqStoreReply *reply)
+on_cancelled_before_job(void *context, const AqStoreReply *reply)
 {
     Request *request = context;
-    note_store(request, reply);
+    record_store_status(request, reply);
     if (reply->status == AQ_STORE_OK) {
-        /* A submission that comes later finds the mark and never runs. */
-        finish(request, 410, "{\"error\":\"there is no such job\"}",
-               "cancelled_before");
+        /* The mark stays: a submission that arrives later finds it, and the
+         * job never runs. */
+        finish_request(request, 410, "{\"error\":\"there is no such job\"}",
+                       "cancelled_before");
     }
     else if (reply->status == AQ_STORE_CONFLICT && reply->count > 0) {
         mark_cancelled(request, reply->items[0].index);
@@ -430,8 +446,8 @@
     AqStorePut put = {key_of_cancel(request->pool, request->id), "1", 1, 0};
     AqStoreCommit commit = {
         .expects = &expect, .expect_count = 1, .puts = &put, .put_count = 1};
-    request->tries++;
-    store->ops->commit(store, &commit, on_cancel_first, request);
+    request->attempts++;
+    store->ops->commit(store, &commit, on_cancelled_before_job, request);
 }
 
 /* ---- Waiting jobs ------------------------------------------------------- */
@@ -456,7 +472,7 @@
     AqBuffer body;
     AqBuffer_Init(&body);
     AqPlatform_EncodeWaiting(find_waiting(report, request->queue), &body);
-    finish(request, 200, AqBuffer_Text(&body), "report");
+    finish_request(request, 200, AqBuffer_Text(&body), "report");
     AqBuffer_Clear(&body);
 }
 
@@ -472,7 +488,7 @@
 on_report(void *context, const AqStoreReply *reply)
 {
     Request *request = context;
-    note_store(request, reply);
+    record_store_status(request, reply);
     if (reply->status == AQ_STORE_OK && reply->count == 1) {
         Report *report = calloc(1, sizeof(*report));
         report->text = strndup(reply->items[0].value, reply->items[0].size);
@@ -482,7 +498,7 @@
         finish_waiting(request, report->text);
     }
     else if (reply->status == AQ_STORE_ABSENT) {
-        finish(request, 503, no_owner, "no_owner");
+        finish_request(request, 503, response_no_owner, "no_owner");
     }
     else {
         forward_or_retry(request);
@@ -494,12 +510,12 @@
 {
     Request *request = context;
     AqStore *store = request->job_api->node->store;
-    const Report *known =
+    const Report *cached =
         g_hash_table_lookup(request->job_api->reports, request->pool);
-    request->tries++;
-    if (known != NULL &&
-        now_of(request->job_api) - known->read_at < REPORT_AGE_MS) {
-        finish_waiting(request, known->text);
+    request->attempts++;
+    if (cached != NULL &&
+        now_of(request->job_api) - cached->read_at < REPORT_MAX_AGE_MS) {
+        finish_waiting(request, cached->text);
         return;
     }
     store->ops->get(store, key_of(KEY_REPORT, request->pool), on_report,
@@ -521,8 +537,8 @@
             const char *id)
 {
     Request *request = calloc(1, sizeof(*request));
-    const char *limit = AqExchange_Header(exchange, AqPlatform_DeadlineHeader);
-    long long deadline = limit != NULL ? strtoll(limit, NULL, 10) : 0;
+    const char *text = AqExchange_Header(exchange, AqPlatform_DeadlineHeader);
+    long long deadline = text != NULL ? strtoll(text, NULL, 10) : 0;
     request->job_api = job_api;
     request->exchange = exchange;
     request->arrived_at = now_of(job_api);
@@ -532,8 +548,8 @@
     g_strlcpy(request->pool, queue->pool, sizeof(request->pool));
     g_strlcpy(request->queue, queue->name, sizeof(request->queue));
     g_strlcpy(request->id, id, sizeof(request->id));
-    AqBuffer_Init(&request->job);
-    AqTimer_Init(&request->retry, on_retry, request);
+    AqBuffer_Init(&request->encoded_job);
+    AqTimer_Init(&request->retry_timer, on_retry, request);
     return request;
 }
 
@@ -553,10 +569,11 @@
         begin_write(request, try_cancel);
     }
     else {
-        finish(request, 405,
-               "{\"error\":\"send POST, GET or DELETE with the id of a "
-               "job\"}",
-               "method");
+        finish_request(
+            request, 405,
+            "{\"error\":\"send POST, GET or DELETE with the id of a "
+            "job\"}",
+            "method");
     }
 }
 
@@ -576,8 +593,7 @@
         AqLog_Event(AQ_LOG_WARNING, "refused", "path=%s reason=no_config",
                     AqLog_Quote(path));
         respond_error(exchange, 503,
-                      "the node does not know the configuration now; come "
-                      "back later");
+                      "the node has no current configuration; retry later");
         return;
     }
     const AqQueueConfig *queue = AqSiteConfig_Match(
--- a/packages/pool/job_api.h
+++ b/packages/pool/job_api.h
@@ -5,16 +5,19 @@
 #include "forwarder.h"
 #include "node.h"
 
-/* Callers' requests: jobs are submitted, asked for and cancelled at any node.
- * A job is accepted when the store has it; an answer that depends on the
- * store says so when the store can't be reached. */
+/* HTTP API for callers: jobs are submitted, queried and cancelled at any
+ * node.  A job is accepted once it is in the store.  A request that needs
+ * the store gets an error response that says so when the store can't be
+ * reached. */
 
 typedef struct JobApi JobApi;
 
 typedef struct {
-    /* Whether the node's copy of the configuration follows the store. */
+    /* Returns whether the node's copy of the configuration is up to date
+     * with the store. */
     bool (*is_current)(void *context);
-    /* Hands a request to another node; false when that is not possible. */
+    /* Forwards a request to another node; false, and nothing is done, when
+     * that is not possible. */
     bool (*forward)(void *context, const ForwardOrder *order);
 } JobApiOps;
 
--- a/packages/pool/member.h
+++ b/packages/pool/member.h
@@ -3,57 +3,68 @@
 
 #include "node.h"
 
-/* This node's lease in the store, its entry among the members, and which
- * pools it owns.
+/* This node's lease in the store, its membership entry, and the pools that it
+ * owns.
  *
- * A pool without an owner is claimed by one write that requires that it has
- * none.  Nodes wait before it by what they own already and by a hash of pool
- * and node, so that pools spread and claims seldom collide.  A pool whose
- * owner has started anew since is claimed at once: that process is gone. */
+ * A pool without an owner is claimed by one write that requires the owner key
+ * to be unchanged.  Before that, a node waits for a time that grows with the
+ * number of pools that it owns, plus one that depends on a hash of pool and
+ * node, so that pools are spread evenly and claims seldom collide.  If the
+ * owner's node has registered a new incarnation, the owning process has ended,
+ * and its pools are claimed without waiting for its lease to expire. */
 
 typedef struct Member Member;
 
-/* A name beside the pools: the ownership of the machine coordinator. */
+/* Claimed like a pool: the ownership of the machine coordinator. */
 #define MEMBER_MACHINE_COORDINATOR "@machines"
 
 typedef struct {
     char pool[64];
-    uint64_t fence;                    /* index of the owner's key */
-    int64_t generation;                /* owners before this one */
-    bool previous_owner_may_be_active; /* the earlier owner is not known to
-                                          have ended */
+    uint64_t fence;                    /* modify index of the owner key */
+    int64_t generation;                /* number of earlier owners */
+    bool previous_owner_may_be_active; /* the previous owner neither released
+                                          the pool nor was replaced by a new
+                                          incarnation of its node */
 } Ownership;
 
 typedef struct {
     void (*gained)(void *context, const Ownership *ownership);
-    /* Orders must stop at once. */
+    /* The pool's owner must stop giving orders at once. */
     void (*lost)(void *context, const char *pool, const char *reason);
 } MemberOps;
 
 Member *member_create(NodeContext *node, const MemberOps *ops, void *context);
 void member_destroy(Member *member);
 
-/* The pools of the configuration may have changed. */
+/* Called when the configuration, and with it the set of pools, may have
+ * changed. */
 void member_site_changed(Member *member);
-/* Whether this node's lease holds for certain, and for long enough that an
- * order given now is carried out within it. */
+/* Returns whether this node's lease is certain to hold for long enough that
+ * an order given now is carried out within it. */
 bool member_may_order(const Member *member);
-/* For keys that are to go with this node's ownerships; 0: there is none. */
+/* Returns the lease for keys that are to expire with this node's
+ * ownerships; 0: there is none. */
 uint64_t member_lease(const Member *member);
-/* Whether the store has answered lately. */
+/* Returns whether the store has replied to a lease call lately (in the last
+ * 1500 ms). */
 bool member_is_connected(const Member *member);
-/* "IP:port" where some other member takes callers, each time another one; or
- * NULL.  Borrowed until the next change of members. */
+/* Returns "IP:port" on which another member serves callers, a different
+ * member with each call, or NULL if there is no other.  Borrowed until the
+ * members change. */
 const char *member_peer(Member *member);
-/* Another owner was seen, or a write of the owner conflicted. */
+/* Ends an ownership after another owner was seen or a write of the owner
+ * conflicted; "reason" is logged. */
 void member_superseded(Member *member, const char *pool, const char *reason);
-/* Gives a pool up for others to take.  Its orders have stopped. */
+/* Releases a pool, so that another node can claim it.  The caller has
+ * stopped giving orders for it. */
 void member_release(Member *member, const char *pool);
-/* Ends the lease, with the entry and all ownerships. */
+/* Ends the lease, which removes the membership entry and all owner keys. */
 void member_leave(Member *member);
 
 enum {
-    MEMBER_LEASE_MS = 2000 /* a node that is gone is replaced after that */
+    /* Term of the lease, after which a failed node's pools can be
+     * claimed. */
+    MEMBER_LEASE_MS = 2000
 };
 
 #endif
--- a/packages/pool/node.c
+++ b/packages/pool/node.c
@@ -18,37 +18,42 @@
 #include "vm_directory.h"
 
 enum {
-    STORE_TIMEOUT_MS = 800, /* a slow store answers within 0.3 s */
-    ORDER_TIMEOUT_MS = 600, /* a VM answers in milliseconds */
+    STORE_TIMEOUT_MS = 800, /* slow replies take up to 0.3 s */
+    ORDER_TIMEOUT_MS = 600, /* usual replies take a few ms */
     MACHINE_TIMEOUT_MS = 1500,
-    ADVICE_TIMEOUT_MS = 3000, /* it answers one call after the other */
+    ADVICE_TIMEOUT_MS = 3000, /* the service handles calls serially */
     MAX_JOB_BYTES = 262144,
     IDLE_TIMEOUT_S = 30,
-    CURRENT_MS = 4000, /* a watch answers every 2 s at least */
-    /* A stop: not ready first, so that callers go elsewhere; then answers
-     * close their connections; then the end. */
+    CONFIG_MAX_AGE_MS = 4000, /* a watch returns at least every 2 s */
+    /* A graceful stop: the node reports not ready at once, so that callers
+     * switch to other nodes; after STOP_CLOSE_MS responses close their
+     * connections; from STOP_END_MS the node ends once no request is
+     * pending. */
     STOP_CLOSE_MS = 3000,
     STOP_END_MS = 4000,
-    STOP_RESERVE_MS = 700, /* before the platform's SIGKILL */
-    ROUND_MS = 200
+    /* The node ends at the latest this long before the platform sends
+     * SIGKILL. */
+    STOP_RESERVE_MS = 700,
+    ROUND_INTERVAL_MS = 200
 };
 
 struct AqNode {
     NodeContext context;
     AqHttpServer *callers;
     AqHttpServer *readiness;
-    AqHttpServer *metrics; /* NULL: not asked for */
+    AqHttpServer *metrics; /* NULL: not configured */
     JobApi *job_api;
     Forwarder *forwarder;
     Member *member;
     PrefixView *operator_view;
     VmDirectory *vms; /* NULL until this node owns a pool */
     WaveTable *waves;
-    MachineCoordinator *coordinator; /* while this node owns that */
-    GHashTable *owners;              /* pool -> OwnedPool */
+    /* NULL unless this node is the coordinator */
+    MachineCoordinator *coordinator;
+    GHashTable *owners; /* pool -> OwnedPool */
     AqTimer stop_timer;
     AqTime stop_began;
-    int finishing;
+    int unfinished_handover_count;
     bool was_ready;
 };
 
@@ -61,7 +66,7 @@
 /* ---- Configuration ------------------------------------------------------ */
 
 static void
-each_owner(AqNode *node, void (*visit)(PoolOwner *owner))
+for_each_owner(AqNode *node, void (*visit)(PoolOwner *owner))
 {
     GHashTableIter iter;
     gpointer value;
@@ -108,7 +113,7 @@
                 site.queue_count, site.pool_count);
     AqSiteConfig_Clear(&node->context.site);
     node->context.site = site;
-    each_owner(node, pool_owner_site_changed);
+    for_each_owner(node, pool_owner_site_changed);
     member_site_changed(node->member);
 }
 
@@ -140,11 +145,11 @@
     const AqNode *node = context;
     AqTime last_reply_at = prefix_view_last_reply_at(node->operator_view);
     return node->context.site.version > 0 && last_reply_at != AQ_TIME_NEVER &&
-           AqLoop_Now(node->context.loop) - last_reply_at < CURRENT_MS;
+           AqLoop_Now(node->context.loop) - last_reply_at < CONFIG_MAX_AGE_MS;
 }
 
 static const char *
-peer(void *context)
+pick_peer(void *context)
 {
     return member_peer(((AqNode *)context)->member);
 }
@@ -182,7 +187,7 @@
 }
 
 static void
-set_known_vm(void *context, const AqVmReport *report)
+add_listed_vm(void *context, const AqVmReport *report)
 {
     pool_owner_set_vm(context, report);
 }
@@ -219,7 +224,7 @@
         node->vms = vm_directory_create(node->context.loop,
                                         node->context.store, &vm_ops, node);
     }
-    vm_directory_each(node->vms, set_known_vm, pool->owner);
+    vm_directory_each(node->vms, add_listed_vm, pool->owner);
 }
 
 static void
@@ -267,7 +272,7 @@
 }
 
 static void
-handle_ready(void *context, AqExchange *exchange)
+handle_readiness(void *context, AqExchange *exchange)
 {
     AqNode *node = context;
     if (strcmp(AqExchange_Path(exchange), AqPlatform_ReadyPath) != 0) {
@@ -368,18 +373,19 @@
 {
     AqNode *node = context;
     AqTime now = AqLoop_Now(node->context.loop);
-    AqTime passed = now - node->stop_began;
+    AqTime elapsed = now - node->stop_began;
     AqTime limit =
         node->context.settings->stop_grace_s * 1000 - STOP_RESERVE_MS;
-    if (passed >= STOP_CLOSE_MS) {
+    if (elapsed >= STOP_CLOSE_MS) {
         AqHttpServer_CloseAfterResponse(node->callers);
     }
-    if ((passed >= STOP_END_MS && AqHttpServer_Pending(node->callers) == 0) ||
-        passed >= limit) {
+    if ((elapsed >= STOP_END_MS && AqHttpServer_Pending(node->callers) == 0) ||
+        elapsed >= limit) {
         AqLoop_Stop(node->context.loop);
         return;
     }
-    AqTimer_Start(node->context.loop, &node->stop_timer, now + ROUND_MS);
+    AqTimer_Start(node->context.loop, &node->stop_timer,
+                  now + ROUND_INTERVAL_MS);
 }
 
 typedef struct {
@@ -394,14 +400,14 @@
     AqNode *node = handover->node;
     member_release(node->member, handover->pool);
     on_lost(node, handover->pool, "released");
-    if (--node->finishing == 0) {
+    if (--node->unfinished_handover_count == 0) {
         member_leave(node->member);
     }
     free(handover);
 }
 
 static void
-hand_over(AqNode *node)
+hand_over_pools(AqNode *node)
 {
     GHashTableIter iter;
     gpointer value;
@@ -416,10 +422,10 @@
         PoolOwner *owner = ((const OwnedPool *)value)->owner;
         g_strlcpy(handover->pool, pool_owner_pool(owner),
                   sizeof(handover->pool));
-        node->finishing++;
+        node->unfinished_handover_count++;
         pool_owner_finish(owner, on_pool_finished, handover);
     }
-    if (node->finishing == 0) {
+    if (node->unfinished_handover_count == 0) {
         member_leave(node->member);
     }
 }
@@ -436,7 +442,7 @@
     AqLog_Event(AQ_LOG_INFO, "stopping", "pools=%u pending=%zu",
                 g_hash_table_size(node->owners),
                 AqHttpServer_Pending(node->callers));
-    hand_over(node);
+    hand_over_pools(node);
     on_stop_due(node);
 }
 
@@ -446,13 +452,13 @@
 on_round(void *context)
 {
     AqNode *node = context;
-    AqTime due = AqLoop_Now(node->context.loop) + ROUND_MS;
+    AqTime due = AqLoop_Now(node->context.loop) + ROUND_INTERVAL_MS;
     GList *pools = g_hash_table_get_keys(node->owners);
     for (GList *at = pools; at != NULL; at = at->next) {
         at->data = g_strdup(at->data);
     }
     for (GList *at = pools; at != NULL; at = at->next) {
-        /* A round may end in the loss of this pool or another. */
+        /* The round of a pool may lead to the loss of this or another pool. */
         const OwnedPool *pool = g_hash_table_lookup(node->owners, at->data);
         if (pool == NULL) {
             continue;
@@ -473,7 +479,8 @@
     return due;
 }
 
-/* Splits "IP:port"; false when it is not one. */
+/* Splits "IP:port" into its parts; returns false with an error if the text
+ * has another form. */
 static bool
 split_address(const char *text, char ip[16], uint16_t *port, AqError *error)
 {
@@ -483,8 +490,8 @@
     if (colon == NULL || colon - text >= 16 || *end != '\0' || number < 0 ||
         number > UINT16_MAX) {
         return AqError_Set(error, AQ_ERR_INVALID,
-                           "\"%s\" is no \"IP:port\"; write one like "
-                           "10.0.0.1:8080",
+                           "\"%s\" is not of the form \"IP:port\"; write one "
+                           "like 10.0.0.1:8080",
                            text);
     }
     memcpy(ip, text, (size_t)(colon - text));
@@ -494,7 +501,7 @@
 }
 
 static bool
-open_metrics(AqNode *node, AqError *error)
+open_metrics_server(AqNode *node, AqError *error)
 {
     const AqSettings *settings = node->context.settings;
     char ip[16];
@@ -551,12 +558,12 @@
         return false;
     }
     node->readiness = AqHttpServer_Create(node->context.loop, &readiness,
-                                          handle_ready, node, error);
-    return node->readiness != NULL && open_metrics(node, error);
+                                          handle_readiness, node, error);
+    return node->readiness != NULL && open_metrics_server(node, error);
 }
 
 static void
-create_calls(NodeContext *context)
+create_clients(NodeContext *context)
 {
     const AqSettings *settings = context->settings;
     context->store = AqPlatformStore_Create(
@@ -574,7 +581,7 @@
 }
 
 static void
-name_incarnation(NodeContext *context)
+generate_incarnation(NodeContext *context)
 {
     AqRandom random;
     uint64_t seed =
@@ -592,14 +599,14 @@
 {
     static const MemberOps member_ops = {on_gained, on_lost};
     static const JobApiOps job_api_ops = {is_current, forward};
-    static const ForwarderOps forwarder_ops = {peer};
+    static const ForwarderOps forwarder_ops = {pick_peer};
     AqNode *node = calloc(1, sizeof(*node));
     NodeContext *context = &node->context;
     context->settings = settings;
     node->owners =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     AqTimer_Init(&node->stop_timer, on_stop_due, node);
-    name_incarnation(context);
+    generate_incarnation(context);
     create_metrics(&context->metrics);
     context->loop = AqLoop_Create(error);
     if (context->loop == NULL) {
@@ -609,7 +616,7 @@
     if (context->http == NULL) {
         goto error;
     }
-    create_calls(context);
+    create_clients(context);
     node->job_api = job_api_create(context, &job_api_ops, node);
     node->forwarder = forwarder_create(context, &forwarder_ops, node);
     node->waves = wave_table_create(context);
@@ -641,7 +648,7 @@
 }
 
 static void
-drop_owners(AqNode *node)
+drop_pools(AqNode *node)
 {
     GHashTableIter iter;
     gpointer value;
@@ -661,9 +668,9 @@
     NodeContext *context = &node->context;
     AqTimer_Stop(&node->stop_timer);
     machine_coordinator_drop(node->coordinator);
-    drop_owners(node);
+    drop_pools(node);
     if (context->http != NULL) {
-        /* Ends all calls, whose contexts are still there. */
+        /* Ends all calls in flight while their contexts still exist. */
         AqHttpClient_Close(context->http);
     }
     member_destroy(node->member);
--- a/packages/pool/node.h
+++ b/packages/pool/node.h
@@ -14,21 +14,28 @@
 #include "aq_worker_client.h"
 #include "store_health.h"
 
-/* What the parts of a node share; each part gets what it needs from here and
- * knows no other part's inside. */
+/* State that the components of a node share.  Each component gets its
+ * dependencies from here and none includes another's internals. */
 
-/* Metrics of a node; docs/OPERATIONS.md says what each means. */
+/* Metrics of a node; docs/OPERATIONS.md describes each.  Histograms are in
+ * ms. */
 typedef struct {
     AqMetrics *all;
-    AqMetric *accept_ms;   /* submissions that were stored */
-    AqMetric *state_ms;    /* states that were read */
-    AqMetric *start_ms;    /* orders to start a task */
-    AqMetric *save_ms;     /* writes of an owner */
-    AqMetric *takeover_ms; /* from gaining a pool to its jobs loaded */
-    AqMetric *stored;      /* requests by outcome */
-    AqMetric *refused;
-    AqMetric *unknown;
-    AqMetric *orders_failed; /* orders without an answer */
+    /* From the arrival of a submission to its response, if stored. */
+    AqMetric *accept_ms;
+    /* From the arrival of a request for a job's state to its response. */
+    AqMetric *state_ms;
+    /* Round trip of an order to start a task. */
+    AqMetric *start_ms;
+    /* Round trip of a pool owner's write of its jobs' progress. */
+    AqMetric *save_ms;
+    /* From gaining a pool to having loaded its jobs. */
+    AqMetric *takeover_ms;
+    /* Callers' submissions that were stored. */
+    AqMetric *stored;
+    AqMetric *refused; /* callers' requests with status 503: nothing done */
+    AqMetric *unknown; /* callers' requests with status 504: outcome unknown */
+    AqMetric *orders_failed; /* orders that got no response */
     AqMetric *pools_gained;
     AqMetric *pools_lost;
 } NodeMetrics;
@@ -39,12 +46,12 @@
     AqHttpClient *http;
     AqStore *store;
     AqWorkerClient *workers;
-    AqMachineClient *machines; /* NULL: VMs can't be ordered about */
-    AqAdviceClient *advice;    /* NULL: no such service */
+    AqMachineClient *machines; /* NULL: no machine service is configured */
+    AqAdviceClient *advice;    /* NULL: no advice service is configured */
     NodeMetrics metrics;
     StoreHealth store_health;
-    AqSiteConfig site;    /* version 0: not known yet */
-    char incarnation[40]; /* of this process */
+    AqSiteConfig site;    /* version 0: not read yet */
+    char incarnation[40]; /* random, of this process */
     bool is_stopping;
 } NodeContext;
 
--- a/packages/pool/owner_writer.c
+++ b/packages/pool/owner_writer.c
@@ -9,16 +9,18 @@
 #include "store_keys.h"
 
 enum {
-    RETRY_MS = 150 /* of reading the write stamp */
+    STAMP_READ_RETRY_MS = 150 /* until the write stamp is read again */
 };
 
 typedef struct {
-    GPtrArray *memory; /* what the rows point to */
+    GPtrArray *allocations; /* owns the keys and values of the entries */
     AqStoreExpect expects[AQ_STORE_COMMIT_ENTRIES];
     size_t expect_count;
     AqStorePut puts[AQ_STORE_COMMIT_ENTRIES];
     size_t put_count;
-    char stamp[80]; /* value of the write stamp that says it took effect */
+    /* Value that the write gives to the write stamp; read back to see
+     * whether the write took effect. */
+    char stamp[80];
     OwnerWriteDone done;
     void *context;
 } Write;
@@ -27,53 +29,57 @@
     NodeContext *node;
     char pool[64];
     uint64_t fence;
-    GQueue *writes;             /* of Write; the first one is under way */
-    uint64_t write_stamp_index; /* as last known */
+    GQueue *writes; /* of Write; the first one is in progress */
+    /* Modify index of the write stamp as last read or written; 0: absent. */
+    uint64_t write_stamp_index;
     bool is_write_stamp_known;
-    uint64_t stamps;
-    bool is_busy;
+    uint64_t last_stamp_number;
+    bool is_write_in_progress;
     bool is_dropped;
-    bool is_telling; /* in a caller's "done", which may drop the writer */
-    AqTimer retry;
+    /* Inside a "done" callback, which may drop the writer: start_next
+     * returns without effect, so the writer isn't freed. */
+    bool is_in_callback;
+    AqTimer retry_timer;
 };
 
-static void next(OwnerWriter *writer);
+static void start_next(OwnerWriter *writer);
 
 static void
 free_write(Write *write)
 {
-    g_ptr_array_free(write->memory, TRUE);
+    g_ptr_array_free(write->allocations, TRUE);
     free(write);
 }
 
 static void
 free_writer(OwnerWriter *writer)
 {
-    AqTimer_Stop(&writer->retry);
+    AqTimer_Stop(&writer->retry_timer);
     g_queue_free(writer->writes);
     free(writer);
 }
 
-/* Ends the first write; the writer may be freed. */
+/* Removes the first write, calls its "done", and starts the next one.  May
+ * free the writer. */
 static void
-finish(OwnerWriter *writer, AqStoreStatus status)
+finish_first(OwnerWriter *writer, AqStoreStatus status)
 {
     Write *write = g_queue_pop_head(writer->writes);
     OwnerWriteDone done = write->done;
     void *context = write->context;
     free_write(write);
-    writer->is_busy = false;
-    writer->is_telling = true;
+    writer->is_write_in_progress = false;
+    writer->is_in_callback = true;
     done(context, status);
-    writer->is_telling = false;
-    next(writer);
+    writer->is_in_callback = false;
+    start_next(writer);
 }
 
 static void
-read_later(OwnerWriter *writer)
+schedule_stamp_read(OwnerWriter *writer)
 {
-    AqTimer_Start(writer->node->loop, &writer->retry,
-                  AqLoop_Now(writer->node->loop) + RETRY_MS);
+    AqTimer_Start(writer->node->loop, &writer->retry_timer,
+                  AqLoop_Now(writer->node->loop) + STAMP_READ_RETRY_MS);
 }
 
 /* ---- Outcomes ----------------------------------------------------------- */
@@ -110,21 +116,22 @@
         find_item(reply, key_of(KEY_OWNER, writer->pool));
     uint64_t write_stamp_index = write_stamp != NULL ? write_stamp->index : 0;
     if (is_stamped(write_stamp, write)) {
-        /* The library sent it twice: the first one took effect. */
+        /* The HTTP client resent the call, and the first copy took effect. */
         writer->write_stamp_index = write_stamp_index;
-        finish(writer, AQ_STORE_OK);
+        finish_first(writer, AQ_STORE_OK);
     }
     else if (owner == NULL || owner->index != writer->fence) {
-        finish(writer, AQ_STORE_ABSENT);
+        finish_first(writer, AQ_STORE_ABSENT);
     }
     else if (write_stamp_index != writer->write_stamp_index) {
-        /* A write that was given up took effect in between. */
+        /* An earlier write that had been given up took effect meanwhile;
+         * this one is sent again under the new stamp. */
         writer->write_stamp_index = write_stamp_index;
-        writer->is_busy = false;
-        next(writer);
+        writer->is_write_in_progress = false;
+        start_next(writer);
     }
     else {
-        finish(writer, AQ_STORE_CONFLICT);
+        finish_first(writer, AQ_STORE_CONFLICT);
     }
 }
 
@@ -135,7 +142,7 @@
     switch (reply->status) {
     case AQ_STORE_OK:
         writer->write_stamp_index = reply->index;
-        finish(writer, AQ_STORE_OK);
+        finish_first(writer, AQ_STORE_OK);
         break;
     case AQ_STORE_CONFLICT:
         on_conflict(writer, reply);
@@ -144,10 +151,10 @@
         AqLog_Event(AQ_LOG_INFO, "write_unanswered", "pool=%s fence=%" PRIu64,
                     writer->pool, writer->fence);
         writer->is_write_stamp_known = false;
-        read_later(writer);
+        schedule_stamp_read(writer);
         break;
     default:
-        finish(writer, AQ_STORE_UNAVAILABLE);
+        finish_first(writer, AQ_STORE_UNAVAILABLE);
         break;
     }
 }
@@ -157,25 +164,26 @@
 {
     OwnerWriter *writer = context;
     const Write *write = g_queue_peek_head(writer->writes);
-    bool is_there = reply->status == AQ_STORE_OK && reply->count == 1;
-    if (!is_there && reply->status != AQ_STORE_ABSENT) {
+    bool is_present = reply->status == AQ_STORE_OK && reply->count == 1;
+    if (!is_present && reply->status != AQ_STORE_ABSENT) {
         if (writer->is_dropped) {
-            finish(writer, AQ_STORE_UNAVAILABLE);
+            finish_first(writer, AQ_STORE_UNAVAILABLE);
         }
         else {
-            read_later(writer);
+            schedule_stamp_read(writer);
         }
         return;
     }
-    writer->write_stamp_index = is_there ? reply->items[0].index : 0;
+    writer->write_stamp_index = is_present ? reply->items[0].index : 0;
     writer->is_write_stamp_known = true;
-    if (is_there && is_stamped(&reply->items[0], write)) {
-        finish(writer, AQ_STORE_OK);
+    if (is_present && is_stamped(&reply->items[0], write)) {
+        finish_first(writer, AQ_STORE_OK);
         return;
     }
-    /* It has not taken effect; a late one fails once the stamp changes. */
-    writer->is_busy = false;
-    next(writer);
+    /* The write has not taken effect, and can't any more once the stamp has
+     * changed, so it is sent again under a new stamp. */
+    writer->is_write_in_progress = false;
+    start_next(writer);
 }
 
 /* ---- Sending ------------------------------------------------------------ */
@@ -195,7 +203,7 @@
 }
 
 static void
-send(OwnerWriter *writer, Write *write)
+send_write(OwnerWriter *writer, Write *write)
 {
     AqStore *store = writer->node->store;
     AqStoreExpect expects[AQ_STORE_COMMIT_ENTRIES];
@@ -204,7 +212,7 @@
     size_t expect_count = 0;
     size_t put_count = 0;
     snprintf(write->stamp, sizeof(write->stamp), "%s %" PRIu64,
-             writer->node->incarnation, ++writer->stamps);
+             writer->node->incarnation, ++writer->last_stamp_number);
     expects[expect_count++] =
         (AqStoreExpect){key_of(KEY_OWNER, writer->pool), writer->fence};
     expects[expect_count++] =
@@ -225,10 +233,10 @@
 }
 
 static void
-next(OwnerWriter *writer)
+start_next(OwnerWriter *writer)
 {
     Write *write = g_queue_peek_head(writer->writes);
-    if (writer->is_busy || writer->is_telling) {
+    if (writer->is_write_in_progress || writer->is_in_callback) {
         return;
     }
     if (write == NULL) {
@@ -237,27 +245,27 @@
         }
         return;
     }
-    writer->is_busy = true;
+    writer->is_write_in_progress = true;
     if (writer->is_dropped) {
-        finish(writer, AQ_STORE_UNAVAILABLE);
+        finish_first(writer, AQ_STORE_UNAVAILABLE);
     }
     else if (!writer->is_write_stamp_known) {
         read_write_stamp(writer);
     }
     else {
-        send(writer, write);
+        send_write(writer, write);
     }
 }
 
 /* ---- Interface ---------------------------------------------------------- */
 
 static char *
-keep(Write *write, const void *bytes, size_t size)
+copy_bytes(Write *write, const void *bytes, size_t size)
 {
     char *copy = malloc(size + 1);
     memcpy(copy, bytes, size);
     copy[size] = '\0';
-    g_ptr_array_add(write->memory, copy);
+    g_ptr_array_add(write->allocations, copy);
     return copy;
 }
 
@@ -267,23 +275,24 @@
                     size_t put_count, OwnerWriteDone done, void *context)
 {
     Write *write = calloc(1, sizeof(*write));
-    write->memory = g_ptr_array_new_with_free_func(free);
+    write->allocations = g_ptr_array_new_with_free_func(free);
     write->done = done;
     write->context = context;
     for (size_t i = 0; i < expect_count; i++) {
         AqStoreExpect *expect = &write->expects[write->expect_count++];
-        expect->key = keep(write, expects[i].key, strlen(expects[i].key));
+        expect->key =
+            copy_bytes(write, expects[i].key, strlen(expects[i].key));
         expect->index = expects[i].index;
     }
     for (size_t i = 0; i < put_count; i++) {
         AqStorePut *put = &write->puts[write->put_count++];
-        put->key = keep(write, puts[i].key, strlen(puts[i].key));
-        put->value = keep(write, puts[i].value, puts[i].size);
+        put->key = copy_bytes(write, puts[i].key, strlen(puts[i].key));
+        put->value = copy_bytes(write, puts[i].value, puts[i].size);
         put->size = puts[i].size;
         put->lease = puts[i].lease;
     }
     g_queue_push_tail(writer->writes, write);
-    next(writer);
+    start_next(writer);
 }
 
 OwnerWriter *
@@ -294,7 +303,7 @@
     writer->fence = fence;
     g_strlcpy(writer->pool, pool, sizeof(writer->pool));
     writer->writes = g_queue_new();
-    AqTimer_Init(&writer->retry, on_retry, writer);
+    AqTimer_Init(&writer->retry_timer, on_retry, writer);
     return writer;
 }
 
@@ -302,5 +311,5 @@
 owner_writer_drop(OwnerWriter *writer)
 {
     writer->is_dropped = true;
-    next(writer);
+    start_next(writer);
 }
--- a/packages/pool/pool_owner.c
+++ b/packages/pool/pool_owner.c
@@ -10,15 +10,19 @@
 #include "prefix_view.h"
 
 enum {
-    /* Changes are stored together: one write a batch. */
-    SAVE_EVERY_MS = 60,
+    /* Interval of saves; the changes in between are stored in one write. */
+    SAVE_INTERVAL_MS = 60,
     SAVE_RETRY_MS = 150,
-    SAVES = AQ_STORE_COMMIT_ENTRIES - 3, /* the writer adds three rows */
-    REPORT_EVERY_MS = 800,
+    /* The writer adds three entries to each commit. */
+    MAX_SAVES = AQ_STORE_COMMIT_ENTRIES - 3,
+    REPORT_INTERVAL_MS = 800,
     LOAD_RETRY_MS = 150,
-    FINISH_LIMIT_MS = 600, /* longest time that a hand-over waits for saves */
-    ORDER_LEASE_MS = 5000, /* of tasks, at most the platform's longest */
-    CANCEL_SUFFIX = 2      /* bytes of ".c" */
+    /* Longest time that a handover waits for unsaved progress to be stored. */
+    FINISH_TIMEOUT_MS = 600,
+    /* Lease of a task on its VM; limited by the setting
+     * limits.longest_lease_ms. */
+    TASK_LEASE_MS = 5000,
+    CANCEL_SUFFIX_LENGTH = 2 /* bytes of ".c" */
 };
 
 typedef enum {
@@ -29,7 +33,7 @@
 } LoadState;
 
 struct PoolOwner {
-    AqJobSave saves[SAVES];
+    AqJobSave saves[MAX_SAVES];
     size_t save_count;
     NodeContext *node;
     Member *member;
@@ -38,9 +42,10 @@
     Ownership ownership;
     AqScheduler *scheduler;
     AqTimer load_timer;
-    GHashTable *records;   /* id -> GBytes, while loading */
-    GHashTable *cancelled; /* ids cancelled before their job was seen */
-    char *progress_after;
+    /* Job id -> GBytes: progress records, kept while loading. */
+    GHashTable *progress_records;
+    GHashTable *cancelled; /* ids of jobs with a cancellation mark */
+    char *last_progress_key;
     PrefixView *jobs;
     OwnerWriter *writer;
     AqTime save_due;
@@ -49,14 +54,15 @@
     uint64_t used_vms_written;
     uint64_t used_vms_sent_version;
     AqTime used_vms_due;
-    char *report; /* as written last; NULL: not written */
+    char *last_report; /* as written last; NULL: not written */
     AqTime report_due;
-    /* Of a hand-over. */
-    void (*finished)(void *context);
-    void *finished_context;
-    AqTime finish_limit;
-    LoadState load;
-    int calls; /* under way, each with a pointer to this owner */
+    /* Callback of pool_owner_finish and the time at which it is called at
+     * the latest; finish_done is NULL if none is due. */
+    void (*finish_done)(void *context);
+    void *finish_context;
+    AqTime finish_deadline;
+    LoadState load_state;
+    int calls_in_flight; /* each holds a pointer to this owner */
     bool is_dropped;
     bool is_finishing;
     bool is_saving;
@@ -70,22 +76,23 @@
     AqTimer_Stop(&owner->load_timer);
     prefix_view_destroy(owner->jobs);
     AqScheduler_Destroy(owner->scheduler);
-    g_hash_table_destroy(owner->records);
+    g_hash_table_destroy(owner->progress_records);
     g_hash_table_destroy(owner->cancelled);
-    free(owner->progress_after);
-    free(owner->report);
+    free(owner->last_progress_key);
+    free(owner->last_report);
     free(owner);
 }
 
-/* Ends a call; false when the owner was dropped, which may free it. */
+/* Counts a call in flight as ended.  Returns false when the owner was
+ * dropped, in which case it may have been freed. */
 static bool
 end_call(PoolOwner *owner)
 {
-    owner->calls--;
+    owner->calls_in_flight--;
     if (!owner->is_dropped) {
         return true;
     }
-    if (owner->calls == 0) {
+    if (owner->calls_in_flight == 0) {
         free_owner(owner);
     }
     return false;
@@ -98,7 +105,7 @@
 }
 
 static void
-depose(PoolOwner *owner, const char *reason)
+report_superseded(PoolOwner *owner, const char *reason)
 {
     owner->ops.superseded(owner->context, owner->ownership.pool, reason);
 }
@@ -136,12 +143,13 @@
 }
 
 static void
-on_order(void *context, const AqOrderReply *reply)
+on_order_reply(void *context, const AqOrderReply *reply)
 {
     Order *order = context;
     PoolOwner *owner = order->owner;
-    /* The loop's time may be older than the answer: a VM's clock would seem to
-     * be ahead, and its leases to lapse too soon. */
+    /* Reads the clock: the loop's time may be before the arrival of the
+     * reply, which would make the VM's clock seem ahead and its leases
+     * expire too early. */
     AqTime now = AqClock_ReadMonotonic();
     if (end_call(owner)) {
         AqScheduler *s = owner->scheduler;
@@ -173,7 +181,7 @@
     order->kind = kind;
     order->sent_at = now_of(owner);
     g_strlcpy(order->vm, target->vm, sizeof(order->vm));
-    owner->calls++;
+    owner->calls_in_flight++;
     return order;
 }
 
@@ -186,7 +194,7 @@
     order->task = start->task;
     order->run = start->run;
     owner->node->workers->ops->start(owner->node->workers, target, start,
-                                     on_order, order);
+                                     on_order_reply, order);
 }
 
 static void
@@ -198,7 +206,8 @@
     order->task = *task;
     order->run = run;
     owner->node->workers->ops->stop(owner->node->workers, target, task, run,
-                                    owner->ownership.fence, on_order, order);
+                                    owner->ownership.fence, on_order_reply,
+                                    order);
 }
 
 static void
@@ -207,7 +216,7 @@
     PoolOwner *owner = context;
     Order *order = new_order(owner, ORDER_HOLD, target);
     owner->node->workers->ops->hold(owner->node->workers, target, hold,
-                                    on_order, order);
+                                    on_order_reply, order);
 }
 
 static void
@@ -217,8 +226,8 @@
     PoolOwner *owner = context;
     Order *order = new_order(owner, ORDER_PACE, target);
     owner->node->workers->ops->pace(owner->node->workers, target, task, run,
-                                    percent, owner->ownership.fence, on_order,
-                                    order);
+                                    percent, owner->ownership.fence,
+                                    on_order_reply, order);
 }
 
 typedef struct {
@@ -258,14 +267,14 @@
     TicketCall *call = calloc(1, sizeof(*call));
     call->owner = owner;
     call->step = *step;
-    owner->calls++;
+    owner->calls_in_flight++;
     advice->ops->request_tickets(advice, step, vms, count, on_tickets, call);
 }
 
 static void
 on_superseded(void *context)
 {
-    depose(context, "later_fence_at_vm");
+    report_superseded(context, "later_fence_at_vm");
 }
 
 /* ---- Loading ------------------------------------------------------------ */
@@ -279,7 +288,7 @@
 }
 
 static void
-load_again(PoolOwner *owner)
+schedule_load_retry(PoolOwner *owner)
 {
     AqTimer_Start(owner->node->loop, &owner->load_timer,
                   now_of(owner) + LOAD_RETRY_MS);
@@ -300,10 +309,10 @@
         }
     }
     else if (reply->status != AQ_STORE_ABSENT) {
-        load_again(owner);
+        schedule_load_retry(owner);
         return;
     }
-    owner->load = LOADING_PROGRESS;
+    owner->load_state = LOADING_PROGRESS;
     load_next(owner);
 }
 
@@ -315,20 +324,20 @@
         return;
     }
     if (reply->status != AQ_STORE_OK) {
-        load_again(owner);
+        schedule_load_retry(owner);
         return;
     }
     const char *prefix = key_of(KEY_PROGRESS, owner->ownership.pool);
     for (size_t i = 0; i < reply->count; i++) {
         const AqStoreItem *item = &reply->items[i];
-        g_hash_table_replace(owner->records,
+        g_hash_table_replace(owner->progress_records,
                              g_strdup(item->key + strlen(prefix)),
                              g_bytes_new(item->value, item->size));
-        free(owner->progress_after);
-        owner->progress_after = strdup(item->key);
+        free(owner->last_progress_key);
+        owner->last_progress_key = strdup(item->key);
     }
     if (reply->is_complete || reply->count == 0) {
-        owner->load = LOADING_JOBS;
+        owner->load_state = LOADING_JOBS;
     }
     load_next(owner);
 }
@@ -345,7 +354,7 @@
         return;
     }
     gsize size = 0;
-    GBytes *record = g_hash_table_lookup(owner->records, id);
+    GBytes *record = g_hash_table_lookup(owner->progress_records, id);
     const char *bytes =
         record != NULL ? g_bytes_get_data(record, &size) : NULL;
     if (!AqScheduler_AddJob(owner->scheduler, &spec, bytes, size, now,
@@ -366,12 +375,12 @@
 {
     PoolOwner *owner = context;
     const char *prefix = key_of(KEY_JOBS, owner->ownership.pool);
-    char id[AQ_JOB_ID_SIZE + CANCEL_SUFFIX];
+    char id[AQ_JOB_ID_SIZE + CANCEL_SUFFIX_LENGTH];
     g_strlcpy(id, item->key + strlen(prefix), sizeof(id));
     size_t length = strlen(id);
-    if (length > CANCEL_SUFFIX &&
-        strcmp(id + length - CANCEL_SUFFIX, ".c") == 0) {
-        id[length - CANCEL_SUFFIX] = '\0';
+    if (length > CANCEL_SUFFIX_LENGTH &&
+        strcmp(id + length - CANCEL_SUFFIX_LENGTH, ".c") == 0) {
+        id[length - CANCEL_SUFFIX_LENGTH] = '\0';
         AqLog_Event(AQ_LOG_INFO, "cancel_seen", "request=%s index=%llu", id,
                     (unsigned long long)item->index);
         g_hash_table_add(owner->cancelled, g_strdup(id));
@@ -394,10 +403,10 @@
 on_jobs_listed(void *context)
 {
     PoolOwner *owner = context;
-    if (owner->load != LOADED) {
-        owner->load = LOADED;
+    if (owner->load_state != LOADED) {
+        owner->load_state = LOADED;
         AqScheduler_SetLoaded(owner->scheduler);
-        g_hash_table_remove_all(owner->records);
+        g_hash_table_remove_all(owner->progress_records);
         AqMetric_Observe(owner->node->metrics.takeover_ms,
                          now_of(owner) - owner->gained_at);
         AqLog_Event(AQ_LOG_INFO, "pool_loaded", "pool=%s fence=%llu",
@@ -414,15 +423,15 @@
 {
     AqStore *store = owner->node->store;
     const char *pool = owner->ownership.pool;
-    switch (owner->load) {
+    switch (owner->load_state) {
     case LOADING_USED_VMS:
-        owner->calls++;
+        owner->calls_in_flight++;
         store->ops->get(store, key_of(KEY_USED_VMS, pool), on_used_vms, owner);
         break;
     case LOADING_PROGRESS:
-        owner->calls++;
+        owner->calls_in_flight++;
         store->ops->list_after(store, key_of(KEY_PROGRESS, pool),
-                               owner->progress_after, false, on_progress,
+                               owner->last_progress_key, false, on_progress,
                                owner);
         break;
     case LOADING_JOBS:
@@ -440,7 +449,7 @@
 commit_as_owner(PoolOwner *owner, const AqStorePut *puts, size_t count,
                 OwnerWriteDone done)
 {
-    owner->calls++;
+    owner->calls_in_flight++;
     owner_writer_commit(owner->writer, NULL, 0, puts, count, done, owner);
 }
 
@@ -468,9 +477,9 @@
                         is_stored, now_of(owner));
     owner->save_count = 0;
     owner->save_due =
-        now_of(owner) + (is_stored ? SAVE_EVERY_MS : SAVE_RETRY_MS);
+        now_of(owner) + (is_stored ? SAVE_INTERVAL_MS : SAVE_RETRY_MS);
     if (status == AQ_STORE_ABSENT) {
-        depose(owner, "save_conflict");
+        report_superseded(owner, "save_conflict");
     }
     else if (!is_stored) {
         AqLog_Event(AQ_LOG_WARNING, "save_failed", "pool=%s status=%d",
@@ -479,14 +488,14 @@
 }
 
 static void
-save(PoolOwner *owner)
+save_progress(PoolOwner *owner)
 {
-    AqStorePut puts[SAVES];
+    AqStorePut puts[MAX_SAVES];
     if (owner->is_saving || owner->save_due > now_of(owner)) {
         return;
     }
     owner->save_count =
-        AqScheduler_BeginSave(owner->scheduler, owner->saves, SAVES);
+        AqScheduler_BeginSave(owner->scheduler, owner->saves, MAX_SAVES);
     if (owner->save_count == 0) {
         return;
     }
@@ -519,7 +528,7 @@
         AqScheduler_UsedVmsSaved(owner->scheduler, owner->used_vms_written);
     }
     else if (status == AQ_STORE_ABSENT) {
-        depose(owner, "roster_conflict");
+        report_superseded(owner, "roster_conflict");
     }
     else {
         owner->used_vms_due = now_of(owner) + SAVE_RETRY_MS;
@@ -556,11 +565,11 @@
     }
     owner->is_reporting = false;
     if (status != AQ_STORE_OK) {
-        free(owner->report);
-        owner->report = NULL;
+        free(owner->last_report);
+        owner->last_report = NULL;
     }
     if (status == AQ_STORE_ABSENT) {
-        depose(owner, "report_conflict");
+        report_superseded(owner, "report_conflict");
     }
 }
 
@@ -572,7 +581,7 @@
     if (owner->is_reporting || owner->report_due > now_of(owner)) {
         return;
     }
-    owner->report_due = now_of(owner) + REPORT_EVERY_MS;
+    owner->report_due = now_of(owner) + REPORT_INTERVAL_MS;
     AqBuffer_Init(&text);
     for (size_t i = 0; i < site->queue_count; i++) {
         if (strcmp(site->queues[i].pool, owner->ownership.pool) == 0) {
@@ -581,12 +590,12 @@
                 AqScheduler_Waiting(owner->scheduler, site->queues[i].name));
         }
     }
-    if (owner->report == NULL ||
-        strcmp(owner->report, AqBuffer_Text(&text)) != 0) {
-        free(owner->report);
-        owner->report = strdup(AqBuffer_Text(&text));
+    if (owner->last_report == NULL ||
+        strcmp(owner->last_report, AqBuffer_Text(&text)) != 0) {
+        free(owner->last_report);
+        owner->last_report = strdup(AqBuffer_Text(&text));
         AqStorePut put = {key_of(KEY_REPORT, owner->ownership.pool),
-                          owner->report, strlen(owner->report),
+                          owner->last_report, strlen(owner->last_report),
                           member_lease(owner->member)};
         owner->is_reporting = true;
         commit_as_owner(owner, &put, 1, on_reported);
@@ -596,19 +605,20 @@
 
 /* ---- Rounds ------------------------------------------------------------- */
 
-/* May free the owner. */
+/* Calls the callback of pool_owner_finish if it is due, which may free the
+ * owner. */
 static void
 check_finished(PoolOwner *owner)
 {
-    if (owner->finished == NULL) {
+    if (owner->finish_done == NULL) {
         return;
     }
-    bool is_saved =
-        owner->load != LOADED || !AqScheduler_HasUnsaved(owner->scheduler);
-    if (is_saved || now_of(owner) >= owner->finish_limit) {
-        void (*done)(void *context) = owner->finished;
-        owner->finished = NULL;
-        done(owner->finished_context);
+    bool is_saved = owner->load_state != LOADED ||
+                    !AqScheduler_HasUnsaved(owner->scheduler);
+    if (is_saved || now_of(owner) >= owner->finish_deadline) {
+        void (*done)(void *context) = owner->finish_done;
+        owner->finish_done = NULL;
+        done(owner->finish_context);
     }
 }
 
@@ -622,13 +632,13 @@
 pool_owner_round(PoolOwner *owner)
 {
     AqTime now = now_of(owner);
-    if (owner->load != LOADED) {
+    if (owner->load_state != LOADED) {
         check_finished(owner);
         return now + LOAD_RETRY_MS;
     }
     AqTime due = AqScheduler_Tick(owner->scheduler, now, AqClock_ReadWall(),
                                   pool_owner_may_order(owner));
-    save(owner);
+    save_progress(owner);
     write_used_vms(owner);
     if (!owner->is_finishing) {
         write_report(owner);
@@ -656,7 +666,7 @@
     AqSchedulerConfig config = {
         .fence = ownership->fence,
         .generation = ownership->generation,
-        .lease_ms = ORDER_LEASE_MS,
+        .lease_ms = TASK_LEASE_MS,
         .earlier_owner_ms =
             ownership->previous_owner_may_be_active ? MEMBER_LEASE_MS : 0,
     };
@@ -669,10 +679,10 @@
     owner->ops = *ops;
     owner->context = context;
     owner->ownership = *ownership;
-    owner->progress_after = strdup("");
+    owner->last_progress_key = strdup("");
     owner->gained_at = now_of(owner);
-    owner->records = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
-                                           (GDestroyNotify)g_bytes_unref);
+    owner->progress_records = g_hash_table_new_full(
+        g_str_hash, g_str_equal, g_free, (GDestroyNotify)g_bytes_unref);
     owner->cancelled =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     owner->writer =
@@ -694,14 +704,15 @@
     AqTimer_Stop(&owner->load_timer);
     prefix_view_destroy(owner->jobs);
     owner->jobs = NULL;
-    owner->calls++; /* the writer may end calls now */
+    /* Keeps the owner allocated while owner_writer_drop ends calls. */
+    owner->calls_in_flight++;
     owner_writer_drop(owner->writer);
-    owner->calls--;
+    owner->calls_in_flight--;
     for (size_t i = 0; i < owner->save_count; i++) {
         AqBuffer_Clear(&owner->saves[i].record);
     }
     owner->save_count = 0;
-    if (owner->calls == 0) {
+    if (owner->calls_in_flight == 0) {
         free_owner(owner);
     }
 }
@@ -721,7 +732,7 @@
 AqScheduler *
 pool_owner_scheduler(PoolOwner *owner)
 {
-    return owner->load == LOADED ? owner->scheduler : NULL;
+    return owner->load_state == LOADED ? owner->scheduler : NULL;
 }
 
 uint64_t
@@ -755,8 +766,8 @@
 {
     owner->is_finishing = true;
     AqScheduler_Close(owner->scheduler);
-    owner->finished = done;
-    owner->finished_context = context;
-    owner->finish_limit = now_of(owner) + FINISH_LIMIT_MS;
+    owner->finish_done = done;
+    owner->finish_context = context;
+    owner->finish_deadline = now_of(owner) + FINISH_TIMEOUT_MS;
     owner->save_due = 0;
 }
--- a/packages/pool/prefix_view.c
+++ b/packages/pool/prefix_view.c
@@ -7,16 +7,16 @@
 #include "aq_log.h"
 
 enum {
-    /* A watch that hears nothing although there are changes, or whose
-     * connection has gone silent, is noticed after this and the store's
-     * time-out. */
+    /* Longest time that the store holds a watch open.  A watch that misses
+     * changes, or whose connection is dead, is detected after this plus the
+     * store's call timeout. */
     WATCH_WAIT_MS = 2000,
-    /* Of a prompt view: the wait, and how much later the answer may come
-     * before another watch is begun beside it. */
+    /* For views with is_prompt: the same time, and how much later than that
+     * the reply may arrive before another watch is started in parallel. */
     PROMPT_WAIT_MS = 500,
-    ANSWER_MS = 500,
-    RETRY_MS = 120,
-    LONGEST_RETRY_MS = 500
+    PROMPT_REPLY_MARGIN_MS = 500,
+    FIRST_RETRY_MS = 120,
+    MAX_RETRY_MS = 500
 };
 
 struct PrefixView {
@@ -25,14 +25,18 @@
     char *prefix;
     PrefixViewOps ops;
     void *context;
-    AqTimer retry;
-    AqTimer silence;
-    uint64_t watch; /* number of the last watch; answers to earlier ones are
-                     * used, but nothing follows them */
-    GHashTable *indexes; /* key -> index of its last write, as uint64_t* */
-    GHashTable *listing; /* keys of the listing under way, or NULL */
-    char *after;         /* last key of the pages so far */
-    uint64_t index;      /* the next watch begins after it */
+    AqTimer retry_timer;
+    AqTimer silence_timer;
+    /* Number of the last watch started.  Replies to earlier ones are
+     * applied, but start no further call. */
+    uint64_t last_watch;
+    /* key -> modify index of the key's last write, as uint64_t* */
+    GHashTable *indexes;
+    GHashTable *listing; /* keys of the listing in progress, or NULL */
+    /* Last key of the listing's pages so far; "" before the first page. */
+    char *last_listed_key;
+    /* Modify index after which the next watch returns changes. */
+    uint64_t index;
     bool is_listed;
     bool is_destroyed;
     bool is_reachable;
@@ -41,24 +45,24 @@
     AqTime last_reply_at;
 };
 
-static void begin(PrefixView *view);
+static void start_call(PrefixView *view);
 
 static void
 free_view(PrefixView *view)
 {
-    AqTimer_Stop(&view->retry);
-    AqTimer_Stop(&view->silence);
+    AqTimer_Stop(&view->retry_timer);
+    AqTimer_Stop(&view->silence_timer);
     g_hash_table_destroy(view->indexes);
     if (view->listing != NULL) {
         g_hash_table_destroy(view->listing);
     }
-    free(view->after);
+    free(view->last_listed_key);
     free(view->prefix);
     free(view);
 }
 
 static void
-note_reachable(PrefixView *view, bool is_reachable, AqStoreStatus status)
+update_reachable(PrefixView *view, bool is_reachable, AqStoreStatus status)
 {
     if (view->is_reachable != is_reachable) {
         view->is_reachable = is_reachable;
@@ -74,15 +78,16 @@
 }
 
 static void
-retry_later(PrefixView *view)
+schedule_retry(PrefixView *view)
 {
-    AqTime wait = (AqTime)RETRY_MS
+    AqTime wait = (AqTime)FIRST_RETRY_MS
                   << (view->failures < 3 ? view->failures : 3);
     view->failures++;
-    if (wait > LONGEST_RETRY_MS) {
-        wait = LONGEST_RETRY_MS;
+    if (wait > MAX_RETRY_MS) {
+        wait = MAX_RETRY_MS;
     }
-    AqTimer_Start(view->loop, &view->retry, AqLoop_Now(view->loop) + wait);
+    AqTimer_Start(view->loop, &view->retry_timer,
+                  AqLoop_Now(view->loop) + wait);
 }
 
 /* ---- Applying ----------------------------------------------------------- */
@@ -108,7 +113,8 @@
     }
 }
 
-/* Passes over what another watch has told already. */
+/* Applies the changes of a watch; skips those that a parallel watch has
+ * reported already. */
 static void
 apply_changes(PrefixView *view, const AqStoreReply *reply)
 {
@@ -130,7 +136,7 @@
     }
 }
 
-/* Keys that the listing has not found were removed in between. */
+/* Reports keys as removed that the completed listing did not contain. */
 static void
 remove_unlisted(PrefixView *view)
 {
@@ -151,7 +157,8 @@
 
 /* ---- Calls -------------------------------------------------------------- */
 
-/* Ends the handling of a reply; false when the view was destroyed. */
+/* Ends the handling of a reply.  Returns false when the view was destroyed,
+ * in which case it may have been freed. */
 static bool
 end_call(PrefixView *view)
 {
@@ -175,21 +182,21 @@
 {
     if (reply->status == AQ_STORE_OK && reply->count > 0 &&
         view->ops.coalesce_ms > 0) {
-        AqTimer_Start(view->loop, &view->retry,
+        AqTimer_Start(view->loop, &view->retry_timer,
                       AqLoop_Now(view->loop) + view->ops.coalesce_ms);
     }
     else if (reply->status == AQ_STORE_OK) {
-        begin(view);
+        start_call(view);
     }
     else if (reply->status == AQ_STORE_COMPACTED) {
         AqLog_Event(AQ_LOG_INFO, "history_gone", "prefix=%s index=%llu",
                     view->prefix, (unsigned long long)view->index);
         view->is_listed = false;
-        begin(view);
+        start_call(view);
     }
     else {
-        note_reachable(view, false, reply->status);
-        retry_later(view);
+        update_reachable(view, false, reply->status);
+        schedule_retry(view);
     }
 }
 
@@ -198,30 +205,30 @@
 {
     WatchCall *call = context;
     PrefixView *view = call->view;
-    bool is_last = call->number == view->watch;
+    bool is_last = call->number == view->last_watch;
     free(call);
     if (!view->is_destroyed && reply->status == AQ_STORE_OK &&
         view->is_listed) {
-        note_reachable(view, true, reply->status);
+        update_reachable(view, true, reply->status);
         apply_changes(view, reply);
     }
     if (end_call(view) && is_last) {
-        AqTimer_Stop(&view->silence);
+        AqTimer_Stop(&view->silence_timer);
         follow_changes(view, reply);
     }
 }
 
 static void
-take_page(PrefixView *view, const AqStoreReply *reply)
+apply_page(PrefixView *view, const AqStoreReply *reply)
 {
-    if (view->after[0] == '\0') {
+    if (view->last_listed_key[0] == '\0') {
         view->index = reply->index;
     }
     for (size_t i = 0; i < reply->count && !view->is_destroyed; i++) {
         const AqStoreItem *item = &reply->items[i];
         g_hash_table_add(view->listing, g_strdup(item->key));
-        free(view->after);
-        view->after = strdup(item->key);
+        free(view->last_listed_key);
+        view->last_listed_key = strdup(item->key);
         apply_put(view, item);
     }
 }
@@ -233,8 +240,8 @@
     bool ok = reply->status == AQ_STORE_OK;
     bool is_last = ok && (reply->is_complete || reply->count == 0);
     if (!view->is_destroyed && ok) {
-        note_reachable(view, true, reply->status);
-        take_page(view, reply);
+        update_reachable(view, true, reply->status);
+        apply_page(view, reply);
         if (is_last && !view->is_destroyed) {
             remove_unlisted(view);
         }
@@ -251,65 +258,65 @@
         return;
     }
     if (!ok) {
-        note_reachable(view, false, reply->status);
+        update_reachable(view, false, reply->status);
         if (view->listing != NULL) {
             g_hash_table_destroy(view->listing);
             view->listing = NULL;
         }
-        retry_later(view);
+        schedule_retry(view);
         return;
     }
-    begin(view);
+    start_call(view);
 }
 
 static void
-begin_watch(PrefixView *view)
+start_watch(PrefixView *view)
 {
     AqTime wait = view->ops.is_prompt ? PROMPT_WAIT_MS : WATCH_WAIT_MS;
     WatchCall *call = malloc(sizeof(*call));
     call->view = view;
-    call->number = ++view->watch;
+    call->number = ++view->last_watch;
     if (view->ops.is_prompt) {
-        AqTimer_Start(view->loop, &view->silence,
-                      AqLoop_Now(view->loop) + wait + ANSWER_MS);
+        AqTimer_Start(view->loop, &view->silence_timer,
+                      AqLoop_Now(view->loop) + wait + PROMPT_REPLY_MARGIN_MS);
     }
     view->store->ops->changes(view->store, view->prefix, view->index, wait,
                               on_changes, call);
 }
 
 static void
-begin(PrefixView *view)
+start_call(PrefixView *view)
 {
     view->in_flight++;
     if (view->is_listed) {
-        begin_watch(view);
+        start_watch(view);
         return;
     }
     if (view->listing == NULL) {
         view->listing =
             g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-        free(view->after);
-        view->after = strdup("");
+        free(view->last_listed_key);
+        view->last_listed_key = strdup("");
     }
-    view->store->ops->list_after(view->store, view->prefix, view->after, false,
-                                 on_page, view);
+    view->store->ops->list_after(view->store, view->prefix,
+                                 view->last_listed_key, false, on_page, view);
 }
 
 static void
 on_retry(void *context)
 {
-    begin(context);
+    start_call(context);
 }
 
-/* The watch may be cut off without a word: another one begins.  An answer
- * that is only late is used when it comes. */
+/* The watch may have been dropped silently, so another one is started.  If
+ * the reply is only late, it is still applied. */
 static void
 on_silence(void *context)
 {
     PrefixView *view = context;
     AqLog_Event(AQ_LOG_INFO, "watch_silent", "prefix=%s index=%llu",
                 view->prefix, (unsigned long long)view->index);
-    begin(view);
+    start_call(view);
 }
 
 /* ---- Lifecycle ---------------------------------------------------------- */
@@ -324,14 +331,14 @@
     view->prefix = strdup(prefix);
     view->ops = *ops;
     view->context = context;
-    view->after = strdup("");
+    view->last_listed_key = strdup("");
     view->is_reachable = true;
     view->last_reply_at = AQ_TIME_NEVER;
     view->indexes =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    AqTimer_Init(&view->retry, on_retry, view);
-    AqTimer_Init(&view->silence, on_silence, view);
-    begin(view);
+    AqTimer_Init(&view->retry_timer, on_retry, view);
+    AqTimer_Init(&view->silence_timer, on_silence, view);
+    start_call(view);
     return view;
 }
 
@@ -342,8 +349,8 @@
         return;
     }
     view->is_destroyed = true;
-    AqTimer_Stop(&view->retry);
-    AqTimer_Stop(&view->silence);
+    AqTimer_Stop(&view->retry_timer);
+    AqTimer_Stop(&view->silence_timer);
     if (view->in_flight == 0) {
         free_view(view);
     }
--- a/packages/pool/prefix_view.h
+++ b/packages/pool/prefix_view.h
@@ -4,34 +4,38 @@
 #include "aq_loop.h"
 #include "aq_store.h"
 
-/* A copy of the keys under a prefix that follows the store: one listing, then
- * long watches; a new listing when the history is gone. */
+/* Follows the keys under a prefix of the store: lists them once, then
+ * watches for changes with long polls, and lists them again when the store
+ * has discarded the history since the last change seen. */
 
 typedef struct PrefixView PrefixView;
 
 typedef struct {
-    /* A key was written; "item" is borrowed for the call. */
+    /* A key was written; "item" is borrowed for the call.  Not called twice
+     * for the same write. */
     void (*put)(void *context, const AqStoreItem *item);
-    void (*removed)(void *context, const char *key); /* NULL: not wanted */
-    /* A listing is complete: the view is whole.  NULL: not wanted. */
+    void (*removed)(void *context, const char *key); /* may be NULL */
+    /* A listing is complete: all keys have been reported.  May be NULL. */
     void (*listed)(void *context);
-    /* Pause after changes before the next watch, so that it finds more of
-     * them, ms.  0: each change is heard of at once. */
+    /* Delay in ms from a change to the next watch, which then returns
+     * several changes at once.  0: each change is reported at once. */
     AqTime coalesce_ms;
-    /* A watch that the store has lost without a word is noticed after one
-     * second instead of three; a quiet prefix costs two calls a second. */
+    /* Detects after 1 s instead of 3 s that the store has dropped a watch
+     * silently; costs two calls a second while the prefix is unchanged. */
     bool is_prompt;
 } PrefixViewOps;
 
-/* "loop" and "store" are borrowed.  No call comes from inside. */
+/* "loop" and "store" are borrowed.  No callback is called from inside. */
 PrefixView *prefix_view_create(AqLoop *loop, AqStore *store,
                                const char *prefix, const PrefixViewOps *ops,
                                void *context);
-/* Safe from a callback of the view. */
+/* Safe to call from a callback of the view.  NULL is allowed. */
 void prefix_view_destroy(PrefixView *view);
 
-/* When the store last answered; AQ_TIME_NEVER: not yet. */
+/* Returns the loop time of the last successful reply; AQ_TIME_NEVER if
+ * there was none. */
 AqTime prefix_view_last_reply_at(const PrefixView *view);
+/* Returns whether the last listing is complete and still being followed. */
 bool prefix_view_is_listed(const PrefixView *view);
 
 #endif
--- a/packages/pool/store_health.h
+++ b/packages/pool/store_health.h
@@ -5,16 +5,18 @@
 
 #include "aq_store.h"
 
-/* Whether the store serves this node, by the outcomes of its calls.  A write
- * that is not sent to a lost store is certain to have no effect, which one
- * without an answer is not. */
+/* Tracks whether the store serves this node, from the results of its
+ * calls.  A write that is not sent to a failing store is certain to have no
+ * effect, unlike a write that got no reply. */
 
 typedef struct {
-    unsigned failures; /* calls in a row that were not served */
+    unsigned failures; /* consecutive calls that failed */
 } StoreHealth;
 
-/* The outcome of any call but a watch, which is cut now and then. */
+/* Records the result of any call except a watch, which may be cut off
+ * although the store is serving. */
 void store_health_note(StoreHealth *health, AqStoreStatus status);
+/* Returns whether two or more consecutive calls have failed. */
 bool store_health_is_lost(const StoreHealth *health);
 
 #endif
--- a/packages/pool/store_keys.c
+++ b/packages/pool/store_keys.c
@@ -4,17 +4,17 @@
 #include <string.h>
 
 enum {
-    SLOTS = 8,
-    KEY_SIZE = 256 /* the store takes 200 bytes */
+    BUFFER_COUNT = 8,
+    KEY_SIZE = 256 /* bytes; the store accepts 200 */
 };
 
-static char slots[SLOTS][KEY_SIZE];
-static unsigned next_slot;
+static char buffers[BUFFER_COUNT][KEY_SIZE];
+static unsigned next_buffer;
 
 static char *
-take_slot(void)
+take_buffer(void)
 {
-    return slots[next_slot++ % SLOTS];
+    return buffers[next_buffer++ % BUFFER_COUNT];
 }
 
 const char *
@@ -34,33 +34,33 @@
         [KEY_JOBS] = "aq/job/%s/",
         [KEY_PROGRESS] = "aq/progress/%s/",
     };
-    char *slot = take_slot();
-    snprintf(slot, KEY_SIZE, formats[kind], name);
-    return slot;
+    char *buffer = take_buffer();
+    snprintf(buffer, KEY_SIZE, formats[kind], name);
+    return buffer;
 }
 
 const char *
 key_of_job(const char *pool, const char *id)
 {
-    char *slot = take_slot();
-    snprintf(slot, KEY_SIZE, "aq/job/%s/%s", pool, id);
-    return slot;
+    char *buffer = take_buffer();
+    snprintf(buffer, KEY_SIZE, "aq/job/%s/%s", pool, id);
+    return buffer;
 }
 
 const char *
 key_of_cancel(const char *pool, const char *id)
 {
-    char *slot = take_slot();
-    snprintf(slot, KEY_SIZE, "aq/job/%s/%s.c", pool, id);
-    return slot;
+    char *buffer = take_buffer();
+    snprintf(buffer, KEY_SIZE, "aq/job/%s/%s.c", pool, id);
+    return buffer;
 }
 
 const char *
 key_of_progress(const char *pool, const char *id)
 {
-    char *slot = take_slot();
-    snprintf(slot, KEY_SIZE, "aq/progress/%s/%s", pool, id);
-    return slot;
+    char *buffer = take_buffer();
+    snprintf(buffer, KEY_SIZE, "aq/progress/%s/%s", pool, id);
+    return buffer;
 }
 
 void
--- a/packages/pool/store_keys.h
+++ b/packages/pool/store_keys.h
@@ -5,23 +5,28 @@
 
 #include "aq_store.h"
 
-/* The product's keys in the store.  One line each: writer, contents.
+/* Keys in the platform's store, one line each: key, writer, contents.
  *
- * aq/node/member/NODE  the node, under its lease: its incarnation
+ * aq/node/member/NODE  the node, under its lease: its incarnation, its
+ *                      address for callers, its CPU share
  * aq/node/owner/POOL   the owner, under its lease: node and incarnation; the
- *                      key's index is the fence of the pool's orders
- * aq/term/POOL         the owner: generation, node, incarnation, released
- * aq/lane/POOL         the owner: stamp of its last write (owner_writer.h)
- * aq/roster/POOL       the owner: VMs that orders may have gone to
+ *                      key's modify index is the fence of the pool's orders
+ * aq/term/POOL         the owner: generation, node, incarnation, whether the
+ *                      pool was released
+ * aq/lane/POOL         the owner: write stamp of its last write
+ *                      (owner_writer.h)
+ * aq/roster/POOL       the owner: used VMs, to which orders may have gone
  * aq/job/POOL/ID       the node that accepted it: the job (AqJobSpec)
- * aq/job/POOL/ID.c     any node: the job is cancelled, perhaps before it came
+ * aq/job/POOL/ID.c     any node: mark that the job is cancelled, possibly
+ *                      written before the job
  * aq/progress/POOL/ID  the owner: stage, done tasks, failures
- * aq/report/POOL       the owner, under its lease: jobs waiting of each queue
- * aq/ask/POOL          the owner: orders for VMs that it requests
- * aq/answer/POOL       the machine coordinator: requests that have ended
- * aq/machine/MACHINE   the machine coordinator: who gave the VM its last
- *                      order, when
- * aq/wave/N            an owner: VMs of the wave that are begun and done */
+ * aq/report/POOL       the owner, under its lease: waiting jobs of each queue
+ * aq/ask/POOL          the owner: its machine requests
+ * aq/answer/POOL       the machine coordinator: machine requests that ended
+ * aq/machine/MACHINE   the machine coordinator: time of the VM's last order
+ *                      and who gave it
+ * aq/wave/N            an owner: the wave's VMs that are in progress and
+ *                      done */
 
 #define KEYS_NODES "aq/node/"
 #define KEYS_MEMBERS "aq/node/member/"
@@ -40,19 +45,21 @@
     KEY_MACHINE_RESPONSES,
     KEY_MACHINE,
     KEY_WAVE,
-    KEY_JOBS,    /* prefix of a pool's jobs */
-    KEY_PROGRESS /* prefix of a pool's progress records */
+    KEY_JOBS,    /* prefix of a pool's job keys */
+    KEY_PROGRESS /* prefix of a pool's progress keys */
 } KeyKind;
 
-/* Returns the key of one object; points into one of eight static buffers used
- * in turn. */
+/* Returns the key of one object.  The result points into one of eight
+ * static buffers, which are reused in turn. */
 const char *key_of(KeyKind kind, const char *name);
-/* Key of a job, its cancelling or its progress; the same buffers. */
+/* Return the key of a job, of its cancellation mark and of its progress
+ * record, in the same buffers. */
 const char *key_of_job(const char *pool, const char *id);
 const char *key_of_cancel(const char *pool, const char *id);
 const char *key_of_progress(const char *pool, const char *id);
 
-/* Copies a value that is text, cut to "size" - 1 bytes, with an end. */
+/* Copies the value of an item to "out" as NUL-terminated text, truncated to
+ * "size" - 1 bytes. */
 void key_text(const AqStoreItem *item, char *out, size_t size);
 
 #endif
--- a/packages/pool/vm_directory.c
+++ b/packages/pool/vm_directory.c
@@ -9,10 +9,11 @@
 #include "prefix_view.h"
 
 enum {
-    /* Each VM writes its entry about once a second, and each write is an
-     * answer to every node that owns a pool.  A VM that has come is listed
-     * so much later; its own replies tell the rest sooner. */
-    GATHER_MS = 150
+    /* Delay before the next watch.  Each VM writes its entry about once a
+     * second, and each write is a reply to every node that owns a pool; the
+     * delay combines them.  A new VM is listed this much later; of listed
+     * VMs, replies to orders bring news sooner. */
+    COALESCE_MS = 150
 };
 
 struct VmDirectory {
@@ -36,10 +37,10 @@
     g_hash_table_remove(directory->vms, key);
 }
 
-/* VMs write their entries again and again; most writes change nothing that
- * is decided by. */
+/* Returns whether an entry differs from the last one in a field that is
+ * logged.  VMs rewrite their entries about once a second, mostly unchanged. */
 static bool
-is_news(const AqVmReport *known, const AqVmReport *report)
+is_changed(const AqVmReport *known, const AqVmReport *report)
 {
     return known == NULL || strcmp(known->pool, report->pool) != 0 ||
            strcmp(known->machine, report->machine) != 0 ||
@@ -63,7 +64,7 @@
         on_removed(directory, item->key);
         return;
     }
-    if (is_news(g_hash_table_lookup(directory->vms, item->key), report)) {
+    if (is_changed(g_hash_table_lookup(directory->vms, item->key), report)) {
         AqLog_Event(AQ_LOG_INFO, "vm_listed",
                     "vm=%s pool=%s machine=%s rack=%s draining=%d index=%llu",
                     report->id, report->pool, report->machine, report->rack,
@@ -77,8 +78,8 @@
 vm_directory_create(AqLoop *loop, AqStore *store, const VmDirectoryOps *ops,
                     void *context)
 {
-    static const PrefixViewOps view_ops = {on_put, on_removed, NULL, GATHER_MS,
-                                           true};
+    static const PrefixViewOps view_ops = {on_put, on_removed, NULL,
+                                           COALESCE_MS, true};
     VmDirectory *directory = calloc(1, sizeof(*directory));
     directory->ops = *ops;
     directory->context = context;
--- a/packages/pool/vm_directory.h
+++ b/packages/pool/vm_directory.h
@@ -5,24 +5,26 @@
 #include "aq_scheduler.h"
 #include "aq_store.h"
 
-/* The VMs that are listed on the platform, followed from the store. An entry
- * that is missing or unreadable lists no VM; the other entries stay. */
+/* The VMs that are listed in the platform's store.  A VM whose entry is
+ * missing or can't be decoded counts as unlisted; other VMs are not
+ * affected. */
 
 typedef struct VmDirectory VmDirectory;
 
 typedef struct {
-    /* A VM was listed, or its entry has changed; "report" is borrowed for
+    /* A VM was listed or its entry has changed; "report" is borrowed for
      * the call. */
     void (*listed)(void *context, const AqVmReport *report);
     void (*unlisted)(void *context, const char *vm);
 } VmDirectoryOps;
 
-/* "loop" and "store" are borrowed.  No call comes from inside. */
+/* "loop" and "store" are borrowed.  No callback is called from inside. */
 VmDirectory *vm_directory_create(AqLoop *loop, AqStore *store,
                                  const VmDirectoryOps *ops, void *context);
 /* NULL is allowed. */
 void vm_directory_destroy(VmDirectory *directory);
 
+/* Calls "visit" for each listed VM. */
 void vm_directory_each(const VmDirectory *directory,
                        void (*visit)(void *context, const AqVmReport *report),
                        void *context);
