--- a/packages/pool/caller_responses.c
+++ b/packages/pool/caller_responses.c
@@ -3,9 +3,9 @@
 #include <stdbool.h>
 
 const char response_unavailable[] =
-    "{\"error\":\"the store can't be reached; retry later\"}";
+    "{\"error\":\"the store can't be reached; come back later\"}";
 const char response_unknown[] =
-    "{\"error\":\"the outcome is not known; retry with the same id\"}";
+    "{\"error\":\"the outcome is not known; ask again with the same id\"}";
 
 void
 respond_json(AqExchange *exchange, int status, const char *body, size_t size)
--- a/packages/pool/caller_responses.h
+++ b/packages/pool/caller_responses.h
@@ -7,8 +7,8 @@
 
 /* HTTP responses to callers, from this node or passed on from a peer. */
 
-/* JSON bodies: nothing was done (status 503), and: the outcome is unknown
- * (504). */
+/* JSON bodies for status 503, nothing was done, and status 504, the outcome
+ * is unknown. */
 extern const char response_unavailable[];
 extern const char response_unknown[];
 
--- a/packages/pool/job_api.c
+++ b/packages/pool/job_api.c
@@ -18,7 +18,7 @@
 };
 
 static const char response_no_owner[] =
-    "{\"error\":\"the queue's pool has no owner now; retry later\"}";
+    "{\"error\":\"no node counts the queue's jobs now; come back later\"}";
 
 struct JobApi {
     NodeContext *node;
@@ -46,7 +46,7 @@
     void (*try)(void *request);
     AqBuffer encoded_job; /* the encoded job of a submission, else empty */
     unsigned attempts;
-    bool may_have_effect; /* an earlier write of it got no reply */
+    bool may_have_effect; /* an earlier write of this request got no reply */
 } Request;
 
 static AqTime
@@ -592,8 +592,9 @@
         }
         AqLog_Event(AQ_LOG_WARNING, "refused", "path=%s reason=no_config",
                     AqLog_Quote(path));
-        respond_error(exchange, 503,
-                      "the node has no current configuration; retry later");
+        respond_error(
+            exchange, 503,
+            "the node has no current configuration; come back later");
         return;
     }
     const AqQueueConfig *queue = AqSiteConfig_Match(
--- a/packages/pool/member.c
+++ b/packages/pool/member.c
@@ -43,7 +43,9 @@
 typedef struct {
     Member *member;
     char pool[64];
-    bool is_configured; /* listed in the site's configuration */
+    /* Listed in the site's configuration; for the machine coordinator: a
+     * machine service is configured. */
+    bool is_configured;
     ClaimState state;
     AqTimer timer;
     AqTime vacant_since;
--- a/packages/pool/node.h
+++ b/packages/pool/node.h
@@ -35,7 +35,8 @@
     AqMetric *stored;
     AqMetric *refused; /* callers' requests with status 503: nothing done */
     AqMetric *unknown; /* callers' requests with status 504: outcome unknown */
-    AqMetric *orders_failed; /* orders that got no response */
+    /* Orders that got no response or were not sent. */
+    AqMetric *orders_failed;
     AqMetric *pools_gained;
     AqMetric *pools_lost;
 } NodeMetrics;
--- a/packages/pool/owner_writer.c
+++ b/packages/pool/owner_writer.c
@@ -9,7 +9,7 @@
 #include "store_keys.h"
 
 enum {
-    STAMP_READ_RETRY_MS = 150 /* until the write stamp is read again */
+    STAMP_READ_RETRY_MS = 150 /* delay before the write stamp is read again */
 };
 
 typedef struct {
@@ -29,7 +29,7 @@
     NodeContext *node;
     char pool[64];
     uint64_t fence;
-    GQueue *writes; /* of Write; the first one is in progress */
+    GQueue *writes; /* queue of Write; the first is in progress */
     /* Modify index of the write stamp as last read or written; 0: absent. */
     uint64_t write_stamp_index;
     bool is_write_stamp_known;
--- a/packages/pool/pool_owner.h
+++ b/packages/pool/pool_owner.h
@@ -25,7 +25,7 @@
 void pool_owner_drop(PoolOwner *owner);
 
 const char *pool_owner_pool(const PoolOwner *owner);
-/* NULL until the jobs are loaded.  Borrowed. */
+/* Returns the pool's scheduler, borrowed; NULL until the jobs are loaded. */
 AqScheduler *pool_owner_scheduler(PoolOwner *owner);
 uint64_t pool_owner_fence(const PoolOwner *owner);
 /* The writer that carries all writes of this ownership.  Borrowed. */
--- a/packages/pool/prefix_view.c
+++ b/packages/pool/prefix_view.c
@@ -113,8 +113,8 @@
     }
 }
 
-/* Applies the changes of a watch; skips those that a parallel watch has
- * reported already. */
+/* Applies the changes of a watch; skips those that another watch of the
+ * same view has reported already. */
 static void
 apply_changes(PrefixView *view, const AqStoreReply *reply)
 {
--- a/packages/pool/prefix_view.h
+++ b/packages/pool/prefix_view.h
@@ -25,7 +25,8 @@
     bool is_prompt;
 } PrefixViewOps;
 
-/* "loop" and "store" are borrowed.  No callback is called from inside. */
+/* "loop" and "store" are borrowed.  Callbacks are called from the event
+ * loop only, not from inside this call. */
 PrefixView *prefix_view_create(AqLoop *loop, AqStore *store,
                                const char *prefix, const PrefixViewOps *ops,
                                void *context);
--- a/packages/pool/vm_directory.c
+++ b/packages/pool/vm_directory.c
@@ -37,8 +37,9 @@
     g_hash_table_remove(directory->vms, key);
 }
 
-/* Returns whether an entry differs from the last one in a field that is
- * logged.  VMs rewrite their entries about once a second, mostly unchanged. */
+/* Returns whether an entry differs from the last one in a field that
+ * decisions depend on; other writes, which are most of them, are not
+ * logged. */
 static bool
 is_changed(const AqVmReport *known, const AqVmReport *report)
 {
--- a/packages/pool/vm_directory.h
+++ b/packages/pool/vm_directory.h
@@ -18,7 +18,8 @@
     void (*unlisted)(void *context, const char *vm);
 } VmDirectoryOps;
 
-/* "loop" and "store" are borrowed.  No callback is called from inside. */
+/* "loop" and "store" are borrowed.  Callbacks are called from the event
+ * loop only, not from inside this call. */
 VmDirectory *vm_directory_create(AqLoop *loop, AqStore *store,
                                  const VmDirectoryOps *ops, void *context);
 /* NULL is allowed. */
