--- a/packages/pool/fenced_order.c
+++ b/packages/pool/fenced_order.c
@@ -8,10 +8,10 @@
 #include "store_keys.h"
 
 enum {
-    /* An order leaves so soon after its claim that no later holder can have
-     * given one. */
-    CLAIM_AGE_MS = 800,
-    PAUSE_RESERVE_MS = 500 /* clocks of nodes differ a little */
+    /* Age of a claim up to which its order may be sent: so early that no later
+     * holder of the coordinator role can have sent one. */
+    CLAIM_MAX_AGE_MS = 800,
+    PAUSE_MARGIN_MS = 500 /* for the clock skew between nodes */
 };
 
 typedef struct {
@@ -22,8 +22,8 @@
     char machine[AQ_VM_ID_SIZE];
     char to_pool[64];
     int64_t wave;
-    uint64_t fence;
-    AqTime claimed_at; /* when the claim was sent */
+    uint64_t fence;    /* store index of the claim; 0: not claimed */
+    AqTime claimed_at; /* when the claim was sent; monotonic clock */
     FencedOrderDone done;
     void *context;
 } FencedOrderCall;
@@ -74,9 +74,9 @@
         return;
     }
     call->fence = reply->index;
-    /* The loop's time is of the round's begin: read the clock itself, since
-     * the process may have stood still in between. */
-    if (AqClock_ReadMonotonic() - call->claimed_at > CLAIM_AGE_MS) {
+    /* AqLoop_Now() is the time at which the loop's round began.  Read the
+     * clock itself, since the process may have been suspended since then. */
+    if (AqClock_ReadMonotonic() - call->claimed_at > CLAIM_MAX_AGE_MS) {
         finish(call, FENCED_ORDER_RETRY, "claim_too_old");
         return;
     }
@@ -90,25 +90,26 @@
     }
 }
 
-/* Whether another node ordered the VM about so lately that we must wait. */
+/* Whether another node claimed the VM so recently that the pause after its
+ * order has not ended.  "item" is the claim: node id and wall clock, ms. */
 static bool
-is_in_pause(const FencedOrderCall *call, const AqStoreItem *item)
+is_pause_active(const FencedOrderCall *call, const AqStoreItem *item)
 {
     char text[120];
     char holder[64];
-    long long at;
+    long long claimed_at_ms;
     key_text(item, text, sizeof(text));
-    if (sscanf(text, "%63s %lld", holder, &at) != 2) {
+    if (sscanf(text, "%63s %lld", holder, &claimed_at_ms) != 2) {
         return false;
     }
-    long long age = AqClock_ReadWall() - at;
+    long long age_ms = AqClock_ReadWall() - claimed_at_ms;
     return strcmp(holder, call->node->settings->node_id) != 0 &&
-           age < call->node->settings->limits_machine_pause_ms +
-                     PAUSE_RESERVE_MS;
+           age_ms <
+               call->node->settings->limits_machine_pause_ms + PAUSE_MARGIN_MS;
 }
 
 static void
-claim(FencedOrderCall *call, uint64_t machine_index)
+claim_vm(FencedOrderCall *call, uint64_t last_claim_index)
 {
     AqStore *store = call->node->store;
     char holder[120];
@@ -119,7 +120,7 @@
         {key_of(KEY_OWNER, MEMBER_MACHINE_COORDINATOR),
          call->coordinator_fence},
         {key_of(KEY_OWNER, call->pool), call->pool_fence},
-        {machine_key, machine_index},
+        {machine_key, last_claim_index},
     };
     AqStorePut put = {machine_key, holder, strlen(holder), 0};
     AqStoreCommit commit = {
@@ -129,20 +130,20 @@
 }
 
 static void
-on_read(void *context, const AqStoreReply *reply)
+on_claim_read(void *context, const AqStoreReply *reply)
 {
     FencedOrderCall *call = context;
     if (reply->status == AQ_STORE_ABSENT) {
-        claim(call, 0);
+        claim_vm(call, 0);
     }
     else if (reply->status != AQ_STORE_OK || reply->count != 1) {
         finish(call, FENCED_ORDER_RETRY, "store_unavailable");
     }
-    else if (is_in_pause(call, &reply->items[0])) {
+    else if (is_pause_active(call, &reply->items[0])) {
         finish(call, FENCED_ORDER_RETRY, "other_holder");
     }
     else {
-        claim(call, reply->items[0].index);
+        claim_vm(call, reply->items[0].index);
     }
 }
 
@@ -160,10 +161,10 @@
     g_strlcpy(call->pool, order->pool, sizeof(call->pool));
     g_strlcpy(call->machine, order->machine, sizeof(call->machine));
     g_strlcpy(call->to_pool, order->to_pool, sizeof(call->to_pool));
-    if (order->last_claim != 0) {
-        claim(call, order->last_claim);
+    if (order->last_claim_index != 0) {
+        claim_vm(call, order->last_claim_index);
         return;
     }
     node->store->ops->get(node->store, key_of(KEY_MACHINE, order->machine),
-                          on_read, call);
+                          on_claim_read, call);
 }
--- a/packages/pool/machine_coordinator.c
+++ b/packages/pool/machine_coordinator.c
@@ -11,61 +11,62 @@
 #include "prefix_view.h"
 
 enum {
-    RETRY_MS = 250,
-    /* A VM that was sent to a pool that wants one is there after that, and
-     * the pool wants one less. */
-    UNDER_WAY_MS = 2300,
-    MOST_AT_ONCE = 12 /* orders under way; the platform takes some 64 a
-                       * second */
+    RETRY_MS = 250, /* after an order or a write that was not accepted */
+    /* How long a move counts against the demand of the pool that it goes to.
+     * After that the VM has arrived, and the pool requests one VM less. */
+    MOVE_IN_PROGRESS_MS = 2300,
+    /* Orders in progress at a time, with the write of responses; the platform
+     * accepts about 64 orders a second. */
+    MAX_CONCURRENT_CALLS = 12
 };
 
 typedef enum {
-    REQUEST_WAITING,
-    REQUEST_ORDERED,
-    REQUEST_ENDED
+    REQUEST_WAITING, /* for its order, or for the retry of it */
+    REQUEST_ORDERED, /* the order is in progress */
+    REQUEST_ENDED    /* done or refused */
 } MachineRequestState;
 
 typedef struct {
     AqMachineRequest request;
-    char pool[64];
-    uint64_t fence; /* of the pool's owner */
+    char pool[64];  /* pool whose owner sent the request */
+    uint64_t fence; /* of that ownership */
     MachineRequestState state;
-    bool is_refused;
-    bool is_requested;
-    AqTime retry_at;
-    char target[64]; /* where a VM that is given away goes */
-} Entry;
+    bool is_refused;   /* REQUEST_ENDED only */
+    bool is_requested; /* the owner's list still contains the request */
+    AqTime retry_at;   /* earliest time of the next order */
+    char target[64];   /* destination of a move; "": not chosen, or no move */
+} RequestEntry;
 
-/* A pool that would take VMs, whichever they are. */
+/* VMs that a pool requests without naming them. */
 typedef struct {
     size_t requested_vms;
-    GArray *sent; /* of AqTime: when VMs were sent there */
+    GArray *sent_at; /* of AqTime: when VMs were sent there, oldest first */
 } Demand;
 
-/* What this coordinator has done with a VM last. */
+/* Outcome of this coordinator's last orders for a VM. */
 typedef struct {
-    char pool[64];  /* it was moved there; "": not moved */
-    uint64_t claim; /* 0: not known */
-} Place;
+    char moved_to_pool[64]; /* by the last move; "": none, or not known */
+    uint64_t claim_index;   /* store index of the last claim; 0: not known */
+} VmRecord;
 
 struct MachineCoordinator {
     NodeContext *node;
-    uint64_t fence;
-    PrefixView *view;
-    OwnerWriter *writer;
-    GPtrArray *entries;    /* of Entry */
-    GHashTable *demands;   /* pool -> Demand */
-    GHashTable *places;    /* machine -> Place */
-    GHashTable *responses; /* pools with responses to be written */
+    uint64_t fence;         /* of the ownership of the coordinator role */
+    PrefixView *view;       /* of the owners' requests */
+    OwnerWriter *writer;    /* for the responses */
+    GPtrArray *entries;     /* of RequestEntry; owned */
+    GHashTable *demands;    /* pool -> Demand */
+    GHashTable *vm_records; /* VM id -> VmRecord */
+    GHashTable *responses; /* set of pools whose responses are to be written */
     bool is_writing_responses;
-    AqTime responses_due;
-    int calls;
-    bool is_dropped;
+    AqTime responses_due; /* earliest time of the next write of responses */
+    int calls;            /* orders and writes in progress */
+    bool is_dropped;      /* freed as soon as "calls" is 0 */
 };
 
 typedef struct {
     MachineCoordinator *coordinator;
-    Entry *entry;
+    RequestEntry *entry;
 } CoordinatorCall;
 
 static void
@@ -74,18 +75,18 @@
     g_ptr_array_free(coordinator->entries, TRUE);
     g_hash_table_destroy(coordinator->responses);
     g_hash_table_destroy(coordinator->demands);
-    g_hash_table_destroy(coordinator->places);
+    g_hash_table_destroy(coordinator->vm_records);
     free(coordinator);
 }
 
 /* ---- Requests ----------------------------------------------------------- */
 
-static Entry *
+static RequestEntry *
 find_entry(const MachineCoordinator *coordinator, const char *pool,
            uint64_t fence, int64_t number)
 {
     for (guint i = 0; i < coordinator->entries->len; i++) {
-        Entry *entry = g_ptr_array_index(coordinator->entries, i);
+        RequestEntry *entry = g_ptr_array_index(coordinator->entries, i);
         if (entry->request.number == number && entry->fence == fence &&
             strcmp(entry->pool, pool) == 0) {
             return entry;
@@ -94,14 +95,15 @@
     return NULL;
 }
 
-/* Whether another pool's owner requests the same VM: the first one has it.
- * One that was given away is free for others once that is done. */
+/* Whether the owner of another pool has requested the same VM: the first
+ * request has precedence.  A request that has ended counts only if it was for
+ * a move to the requesting pool; a VM that was released is free for others. */
 static bool
 is_requested_elsewhere(const MachineCoordinator *coordinator,
-                       const Entry *entry)
+                       const RequestEntry *entry)
 {
     for (guint i = 0; i < coordinator->entries->len; i++) {
-        const Entry *other = g_ptr_array_index(coordinator->entries, i);
+        const RequestEntry *other = g_ptr_array_index(coordinator->entries, i);
         bool is_open = other->state != REQUEST_ENDED ||
                        strcmp(other->request.to_pool, other->pool) == 0;
         if (other->is_requested && is_open &&
@@ -113,27 +115,29 @@
     return false;
 }
 
-/* Whether the VM has been moved away from where the owner saw it: the list
- * that the owner has read is older than the move, and the order would end
- * tasks of another pool. */
+/* Whether this coordinator has moved the VM out of the pool where the owner
+ * saw it: the list that the owner has read is older than the move, and the
+ * order would end tasks of another pool. */
 static bool
-is_moved_away(const MachineCoordinator *coordinator, const Entry *entry)
+is_moved_away(const MachineCoordinator *coordinator, const RequestEntry *entry)
 {
-    const Place *place =
-        g_hash_table_lookup(coordinator->places, entry->request.machine);
-    if (place == NULL || place->pool[0] == '\0' ||
-        strcmp(place->pool, entry->pool) == 0) {
+    const VmRecord *record =
+        g_hash_table_lookup(coordinator->vm_records, entry->request.machine);
+    if (record == NULL || record->moved_to_pool[0] == '\0' ||
+        strcmp(record->moved_to_pool, entry->pool) == 0) {
         return false;
     }
-    /* One in the spare pool is there to be taken. */
+    /* Any pool may acquire a VM of the spare pool. */
     const char *spare = AqSiteConfig_SparePool(&coordinator->node->site);
-    bool is_taken = strcmp(entry->request.to_pool, entry->pool) == 0;
-    return !is_taken || spare == NULL || strcmp(place->pool, spare) != 0;
+    bool is_acquisition = strcmp(entry->request.to_pool, entry->pool) == 0;
+    return !is_acquisition || spare == NULL ||
+           strcmp(record->moved_to_pool, spare) != 0;
 }
 
-/* Why a request is refused, or NULL. */
+/* Returns why a new request is refused, as logged; NULL: it is not. */
 static const char *
-find_objection(const MachineCoordinator *coordinator, const Entry *entry)
+find_refusal_reason(const MachineCoordinator *coordinator,
+                    const RequestEntry *entry)
 {
     if (is_requested_elsewhere(coordinator, entry)) {
         return "asked_by_other_pool";
@@ -142,7 +146,8 @@
 }
 
 static void
-end_entry(MachineCoordinator *coordinator, Entry *entry, bool is_refused)
+end_entry(MachineCoordinator *coordinator, RequestEntry *entry,
+          bool is_refused)
 {
     entry->state = REQUEST_ENDED;
     entry->is_refused = is_refused;
@@ -153,7 +158,7 @@
 remove_withdrawn_requests(MachineCoordinator *coordinator)
 {
     for (guint i = coordinator->entries->len; i-- > 0;) {
-        const Entry *entry = g_ptr_array_index(coordinator->entries, i);
+        const RequestEntry *entry = g_ptr_array_index(coordinator->entries, i);
         if (!entry->is_requested && entry->state != REQUEST_ORDERED) {
             g_ptr_array_remove_index_fast(coordinator->entries, i);
         }
@@ -164,7 +169,7 @@
 set_withdrawn(MachineCoordinator *coordinator, const char *pool)
 {
     for (guint i = 0; i < coordinator->entries->len; i++) {
-        Entry *entry = g_ptr_array_index(coordinator->entries, i);
+        RequestEntry *entry = g_ptr_array_index(coordinator->entries, i);
         if (strcmp(entry->pool, pool) == 0) {
             entry->is_requested = false;
         }
@@ -175,7 +180,7 @@
 free_demand(void *value)
 {
     Demand *demand = value;
-    g_array_free(demand->sent, TRUE);
+    g_array_free(demand->sent_at, TRUE);
     free(demand);
 }
 
@@ -185,30 +190,33 @@
     Demand *demand = g_hash_table_lookup(coordinator->demands, pool);
     if (demand == NULL) {
         demand = calloc(1, sizeof(*demand));
-        demand->sent = g_array_new(FALSE, FALSE, sizeof(AqTime));
+        demand->sent_at = g_array_new(FALSE, FALSE, sizeof(AqTime));
         g_hash_table_insert(coordinator->demands, g_strdup(pool), demand);
     }
     return demand;
 }
 
-/* VMs that a pool wants beside those under way to it. */
+/* Returns how many VMs a pool requests beyond those that are on the move to
+ * it; removes moves older than MOVE_IN_PROGRESS_MS from "demand". */
 static size_t
-open_demand(const MachineCoordinator *coordinator, Demand *demand)
+unmet_demand(const MachineCoordinator *coordinator, Demand *demand)
 {
     AqTime now = AqLoop_Now(coordinator->node->loop);
-    while (demand->sent->len > 0 &&
-           now - g_array_index(demand->sent, AqTime, 0) > UNDER_WAY_MS) {
-        g_array_remove_index(demand->sent, 0);
+    while (demand->sent_at->len > 0 &&
+           now - g_array_index(demand->sent_at, AqTime, 0) >
+               MOVE_IN_PROGRESS_MS) {
+        g_array_remove_index(demand->sent_at, 0);
     }
-    return demand->requested_vms > demand->sent->len
-               ? demand->requested_vms - demand->sent->len
+    return demand->requested_vms > demand->sent_at->len
+               ? demand->requested_vms - demand->sent_at->len
                : 0;
 }
 
-/* Chooses where a VM that a pool gives away goes: straight to the pool that
- * wants the most, which saves the way through the spare pool, or there. */
+/* Sets the destination of a move.  A VM that a pool releases goes straight to
+ * the pool with the greatest unmet demand, which saves the move through the
+ * spare pool; without such a pool it goes to the spare pool. */
 static void
-choose_target(MachineCoordinator *coordinator, Entry *entry)
+choose_target(MachineCoordinator *coordinator, RequestEntry *entry)
 {
     GHashTableIter iter;
     gpointer key;
@@ -218,19 +226,19 @@
     AqTime now = AqLoop_Now(coordinator->node->loop);
     g_strlcpy(entry->target, entry->request.to_pool, sizeof(entry->target));
     if (entry->target[0] == '\0' || strcmp(entry->target, entry->pool) == 0) {
-        return; /* maintenance, or a VM that the pool takes itself */
+        return; /* maintenance, or a move to the requesting pool */
     }
     g_hash_table_iter_init(&iter, coordinator->demands);
     while (g_hash_table_iter_next(&iter, &key, &value)) {
-        size_t wanted = open_demand(coordinator, value);
-        if (wanted > most && strcmp(key, entry->pool) != 0) {
-            most = wanted;
+        size_t unmet = unmet_demand(coordinator, value);
+        if (unmet > most && strcmp(key, entry->pool) != 0) {
+            most = unmet;
             best = value;
             g_strlcpy(entry->target, key, sizeof(entry->target));
         }
     }
     if (best != NULL) {
-        g_array_append_val(best->sent, now);
+        g_array_append_val(best->sent_at, now);
     }
 }
 
@@ -248,18 +256,18 @@
     set_withdrawn(coordinator, pool);
     find_demand(coordinator, pool)->requested_vms = list.requested_vms;
     for (size_t i = 0; i < list.count; i++) {
-        Entry *entry =
+        RequestEntry *entry =
             find_entry(coordinator, pool, list.fence, list.requests[i].number);
         if (entry == NULL) {
             entry = calloc(1, sizeof(*entry));
             entry->request = list.requests[i];
             entry->fence = list.fence;
             g_strlcpy(entry->pool, pool, sizeof(entry->pool));
-            const char *objection = find_objection(coordinator, entry);
-            if (objection != NULL) {
+            const char *reason = find_refusal_reason(coordinator, entry);
+            if (reason != NULL) {
                 AqLog_Event(AQ_LOG_INFO, "ask_refused",
                             "machine=%s pool=%s reason=%s",
-                            entry->request.machine, pool, objection);
+                            entry->request.machine, pool, reason);
                 end_entry(coordinator, entry, true);
             }
             g_ptr_array_add(coordinator->entries, entry);
@@ -291,9 +299,10 @@
     coordinator->is_writing_responses = false;
     coordinator->calls--;
     if (status != AQ_STORE_OK) {
-        /* All responses to the pools are written again. */
+        /* Write the responses to all pools again. */
         for (guint i = 0; i < coordinator->entries->len; i++) {
-            const Entry *entry = g_ptr_array_index(coordinator->entries, i);
+            const RequestEntry *entry =
+                g_ptr_array_index(coordinator->entries, i);
             if (entry->state == REQUEST_ENDED) {
                 g_hash_table_add(coordinator->responses,
                                  g_strdup(entry->pool));
@@ -314,7 +323,7 @@
     AqMachineRequestList list = {
         .requests = calloc(AQ_MACHINE_REQUESTS_MAX, sizeof(AqMachineRequest))};
     for (guint i = 0; i < coordinator->entries->len; i++) {
-        const Entry *entry = g_ptr_array_index(coordinator->entries, i);
+        const RequestEntry *entry = g_ptr_array_index(coordinator->entries, i);
         if (entry->state == REQUEST_ENDED && entry->is_requested &&
             strcmp(entry->pool, pool) == 0 &&
             list.count < AQ_MACHINE_REQUESTS_MAX) {
@@ -355,32 +364,35 @@
 
 /* ---- Orders ------------------------------------------------------------- */
 
-static Place *
-find_place(const MachineCoordinator *coordinator, const char *machine)
+static VmRecord *
+find_vm_record(const MachineCoordinator *coordinator, const char *machine)
 {
-    Place *place = g_hash_table_lookup(coordinator->places, machine);
-    if (place == NULL) {
-        place = calloc(1, sizeof(*place));
-        g_hash_table_insert(coordinator->places, g_strdup(machine), place);
+    VmRecord *record = g_hash_table_lookup(coordinator->vm_records, machine);
+    if (record == NULL) {
+        record = calloc(1, sizeof(*record));
+        g_hash_table_insert(coordinator->vm_records, g_strdup(machine),
+                            record);
     }
-    return place;
+    return record;
 }
 
 static void
-on_done(void *context, FencedOrderResult result, uint64_t claim)
+on_order_done(void *context, FencedOrderResult result, uint64_t claim_index)
 {
     CoordinatorCall *call = context;
     MachineCoordinator *coordinator = call->coordinator;
-    Entry *entry = call->entry;
+    RequestEntry *entry = call->entry;
     free(call);
     coordinator->calls--;
-    Place *place = find_place(coordinator, entry->request.machine);
-    place->claim = claim;
+    VmRecord *record = find_vm_record(coordinator, entry->request.machine);
+    record->claim_index = claim_index;
     if (result == FENCED_ORDER_DONE && entry->target[0] != '\0') {
-        g_strlcpy(place->pool, entry->target, sizeof(place->pool));
+        g_strlcpy(record->moved_to_pool, entry->target,
+                  sizeof(record->moved_to_pool));
     }
     else if (result == FENCED_ORDER_UNKNOWN) {
-        place->pool[0] = '\0'; /* it may be there or not */
+        record->moved_to_pool[0] =
+            '\0'; /* the move may still be carried out */
     }
     if (result == FENCED_ORDER_DONE || result == FENCED_ORDER_REFUSED) {
         end_entry(coordinator, entry, result == FENCED_ORDER_REFUSED);
@@ -395,7 +407,7 @@
 }
 
 static void
-give_order(MachineCoordinator *coordinator, Entry *entry)
+send_order(MachineCoordinator *coordinator, RequestEntry *entry)
 {
     if (entry->target[0] == '\0') {
         choose_target(coordinator, entry);
@@ -407,14 +419,15 @@
         .machine = entry->request.machine,
         .to_pool = entry->target,
         .wave = entry->request.wave,
-        .last_claim = find_place(coordinator, entry->request.machine)->claim,
+        .last_claim_index =
+            find_vm_record(coordinator, entry->request.machine)->claim_index,
     };
     CoordinatorCall *call = calloc(1, sizeof(*call));
     call->coordinator = coordinator;
     call->entry = entry;
     entry->state = REQUEST_ORDERED;
     coordinator->calls++;
-    fenced_order_send(coordinator->node, &order, on_done, call);
+    fenced_order_send(coordinator->node, &order, on_order_done, call);
 }
 
 void
@@ -423,10 +436,10 @@
     AqTime now = AqLoop_Now(coordinator->node->loop);
     remove_withdrawn_requests(coordinator);
     for (guint i = 0; i < coordinator->entries->len && may_order; i++) {
-        Entry *entry = g_ptr_array_index(coordinator->entries, i);
+        RequestEntry *entry = g_ptr_array_index(coordinator->entries, i);
         if (entry->state == REQUEST_WAITING && entry->retry_at <= now &&
-            coordinator->calls < MOST_AT_ONCE) {
-            give_order(coordinator, entry);
+            coordinator->calls < MAX_CONCURRENT_CALLS) {
+            send_order(coordinator, entry);
         }
     }
     write_next_responses(coordinator);
@@ -441,7 +454,7 @@
     coordinator->entries = g_ptr_array_new_with_free_func(free);
     coordinator->demands =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_demand);
-    coordinator->places =
+    coordinator->vm_records =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free);
     coordinator->responses =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
@@ -460,7 +473,7 @@
         return;
     }
     prefix_view_destroy(coordinator->view);
-    coordinator->calls++; /* the writer may end calls now */
+    coordinator->calls++; /* owner_writer_drop() may end calls */
     owner_writer_drop(coordinator->writer);
     coordinator->calls--;
     coordinator->is_dropped = true;
--- a/packages/pool/machine_coordinator.h
+++ b/packages/pool/machine_coordinator.h
@@ -3,17 +3,19 @@
 
 #include "node.h"
 
-/* Coordinates the orders for VMs, while this node is the coordinator: reads
- * what the owners of the pools request, and orders it, again while it is not
- * accepted and still requested. */
+/* Sends the orders for VMs while this node is the machine coordinator: reads
+ * the requests of the pools' owners and sends an order for each, repeated
+ * until it is accepted or refused or the request is withdrawn. */
 
 typedef struct MachineCoordinator MachineCoordinator;
 
+/* "fence" is that of this node's ownership of the coordinator role. */
 MachineCoordinator *machine_coordinator_create(NodeContext *node,
                                                uint64_t fence);
-/* No orders from now on; frees the coordinator when its calls have ended. */
+/* Sends no further orders; frees the coordinator when its calls have ended. */
 void machine_coordinator_drop(MachineCoordinator *coordinator);
-/* Runs what is due; "may_order" as of the coordinator's ownership. */
+/* Sends the orders and writes the responses that are due.  "may_order":
+ * whether this node is certain to be the coordinator. */
 void machine_coordinator_round(MachineCoordinator *coordinator,
                                bool may_order);
 
--- a/packages/pool/pool_machine_requests.c
+++ b/packages/pool/pool_machine_requests.c
@@ -8,15 +8,16 @@
 machines_add_request(PoolMachines *self, Plan *plan)
 {
     plan->phase = VM_REQUESTED;
-    plan->since = machines_now(self);
+    plan->started_at = machines_now(self);
     plan->request_number = ++self->last_request_number;
     plan->is_ordered = false;
     self->are_requests_changed = true;
 }
 
-/* The machine coordinator has ended some of our requests. */
+/* Applies a response of the machine coordinator to the plan whose request it
+ * ends; one to a withdrawn request is ignored. */
 static void
-take_response(PoolMachines *self, const AqMachineRequest *response)
+apply_response(PoolMachines *self, const AqMachineRequest *response)
 {
     Plan *plan = machines_find_plan(self, response->machine);
     AqScheduler *s = pool_owner_scheduler(self->owner);
@@ -39,12 +40,12 @@
 }
 
 static void
-on_answer(void *context, const AqStoreItem *item)
+on_responses_put(void *context, const AqStoreItem *item)
 {
     PoolMachines *self = context;
     AqMachineRequestList list;
     if (strcmp(item->key, key_of(KEY_MACHINE_RESPONSES, self->pool)) != 0) {
-        return; /* of a pool whose name begins with ours */
+        return; /* to a pool whose name only begins like this one's */
     }
     if (!AqMachineRequestList_Decode(item->value, item->size, &list)) {
         AqLog_Event(AQ_LOG_ERROR, "answers_unreadable", "pool=%s index=%llu",
@@ -52,7 +53,7 @@
         return;
     }
     for (size_t i = 0; i < list.count && list.fence == self->fence; i++) {
-        take_response(self, &list.requests[i]);
+        apply_response(self, &list.requests[i]);
     }
     AqMachineRequestList_Clear(&list);
 }
@@ -128,7 +129,7 @@
 void
 machines_watch_responses(PoolMachines *self)
 {
-    static const PrefixViewOps ops = {on_answer, NULL, NULL, 0, true};
+    static const PrefixViewOps ops = {on_responses_put, NULL, NULL, 0, true};
     self->responses = prefix_view_create(
         self->node->loop, self->node->store,
         key_of(KEY_MACHINE_RESPONSES, self->pool), &ops, self);
--- a/packages/pool/pool_machines.c
+++ b/packages/pool/pool_machines.c
@@ -6,10 +6,10 @@
 #include "aq_log.h"
 
 enum {
-    ROUND_MS = 100,
-    LONG_AGO_MS = 60000,   /* the list has not been read */
-    SILENT_LIST_MS = 1000, /* how old it may be while a VM is silent */
-    PERPETUAL_WEIGHT = 100 /* a perpetual task counts as so many others */
+    ROUND_INTERVAL_MS = 100,
+    LIST_INITIAL_AGE_MS = 60000,   /* of a list that was never read */
+    SILENT_LIST_MAX_AGE_MS = 1000, /* of the list while a VM is silent */
+    PERPETUAL_TASK_WEIGHT = 100    /* in other tasks, when VMs are sorted */
 };
 
 AqTime
@@ -41,7 +41,7 @@
     return false;
 }
 
-/* ---- What is there ------------------------------------------------------ */
+/* ---- VMs and plans ------------------------------------------------------ */
 
 static void
 copy_vm(void *context, const AqScheduledVm *view)
@@ -53,7 +53,7 @@
         .silent_since = view->silent_since,
         .tasks = view->tasks,
         .perpetual = view->perpetual_tasks,
-        .cpu = view->cpu_millis,
+        .cpu_millis = view->cpu_millis,
         .idle_since = view->idle_since,
     };
     g_strlcpy(copy.vm, view->vm, sizeof(copy.vm));
@@ -61,8 +61,6 @@
     g_array_append_val(self->vms, copy);
 }
 
-/* The incarnation of a VM that answers, or else any; NULL when there is
- * none. */
 const VmCopy *
 machines_find_vm(const PoolMachines *self, const char *machine)
 {
@@ -90,12 +88,12 @@
 }
 
 static int
-compare_vms(const void *a, const void *b)
+compare_vm_loads(const void *a, const void *b)
 {
     const VmCopy *first = a;
     const VmCopy *second = b;
-    size_t left = first->tasks + PERPETUAL_WEIGHT * first->perpetual;
-    size_t right = second->tasks + PERPETUAL_WEIGHT * second->perpetual;
+    size_t left = first->tasks + PERPETUAL_TASK_WEIGHT * first->perpetual;
+    size_t right = second->tasks + PERPETUAL_TASK_WEIGHT * second->perpetual;
     if (left != right) {
         return left < right ? -1 : 1;
     }
@@ -116,7 +114,7 @@
     g_strlcpy(plan->machine, machine, sizeof(plan->machine));
     g_strlcpy(plan->vm, vm, sizeof(plan->vm));
     plan->kind = kind;
-    plan->since = machines_now(self);
+    plan->started_at = machines_now(self);
     g_hash_table_replace(self->plans, plan->machine, plan);
     return plan;
 }
@@ -187,7 +185,7 @@
 }
 
 static void
-read_list(PoolMachines *self)
+request_list(PoolMachines *self)
 {
     if (!self->is_listing) {
         self->is_listing = true;
@@ -198,12 +196,12 @@
 }
 
 bool
-machines_need_list(PoolMachines *self, AqTime age)
+machines_ensure_list(PoolMachines *self, AqTime max_age_ms)
 {
-    if (machines_now(self) - self->listed_at <= age) {
+    if (machines_now(self) - self->listed_at <= max_age_ms) {
         return true;
     }
-    read_list(self);
+    request_list(self);
     return false;
 }
 
@@ -219,8 +217,8 @@
     return NULL;
 }
 
-/* Whether the platform has ended an incarnation of a VM by an order: it goes
- * through a move or maintenance, or lives again under another id. */
+/* Whether the platform has ended an incarnation of a VM because of an order:
+ * the VM is being moved or maintained, or is up again under another id. */
 static bool
 is_replaced(const AqMachine *listed, const char *incarnation)
 {
@@ -230,21 +228,22 @@
             strcmp(listed->vm, incarnation) != 0);
 }
 
-/* Silent VMs are waited for until their leases have lapsed.  The list shows
- * earlier which of them an order has ended, such as one that an owner before
- * us had asked for. */
+/* A silent VM counts as running until its leases have expired.  The list shows
+ * earlier whether an order has ended it, for instance one that an earlier
+ * owner of the pool had requested. */
 static void
-end_replaced(PoolMachines *self, AqScheduler *s)
+end_replaced_vms(PoolMachines *self, AqScheduler *s)
 {
     for (guint i = 0; i < self->vms->len; i++) {
         const VmCopy *vm = &g_array_index(self->vms, VmCopy, i);
         if (vm->silent_since == AQ_TIME_NEVER || vm->machine[0] == '\0') {
             continue;
         }
-        /* An earlier list may show the VM before this incarnation of it. */
+        /* A list that was requested before the VM fell silent may show it
+         * before this incarnation began. */
         if (self->list_requested_at <= vm->silent_since ||
-            machines_now(self) - self->listed_at > SILENT_LIST_MS) {
-            read_list(self);
+            machines_now(self) - self->listed_at > SILENT_LIST_MAX_AGE_MS) {
+            request_list(self);
             continue;
         }
         const AqMachine *listed = machines_find_listed(self, vm->machine);
@@ -267,14 +266,14 @@
 {
     AqScheduler *s = pool_owner_scheduler(self->owner);
     if (s == NULL || !may_order || self->node->machines == NULL ||
-        machines_now(self) < self->due) {
+        machines_now(self) < self->next_round_at) {
         return;
     }
-    self->due = machines_now(self) + ROUND_MS;
+    self->next_round_at = machines_now(self) + ROUND_INTERVAL_MS;
     g_array_set_size(self->vms, 0);
     AqScheduler_EachVm(s, copy_vm, self);
-    g_array_sort(self->vms, compare_vms);
-    end_replaced(self, s);
+    g_array_sort(self->vms, compare_vm_loads);
+    end_replaced_vms(self, s);
     machines_maintenance_round(self);
     machines_sizing_round(self, s);
     machines_write_requests(self);
@@ -288,8 +287,8 @@
     self->waves = waves;
     self->owner = owner;
     self->fence = pool_owner_fence(owner);
-    self->listed_at = -LONG_AGO_MS;
-    self->list_requested_at = -LONG_AGO_MS;
+    self->listed_at = -LIST_INITIAL_AGE_MS;
+    self->list_requested_at = -LIST_INITIAL_AGE_MS;
     g_strlcpy(self->pool, pool_owner_pool(owner), sizeof(self->pool));
     self->plans = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free);
     self->vms = g_array_new(FALSE, FALSE, sizeof(VmCopy));
--- a/packages/pool/pool_machines.h
+++ b/packages/pool/pool_machines.h
@@ -4,19 +4,21 @@
 #include "pool_owner.h"
 #include "wave_table.h"
 
-/* The VMs of one owned pool: their maintenance, and how many of them the pool
- * keeps.  Orders go out through fenced_order.c. */
+/* The VMs of one pool that this node owns: their maintenance, and how many of
+ * them the pool keeps.  The orders for this are requested from the machine
+ * coordinator, which sends them through fenced_order.c. */
 
 typedef struct PoolMachines PoolMachines;
 
-/* Everything is borrowed and outlives the result, but for the owner, which
- * may go first. */
+/* All arguments are borrowed.  "node" and "waves" must outlive the result; the
+ * owner may be freed before it, once the result was dropped. */
 PoolMachines *pool_machines_create(NodeContext *node, WaveTable *waves,
                                    PoolOwner *owner);
-/* No orders from now on; frees it when its calls have ended. */
+/* Requests no further orders; frees "self" when its calls have ended. */
 void pool_machines_drop(PoolMachines *self);
 
-/* Runs what is due; "may_order" as of the pool's ownership. */
+/* Runs what is due.  "may_order": whether this node is certain to be the
+ * pool's owner; otherwise nothing is done. */
 void pool_machines_round(PoolMachines *self, bool may_order);
 
 #endif
--- a/packages/pool/pool_maintenance.c
+++ b/packages/pool/pool_maintenance.c
@@ -7,17 +7,17 @@
 #include "pool_machines_private.h"
 
 enum {
-    LIST_EVERY_MS = 800, /* while VMs outside of the pools' view matter */
-    WAVE_RETURN_LIMIT_MS =
-        4000 /* a VM that is there so long after its order is back */
+    LIST_MAX_AGE_MS = 800, /* when VMs that no scheduler has are looked up */
+    /* A VM that answers so long after its order was accepted has returned. */
+    WAVE_RETURN_LIMIT_MS = 4000
 };
 
 /* ---- Record ------------------------------------------------------------- */
 
-/* A new state that goes into the next write of the wave's record. */
+/* A new state of one VM, for the next write of the wave's record. */
 typedef struct {
-    size_t at;
-    AqWaveState before;
+    size_t at;          /* position of the VM in the wave */
+    AqWaveState before; /* state in the record as read */
 } WaveChange;
 
 static void
@@ -46,10 +46,12 @@
     }
 }
 
-/* Sets a new state of one VM, to be written at the end of the round with the
- * others; false while a write is under way. */
+/* Sets a new state of one VM, which is written at the end of the round with
+ * the others.  Returns false and changes nothing while a write is in
+ * progress. */
 static bool
-change_wave(PoolMachines *self, WaveEntry *entry, size_t at, AqWaveState state)
+stage_wave_state(PoolMachines *self, WaveEntry *entry, size_t at,
+                 AqWaveState state)
 {
     WaveChange change = {at, AqWave_State(entry->wave, at)};
     if (self->is_writing_wave) {
@@ -59,14 +61,14 @@
                 "wave=%lld machine=%s state=%d pool=%s index=%llu",
                 (long long)AqWave_Number(entry->wave),
                 AqWave_Machine(entry->wave, at), (int)state, self->pool,
-                (unsigned long long)entry->index);
+                (unsigned long long)entry->record_index);
     AqWave_Set(entry->wave, at, state);
     g_array_append_val(self->wave_changes, change);
     return true;
 }
 
 static void
-commit_wave(PoolMachines *self, const WaveEntry *entry)
+commit_wave_record(PoolMachines *self, const WaveEntry *entry)
 {
     char name[32];
     AqBuffer record;
@@ -80,7 +82,7 @@
     AqWave_Encode(entry->wave, &record);
     AqPlatform_WaveStatus(AqWave_Number(entry->wave),
                           AqWave_IsOver(entry->wave), &status_key, &status);
-    AqStoreExpect expect = {key_of(KEY_WAVE, name), entry->index};
+    AqStoreExpect expect = {key_of(KEY_WAVE, name), entry->record_index};
     AqStorePut puts[] = {
         {expect.key, AqBuffer_Text(&record), record.size, 0},
         {AqBuffer_Text(&status_key), AqBuffer_Text(&status), status.size, 0},
@@ -94,15 +96,15 @@
     AqBuffer_Clear(&status);
 }
 
-/* Writes the changes of this round in one call.  The copy here changes only
- * when the record is seen to have changed. */
+/* Writes the changes of this round in one call and takes them back in the
+ * table's copy, which changes only when the new record is received. */
 static void
-write_wave(PoolMachines *self, const WaveEntry *entry)
+write_wave_changes(PoolMachines *self, const WaveEntry *entry)
 {
     if (self->wave_changes->len == 0) {
         return;
     }
-    commit_wave(self, entry);
+    commit_wave_record(self, entry);
     for (guint i = self->wave_changes->len; i-- > 0;) {
         const WaveChange *change =
             &g_array_index(self->wave_changes, WaveChange, i);
@@ -119,10 +121,11 @@
 
 /* ---- Rounds ------------------------------------------------------------- */
 
-/* Has an empty VM taken down: claims a slot of the wave first, unless the
- * record says that it has one. */
+/* Requests the maintenance of an idle VM.  Claims a slot of the wave first,
+ * unless the record shows that the VM has one. */
 static void
-order_maintenance(PoolMachines *self, WaveEntry *entry, size_t at, Plan *plan)
+request_maintenance(PoolMachines *self, WaveEntry *entry, size_t at,
+                    Plan *plan)
 {
     plan->wave = AqWave_Number(entry->wave);
     if (plan->retry_at > machines_now(self)) {
@@ -132,15 +135,16 @@
         machines_add_request(self, plan);
     }
     else if (AqWave_HasSlot(entry->wave) &&
-             change_wave(self, entry, at, AQ_WAVE_BEGUN)) {
+             stage_wave_state(self, entry, at, AQ_WAVE_BEGUN)) {
         plan->phase = VM_CLAIMING;
     }
 }
 
-/* The owner of one pool sees to VMs that no scheduler knows: those that are
- * off, and those that are gone. */
+/* Whether this pool's owner maintains the VMs that no scheduler has: those
+ * that are off, and those that no longer exist.  This is the owner of the
+ * spare pool or, without one, of the first pool in the configuration. */
 static bool
-is_caretaker(const PoolMachines *self)
+maintains_unscheduled_vms(const PoolMachines *self)
 {
     const char *spare = machines_spare_pool(self);
     const AqSiteConfig *site = &self->node->site;
@@ -152,12 +156,14 @@
 
 typedef struct {
     PoolMachines *self;
-    size_t waiting; /* VMs of the wave here that have not begun */
+    size_t waiting; /* VMs of the wave in this pool that have not begun */
 } WaveRound;
 
-/* Says in the record that a VM is back, until the record says so. */
+/* Returns a VM to service and writes to the record that it is done, again
+ * until the record shows it. */
 static void
-finish_wave_vm(WaveRound *round, WaveEntry *entry, size_t at, Plan *plan)
+record_maintenance_done(WaveRound *round, WaveEntry *entry, size_t at,
+                        Plan *plan)
 {
     PoolMachines *self = round->self;
     if (plan->phase != VM_RETURNED) {
@@ -166,14 +172,14 @@
                               false);
     }
     if (plan->retry_at <= machines_now(self) &&
-        change_wave(self, entry, at, AQ_WAVE_DONE)) {
+        stage_wave_state(self, entry, at, AQ_WAVE_DONE)) {
         plan->retry_at = machines_now(self) + MACHINES_RETRY_MS;
     }
 }
 
-/* A VM whose maintenance has begun, by this owner or an earlier one. */
+/* Advances a VM whose maintenance this owner or an earlier one has begun. */
 static void
-follow_begun(WaveRound *round, WaveEntry *entry, size_t at)
+advance_begun_vm(WaveRound *round, WaveEntry *entry, size_t at)
 {
     PoolMachines *self = round->self;
     const char *machine = AqWave_Machine(entry->wave, at);
@@ -181,45 +187,46 @@
     Plan *plan = machines_find_plan(self, machine);
     if (plan == NULL) {
         if (vm != NULL && vm->is_usable) {
-            /* Begun by an earlier owner, which may not have ordered it: order
-             * it again, which does nothing when it was. */
+            /* An earlier owner has begun the maintenance but may not have
+             * ordered it.  Request the order again; this has no effect if the
+             * maintenance was ordered before. */
             machines_cordon(self, vm, PLAN_MAINTENANCE, "wave_taken_over");
         }
         return;
     }
     if (plan->kind != PLAN_MAINTENANCE) {
-        return; /* it comes or goes; its maintenance is seen to then */
+        return; /* the VM is moving; its maintenance waits for the end of it */
     }
     if (plan->phase == VM_CORDONED) {
         bool is_empty =
             plan->vm[0] == '\0' || vm == NULL ||
             AqScheduler_IsIdle(pool_owner_scheduler(self->owner), plan->vm);
         if (is_empty) {
-            order_maintenance(self, entry, at, plan);
+            request_maintenance(self, entry, at, plan);
         }
         return;
     }
     if (plan->phase == VM_RETURNED) {
-        finish_wave_vm(round, entry, at, plan);
+        record_maintenance_done(round, entry, at, plan);
         return;
     }
     if (plan->phase != VM_REQUESTED || vm == NULL || !plan->is_ordered) {
         return;
     }
-    /* One whose maintenance an earlier owner had ordered keeps its
-     * incarnation. */
+    /* After an order by an earlier owner, the repeated order has no effect, so
+     * the VM keeps its incarnation and is recognized by the time limit. */
     bool is_new_incarnation = strcmp(vm->vm, plan->vm) != 0 && vm->is_usable;
     bool is_recovered =
         machines_now(self) - plan->ordered_at > WAVE_RETURN_LIMIT_MS &&
         vm->is_answering;
     if (is_new_incarnation || is_recovered) {
-        finish_wave_vm(round, entry, at, plan);
+        record_maintenance_done(round, entry, at, plan);
     }
 }
 
-/* Ends the plans of VMs whose maintenance is recorded as done. */
+/* Removes the plan for a VM that the record shows as done or gone. */
 static void
-end_finished(PoolMachines *self, const WaveEntry *entry, size_t at)
+remove_ended_plan(PoolMachines *self, const WaveEntry *entry, size_t at)
 {
     const Plan *plan =
         machines_find_plan(self, AqWave_Machine(entry->wave, at));
@@ -228,25 +235,28 @@
     }
 }
 
+/* Requests the maintenance of a cordoned VM once it is idle; stops its tasks
+ * when too little time is left to wait for them. */
 static void
-follow_cordoned(WaveRound *round, WaveEntry *entry, size_t at, Plan *plan,
-                const VmCopy *vm)
+advance_cordoned_vm(WaveRound *round, WaveEntry *entry, size_t at, Plan *plan,
+                    const VmCopy *vm)
 {
     PoolMachines *self = round->self;
     AqScheduler *s = pool_owner_scheduler(self->owner);
     if (vm == NULL || strcmp(vm->vm, plan->vm) != 0) {
-        machines_remove_plan(self, plan); /* it has gone meanwhile */
+        machines_remove_plan(self, plan); /* the incarnation has ended */
         return;
     }
     if (AqScheduler_IsIdle(s, plan->vm)) {
-        order_maintenance(self, entry, at, plan);
+        request_maintenance(self, entry, at, plan);
     }
-    else if (AqWave_IsPressing(entry->wave, round->waiting, plan->since,
+    else if (AqWave_IsPressing(entry->wave, round->waiting, plan->started_at,
                                machines_now(self))) {
         AqScheduler_StopTasks(s, plan->vm, machines_now(self));
     }
 }
 
+/* Counts the VMs of this pool that wait for their maintenance. */
 static size_t
 count_waiting(const PoolMachines *self, const WaveEntry *entry)
 {
@@ -259,15 +269,15 @@
     return count;
 }
 
-/* Chooses VMs to make empty: idle ones at once, others as far as the pool can
- * do without them. */
+/* Cordons VMs for their maintenance: as many as the pool can do without at a
+ * time, and up to two more that are idle. */
 static void
-choose_for_wave(WaveRound *round, const WaveEntry *entry)
+cordon_for_wave(WaveRound *round, const WaveEntry *entry)
 {
     PoolMachines *self = round->self;
     size_t parallel = AqWave_Parallel(entry->wave, round->waiting,
                                       self->vms->len, machines_now(self));
-    size_t busy = machines_count_plans(self, PLAN_MAINTENANCE);
+    size_t plan_count = machines_count_plans(self, PLAN_MAINTENANCE);
     for (guint i = 0; i < self->vms->len; i++) {
         const VmCopy *vm = &g_array_index(self->vms, VmCopy, i);
         int at = AqWave_Find(entry->wave, vm->machine);
@@ -276,18 +286,18 @@
             machines_find_plan(self, vm->machine) != NULL) {
             continue;
         }
-        size_t most = vm->tasks == 0 ? parallel + 2 : parallel;
-        if (busy < most) {
+        size_t limit = vm->tasks == 0 ? parallel + 2 : parallel;
+        if (plan_count < limit) {
             machines_cordon(self, vm, PLAN_MAINTENANCE, "wave");
-            busy++;
+            plan_count++;
         }
     }
 }
 
-/* A VM of the wave that is off, in the pool of the caretaker. */
+/* Advances the maintenance of a VM that is off in this pool. */
 static void
-care_for_listed(WaveRound *round, WaveEntry *entry, size_t at,
-                const AqMachine *listed)
+advance_listed_vm(WaveRound *round, WaveEntry *entry, size_t at,
+                  const AqMachine *listed)
 {
     PoolMachines *self = round->self;
     Plan *plan = machines_find_plan(self, listed->machine);
@@ -295,32 +305,33 @@
         return;
     }
     if (plan == NULL) {
-        /* One that an earlier owner has begun has its slot already. */
+        /* A VM that an earlier owner has begun has a slot already. */
         bool is_begun = AqWave_State(entry->wave, at) == AQ_WAVE_BEGUN;
         if (is_begun ||
             (AqWave_HasSlot(entry->wave) && !self->is_writing_wave)) {
             plan =
                 machines_add_plan(self, listed->machine, "", PLAN_MAINTENANCE);
-            order_maintenance(self, entry, at, plan);
+            request_maintenance(self, entry, at, plan);
         }
         return;
     }
     if (plan->phase == VM_CORDONED) {
-        order_maintenance(self, entry, at, plan);
+        request_maintenance(self, entry, at, plan);
     }
     else if (plan->phase >= VM_REQUESTED && plan->is_ordered &&
              self->listed_at - plan->ordered_at > WAVE_RETURN_LIMIT_MS / 2) {
-        /* Listed as up again, by a list read after the maintenance. */
-        finish_wave_vm(round, entry, at, plan);
+        /* The VM is up in a list that was read after the maintenance. */
+        record_maintenance_done(round, entry, at, plan);
     }
 }
 
-/* VMs of the wave that are off, or gone. */
+/* Advances the VMs of the wave that no scheduler has: those that are off in
+ * this pool, and those that no longer exist. */
 static void
-care_for_rest(WaveRound *round, WaveEntry *entry)
+advance_unscheduled_vms(WaveRound *round, WaveEntry *entry)
 {
     PoolMachines *self = round->self;
-    if (!machines_need_list(self, LIST_EVERY_MS) || self->list->len == 0) {
+    if (!machines_ensure_list(self, LIST_MAX_AGE_MS) || self->list->len == 0) {
         return;
     }
     for (size_t i = 0; i < AqWave_Count(entry->wave); i++) {
@@ -330,17 +341,17 @@
             continue;
         }
         if (listed == NULL) {
-            change_wave(self, entry, i, AQ_WAVE_GONE);
+            stage_wave_state(self, entry, i, AQ_WAVE_GONE);
         }
         else if (strcmp(listed->pool, self->pool) == 0 &&
                  listed->state == AQ_MACHINE_UP) {
-            care_for_listed(round, entry, i, listed);
+            advance_listed_vm(round, entry, i, listed);
         }
     }
 }
 
 static void
-visit_wave(void *context, WaveEntry *entry)
+advance_wave(void *context, WaveEntry *entry)
 {
     WaveRound *round = context;
     PoolMachines *self = round->self;
@@ -350,30 +361,30 @@
         AqWaveState state = AqWave_State(entry->wave, i);
         Plan *plan = machines_find_plan(self, machine);
         if (state >= AQ_WAVE_DONE) {
-            end_finished(self, entry, i);
+            remove_ended_plan(self, entry, i);
         }
         else if (state == AQ_WAVE_BEGUN) {
-            follow_begun(round, entry, i);
+            advance_begun_vm(round, entry, i);
         }
         else if (state == AQ_WAVE_WAITING && plan != NULL &&
                  plan->kind == PLAN_MAINTENANCE &&
                  plan->phase == VM_CORDONED && plan->vm[0] != '\0') {
-            follow_cordoned(round, entry, i, plan,
-                            machines_find_vm(self, machine));
+            advance_cordoned_vm(round, entry, i, plan,
+                                machines_find_vm(self, machine));
         }
     }
     if (!AqWave_IsOver(entry->wave)) {
-        choose_for_wave(round, entry);
-        if (is_caretaker(self)) {
-            care_for_rest(round, entry);
+        cordon_for_wave(round, entry);
+        if (maintains_unscheduled_vms(self)) {
+            advance_unscheduled_vms(round, entry);
         }
     }
-    write_wave(self, entry);
+    write_wave_changes(self, entry);
 }
 
 void
 machines_maintenance_round(PoolMachines *self)
 {
     WaveRound round = {.self = self};
-    wave_table_each(self->waves, visit_wave, &round);
+    wave_table_each(self->waves, advance_wave, &round);
 }
--- a/packages/pool/pool_sizing.c
+++ b/packages/pool/pool_sizing.c
@@ -6,30 +6,31 @@
 #include "pool_machines_private.h"
 
 enum {
-    LOG_EVERY_MS = 1000,
-    LIST_FRESH_MS = 400, /* a list is good for choosing spare VMs */
-    ASK_MS = 6000 /* a VM that has not moved by then is left where it is */
+    LOG_INTERVAL_MS = 1000,
+    LIST_MAX_AGE_MS = 400, /* of a list from which spare VMs are chosen */
+    MOVE_TIMEOUT_MS = 6000 /* of a requested move; the VM then stays */
 };
 
-/* Whether nothing else is under way with the VM. */
+/* Whether this owner has no plan for the VM, and no wave has begun its
+ * maintenance. */
 static bool
-is_free(const PoolMachines *self, const char *machine)
+is_available(const PoolMachines *self, const char *machine)
 {
     return machines_find_plan(self, machine) == NULL &&
            !wave_table_has(self->waves, machine, AQ_WAVE_BEGUN);
 }
 
 static void
-give(PoolMachines *self, size_t count)
+release_vms(PoolMachines *self, size_t count)
 {
-    /* The VMs are sorted by what runs there. */
+    /* The VMs are sorted by load, idle ones first. */
     for (guint i = 0; i < self->vms->len && count > 0; i++) {
         const VmCopy *vm = &g_array_index(self->vms, VmCopy, i);
-        bool is_just_idle =
+        bool is_recently_idle =
             vm->tasks == 0 &&
             machines_now(self) - vm->idle_since < AQ_SIZING_IDLE_MS;
-        if (!vm->is_usable || vm->perpetual > 0 || is_just_idle ||
-            !is_free(self, vm->machine)) {
+        if (!vm->is_usable || vm->perpetual > 0 || is_recently_idle ||
+            !is_available(self, vm->machine)) {
             continue;
         }
         machines_cordon(self, vm, PLAN_RELEASE, "surplus");
@@ -37,10 +38,11 @@
     }
 }
 
-/* Asks for the moves of VMs that have become empty; while work waits, those
- * that have not serve on. */
+/* Requests the moves of VMs that were cordoned for release and are idle now.
+ * While tasks wait to start, all that are still cordoned return to service
+ * instead. */
 static void
-follow_given(PoolMachines *self, bool does_work_wait)
+advance_releases(PoolMachines *self, bool has_waiting_tasks)
 {
     AqScheduler *s = pool_owner_scheduler(self->owner);
     GList *plans = g_hash_table_get_values(self->plans);
@@ -49,7 +51,7 @@
         if (plan->kind != PLAN_RELEASE || plan->phase != VM_CORDONED) {
             continue;
         }
-        if (does_work_wait) {
+        if (has_waiting_tasks) {
             machines_remove_plan(self, plan);
         }
         else if (AqScheduler_IsIdle(s, plan->vm)) {
@@ -70,26 +72,31 @@
     self->requested_vms = requested_vms;
 }
 
-/* Whether the VM is off in the spare pool and free to be taken. */
+/* Whether the VM is in the spare pool, neither moving nor in maintenance, and
+ * available. */
 static bool
-is_spare_vm(const PoolMachines *self, const AqMachine *machine,
-            const char *spare)
+is_acquirable(const PoolMachines *self, const AqMachine *machine,
+              const char *spare)
 {
     return strcmp(machine->pool, spare) == 0 &&
-           machine->state == AQ_MACHINE_UP && is_free(self, machine->machine);
+           machine->state == AQ_MACHINE_UP &&
+           is_available(self, machine->machine);
 }
 
-/* Takes up to "count" VMs whose maintenance is due, or is not; returns how
- * many are still wanted. */
+/* Requests up to "count" VMs of the spare pool: those whose maintenance is
+ * due when "is_due" is set, otherwise those whose maintenance is not.  Returns
+ * how many of "count" were not found. */
 static size_t
-take_some(PoolMachines *self, const char *spare, bool is_due, size_t count)
+acquire_listed_vms(PoolMachines *self, const char *spare, bool is_due,
+                   size_t count)
 {
-    /* Owners that take at the same time begin at different places. */
+    /* Start at an offset that depends on the pool, so that owners which
+     * acquire VMs at the same time request different ones. */
     size_t offset = g_str_hash(self->pool);
     for (guint i = 0; i < self->list->len && count > 0; i++) {
         const AqMachine *machine = &g_array_index(
             self->list, AqMachine, (i + offset) % self->list->len);
-        if (!is_spare_vm(self, machine, spare) ||
+        if (!is_acquirable(self, machine, spare) ||
             wave_table_has(self->waves, machine->machine, AQ_WAVE_WAITING) !=
                 is_due) {
             continue;
@@ -106,26 +113,30 @@
 }
 
 static void
-take(PoolMachines *self, const AqSizingDecision *decision, const char *spare)
+acquire_vms(PoolMachines *self, const AqSizingDecision *decision,
+            const char *spare)
 {
-    if (!machines_need_list(self, LIST_FRESH_MS)) {
+    if (!machines_ensure_list(self, LIST_MAX_AGE_MS)) {
         return;
     }
-    /* A VM that is due has its maintenance better while it is off. */
-    size_t left = take_some(self, spare, false, decision->acquire_vms);
-    left = take_some(self, spare, true, left);
+    /* VMs whose maintenance is due are acquired last: it is better done while
+     * they are off in the spare pool. */
+    size_t left =
+        acquire_listed_vms(self, spare, false, decision->acquire_vms);
+    left = acquire_listed_vms(self, spare, true, left);
     set_requested_vms(self,
                       decision->needed_vms - (decision->acquire_vms - left));
 }
 
-/* Whether a move has ended: the VM has come, or gone, or will not. */
+/* Whether a move has ended: the VM has arrived, left, or gone to a third pool,
+ * or the move has timed out. */
 static bool
-is_move_over(const PoolMachines *self, const Plan *plan, const char *spare)
+is_move_ended(const PoolMachines *self, const Plan *plan, const char *spare)
 {
     if (plan->kind == PLAN_RELEASE && plan->phase == VM_CORDONED) {
         return machines_is_incarnation_over(self, plan->vm);
     }
-    if (machines_now(self) - plan->since > ASK_MS) {
+    if (machines_now(self) - plan->started_at > MOVE_TIMEOUT_MS) {
         return true;
     }
     if (plan->kind == PLAN_RELEASE) {
@@ -134,20 +145,21 @@
     }
     const VmCopy *vm = machines_find_vm(self, plan->machine);
     const AqMachine *listed = machines_find_listed(self, plan->machine);
-    bool went_elsewhere = listed != NULL && self->listed_at > plan->since &&
-                          strcmp(listed->pool, self->pool) != 0 &&
-                          strcmp(listed->pool, spare) != 0;
-    return (vm != NULL && vm->is_usable) || went_elsewhere;
+    bool is_in_third_pool = listed != NULL &&
+                            self->listed_at > plan->started_at &&
+                            strcmp(listed->pool, self->pool) != 0 &&
+                            strcmp(listed->pool, spare) != 0;
+    return (vm != NULL && vm->is_usable) || is_in_third_pool;
 }
 
 static void
-end_moves(PoolMachines *self, const char *spare)
+remove_ended_moves(PoolMachines *self, const char *spare)
 {
     GList *plans = g_hash_table_get_values(self->plans);
     for (GList *at = plans; at != NULL; at = at->next) {
         const Plan *plan = at->data;
         if (plan->kind != PLAN_MAINTENANCE &&
-            is_move_over(self, plan, spare)) {
+            is_move_ended(self, plan, spare)) {
             machines_remove_plan(self, plan);
         }
     }
@@ -158,10 +170,10 @@
 log_load(PoolMachines *self, const AqSizingInput *input,
          const AqSizingDecision *decision, size_t jobs, size_t idle)
 {
-    if (machines_now(self) < self->log_due) {
+    if (machines_now(self) < self->next_log_at) {
         return;
     }
-    self->log_due = machines_now(self) + LOG_EVERY_MS;
+    self->next_log_at = machines_now(self) + LOG_INTERVAL_MS;
     AqLog_Event(AQ_LOG_INFO, "pool_load",
                 "pool=%s jobs=%zu vms=%zu idle=%zu lasting=%zu coming=%zu "
                 "used_cpu=%lld ready_cpu=%lld offered_cpu=%lld room_cpu=%lld "
@@ -188,8 +200,8 @@
         !load.is_recovered) {
         return;
     }
-    end_moves(self, spare);
-    follow_given(self, load.ready_cpu_millis > 0);
+    remove_ended_moves(self, spare);
+    advance_releases(self, load.ready_cpu_millis > 0);
     AqSizingInput input = {
         .now = now,
         .used_cpu_millis = load.used_cpu_millis,
@@ -210,18 +222,18 @@
             continue;
         }
         input.usable_vms++;
-        input.vm_cpu_millis = vm->cpu;
+        input.vm_cpu_millis = vm->cpu_millis;
         input.perpetual_vms += vm->perpetual > 0;
         idle += vm->tasks == 0;
     }
     AqSizing_Decide(&input, &decision);
     log_load(self, &input, &decision, load.jobs, idle);
     if (decision.acquire_vms > 0) {
-        take(self, &decision, spare);
+        acquire_vms(self, &decision, spare);
         return;
     }
     set_requested_vms(self, 0);
     if (decision.release_vms > 0) {
-        give(self, decision.release_vms);
+        release_vms(self, decision.release_vms);
     }
 }
--- a/packages/pool/wave_table.c
+++ b/packages/pool/wave_table.c
@@ -10,9 +10,9 @@
 
 struct WaveTable {
     NodeContext *node;
-    GHashTable *entries; /* number as text -> WaveEntry */
+    GHashTable *entries; /* wave number in decimal -> WaveEntry */
     bool is_following;
-    PrefixView *records; /* while following, from the first wave on */
+    PrefixView *records; /* NULL until followed and a wave was added */
 };
 
 static void
@@ -29,7 +29,7 @@
     WaveTable *table = context;
     WaveEntry *entry =
         g_hash_table_lookup(table->entries, item->key + strlen(KEYS_WAVES));
-    if (entry == NULL || item->index <= entry->index) {
+    if (entry == NULL || item->index <= entry->record_index) {
         return;
     }
     if (!AqWave_Decode(entry->wave, item->value, item->size)) {
@@ -37,8 +37,8 @@
                     item->key, (unsigned long long)item->index);
         return;
     }
-    entry->index = item->index;
-    entry->is_read = true;
+    entry->record_index = item->index;
+    entry->is_record_read = true;
 }
 
 static void
@@ -56,14 +56,15 @@
     gpointer value;
     g_hash_table_iter_init(&iter, table->entries);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        ((WaveEntry *)value)->is_read = true;
+        ((WaveEntry *)value)->is_record_read = true;
     }
 }
 
 static const PrefixViewOps record_ops = {on_put, on_removed, on_listed, 0,
                                          false};
 
-/* A record that was listed before its wave was known is read again. */
+/* Lists the records anew, because a listing skips records of waves that were
+ * not in the table at that time. */
 static void
 read_records(WaveTable *table)
 {
@@ -112,7 +113,7 @@
     g_hash_table_iter_init(&iter, table->entries);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         WaveEntry *entry = value;
-        if (entry->is_read) {
+        if (entry->is_record_read) {
             visit(context, entry);
         }
     }
--- a/packages/pool/wave_table.h
+++ b/packages/pool/wave_table.h
@@ -4,30 +4,32 @@
 #include "aq_waves.h"
 #include "node.h"
 
-/* The waves that the operator has asked for, with their shared records as
- * this node has last seen them. */
+/* The maintenance waves that the operator has requested.  Each has a record
+ * in the store that the owners of all pools share; the table holds the copy
+ * that this node received last. */
 
 typedef struct WaveTable WaveTable;
 
 typedef struct {
-    AqWave *wave;
-    uint64_t index; /* of the record; 0: there is none */
-    bool is_read;   /* the record, or that there is none, has been seen */
+    AqWave *wave;          /* owned by the table */
+    uint64_t record_index; /* its store index; 0: no record is known */
+    bool is_record_read;   /* the record was read, or a listing showed none */
 } WaveEntry;
 
 WaveTable *wave_table_create(NodeContext *node);
 void wave_table_destroy(WaveTable *table);
 
-/* Reads and follows the records from now on, for a node that owns a pool;
- * each change of a record is a call of every node that follows it. */
+/* Lists and watches the records from now on.  Only nodes that own a pool need
+ * this; each change of a record costs a store call of every watching node. */
 void wave_table_follow(WaveTable *table);
-/* A wave of the operator; the spec is taken. */
+/* Adds a wave, unless one with its number is there; clears "spec". */
 void wave_table_add(WaveTable *table, AqWaveSpec *spec);
-/* Calls "visit" for each wave whose record has been read. */
+/* Calls "visit" for each wave whose record was read, or is known not to
+ * exist. */
 void wave_table_each(WaveTable *table,
                      void (*visit)(void *context, WaveEntry *entry),
                      void *context);
-/* Whether a wave has the VM in that state. */
+/* Returns whether any wave has the VM in this state. */
 bool wave_table_has(WaveTable *table, const char *machine, AqWaveState state);
 
 #endif
