--- a/packages/pool/tests/fake_store.c
+++ b/packages/pool/tests/fake_store.c
@@ -17,16 +17,16 @@
     char *key;
     char *value;
     size_t size;
-    uint64_t index;
+    uint64_t index; /* of its last write or removal */
     uint64_t lease; /* 0: none */
     bool removed;
 } Record;
 
 typedef struct {
     CallKind kind;
-    char *key; /* or prefix */
-    char *after;
-    uint64_t index;
+    char *key;          /* or prefix */
+    char *after;        /* CALL_LIST: the last key of the page before */
+    uint64_t index;     /* CALL_CHANGES; of CALL_KEEP: the lease */
     GPtrArray *expects; /* of Record: key and index */
     GPtrArray *puts;    /* of Record */
     GPtrArray *deletes; /* of Record: key */
@@ -37,14 +37,14 @@
 struct FakeStore {
     AqStore store;      /* first */
     GPtrArray *records; /* of Record; a removed one stays as such */
-    GQueue *calls;      /* of Call */
-    GQueue *lost;       /* of Call */
-    uint64_t index;
-    uint64_t forgotten; /* history up to this index is gone */
-    int64_t longest_wait;
-    unsigned reads;
-    uint64_t lease; /* the last one granted; 0: none holds */
-    uint64_t leases;
+    GQueue *calls;      /* of Call: queued, oldest first */
+    GQueue *lost;       /* of Call: lost and not executed, oldest first */
+    uint64_t index;     /* of the last write */
+    uint64_t compacted_index; /* history up to this index is gone */
+    int64_t max_wait_ms;
+    unsigned get_count;
+    uint64_t lease;       /* the last one granted; 0: it has ended */
+    uint64_t lease_count; /* granted so far */
 };
 
 static void
@@ -67,7 +67,8 @@
     g_free(call);
 }
 
-/* Values may hold any bytes; one that is text also has an end. */
+/* Returns a copy with a NUL added: values may hold any bytes, but tests read
+ * those that are text as strings. */
 static char *
 copy_bytes(const char *bytes, size_t size)
 {
@@ -136,7 +137,7 @@
 static void
 on_get(AqStore *store, const char *key, AqStoreDone done, void *context)
 {
-    ((FakeStore *)store)->reads++;
+    ((FakeStore *)store)->get_count++;
     add_call(store, CALL_GET, key, done, context);
 }
 
@@ -156,8 +157,8 @@
 {
     FakeStore *fake = (FakeStore *)store;
     add_call(store, CALL_CHANGES, prefix, done, context)->index = index;
-    if (wait_ms > fake->longest_wait) {
-        fake->longest_wait = wait_ms;
+    if (wait_ms > fake->max_wait_ms) {
+        fake->max_wait_ms = wait_ms;
     }
 }
 
@@ -210,7 +211,7 @@
     .lease_keep = on_keep,
 };
 
-/* ---- Answers ------------------------------------------------------------ */
+/* ---- Replies ------------------------------------------------------------ */
 
 static void
 add_item(GArray *items, const Record *record)
@@ -224,15 +225,15 @@
 }
 
 static AqStoreStatus
-carry_out_commit(FakeStore *fake, const Call *call, GArray *items)
+execute_commit(FakeStore *fake, const Call *call, GArray *items)
 {
     bool holds = true;
     for (guint i = 0; i < call->expects->len; i++) {
         const Record *expect = g_ptr_array_index(call->expects, i);
         const Record *record = find(fake, expect->key);
-        bool is_there = record != NULL && !record->removed;
-        holds = holds && expect->index == (is_there ? record->index : 0);
-        if (is_there) {
+        bool exists = record != NULL && !record->removed;
+        holds = holds && expect->index == (exists ? record->index : 0);
+        if (exists) {
             add_item(items, record);
         }
     }
@@ -256,19 +257,19 @@
 }
 
 static AqStoreStatus
-carry_out(FakeStore *fake, const Call *call, GArray *items)
+execute(FakeStore *fake, const Call *call, GArray *items)
 {
     if (call->kind == CALL_COMMIT) {
-        return carry_out_commit(fake, call, items);
+        return execute_commit(fake, call, items);
     }
     if (call->kind == CALL_GRANT) {
-        fake->lease = ++fake->leases;
+        fake->lease = ++fake->lease_count;
         return AQ_STORE_OK;
     }
     if (call->kind == CALL_KEEP) {
         return call->index == fake->lease ? AQ_STORE_OK : AQ_STORE_ABSENT;
     }
-    if (call->kind == CALL_CHANGES && call->index < fake->forgotten) {
+    if (call->kind == CALL_CHANGES && call->index < fake->compacted_index) {
         return AQ_STORE_COMPACTED;
     }
     for (guint i = 0; i < fake->records->len; i++) {
@@ -287,10 +288,10 @@
 }
 
 static void
-answer(FakeStore *fake, Call *call)
+reply_to(FakeStore *fake, Call *call)
 {
     GArray *items = g_array_new(FALSE, FALSE, sizeof(AqStoreItem));
-    AqStoreReply reply = {.status = carry_out(fake, call, items),
+    AqStoreReply reply = {.status = execute(fake, call, items),
                           .items = (const AqStoreItem *)(void *)items->data,
                           .count = items->len,
                           .index = fake->index,
@@ -302,35 +303,35 @@
 }
 
 size_t
-fake_store_waiting(const FakeStore *fake)
+fake_store_pending_count(const FakeStore *fake)
 {
     return g_queue_get_length(fake->calls);
 }
 
 void
-fake_store_answer(FakeStore *fake)
+fake_store_reply(FakeStore *fake)
 {
-    answer(fake, g_queue_pop_head(fake->calls));
+    reply_to(fake, g_queue_pop_head(fake->calls));
 }
 
 void
-fake_store_answer_all(FakeStore *fake)
+fake_store_reply_all(FakeStore *fake)
 {
     enum {
-        MOST = 100
-    }; /* a watch that is answered is sent again */
-    for (int i = 0; i < MOST && fake_store_waiting(fake) > 0; i++) {
+        MAX_STEPS = 100
+    }; /* each reply to a watch causes another watch */
+    for (int i = 0; i < MAX_STEPS && fake_store_pending_count(fake) > 0; i++) {
         Call *call = g_queue_peek_head(fake->calls);
         if (call->kind == CALL_CHANGES && call->index >= fake->index) {
             g_queue_push_tail(fake->calls, g_queue_pop_head(fake->calls));
             continue;
         }
-        fake_store_answer(fake);
+        fake_store_reply(fake);
     }
 }
 
 static void
-end_without(FakeStore *fake, AqStoreStatus status, bool keep)
+fail_call(FakeStore *fake, AqStoreStatus status, bool keep)
 {
     Call *call = g_queue_pop_head(fake->calls);
     AqStoreReply reply = {.status = status};
@@ -344,35 +345,35 @@
 }
 
 void
-fake_store_lose(FakeStore *fake)
+fake_store_lose_call(FakeStore *fake)
 {
     const Call *call = g_queue_peek_head(fake->calls);
-    end_without(fake,
-                call->kind == CALL_COMMIT ? AQ_STORE_UNKNOWN
-                                          : AQ_STORE_UNAVAILABLE,
-                true);
+    fail_call(fake,
+              call->kind == CALL_COMMIT ? AQ_STORE_UNKNOWN
+                                        : AQ_STORE_UNAVAILABLE,
+              true);
 }
 
 void
-fake_store_refuse(FakeStore *fake)
+fake_store_refuse_call(FakeStore *fake)
 {
-    end_without(fake, AQ_STORE_UNAVAILABLE, false);
+    fail_call(fake, AQ_STORE_UNAVAILABLE, false);
 }
 
 void
-fake_store_carry_out_late(FakeStore *fake)
+fake_store_execute_lost(FakeStore *fake)
 {
     Call *call = g_queue_pop_head(fake->lost);
     GArray *items = g_array_new(FALSE, FALSE, sizeof(AqStoreItem));
-    carry_out(fake, call, items);
+    execute(fake, call, items);
     g_array_free(items, TRUE);
     free_call(call);
 }
 
 void
-fake_store_forget(FakeStore *fake)
+fake_store_compact(FakeStore *fake)
 {
-    fake->forgotten = fake->index + 1;
+    fake->compacted_index = fake->index + 1;
     fake->index++;
 }
 
@@ -408,9 +409,9 @@
 fake_store_bytes(const FakeStore *fake, const char *key, size_t *size)
 {
     const Record *record = find(fake, key);
-    bool is_there = record != NULL && !record->removed;
-    *size = is_there ? record->size : 0;
-    return is_there ? record->value : NULL;
+    bool exists = record != NULL && !record->removed;
+    *size = exists ? record->size : 0;
+    return exists ? record->value : NULL;
 }
 
 const char *
@@ -421,15 +422,15 @@
 }
 
 unsigned
-fake_store_reads(const FakeStore *fake)
+fake_store_get_count(const FakeStore *fake)
 {
-    return fake->reads;
+    return fake->get_count;
 }
 
 int64_t
-fake_store_longest_wait(const FakeStore *fake)
+fake_store_max_wait_ms(const FakeStore *fake)
 {
-    return fake->longest_wait;
+    return fake->max_wait_ms;
 }
 
 /* ---- Lifecycle ---------------------------------------------------------- */
@@ -456,9 +457,9 @@
 fake_store_destroy(FakeStore *fake)
 {
     Call *call;
-    /* A store that goes ends its calls, so that their contexts can go. */
-    while (fake_store_waiting(fake) > 0) {
-        fake_store_refuse(fake);
+    /* End the queued calls, so that their callers free their contexts. */
+    while (fake_store_pending_count(fake) > 0) {
+        fake_store_refuse_call(fake);
     }
     while ((call = g_queue_pop_head(fake->lost)) != NULL) {
         free_call(call);
--- a/packages/pool/tests/fake_store.h
+++ b/packages/pool/tests/fake_store.h
@@ -3,8 +3,8 @@
 
 #include "aq_store.h"
 
-/* A store in memory whose answers the test gives out one by one: a call waits
- * until it is answered, lost, or carried out late. */
+/* An in-memory store for tests.  Each call is queued until the test replies to
+ * it, refuses it, or loses its reply; a lost call can be executed later. */
 
 typedef struct FakeStore FakeStore;
 
@@ -12,33 +12,37 @@
 void fake_store_destroy(FakeStore *fake);
 AqStore *fake_store_interface(FakeStore *fake);
 
-/* Calls that have not been answered. */
-size_t fake_store_waiting(const FakeStore *fake);
-/* Carries the oldest waiting call out and answers it. */
-void fake_store_answer(FakeStore *fake);
-/* Answers all that wait, and what follows from it. */
-void fake_store_answer_all(FakeStore *fake);
-/* The oldest waiting call gets no answer; it is not carried out yet. */
-void fake_store_lose(FakeStore *fake);
-/* Carries the oldest lost call out, if its conditions still hold. */
-void fake_store_carry_out_late(FakeStore *fake);
-/* The oldest waiting call is refused; nothing is done. */
-void fake_store_refuse(FakeStore *fake);
-/* The next watch is told that the history is gone. */
-void fake_store_forget(FakeStore *fake);
+/* Returns the number of queued calls. */
+size_t fake_store_pending_count(const FakeStore *fake);
+/* Executes the oldest queued call and replies to it. */
+void fake_store_reply(FakeStore *fake);
+/* Executes all queued calls and those that their replies cause, but for
+ * watches without a change, which stay queued; at most 100 steps. */
+void fake_store_reply_all(FakeStore *fake);
+/* Ends the oldest queued call without a reply: a commit with
+ * AQ_STORE_UNKNOWN, others with AQ_STORE_UNAVAILABLE.  It is not executed. */
+void fake_store_lose_call(FakeStore *fake);
+/* Executes the oldest lost call, if its conditions still hold. */
+void fake_store_execute_lost(FakeStore *fake);
+/* Ends the oldest queued call with AQ_STORE_UNAVAILABLE; it is never
+ * executed. */
+void fake_store_refuse_call(FakeStore *fake);
+/* Drops the history, so that the next watch ends with AQ_STORE_COMPACTED. */
+void fake_store_compact(FakeStore *fake);
 
-/* Writes as another process would. */
+/* Writes a key at once, as another process would; returns its index. */
 uint64_t fake_store_put(FakeStore *fake, const char *key, const char *value);
 void fake_store_remove(FakeStore *fake, const char *key);
-/* Ends the lease that was granted last; its keys go with it. */
+/* Ends the lease that was granted last, and removes its keys. */
 void fake_store_end_lease(FakeStore *fake);
-/* The value of a key, or NULL. */
+/* Returns the value of a key, or NULL; valid until the key's next write. */
 const char *fake_store_value(const FakeStore *fake, const char *key);
+/* The same for a value that is not text. */
 const char *fake_store_bytes(const FakeStore *fake, const char *key,
                              size_t *size);
-/* Looks at single keys that were asked for so far. */
-unsigned fake_store_reads(const FakeStore *fake);
-/* The longest wait that a watch has asked for, ms. */
-int64_t fake_store_longest_wait(const FakeStore *fake);
+/* Returns the number of get calls so far. */
+unsigned fake_store_get_count(const FakeStore *fake);
+/* Returns the longest wait that a watch has requested, ms. */
+int64_t fake_store_max_wait_ms(const FakeStore *fake);
 
 #endif
--- a/packages/pool/tests/test_job_api.c
+++ b/packages/pool/tests/test_job_api.c
@@ -15,11 +15,11 @@
 enum {
     CALL_TIMEOUT_MS = 5000,
     DEADLINE_MS = 3000,
-    TURN_MS = 20
+    ROUND_MS = 20
 };
 
-/* A job API on loopback with a store whose answers the test gives out, and a
- * peer that takes what it is handed, or not. */
+/* A job API that listens on loopback, with a store that replies when the test
+ * says so, and a simulated peer that serves forwarded requests. */
 typedef struct {
     FakeStore *fake;
     NodeContext node;
@@ -28,11 +28,11 @@
     JobApi *job_api;
     AqQueueConfig queue;
     bool has_peer;
-    bool is_peer_unsure; /* it gives the first request back */
-    unsigned handed_on;
-    bool may_have_effect; /* as the peer was told */
-    unsigned answers;
-    int status; /* of the last answer */
+    bool is_first_returned;  /* the peer returns the first request unserved */
+    unsigned forward_count;  /* requests forwarded so far */
+    bool may_have_effect;    /* of the last forwarded request */
+    unsigned response_count; /* responses received so far */
+    int status;              /* of the last response; 0: none was received */
 } Fixture;
 
 static bool
@@ -43,15 +43,15 @@
 }
 
 static bool
-hand_on(void *context, const ForwardOrder *order)
+forward_request(void *context, const ForwardOrder *order)
 {
     Fixture *fixture = context;
     if (!fixture->has_peer) {
         return false;
     }
-    fixture->handed_on++;
+    fixture->forward_count++;
     fixture->may_have_effect = order->may_have_effect;
-    if (fixture->is_peer_unsure) {
+    if (fixture->is_first_returned) {
         fixture->has_peer = false;
         order->done(order->context, false);
         return true;
@@ -64,7 +64,7 @@
 static void
 set_up(Fixture *fixture)
 {
-    static const JobApiOps ops = {is_current, hand_on};
+    static const JobApiOps ops = {is_current, forward_request};
     AqError error;
     AqHttpServerConfig config = {.address = "127.0.0.1",
                                  .max_body = 4096,
@@ -108,7 +108,7 @@
 on_reply(void *context, const AqHttpReply *reply)
 {
     Fixture *fixture = context;
-    fixture->answers++;
+    fixture->response_count++;
     fixture->status = reply->result == AQ_HTTP_DONE ? reply->status : 0;
 }
 
@@ -141,27 +141,28 @@
     send_to(fixture, method, "/q/ab12");
 }
 
-/* Until the job API asks the store, or the caller has an answer. */
+/* Runs the loop until the job API calls the store or the caller has a
+ * response. */
 static void
 run(Fixture *fixture)
 {
-    unsigned answers = fixture->answers;
-    while (fake_store_waiting(fixture->fake) == 0 &&
-           fixture->answers == answers) {
-        AqLoop_RunOnce(fixture->node.loop, TURN_MS);
+    unsigned response_count = fixture->response_count;
+    while (fake_store_pending_count(fixture->fake) == 0 &&
+           fixture->response_count == response_count) {
+        AqLoop_RunOnce(fixture->node.loop, ROUND_MS);
     }
 }
 
 static void
-run_to_answer(Fixture *fixture)
+run_to_response(Fixture *fixture)
 {
-    while (fixture->answers == 0) {
-        AqLoop_RunOnce(fixture->node.loop, TURN_MS);
+    while (fixture->response_count == 0) {
+        AqLoop_RunOnce(fixture->node.loop, ROUND_MS);
     }
 }
 
-/* Guards against a write that is held until the caller's deadline because the
- * store is silent to this node only, though a peer can serve it. */
+/* Guards against a write that waits until the caller's deadline because only
+ * this node gets no reply from the store, although a peer could serve it. */
 static void
 test_silent_store_hands_on(void)
 {
@@ -172,17 +173,17 @@
         fixture.has_peer = true;
         send_request(&fixture, methods[i]);
         run(&fixture);
-        fake_store_lose(fixture.fake);
+        fake_store_lose_call(fixture.fake);
         run(&fixture);
-        CU_ASSERT_EQUAL(fixture.handed_on, 1);
+        CU_ASSERT_EQUAL(fixture.forward_count, 1);
         CU_ASSERT_TRUE(fixture.may_have_effect);
         CU_ASSERT_EQUAL(fixture.status, 200);
         tear_down(&fixture);
     }
 }
 
-/* Guards against a request of which nothing was done being called uncertain.
- */
+/* Guards against a request being forwarded as one that may have had an effect
+ * after the store has refused it, which means that nothing was done. */
 static void
 test_refusing_store_hands_on(void)
 {
@@ -191,15 +192,15 @@
     fixture.has_peer = true;
     send_request(&fixture, "POST");
     run(&fixture);
-    fake_store_refuse(fixture.fake);
-    run_to_answer(&fixture);
-    CU_ASSERT_EQUAL(fixture.handed_on, 1);
+    fake_store_refuse_call(fixture.fake);
+    run_to_response(&fixture);
+    CU_ASSERT_EQUAL(fixture.forward_count, 1);
     CU_ASSERT_FALSE(fixture.may_have_effect);
     tear_down(&fixture);
 }
 
-/* Guards against a refusal, which says that nothing was done, after a write
- * that may still take effect. */
+/* Guards against a response that says that nothing was done, sent after a
+ * write without a reply, which may still take effect. */
 static void
 test_refusal_after_silence(void)
 {
@@ -207,39 +208,39 @@
     set_up(&fixture);
     send_request(&fixture, "POST");
     run(&fixture);
-    fake_store_lose(fixture.fake);
-    while (fixture.answers == 0) {
+    fake_store_lose_call(fixture.fake);
+    while (fixture.response_count == 0) {
         run(&fixture);
-        if (fake_store_waiting(fixture.fake) > 0) {
-            fake_store_refuse(fixture.fake);
+        if (fake_store_pending_count(fixture.fake) > 0) {
+            fake_store_refuse_call(fixture.fake);
         }
     }
     CU_ASSERT_EQUAL(fixture.status, 504);
     tear_down(&fixture);
 }
 
-/* Guards against an unknown outcome that is told although a later try would
- * have shown it. */
+/* Guards against a response of unknown outcome when a peer returns a forwarded
+ * request, although another call to the store would show the outcome. */
 static void
 test_unsure_peer_gives_back(void)
 {
     Fixture fixture;
     set_up(&fixture);
     fixture.has_peer = true;
-    fixture.is_peer_unsure = true;
+    fixture.is_first_returned = true;
     send_request(&fixture, "POST");
     run(&fixture);
-    fake_store_lose(fixture.fake);
+    fake_store_lose_call(fixture.fake);
     run(&fixture);
-    CU_ASSERT_EQUAL(fixture.handed_on, 1);
-    fake_store_answer(fixture.fake);
-    run_to_answer(&fixture);
+    CU_ASSERT_EQUAL(fixture.forward_count, 1);
+    fake_store_reply(fixture.fake);
+    run_to_response(&fixture);
     CU_ASSERT_EQUAL(fixture.status, 200);
     tear_down(&fixture);
 }
 
-/* Guards against a write to a store that is known not to serve the node: its
- * caller would learn only that the outcome is unknown, and not come back. */
+/* Guards against a write to a store that is known not to reply to this node:
+ * the caller would get only an unknown outcome, and would not retry. */
 static void
 test_lost_store_is_not_written_to(void)
 {
@@ -253,70 +254,71 @@
         store_health_note(health, AQ_STORE_UNKNOWN);
         send_request(&fixture, methods[i]);
         run(&fixture);
-        CU_ASSERT_EQUAL(fake_store_waiting(fixture.fake), 0);
+        CU_ASSERT_EQUAL(fake_store_pending_count(fixture.fake), 0);
         CU_ASSERT_EQUAL(fixture.status, 503);
         store_health_note(health, AQ_STORE_ABSENT);
         send_request(&fixture, methods[i]);
         run(&fixture);
-        CU_ASSERT_EQUAL(fake_store_waiting(fixture.fake), 1);
-        fake_store_answer_all(fixture.fake);
+        CU_ASSERT_EQUAL(fake_store_pending_count(fixture.fake), 1);
+        fake_store_reply_all(fixture.fake);
         run(&fixture);
         tear_down(&fixture);
     }
 }
 
-/* Guards against a job that is stored twice, or an answer that is lost, when
- * the first write takes effect without an answer. */
+/* Guards against a job that is stored twice, or a response that is lost, when
+ * the first write takes effect but its reply is lost. */
 static void
-test_effect_without_answer(void)
+test_effect_without_reply(void)
 {
     Fixture fixture;
     set_up(&fixture);
     send_request(&fixture, "POST");
     run(&fixture);
-    fake_store_lose(fixture.fake);
-    fake_store_carry_out_late(fixture.fake);
+    fake_store_lose_call(fixture.fake);
+    fake_store_execute_lost(fixture.fake);
     run(&fixture);
-    fake_store_answer(fixture.fake);
-    run_to_answer(&fixture);
+    fake_store_reply(fixture.fake);
+    run_to_response(&fixture);
     CU_ASSERT_EQUAL(fixture.status, 200);
     tear_down(&fixture);
 }
 
-/* Guards against a count of waiting jobs that is older than its bound, or made
- * up, while a pool has no owner: its report has ended with the owner's lease.
- */
+/* Guards against a count of waiting jobs that is invented, or older than its
+ * bound, while a pool has no owner: the report it is read from is removed when
+ * the owner's lease ends. */
 static void
-test_waiting_needs_an_owner(void)
+test_waiting_count_needs_owner(void)
 {
     Fixture fixture;
     set_up(&fixture);
     send_to(&fixture, "GET", "/q/");
     run(&fixture);
-    fake_store_answer(fixture.fake);
-    run_to_answer(&fixture);
+    fake_store_reply(fixture.fake);
+    run_to_response(&fixture);
     CU_ASSERT_EQUAL(fixture.status, 503);
     fake_store_put(fixture.fake, key_of(KEY_REPORT, "p"), "q 7\n");
-    fixture.answers = 0;
+    fixture.response_count = 0;
     send_to(&fixture, "GET", "/q/");
     run(&fixture);
-    fake_store_answer(fixture.fake);
-    run_to_answer(&fixture);
+    fake_store_reply(fixture.fake);
+    run_to_response(&fixture);
     CU_ASSERT_EQUAL(fixture.status, 200);
     tear_down(&fixture);
 }
 
-/* Guards against a peer's failure that is passed on as a certain refusal
- * where this node's own write may have effect, and the other way round. */
+/* Guards against a peer's failure that is passed on as a refusal although this
+ * node's own write may have had an effect, and against an unknown outcome
+ * where nothing can have been done. */
 static void
-test_status_after_peer(void)
+test_status_after_forwarding(void)
 {
     static const struct {
-        int status; /* of the peer; 0: no answer */
+        int status; /* of the peer; 0: no response */
         bool was_sent;
         bool is_read;
         bool may_have_effect;
-        int told;
+        int expected_status; /* of the response to the caller */
     } cases[] = {
         {200, true, false, true, 200}, {503, true, false, false, 503},
         {503, true, false, true, 504}, {429, true, false, true, 504},
@@ -328,7 +330,7 @@
         CU_ASSERT_EQUAL(forwarder_status(cases[i].status, cases[i].was_sent,
                                          cases[i].is_read,
                                          cases[i].may_have_effect),
-                        cases[i].told);
+                        cases[i].expected_status);
     }
 }
 
@@ -344,13 +346,13 @@
         {"refusal_after_silence", test_refusal_after_silence},
         {"unsure_peer_gives_back", test_unsure_peer_gives_back},
         {"lost_store_is_not_written_to", test_lost_store_is_not_written_to},
-        {"effect_without_answer", test_effect_without_answer},
-        {"waiting_needs_an_owner", test_waiting_needs_an_owner},
-        {"status_after_peer", test_status_after_peer},
+        {"effect_without_reply", test_effect_without_reply},
+        {"waiting_count_needs_owner", test_waiting_count_needs_owner},
+        {"status_after_forwarding", test_status_after_forwarding},
     };
     AqLog_Start("test", AQ_LOG_ERROR);
     CU_initialize_registry();
-    CU_pSuite suite = CU_add_suite("front", NULL, NULL);
+    CU_pSuite suite = CU_add_suite("job_api", NULL, NULL);
     for (size_t i = 0; i < sizeof(tests) / sizeof(tests[0]); i++) {
         CU_add_test(suite, tests[i].name, tests[i].run);
     }
--- a/packages/pool/tests/test_pool.c
+++ b/packages/pool/tests/test_pool.c
@@ -28,7 +28,7 @@
     fixture->fake = fake_store_create();
     fixture->node.store = fake_store_interface(fixture->fake);
     fixture->node.loop = AqLoop_Create(NULL);
-    /* Near the machine's, which some parts read themselves. */
+    /* Close to the monotonic clock, which fenced_order.c reads directly. */
     fixture->clock.now = AqClock_ReadMonotonic();
     AqLoop_SetClock(fixture->node.loop, &fixture->clock);
     strcpy(fixture->node.incarnation, "this-process");
@@ -46,7 +46,7 @@
 typedef struct {
     int count;
     AqStoreStatus last;
-    OwnerWriter *drop; /* dropped from inside the callback */
+    OwnerWriter *drop; /* to be dropped inside the callback, or NULL */
 } Outcome;
 
 static void
@@ -76,19 +76,22 @@
     return owner_writer_create(&fixture->node, "pool", fence);
 }
 
-/* Waits for the retry timer of the writer, which reads the write stamp. */
+/* Runs the loop until the store gets a call, for instance from the writer's
+ * retry timer, which reads the write stamp. */
 static void
 run_until_call(Fixture *fixture)
 {
-    for (int i = 0; i < 100 && fake_store_waiting(fixture->fake) == 0; i++) {
+    for (int i = 0; i < 100 && fake_store_pending_count(fixture->fake) == 0;
+         i++) {
         AqLoop_RunOnce(fixture->node.loop, 50);
     }
 }
 
-/* Guards against an older record put back by a write that had no answer and
- * is carried out after a newer one of the same owner. */
+/* Guards against an old record overwriting a newer one: a write of an owner
+ * gets no reply, and the store executes it after a newer write of the same
+ * owner. */
 static void
-test_late_write_does_nothing(void)
+test_late_write_has_no_effect(void)
 {
     Fixture fixture;
     Outcome first = {0};
@@ -96,40 +99,40 @@
     set_up(&fixture);
     OwnerWriter *writer = make_writer(&fixture);
     write_value(writer, "old", &first);
-    fake_store_answer(fixture.fake); /* the write stamp is read */
-    fake_store_lose(fixture.fake);
+    fake_store_reply(fixture.fake); /* the write stamp is read */
+    fake_store_lose_call(fixture.fake);
     run_until_call(&fixture);
-    fake_store_answer(
-        fixture.fake); /* the write stamp says that it did nothing */
-    fake_store_answer(fixture.fake); /* sent again */
+    fake_store_reply(
+        fixture.fake); /* the write stamp shows that it had no effect */
+    fake_store_reply(fixture.fake); /* sent again */
     CU_ASSERT_EQUAL(first.last, AQ_STORE_OK);
     write_value(writer, "new", &second);
-    fake_store_answer_all(fixture.fake);
+    fake_store_reply_all(fixture.fake);
     CU_ASSERT_EQUAL(second.last, AQ_STORE_OK);
-    fake_store_carry_out_late(fixture.fake);
+    fake_store_execute_lost(fixture.fake);
     CU_ASSERT_STRING_EQUAL(fake_store_value(fixture.fake, "record"), "new");
     owner_writer_drop(writer);
     tear_down(&fixture);
 }
 
-/* Guards against a write that took effect without an answer being reported
- * as lost, or written a second time. */
+/* Guards against a write that took effect but got no reply being reported as
+ * lost, or written a second time. */
 static void
-test_effect_without_answer(void)
+test_effect_without_reply(void)
 {
     Fixture fixture;
     Outcome outcome = {0};
     set_up(&fixture);
     OwnerWriter *writer = make_writer(&fixture);
     write_value(writer, "value", &outcome);
-    fake_store_answer(fixture.fake);
-    fake_store_lose(fixture.fake);
-    fake_store_carry_out_late(fixture.fake);
+    fake_store_reply(fixture.fake);
+    fake_store_lose_call(fixture.fake);
+    fake_store_execute_lost(fixture.fake);
     run_until_call(&fixture);
-    fake_store_answer(fixture.fake);
+    fake_store_reply(fixture.fake);
     CU_ASSERT_EQUAL(outcome.count, 1);
     CU_ASSERT_EQUAL(outcome.last, AQ_STORE_OK);
-    CU_ASSERT_EQUAL(fake_store_waiting(fixture.fake), 0);
+    CU_ASSERT_EQUAL(fake_store_pending_count(fixture.fake), 0);
     owner_writer_drop(writer);
     tear_down(&fixture);
 }
@@ -145,15 +148,15 @@
     OwnerWriter *writer = make_writer(&fixture);
     fake_store_put(fixture.fake, key_of(KEY_OWNER, "pool"), "other");
     write_value(writer, "value", &outcome);
-    fake_store_answer_all(fixture.fake);
+    fake_store_reply_all(fixture.fake);
     CU_ASSERT_EQUAL(outcome.last, AQ_STORE_ABSENT);
     CU_ASSERT_PTR_NULL(fake_store_value(fixture.fake, "record"));
     owner_writer_drop(writer);
     tear_down(&fixture);
 }
 
-/* Guards against a condition of the caller's own being taken for a lost
- * ownership. */
+/* Guards against a failed condition of the caller's own being reported as the
+ * loss of the ownership. */
 static void
 test_own_condition(void)
 {
@@ -164,14 +167,14 @@
     set_up(&fixture);
     OwnerWriter *writer = make_writer(&fixture);
     owner_writer_commit(writer, &expect, 1, &put, 1, on_written, &outcome);
-    fake_store_answer_all(fixture.fake);
+    fake_store_reply_all(fixture.fake);
     CU_ASSERT_EQUAL(outcome.last, AQ_STORE_CONFLICT);
     owner_writer_drop(writer);
     tear_down(&fixture);
 }
 
-/* Guards against use after free when the end of an ownership is noticed in a
- * write's own callback, with writes behind it. */
+/* Guards against use after free when a write's callback drops the writer, as
+ * at the end of an ownership, while other writes are queued. */
 static void
 test_drop_from_callback(void)
 {
@@ -183,7 +186,7 @@
     first.drop = writer;
     write_value(writer, "a", &first);
     write_value(writer, "b", &second);
-    fake_store_answer_all(fixture.fake);
+    fake_store_reply_all(fixture.fake);
     CU_ASSERT_EQUAL(first.count, 1);
     CU_ASSERT_EQUAL(second.count, 1);
     CU_ASSERT_EQUAL(second.last, AQ_STORE_UNAVAILABLE);
@@ -197,153 +200,156 @@
     unsigned removals;
     unsigned listings;
     char last[64];
-} Seen;
+} ViewCounts;
 
 static void
 on_put(void *context, const AqStoreItem *item)
 {
-    Seen *seen = context;
-    seen->puts++;
-    snprintf(seen->last, sizeof(seen->last), "%.*s", (int)item->size,
+    ViewCounts *counts = context;
+    counts->puts++;
+    snprintf(counts->last, sizeof(counts->last), "%.*s", (int)item->size,
              item->value);
 }
 
 static void
 on_removed(void *context, const char *key)
 {
-    Seen *seen = context;
+    ViewCounts *counts = context;
     (void)key;
-    seen->removals++;
+    counts->removals++;
 }
 
 static void
 on_listed(void *context)
 {
-    ((Seen *)context)->listings++;
+    ((ViewCounts *)context)->listings++;
 }
 
 static const PrefixViewOps view_ops = {on_put, on_removed, on_listed, 0,
                                        false};
 
-/* Guards against changes that are missed or seen twice. */
+/* Guards against changes that are missed or reported twice. */
 static void
 test_view_follows(void)
 {
     Fixture fixture;
-    Seen seen = {0};
+    ViewCounts counts = {0};
     set_up(&fixture);
     fake_store_put(fixture.fake, "p/a", "1");
     PrefixView *view = prefix_view_create(
-        fixture.node.loop, fixture.node.store, "p/", &view_ops, &seen);
-    fake_store_answer_all(fixture.fake);
-    CU_ASSERT_EQUAL(seen.puts, 1);
-    CU_ASSERT_EQUAL(seen.listings, 1);
+        fixture.node.loop, fixture.node.store, "p/", &view_ops, &counts);
+    fake_store_reply_all(fixture.fake);
+    CU_ASSERT_EQUAL(counts.puts, 1);
+    CU_ASSERT_EQUAL(counts.listings, 1);
     fake_store_put(fixture.fake, "p/b", "2");
-    fake_store_answer_all(fixture.fake);
-    CU_ASSERT_EQUAL(seen.puts, 2);
+    fake_store_reply_all(fixture.fake);
+    CU_ASSERT_EQUAL(counts.puts, 2);
     fake_store_remove(fixture.fake, "p/a");
-    fake_store_answer_all(fixture.fake);
-    CU_ASSERT_EQUAL(seen.removals, 1);
-    CU_ASSERT_EQUAL(seen.puts, 2);
+    fake_store_reply_all(fixture.fake);
+    CU_ASSERT_EQUAL(counts.removals, 1);
+    CU_ASSERT_EQUAL(counts.puts, 2);
     prefix_view_destroy(view);
-    fake_store_answer_all(fixture.fake);
+    fake_store_reply_all(fixture.fake);
     tear_down(&fixture);
 }
 
-/* Guards against a removal that is missed while the history is dropped. */
+/* Guards against a removal that is missed when the store has dropped the
+ * history that contained it. */
 static void
 test_view_survives_compaction(void)
 {
     Fixture fixture;
-    Seen seen = {0};
+    ViewCounts counts = {0};
     set_up(&fixture);
     fake_store_put(fixture.fake, "p/a", "1");
     fake_store_put(fixture.fake, "p/b", "2");
     PrefixView *view = prefix_view_create(
-        fixture.node.loop, fixture.node.store, "p/", &view_ops, &seen);
-    fake_store_answer_all(fixture.fake);
+        fixture.node.loop, fixture.node.store, "p/", &view_ops, &counts);
+    fake_store_reply_all(fixture.fake);
     fake_store_remove(fixture.fake, "p/a");
     fake_store_put(fixture.fake, "p/b", "3");
-    fake_store_forget(fixture.fake);
-    fake_store_answer_all(fixture.fake);
-    CU_ASSERT_EQUAL(seen.removals, 1);
-    CU_ASSERT_EQUAL(seen.puts, 3);
-    CU_ASSERT_STRING_EQUAL(seen.last, "3");
-    CU_ASSERT_EQUAL(seen.listings, 2);
+    fake_store_compact(fixture.fake);
+    fake_store_reply_all(fixture.fake);
+    CU_ASSERT_EQUAL(counts.removals, 1);
+    CU_ASSERT_EQUAL(counts.puts, 3);
+    CU_ASSERT_STRING_EQUAL(counts.last, "3");
+    CU_ASSERT_EQUAL(counts.listings, 2);
     prefix_view_destroy(view);
-    fake_store_answer_all(fixture.fake);
+    fake_store_reply_all(fixture.fake);
     tear_down(&fixture);
 }
 
-/* Guards against one watch for each of many changes, by every node. */
+/* Guards against every node sending one watch for each of many changes. */
 static void
-test_view_gathers(void)
+test_view_coalesces_changes(void)
 {
     static const PrefixViewOps ops = {on_put, on_removed, on_listed, 20,
                                       false};
     Fixture fixture;
-    Seen seen = {0};
+    ViewCounts counts = {0};
     set_up(&fixture);
     PrefixView *view = prefix_view_create(
-        fixture.node.loop, fixture.node.store, "p/", &ops, &seen);
-    fake_store_answer_all(fixture.fake);
+        fixture.node.loop, fixture.node.store, "p/", &ops, &counts);
+    fake_store_reply_all(fixture.fake);
     fake_store_put(fixture.fake, "p/a", "1");
-    fake_store_answer(fixture.fake);
-    CU_ASSERT_EQUAL(seen.puts, 1);
-    CU_ASSERT_EQUAL(fake_store_waiting(fixture.fake), 0);
+    fake_store_reply(fixture.fake);
+    CU_ASSERT_EQUAL(counts.puts, 1);
+    CU_ASSERT_EQUAL(fake_store_pending_count(fixture.fake), 0);
     fake_store_put(fixture.fake, "p/b", "2");
     fake_store_put(fixture.fake, "p/c", "3");
     run_until_call(&fixture);
-    fake_store_answer(fixture.fake);
-    CU_ASSERT_EQUAL(seen.puts, 3);
-    CU_ASSERT_EQUAL(fake_store_waiting(fixture.fake), 0);
+    fake_store_reply(fixture.fake);
+    CU_ASSERT_EQUAL(counts.puts, 3);
+    CU_ASSERT_EQUAL(fake_store_pending_count(fixture.fake), 0);
     prefix_view_destroy(view);
     tear_down(&fixture);
 }
 
-/* Guards against a silent watch that delays cancels and configurations for
- * longer than their bounds (3 s and 2 s after 3 s of touch). */
+/* Guards against a watch without replies that delays cancellations and
+ * configurations for longer than their bounds (3 s and 2 s after 3 s of
+ * contact with the store). */
 static void
-test_view_waits_briefly(void)
+test_view_limits_watch_wait(void)
 {
     Fixture fixture;
-    Seen seen = {0};
+    ViewCounts counts = {0};
     set_up(&fixture);
     PrefixView *view = prefix_view_create(
-        fixture.node.loop, fixture.node.store, "p/", &view_ops, &seen);
-    fake_store_answer_all(fixture.fake);
-    CU_ASSERT_TRUE(fake_store_longest_wait(fixture.fake) <= 2000);
+        fixture.node.loop, fixture.node.store, "p/", &view_ops, &counts);
+    fake_store_reply_all(fixture.fake);
+    CU_ASSERT_TRUE(fake_store_max_wait_ms(fixture.fake) <= 2000);
     prefix_view_destroy(view);
     tear_down(&fixture);
 }
 
-/* Guards against changes that are not heard of for seconds because the store
- * has lost a watch without a word, and against changes that are seen twice
- * when it answers after all. */
+/* Guards against changes that are received seconds late because the store has
+ * lost a watch without an error, and against changes that are reported twice
+ * when it replies to that watch after all. */
 static void
 test_silent_watch_is_replaced(void)
 {
     static const PrefixViewOps ops = {on_put, on_removed, on_listed, 0, true};
     Fixture fixture;
-    Seen seen = {0};
+    ViewCounts counts = {0};
     set_up(&fixture);
     PrefixView *view = prefix_view_create(
-        fixture.node.loop, fixture.node.store, "p/", &ops, &seen);
-    fake_store_answer(fixture.fake);
+        fixture.node.loop, fixture.node.store, "p/", &ops, &counts);
+    fake_store_reply(fixture.fake);
     fake_store_put(fixture.fake, "p/a", "1");
-    for (int i = 0; i < 100 && fake_store_waiting(fixture.fake) < 2; i++) {
+    for (int i = 0; i < 100 && fake_store_pending_count(fixture.fake) < 2;
+         i++) {
         AqLoop_RunOnce(fixture.node.loop, 50);
     }
-    CU_ASSERT_EQUAL(fake_store_waiting(fixture.fake), 2);
-    fake_store_answer(fixture.fake);
-    CU_ASSERT_EQUAL(seen.puts, 1);
-    CU_ASSERT_EQUAL(fake_store_waiting(fixture.fake), 1);
+    CU_ASSERT_EQUAL(fake_store_pending_count(fixture.fake), 2);
+    fake_store_reply(fixture.fake);
+    CU_ASSERT_EQUAL(counts.puts, 1);
+    CU_ASSERT_EQUAL(fake_store_pending_count(fixture.fake), 1);
     fake_store_put(fixture.fake, "p/b", "1");
-    fake_store_answer(fixture.fake);
-    CU_ASSERT_EQUAL(seen.puts, 2);
-    CU_ASSERT_EQUAL(fake_store_waiting(fixture.fake), 1);
+    fake_store_reply(fixture.fake);
+    CU_ASSERT_EQUAL(counts.puts, 2);
+    CU_ASSERT_EQUAL(fake_store_pending_count(fixture.fake), 1);
     prefix_view_destroy(view);
-    fake_store_answer_all(fixture.fake);
+    fake_store_reply_all(fixture.fake);
     tear_down(&fixture);
 }
 
@@ -353,22 +359,22 @@
     unsigned listed;
     unsigned unlisted;
     char last[64];
-} SeenVms;
+} VmCounts;
 
 static void
 on_vm_listed(void *context, const AqVmReport *report)
 {
-    SeenVms *seen = context;
-    seen->listed++;
-    snprintf(seen->last, sizeof(seen->last), "%s", report->id);
+    VmCounts *counts = context;
+    counts->listed++;
+    snprintf(counts->last, sizeof(counts->last), "%s", report->id);
 }
 
 static void
 on_vm_unlisted(void *context, const char *vm)
 {
-    SeenVms *seen = context;
-    seen->unlisted++;
-    snprintf(seen->last, sizeof(seen->last), "%s", vm);
+    VmCounts *counts = context;
+    counts->unlisted++;
+    snprintf(counts->last, sizeof(counts->last), "%s", vm);
 }
 
 static void
@@ -378,16 +384,16 @@
     ++*(unsigned *)context;
 }
 
-/* Guards against orders to a VM by an entry that is no longer readable, and
- * against the loss of the other VMs with it. */
+/* Guards against orders to a VM whose entry can no longer be decoded, and
+ * against such an entry removing other VMs from the list. */
 static void
-test_garbled_vm_is_unlisted(void)
+test_unreadable_vm_is_unlisted(void)
 {
     static const VmDirectoryOps ops = {on_vm_listed, on_vm_unlisted};
     char first[64];
     char second[64];
     Fixture fixture;
-    SeenVms seen = {0};
+    VmCounts counts = {0};
     unsigned known = 0;
     set_up(&fixture);
     snprintf(first, sizeof(first), "%si-1", AqPlatform_WorkerPrefix);
@@ -395,21 +401,21 @@
     fake_store_put(fixture.fake, first, sample_worker);
     fake_store_put(fixture.fake, second, sample_worker);
     VmDirectory *directory = vm_directory_create(
-        fixture.node.loop, fixture.node.store, &ops, &seen);
-    fake_store_answer_all(fixture.fake);
-    CU_ASSERT_EQUAL(seen.listed, 2);
+        fixture.node.loop, fixture.node.store, &ops, &counts);
+    fake_store_reply_all(fixture.fake);
+    CU_ASSERT_EQUAL(counts.listed, 2);
     fake_store_put(fixture.fake, first, "{\"port");
-    fake_store_answer_all(fixture.fake);
-    CU_ASSERT_EQUAL(seen.unlisted, 1);
-    CU_ASSERT_STRING_EQUAL(seen.last, "i-1");
+    fake_store_reply_all(fixture.fake);
+    CU_ASSERT_EQUAL(counts.unlisted, 1);
+    CU_ASSERT_STRING_EQUAL(counts.last, "i-1");
     vm_directory_each(directory, count_vm, &known);
     CU_ASSERT_EQUAL(known, 1);
     fake_store_put(fixture.fake, first, sample_worker);
     run_until_call(&fixture);
-    fake_store_answer_all(fixture.fake);
-    CU_ASSERT_EQUAL(seen.listed, 3);
+    fake_store_reply_all(fixture.fake);
+    CU_ASSERT_EQUAL(counts.listed, 3);
     vm_directory_destroy(directory);
-    fake_store_answer_all(fixture.fake);
+    fake_store_reply_all(fixture.fake);
     tear_down(&fixture);
 }
 
@@ -448,7 +454,7 @@
     self->owner = NULL;
 }
 
-/* No VM answers. */
+/* Replies to every order as if its VM did not answer. */
 static void
 hold_silently(AqWorkerClient *calls, const AqOrderTarget *target,
               const AqHoldOrder *order, AqOrderDone done, void *context)
@@ -460,7 +466,8 @@
     done(context, &reply);
 }
 
-/* The fixture may hold what earlier owners have stored. */
+/* Creates the node's member.  The fixture's store may contain what earlier
+ * owners have written. */
 static void
 set_up_member(OwnerFixture *self, Fixture *fixture)
 {
@@ -495,7 +502,7 @@
 run_member(OwnerFixture *self)
 {
     AqLoop_RunOnce(self->fixture->node.loop, 10);
-    fake_store_answer_all(self->fixture->fake);
+    fake_store_reply_all(self->fixture->fake);
     if (self->owner != NULL) {
         pool_owner_round(self->owner);
     }
@@ -522,8 +529,8 @@
     tear_down(self->fixture);
 }
 
-/* Guards against a report that stands, older and older, after its owner has
- * gone: callers would be told too few waiting jobs. */
+/* Guards against an outdated report that stays in the store after its owner's
+ * lease has ended: callers would get too low a count of waiting jobs. */
 static void
 test_report_ends_with_lease(void)
 {
@@ -537,7 +544,8 @@
     tear_down_owner(&self);
 }
 
-/* The same for a pool that is handed over while the node stays. */
+/* The same for a pool that its owner releases while the node keeps its lease.
+ */
 static void
 test_report_ends_with_release(void)
 {
@@ -546,21 +554,21 @@
     set_up(&fixture);
     set_up_owner(&self, &fixture);
     member_release(self.member, "pool");
-    fake_store_answer_all(fixture.fake);
+    fake_store_reply_all(fixture.fake);
     CU_ASSERT_PTR_NULL(
         fake_store_value(fixture.fake, key_of(KEY_REPORT, "pool")));
     tear_down_owner(&self);
 }
 
-/* Guards against a pool that goes to a node which has too little processor
- * time for it, while a stronger one is there, and against one that stays
- * without an owner once the stronger one has gone. */
+/* Guards against a node claiming a pool with a smaller CPU share than another
+ * member has, and against a pool that stays without an owner after the
+ * stronger member has left. */
 static void
-test_weak_node_waits(void)
+test_weak_node_defers_claim(void)
 {
     enum {
-        LEFT_MS = 1300, /* for the stronger node to claim */
-        PROMPT_MS = 400
+        DEFER_MS = 1300,     /* time left to the stronger node for its claim */
+        CLAIM_LIMIT_MS = 400 /* of the weaker node once it is alone */
     };
     Fixture fixture;
     OwnerFixture self;
@@ -569,31 +577,31 @@
                    "strong 127.0.0.1:1 1000");
     set_up_member(&self, &fixture);
     AqTime begin = AqLoop_Now(fixture.node.loop);
-    while (AqLoop_Now(fixture.node.loop) - begin < LEFT_MS) {
+    while (AqLoop_Now(fixture.node.loop) - begin < DEFER_MS) {
         run_member(&self);
     }
     CU_ASSERT_PTR_NULL(self.owner);
     fake_store_remove(fixture.fake, key_of(KEY_MEMBER, "n-9"));
     begin = AqLoop_Now(fixture.node.loop);
-    while (AqLoop_Now(fixture.node.loop) - begin < PROMPT_MS) {
+    while (AqLoop_Now(fixture.node.loop) - begin < CLAIM_LIMIT_MS) {
         run_member(&self);
     }
     CU_ASSERT_PTR_NOT_NULL(self.owner);
     tear_down_owner(&self);
 }
 
-/* ---- VMs that live again ------------------------------------------------ */
+/* ---- New incarnations of VMs -------------------------------------------- */
 
 enum {
-    WAVE_VMS = 6,
+    WAVE_VMS = 6, /* of the platform's list; m-0 to m-5 */
     WAVE_CAP = 4,
-    NOT_DUE = 4,     /* the one VM that is in no wave */
-    SETTLE_MS = 2000 /* well below the lease of an order */
+    VM_NOT_DUE = 4,          /* number of the VM that is in no wave */
+    RECOVERY_LIMIT_MS = 2000 /* well below the lease of an order */
 };
 
-/* The platform's list: VMs without tasks, all up in one pool. */
+/* Replies with the platform's list: WAVE_VMS VMs, all up in one pool. */
 static void
-give_list(const char *pool, AqMachineListDone done, void *context)
+reply_with_list(const char *pool, AqMachineListDone done, void *context)
 {
     AqMachine machines[WAVE_VMS];
     AqMachineList list = {
@@ -612,7 +620,7 @@
 list_machines(AqMachineClient *calls, AqMachineListDone done, void *context)
 {
     (void)calls;
-    give_list("pool", done, context);
+    reply_with_list("pool", done, context);
 }
 
 static void
@@ -620,7 +628,7 @@
                     void *context)
 {
     (void)calls;
-    give_list("spare", done, context);
+    reply_with_list("spare", done, context);
 }
 
 static void
@@ -637,11 +645,11 @@
     AqStorePut put = {key, AqBuffer_Text(bytes), bytes->size, 0};
     AqStoreCommit commit = {.puts = &put, .put_count = 1};
     store->ops->commit(store, &commit, ignore_reply, NULL);
-    fake_store_answer_all(fixture->fake);
+    fake_store_reply_all(fixture->fake);
 }
 
-/* An incarnation of VM m-0 that an earlier owner of the pool gave orders
- * to. */
+/* Stores the used VMs of an earlier owner of the pool: one incarnation of VM
+ * m-0. */
 static void
 store_used_vms(Fixture *fixture)
 {
@@ -658,9 +666,9 @@
     AqScheduler_Destroy(earlier);
 }
 
-/* Guards against an owner that starts nothing for the length of a lease,
- * since it waits for a VM that was moved or rebooted under the owner before
- * it and lives again under another id. */
+/* Guards against an owner that starts no tasks for the length of a lease: it
+ * waits for an incarnation that was moved or rebooted under the previous
+ * owner, although the VM is up again under another id. */
 static void
 test_replaced_vm_has_ended(void)
 {
@@ -679,7 +687,7 @@
     AqScheduler *s = pool_owner_scheduler(self.owner);
     AqTime begin = AqLoop_Now(fixture.node.loop);
     while (!load.is_recovered &&
-           AqLoop_Now(fixture.node.loop) - begin < SETTLE_MS) {
+           AqLoop_Now(fixture.node.loop) - begin < RECOVERY_LIMIT_MS) {
         AqLoop_RunOnce(fixture.node.loop, 10);
         pool_machines_round(pool, true);
         AqScheduler_Tick(s, AqLoop_Now(fixture.node.loop), 0, false);
@@ -688,15 +696,16 @@
     CU_ASSERT_TRUE(load.is_recovered);
     pool_machines_drop(pool);
     wave_table_destroy(table);
-    fake_store_answer_all(fixture.fake);
+    fake_store_reply_all(fixture.fake);
     tear_down_owner(&self);
 }
 
 /* ---- Maintenance -------------------------------------------------------- */
 
-/* The wave of all VMs of the list but "left_out"; -1: of all. */
+/* Fills in a wave of all VMs of the list except number "left_out"; -1: of
+ * all. */
 static void
-fill_wave(AqWaveSpec *spec, int left_out)
+init_wave_spec(AqWaveSpec *spec, int left_out)
 {
     *spec = (AqWaveSpec){.number = 1, .within_ms = 20000, .cap = WAVE_CAP};
     spec->machines = calloc(WAVE_VMS, sizeof(*spec->machines));
@@ -713,7 +722,7 @@
 {
     AqWaveSpec spec;
     WaveTable *table = wave_table_create(node);
-    fill_wave(&spec, left_out);
+    init_wave_spec(&spec, left_out);
     wave_table_follow(table);
     wave_table_add(table, &spec);
     return table;
@@ -727,9 +736,9 @@
     }
 }
 
-/* Guards against a wave that is late because its states are written one by
- * one, while many of its VMs stand idle; and against more than its cap in one
- * write. */
+/* Guards against a wave that is late because its states are written one by one
+ * although many of its VMs are idle, and against one write that begins more
+ * VMs than the wave's cap. */
 static void
 test_wave_states_in_one_write(void)
 {
@@ -745,27 +754,27 @@
     PoolMachines *pool =
         pool_machines_create(&fixture.node, table, self.owner);
     while (fake_store_value(fixture.fake, key_of(KEY_WAVE, "1")) == NULL) {
-        fake_store_answer_all(fixture.fake);
+        fake_store_reply_all(fixture.fake);
         AqLoop_RunOnce(fixture.node.loop, 10);
         pool_machines_round(pool, true);
     }
-    fake_store_answer_all(fixture.fake);
+    fake_store_reply_all(fixture.fake);
     wave_table_each(table, count_begun, &begun);
     CU_ASSERT_EQUAL(begun, WAVE_CAP);
     pool_machines_drop(pool);
     wave_table_destroy(table);
-    fake_store_answer_all(fixture.fake);
+    fake_store_reply_all(fixture.fake);
     tear_down_owner(&self);
 }
 
-/* Writes the record of the wave as an earlier owner has left it: all slots are
- * claimed, and nothing was ordered. */
+/* Stores the record of the wave as an earlier owner left it: all slots are
+ * claimed, but no order was requested. */
 static void
 store_begun_wave(Fixture *fixture)
 {
     AqBuffer bytes;
     AqWaveSpec spec;
-    fill_wave(&spec, -1);
+    init_wave_spec(&spec, -1);
     AqWave *wave = AqWave_Create(&spec, 0);
     for (size_t i = 0; i < WAVE_CAP; i++) {
         AqWave_Set(wave, i, AQ_WAVE_BEGUN);
@@ -778,10 +787,10 @@
     AqWaveSpec_Clear(&spec);
 }
 
-/* Guards against a wave that stands still because the owner that had claimed
- * all its slots handed the pool over before it ordered anything. */
+/* Guards against a wave that stops because the owner that had claimed all its
+ * slots handed the pool over before it requested any order. */
 static void
-test_begun_upkeep_is_taken_over(void)
+test_begun_maintenance_is_requested_again(void)
 {
     static const AqMachineClientOps ops = {.list = list_machines};
     AqMachineClient machines = {&ops};
@@ -798,7 +807,7 @@
         pool_machines_create(&fixture.node, table, self.owner);
     const char *bytes = NULL;
     for (int i = 0; i < 100 && bytes == NULL; i++) {
-        fake_store_answer_all(fixture.fake);
+        fake_store_reply_all(fixture.fake);
         AqLoop_RunOnce(fixture.node.loop, 10);
         pool_machines_round(pool, true);
         bytes = fake_store_bytes(fixture.fake,
@@ -811,7 +820,7 @@
     }
     pool_machines_drop(pool);
     wave_table_destroy(table);
-    fake_store_answer_all(fixture.fake);
+    fake_store_reply_all(fixture.fake);
     tear_down_owner(&self);
 }
 
@@ -851,7 +860,8 @@
     done(context, AQ_MACHINE_ORDER_DONE);
 }
 
-/* Request of a pool for VM m-1; to no pool: for its maintenance. */
+/* Stores a pool's request for VM m-1: a move or, with "to_pool" empty, its
+ * maintenance. */
 static void
 store_machine_request(Fixture *fixture, const char *pool, uint64_t fence,
                       int64_t number, const char *to_pool)
@@ -871,17 +881,17 @@
 static void
 run_coordinator(Fixture *fixture, MachineCoordinator *coordinator)
 {
-    fake_store_answer_all(fixture->fake);
+    fake_store_reply_all(fixture->fake);
     machine_coordinator_round(coordinator, true);
-    fake_store_answer_all(fixture->fake);
+    fake_store_reply_all(fixture->fake);
 }
 
 typedef struct {
     Fixture fixture;
     CountedMachines machines;
     MachineCoordinator *coordinator;
-    uint64_t taker;  /* fence of pool "a" */
-    uint64_t keeper; /* fence of pool "spare" */
+    uint64_t pool_fence;  /* of the ownership of pool "a" */
+    uint64_t spare_fence; /* of the ownership of pool "spare" */
 } CoordinatorFixture;
 
 static void
@@ -902,8 +912,9 @@
         (AqSiteConfig){.version = 1, .pools = pools, .pool_count = 2};
     uint64_t coordinator_fence = fake_store_put(
         fixture->fake, key_of(KEY_OWNER, MEMBER_MACHINE_COORDINATOR), "n-1");
-    self->taker = fake_store_put(fixture->fake, key_of(KEY_OWNER, "a"), "n-1");
-    self->keeper =
+    self->pool_fence =
+        fake_store_put(fixture->fake, key_of(KEY_OWNER, "a"), "n-1");
+    self->spare_fence =
         fake_store_put(fixture->fake, key_of(KEY_OWNER, "spare"), "n-1");
     self->coordinator =
         machine_coordinator_create(&fixture->node, coordinator_fence);
@@ -913,97 +924,97 @@
 tear_down_coordinator(CoordinatorFixture *self)
 {
     machine_coordinator_drop(self->coordinator);
-    fake_store_answer_all(self->fixture.fake);
+    fake_store_reply_all(self->fixture.fake);
     tear_down(&self->fixture);
 }
 
-/* Guards against the maintenance of a VM that works for another pool by now:
- * the owner of the spare pool has read the list before the VM was moved. */
+/* Guards against the maintenance of a VM that already runs tasks of another
+ * pool: the owner of the spare pool requests it by a list that it read before
+ * the VM was moved. */
 static void
-test_moved_vm_is_not_taken_down(void)
+test_moved_vm_is_not_maintained(void)
 {
     CoordinatorFixture self;
     set_up_coordinator(&self);
-    store_machine_request(&self.fixture, "a", self.taker, 1, "a");
+    store_machine_request(&self.fixture, "a", self.pool_fence, 1, "a");
     run_coordinator(&self.fixture, self.coordinator);
     CU_ASSERT_EQUAL(self.machines.moves, 1);
-    /* The VM has come, and its new owner requests nothing more. */
+    /* The VM has arrived, so its pool's owner withdraws the request. */
     fake_store_remove(self.fixture.fake, key_of(KEY_MACHINE_REQUESTS, "a"));
-    store_machine_request(&self.fixture, "spare", self.keeper, 1, "");
+    store_machine_request(&self.fixture, "spare", self.spare_fence, 1, "");
     run_coordinator(&self.fixture, self.coordinator);
     CU_ASSERT_EQUAL(self.machines.maintenances, 0);
-    store_machine_request(&self.fixture, "a", self.taker, 2, "");
+    store_machine_request(&self.fixture, "a", self.pool_fence, 2, "");
     run_coordinator(&self.fixture, self.coordinator);
     CU_ASSERT_EQUAL(self.machines.maintenances, 1);
     tear_down_coordinator(&self);
 }
 
-/* Guards against a VM that nobody may order any more because a move of it had
- * no answer, was given up, and was carried out all the same. */
+/* Guards against a VM whose orders are all refused after a move of it got no
+ * response, was withdrawn, and was carried out all the same. */
 static void
-test_unanswered_move_leaves_place_open(void)
+test_unknown_move_blocks_no_order(void)
 {
     CoordinatorFixture self;
     set_up_coordinator(&self);
-    store_machine_request(&self.fixture, "a", self.taker, 1, "a");
+    store_machine_request(&self.fixture, "a", self.pool_fence, 1, "a");
     run_coordinator(&self.fixture, self.coordinator);
     self.machines.move_result = AQ_MACHINE_ORDER_UNKNOWN;
-    store_machine_request(&self.fixture, "a", self.taker, 2, "spare");
+    store_machine_request(&self.fixture, "a", self.pool_fence, 2, "spare");
     run_coordinator(&self.fixture, self.coordinator);
     CU_ASSERT_EQUAL(self.machines.moves, 2);
     fake_store_remove(self.fixture.fake, key_of(KEY_MACHINE_REQUESTS, "a"));
-    store_machine_request(&self.fixture, "spare", self.keeper, 1, "");
+    store_machine_request(&self.fixture, "spare", self.spare_fence, 1, "");
     run_coordinator(&self.fixture, self.coordinator);
     CU_ASSERT_EQUAL(self.machines.maintenances, 1);
     tear_down_coordinator(&self);
 }
 
-/* Guards against requests that are refused for ever after maintenance, which
- * moves the VM nowhere. */
+/* Guards against all later requests for a VM being refused because its
+ * maintenance was recorded as a move to another pool. */
 static void
-test_upkeep_leaves_place(void)
+test_maintenance_moves_no_vm(void)
 {
     CoordinatorFixture self;
     set_up_coordinator(&self);
     for (int64_t i = 1; i <= 2; i++) {
-        store_machine_request(&self.fixture, "a", self.taker, i, "");
+        store_machine_request(&self.fixture, "a", self.pool_fence, i, "");
         run_coordinator(&self.fixture, self.coordinator);
         CU_ASSERT_EQUAL(self.machines.maintenances, i);
     }
     tear_down_coordinator(&self);
 }
 
-/* Guards against a look at the store before every order, and against an order
- * without the pause after another node's, which only that look would show. */
+/* Guards against reading a VM's claim before every order, and against an order
+ * during the pause after another node's claim, which only that read shows. */
 static void
 test_known_claim_is_not_read(void)
 {
     CoordinatorFixture self;
     set_up_coordinator(&self);
-    store_machine_request(&self.fixture, "a", self.taker, 1, "a");
+    store_machine_request(&self.fixture, "a", self.pool_fence, 1, "a");
     run_coordinator(&self.fixture, self.coordinator);
-    run_coordinator(&self.fixture,
-                    self.coordinator); /* the answer is written */
-    unsigned reads = fake_store_reads(self.fixture.fake);
-    store_machine_request(&self.fixture, "a", self.taker, 2, "");
+    run_coordinator(&self.fixture, self.coordinator); /* writes the response */
+    unsigned reads = fake_store_get_count(self.fixture.fake);
+    store_machine_request(&self.fixture, "a", self.pool_fence, 2, "");
     run_coordinator(&self.fixture, self.coordinator);
     CU_ASSERT_EQUAL(self.machines.maintenances, 1);
-    CU_ASSERT_EQUAL(fake_store_reads(self.fixture.fake), reads);
+    CU_ASSERT_EQUAL(fake_store_get_count(self.fixture.fake), reads);
     char claim[64];
     snprintf(claim, sizeof(claim), "n-2 %lld", (long long)AqClock_ReadWall());
     fake_store_put(self.fixture.fake, key_of(KEY_MACHINE, "m-1"), claim);
-    store_machine_request(&self.fixture, "a", self.taker, 3, "");
+    store_machine_request(&self.fixture, "a", self.pool_fence, 3, "");
     run_coordinator(&self.fixture, self.coordinator);
     CU_ASSERT_EQUAL(self.machines.maintenances, 1);
     tear_down_coordinator(&self);
 }
 
-/* ---- Taking VMs --------------------------------------------------------- */
+/* ---- Acquiring VMs ------------------------------------------------------ */
 
-/* Guards against a VM that is taken to work just before its maintenance is
- * due, while another one is not due. */
+/* Guards against acquiring a VM whose maintenance is due while there is one
+ * whose maintenance is not. */
 static void
-test_due_vm_is_taken_last(void)
+test_due_vm_is_acquired_last(void)
 {
     static const AqMachineClientOps ops = {.list = list_spare_machines};
     AqMachineClient machines = {&ops};
@@ -1017,12 +1028,12 @@
     fixture.node.machines = &machines;
     fixture.node.site.pools = pools;
     fixture.node.site.pool_count = 2;
-    WaveTable *table = make_wave_table(&fixture.node, NOT_DUE);
+    WaveTable *table = make_wave_table(&fixture.node, VM_NOT_DUE);
     PoolMachines *pool =
         pool_machines_create(&fixture.node, table, self.owner);
     while (fake_store_value(fixture.fake,
                             key_of(KEY_MACHINE_REQUESTS, "pool")) == NULL) {
-        fake_store_answer_all(fixture.fake);
+        fake_store_reply_all(fixture.fake);
         AqLoop_RunOnce(fixture.node.loop, 10);
         pool_machines_round(pool, true);
     }
@@ -1035,12 +1046,12 @@
     AqMachineRequestList_Clear(&list);
     pool_machines_drop(pool);
     wave_table_destroy(table);
-    fake_store_answer_all(fixture.fake);
+    fake_store_reply_all(fixture.fake);
     tear_down_owner(&self);
 }
 
-/* Guards against a call of every node for each change of a wave's record,
- * which only owners of pools need. */
+/* Guards against every node sending a store call for each change of a wave's
+ * record, which only owners of pools need. */
 static void
 test_only_owners_follow_waves(void)
 {
@@ -1049,11 +1060,11 @@
     WaveTable *table = wave_table_create(&fixture.node);
     AqWaveSpec spec = {.number = 1, .within_ms = 20000, .cap = WAVE_CAP};
     wave_table_add(table, &spec);
-    CU_ASSERT_EQUAL(fake_store_waiting(fixture.fake), 0);
+    CU_ASSERT_EQUAL(fake_store_pending_count(fixture.fake), 0);
     wave_table_follow(table);
-    CU_ASSERT_EQUAL(fake_store_waiting(fixture.fake), 1);
+    CU_ASSERT_EQUAL(fake_store_pending_count(fixture.fake), 1);
     wave_table_destroy(table);
-    fake_store_answer_all(fixture.fake);
+    fake_store_reply_all(fixture.fake);
     tear_down(&fixture);
 }
 
@@ -1064,29 +1075,29 @@
         const char *name;
         void (*run)(void);
     } tests[] = {
-        {"late_write_does_nothing", test_late_write_does_nothing},
-        {"effect_without_answer", test_effect_without_answer},
+        {"late_write_has_no_effect", test_late_write_has_no_effect},
+        {"effect_without_reply", test_effect_without_reply},
         {"lost_ownership", test_lost_ownership},
         {"own_condition", test_own_condition},
         {"drop_from_callback", test_drop_from_callback},
         {"view_follows", test_view_follows},
         {"view_survives_compaction", test_view_survives_compaction},
-        {"view_gathers", test_view_gathers},
-        {"view_waits_briefly", test_view_waits_briefly},
+        {"view_coalesces_changes", test_view_coalesces_changes},
+        {"view_limits_watch_wait", test_view_limits_watch_wait},
         {"silent_watch_is_replaced", test_silent_watch_is_replaced},
-        {"garbled_vm_is_unlisted", test_garbled_vm_is_unlisted},
+        {"unreadable_vm_is_unlisted", test_unreadable_vm_is_unlisted},
         {"report_ends_with_lease", test_report_ends_with_lease},
         {"report_ends_with_release", test_report_ends_with_release},
-        {"weak_node_waits", test_weak_node_waits},
+        {"weak_node_defers_claim", test_weak_node_defers_claim},
         {"replaced_vm_has_ended", test_replaced_vm_has_ended},
         {"wave_states_in_one_write", test_wave_states_in_one_write},
-        {"begun_upkeep_is_taken_over", test_begun_upkeep_is_taken_over},
-        {"moved_vm_is_not_taken_down", test_moved_vm_is_not_taken_down},
-        {"unanswered_move_leaves_place_open",
-         test_unanswered_move_leaves_place_open},
-        {"upkeep_leaves_place", test_upkeep_leaves_place},
+        {"begun_maintenance_is_requested_again",
+         test_begun_maintenance_is_requested_again},
+        {"moved_vm_is_not_maintained", test_moved_vm_is_not_maintained},
+        {"unknown_move_blocks_no_order", test_unknown_move_blocks_no_order},
+        {"maintenance_moves_no_vm", test_maintenance_moves_no_vm},
         {"known_claim_is_not_read", test_known_claim_is_not_read},
-        {"due_vm_is_taken_last", test_due_vm_is_taken_last},
+        {"due_vm_is_acquired_last", test_due_vm_is_acquired_last},
         {"only_owners_follow_waves", test_only_owners_follow_waves},
     };
     AqLog_Start("test", AQ_LOG_ERROR);
