--- a/packages/pool/machine_coordinator.c
+++ b/packages/pool/machine_coordinator.c
@@ -391,8 +391,8 @@
                   sizeof(record->moved_to_pool));
     }
     else if (result == FENCED_ORDER_UNKNOWN) {
-        record->moved_to_pool[0] =
-            '\0'; /* the move may still be carried out */
+        /* The move may have been carried out, or may still be. */
+        record->moved_to_pool[0] = '\0';
     }
     if (result == FENCED_ORDER_DONE || result == FENCED_ORDER_REFUSED) {
         end_entry(coordinator, entry, result == FENCED_ORDER_REFUSED);
--- a/packages/pool/pool_machines.c
+++ b/packages/pool/pool_machines.c
@@ -9,7 +9,7 @@
     ROUND_INTERVAL_MS = 100,
     LIST_INITIAL_AGE_MS = 60000,   /* of a list that was never read */
     SILENT_LIST_MAX_AGE_MS = 1000, /* of the list while a VM is silent */
-    PERPETUAL_TASK_WEIGHT = 100    /* in other tasks, when VMs are sorted */
+    PERPETUAL_TASK_WEIGHT = 100    /* in ordinary tasks, to sort VMs by load */
 };
 
 AqTime
--- a/packages/pool/pool_machines_private.h
+++ b/packages/pool/pool_machines_private.h
@@ -31,7 +31,7 @@
 
 /* What this owner is doing with one VM, and how far it has come. */
 typedef struct {
-    char machine[AQ_VM_ID_SIZE];
+    char machine[AQ_VM_ID_SIZE]; /* VM id */
     char vm[AQ_VM_ID_SIZE]; /* its incarnation when the plan began, or "" */
     PlanKind kind;
     VmPhase phase;
@@ -64,8 +64,9 @@
     GHashTable *plans;    /* VM id -> Plan */
     GArray *vms; /* of VmCopy: as of this round, in the order of their load */
     /* The platform's list of VMs. */
-    GArray *list;     /* of AqMachine */
-    AqTime listed_at; /* when it came; moved on after a failed attempt */
+    GArray *list; /* of AqMachine */
+    /* When it was received; a failed attempt adds MACHINES_RETRY_MS. */
+    AqTime listed_at;
     AqTime list_requested_at; /* when this list was requested */
     AqTime listing_since;     /* when the list in progress was requested */
     bool is_listing;
@@ -73,8 +74,8 @@
 
 /* Copy of an AqScheduledVm, whose fields aq_scheduler.h describes. */
 typedef struct {
-    char vm[AQ_VM_ID_SIZE]; /* the incarnation */
-    char machine[AQ_VM_ID_SIZE];
+    char vm[AQ_VM_ID_SIZE];      /* id of the incarnation */
+    char machine[AQ_VM_ID_SIZE]; /* VM id */
     bool is_usable;
     bool is_answering;
     size_t tasks;
@@ -121,7 +122,7 @@
 void machines_add_request(PoolMachines *self, Plan *plan);
 /* Writes the requests if they have changed and no write is in progress. */
 void machines_write_requests(PoolMachines *self);
-/* Starts to follow the responses of the machine coordinator. */
+/* Starts to watch the responses of the machine coordinator. */
 void machines_watch_responses(PoolMachines *self);
 
 /* ---- pool_maintenance.c */
@@ -131,7 +132,7 @@
 GArray *machines_new_wave_changes(void);
 
 /* ---- pool_sizing.c */
-/* Acquires VMs or releases them, after the load of the pool's scheduler. */
+/* Acquires or releases VMs according to the load of the pool's scheduler. */
 void machines_sizing_round(PoolMachines *self, AqScheduler *s);
 
 #endif
--- a/packages/pool/pool_maintenance.c
+++ b/packages/pool/pool_maintenance.c
@@ -8,7 +8,8 @@
 
 enum {
     LIST_MAX_AGE_MS = 800, /* when VMs that no scheduler has are looked up */
-    /* A VM that answers so long after its order was accepted has returned. */
+    /* A VM that answers this long after its order was accepted has returned,
+     * also with the same incarnation. */
     WAVE_RETURN_LIMIT_MS = 4000
 };
 
@@ -195,7 +196,7 @@
         return;
     }
     if (plan->kind != PLAN_MAINTENANCE) {
-        return; /* the VM is moving; its maintenance waits for the end of it */
+        return; /* the VM is moving; its maintenance follows the move */
     }
     if (plan->phase == VM_CORDONED) {
         bool is_empty =
--- a/packages/pool/tests/test_pool.c
+++ b/packages/pool/tests/test_pool.c
@@ -137,8 +137,8 @@
     tear_down(&fixture);
 }
 
-/* Guards against an owner that goes on writing after another has taken the
- * pool. */
+/* Guards against an owner that continues to write after another node has
+ * become the owner of the pool. */
 static void
 test_lost_ownership(void)
 {
--- a/packages/pool/wave_table.c
+++ b/packages/pool/wave_table.c
@@ -11,8 +11,8 @@
 struct WaveTable {
     NodeContext *node;
     GHashTable *entries; /* wave number in decimal -> WaveEntry */
-    bool is_following;
-    PrefixView *records; /* NULL until followed and a wave was added */
+    bool is_watching;
+    PrefixView *records; /* NULL until watched and a wave was added */
 };
 
 static void
@@ -68,7 +68,7 @@
 static void
 read_records(WaveTable *table)
 {
-    if (table->is_following && g_hash_table_size(table->entries) > 0) {
+    if (table->is_watching && g_hash_table_size(table->entries) > 0) {
         prefix_view_destroy(table->records);
         table->records =
             prefix_view_create(table->node->loop, table->node->store,
@@ -79,8 +79,8 @@
 void
 wave_table_follow(WaveTable *table)
 {
-    if (!table->is_following) {
-        table->is_following = true;
+    if (!table->is_watching) {
+        table->is_watching = true;
         read_records(table);
     }
 }
