--- a/packages/pool/wave_table.c
+++ b/packages/pool/wave_table.c
@@ -10,9 +10,9 @@
 
 struct WaveTable {
     NodeContext *node;
-    GHashTable *entries; /* number as text -> WaveEntry */
-    bool is_following;
-    PrefixView *records; /* while following, from the first wave on */
+    GHashTable *entries; /* wave number in decimal -> WaveEntry */
+    bool is_watching;
+    PrefixView *records; /* NULL until watched and a wave was added */
 };
 
 static void
@@ -29,7 +29,7 @@
     WaveTable *table = context;
     WaveEntry *entry =
         g_hash_table_lookup(table->entries, item->key + strlen(KEYS_WAVES));
-    if (entry == NULL || item->index <= entry->index) {
+    if (entry == NULL || item->index <= entry->record_index) {
         return;
     }
     if (!AqWave_Decode(entry->wave, item->value, item->size)) {
@@ -37,8 +37,8 @@
                     item->key, (unsigned long long)item->index);
         return;
     }
-    entry->index = item->index;
-    entry->is_read = true;
+    entry->record_index = item->index;
+    entry->is_record_read = true;
 }
 
 static void
@@ -56,18 +56,19 @@
     gpointer value;
     g_hash_table_iter_init(&iter, table->entries);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        ((WaveEntry *)value)->is_read = true;
+        ((WaveEntry *)value)->is_record_read = true;
     }
 }
 
 static const PrefixViewOps record_ops = {on_put, on_removed, on_listed, 0,
                                          false};
 
-/* A record that was listed before its wave was known is read again. */
+/* Lists the records anew, because a listing skips records of waves that were
+ * not in the table at that time. */
 static void
 read_records(WaveTable *table)
 {
-    if (table->is_following && g_hash_table_size(table->entries) > 0) {
+    if (table->is_watching && g_hash_table_size(table->entries) > 0) {
         prefix_view_destroy(table->records);
         table->records =
             prefix_view_create(table->node->loop, table->node->store,
@@ -78,8 +79,8 @@
 void
 wave_table_follow(WaveTable *table)
 {
-    if (!table->is_following) {
-        table->is_following = true;
+    if (!table->is_watching) {
+        table->is_watching = true;
         read_records(table);
     }
 }
@@ -112,7 +113,7 @@
     g_hash_table_iter_init(&iter, table->entries);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         WaveEntry *entry = value;
-        if (entry->is_read) {
+        if (entry->is_record_read) {
             visit(context, entry);
         }
     }
