--- a/packages/membership/endpoints.c
+++ b/packages/membership/endpoints.c
@@ -5,7 +5,7 @@
 #include "slices_internal.h"
 
 enum {
-    FIRST_BUCKETS = 64
+    INITIAL_BUCKET_COUNT = 64
 };
 
 /* ---- Table of endpoints ------------------------------------------------- */
@@ -70,8 +70,8 @@
 void
 endpoints_init(AqSlices *slices)
 {
-    slices->bucket_count = FIRST_BUCKETS;
-    slices->buckets = calloc(FIRST_BUCKETS, sizeof(Endpoint *));
+    slices->bucket_count = INITIAL_BUCKET_COUNT;
+    slices->buckets = calloc(INITIAL_BUCKET_COUNT, sizeof(Endpoint *));
     if (slices->buckets == NULL) {
         abort();
     }
@@ -100,7 +100,8 @@
 
 /* ---- Assignment --------------------------------------------------------- */
 
-/* Index of the member that a slot is assigned to. */
+/* Index of the member to which a slot is assigned: the one with the highest
+ * rendezvous weight; NO_MEMBER if there are no members. */
 static uint16_t
 assign_slot(const uint64_t *hashes, size_t count, const Endpoint *e, int slot)
 {
@@ -125,10 +126,10 @@
     e->pending = 0;
     e->held = 0;
     for (int i = 0; i < e->slots; i++) {
-        bool mine =
+        bool is_own =
             self >= 0 &&
             assign_slot(slices->hashes, slices->member_count, e, i) == self;
-        if (!mine) {
+        if (!is_own) {
             e->state[i] = SLOT_OTHER;
         }
         else if (keep && e->state[i] == SLOT_HELD) {
@@ -140,13 +141,13 @@
         }
     }
     slices->pending += e->pending;
-    memset(e->confirmed, 0, sizeof(e->confirmed));
+    memset(e->released_by, 0, sizeof(e->released_by));
 }
 
 void
-endpoints_note_previous(const AqSlices *slices, Endpoint *e,
-                        const char (*old)[AQ_WIRE_MAX_NAME],
-                        const uint64_t *old_hashes, size_t old_count)
+endpoints_record_previous(const AqSlices *slices, Endpoint *e,
+                          const char (*old)[AQ_WIRE_MAX_NAME],
+                          const uint64_t *old_hashes, size_t old_count)
 {
     if (!(AqMembership_Faults(slices->membership) & AQ_FAULT_PREVIOUS_ONLY)) {
         return;
--- a/packages/membership/membership.c
+++ b/packages/membership/membership.c
@@ -7,11 +7,12 @@
 #include "membership_internal.h"
 
 enum {
-    /* A gap between two heartbeats of this daemon that counts as a pause. */
-    PAUSE_MS = 3 * AQ_HEARTBEAT_MS,
-    /* Peers that are not members are forgotten after this silence. */
-    FORGET_MS = 60000,
-    /* Keeps seq below 2^32, five bytes in msgpack, for 24 days. */
+    /* A longer gap between two heartbeats of this daemon is a pause. */
+    PAUSE_THRESHOLD_MS = 3 * AQ_HEARTBEAT_MS,
+    /* A peer that is not a member is removed after this silence. */
+    NONMEMBER_RETENTION_MS = 60000,
+    /* Limits seq_base to 31 bits, so that seq, which grows by one per
+     * millisecond, stays below 2^32 (five bytes in msgpack) for 24 days. */
     SEQ_BASE_MASK = 0x7fffffff
 };
 
@@ -25,8 +26,8 @@
     strncpy(m->self, self, sizeof(m->self) - 1);
     m->instance = instance;
     m->created = now;
-    /* A different base for each instance, so that a peer's acknowledgement of
-     * an earlier instance decodes to a time far off and is refused. */
+    /* Each instance has a different base, so that a peer's acknowledgement of
+     * an earlier instance decodes to an impossible time and is rejected. */
     m->seq_base = AqHash_Bytes(&instance, sizeof(instance)) & SEQ_BASE_MASK;
     m->last_fill = now;
     m->listening_since = now;
@@ -94,7 +95,7 @@
     strncpy(member->id, id, sizeof(member->id) - 1);
     member->hash = AqHash_String(member->id);
     int old = AqMembership_Index(m, member->id);
-    member->since = old >= 0 ? m->members[old].since : now;
+    member->known_since = old >= 0 ? m->members[old].known_since : now;
 }
 
 void
@@ -149,7 +150,7 @@
     return AqMembership_Index(m, id) >= 0;
 }
 
-/* ---- What is heard ------------------------------------------------------ */
+/* ---- Heartbeats and store contacts -------------------------------------- */
 
 void
 AqMembership_SetVersion(AqMembership *m, int64_t version)
@@ -168,7 +169,8 @@
     m->counts_for_majority = true;
 }
 
-/* When this daemon sent the heartbeat with this seq, if it did. */
+/* Sets *at to the time at which this daemon sent the heartbeat "seq"; returns
+ * false if this instance has sent no such heartbeat. */
 static bool
 sending_time(const AqMembership *m, uint64_t seq, AqTime *at)
 {
@@ -180,12 +182,13 @@
     return true;
 }
 
-/* A heartbeat that lists seq S of this daemon as received was sent after S
- * was.  This dates it in this daemon's own clock, however long it was held up
- * in buffers on the way. */
+/* Sets *at to a lower bound, on this daemon's clock, of the time at which the
+ * peer sent the heartbeat: a heartbeat that acknowledges seq S of this daemon
+ * was sent after S was.  The bound holds however long the heartbeat was
+ * delayed in buffers.  Returns false if it acknowledges none. */
 static bool
-date_heartbeat(const AqMembership *m, AqTime now, const AqMsgHeartbeat *beat,
-               AqTime *at)
+earliest_send_time(const AqMembership *m, AqTime now,
+                   const AqMsgHeartbeat *beat, AqTime *at)
 {
     if (m->faults & AQ_FAULT_RECEIPT_AGE) {
         *at = now;
@@ -200,9 +203,11 @@
     return false;
 }
 
+/* Updates the sending time and the store contacts that follow from a heartbeat
+ * that was sent no earlier than "sent_after". */
 static void
-note_dated(AqMembership *m, Peer *peer, AqTime sent_after,
-           const AqMsgHeartbeat *beat)
+record_send_time(AqMembership *m, Peer *peer, AqTime sent_after,
+                 const AqMsgHeartbeat *beat)
 {
     if (sent_after > peer->sent_after) {
         peer->sent_after = sent_after;
@@ -219,22 +224,23 @@
     }
 }
 
-/* Settles this daemon once a majority made up of other, settled members has
- * been heard with versions that are not above its own: then it has at least
- * every accepted version, although it may have forgotten one in a restart. */
+/* Sets counts_for_majority once a majority of the epoch, made up of other
+ * members that count themselves, has recently reported versions that are not
+ * above this daemon's.  It then has every accepted version, although a restart
+ * may have set it back to an older one. */
 static void
-try_settle(AqMembership *m, AqTime now)
+update_counts_for_majority(AqMembership *m, AqTime now)
 {
-    size_t heard = 0;
+    size_t not_newer = 0;
     for (size_t i = 0; i < m->count; i++) {
         const Peer *peer = peers_find(&m->peers, m->members[i].id);
         if (peer != NULL && !membership_is_self(m, peer->id) &&
-            !peer->joining && membership_is_dated(peer, now) &&
+            !peer->joining && membership_has_recent_heartbeat(peer, now) &&
             peer->version <= m->version) {
-            heard++;
+            not_newer++;
         }
     }
-    if (m->count > 0 && membership_is_majority(m, heard)) {
+    if (m->count > 0 && membership_is_majority(m, not_newer)) {
         m->counts_for_majority = true;
     }
 }
@@ -257,26 +263,26 @@
         return;
     }
     if (peer->instance != beat->instance) {
-        peer_restart(peer, beat->instance);
+        peer_reset(peer, beat->instance);
     }
     if (beat->seq < peer->seq) {
         return;
     }
     peer_store(peer, now, beat);
     AqTime sent_after;
-    if (date_heartbeat(m, now, beat, &sent_after)) {
-        note_dated(m, peer, sent_after, beat);
+    if (earliest_send_time(m, now, beat, &sent_after)) {
+        record_send_time(m, peer, sent_after, beat);
     }
     if (!m->counts_for_majority) {
-        try_settle(m, now);
+        update_counts_for_majority(m, now);
     }
 }
 
 void
 AqMembership_Disconnected(AqMembership *m, AqTime now, const char *id)
 {
-    /* Nothing is known about the peer from this: it may reconnect at once, and
-     * silence is measured by heartbeats alone. */
+    /* A closed connection says nothing about the peer: it may reconnect at
+     * once, and silence is measured by heartbeats alone. */
     (void)m;
     (void)now;
     (void)id;
@@ -287,8 +293,8 @@
 {
     AqTime from = m->listening_since;
     int i = AqMembership_Index(m, peer->id);
-    if (i >= 0 && m->members[i].since > from) {
-        from = m->members[i].since;
+    if (i >= 0 && m->members[i].known_since > from) {
+        from = m->members[i].known_since;
     }
     if (peer->last_heartbeat_at > from) {
         from = peer->last_heartbeat_at;
@@ -299,13 +305,13 @@
 static void
 fill_peer_ages(const AqMembership *m, AqTime now, AqMsgHeartbeat *beat)
 {
-    size_t room = m->peers.count;
-    beat->peer_ages = calloc(room + 1, sizeof(*beat->peer_ages));
-    beat->acked_seq = calloc(room + 1, sizeof(*beat->acked_seq));
+    size_t peer_count = m->peers.count;
+    beat->peer_ages = calloc(peer_count + 1, sizeof(*beat->peer_ages));
+    beat->acked_seq = calloc(peer_count + 1, sizeof(*beat->acked_seq));
     if (beat->peer_ages == NULL || beat->acked_seq == NULL) {
         abort();
     }
-    for (size_t i = 0; i < room; i++) {
+    for (size_t i = 0; i < peer_count; i++) {
         const Peer *peer = &m->peers.items[i];
         bool recent = peer->last_heartbeat_at != TIME_UNKNOWN &&
                       now - peer->last_heartbeat_at < AQ_REMOVE_MS;
@@ -322,11 +328,11 @@
 void
 AqMembership_FillHeartbeat(AqMembership *m, AqTime now, AqMsgHeartbeat *beat)
 {
-    if (now - m->last_fill > PAUSE_MS) {
+    if (now - m->last_fill > PAUSE_THRESHOLD_MS) {
         m->listening_since = now;
     }
     m->last_fill = now;
-    peers_prune(&m->peers, now - FORGET_MS, keep_member, m);
+    peers_prune(&m->peers, now - NONMEMBER_RETENTION_MS, keep_member, m);
     beat->seq = m->seq_base + 1 + (uint64_t)(now - m->created);
     beat->instance = m->instance;
     beat->epoch = AqMembership_IsStarted(m, now) ? m->epoch : 0;
--- a/packages/membership/membership_internal.h
+++ b/packages/membership/membership_internal.h
@@ -7,34 +7,40 @@
 typedef struct {
     char id[AQ_WIRE_MAX_NAME];
     uint64_t hash;
-    AqTime since; /* when this daemon learned of the member */
+    AqTime known_since; /* when this daemon installed the member; own clock */
 } Member;
 
 struct AqMembership {
     char self[AQ_WIRE_MAX_NAME];
     uint64_t instance;
-    unsigned faults;
+    unsigned faults; /* AQ_FAULT_* bits */
     AqTime created;
-    uint64_t seq_base; /* seq of a heartbeat is base + 1 + ms since created */
-    AqTime last_fill;
-    AqTime listening_since;   /* creation or the end of the last pause */
-    bool counts_for_majority; /* may be counted in a majority */
+    /* seq of a heartbeat is seq_base + 1 + milliseconds since "created". */
+    uint64_t seq_base;
+    AqTime last_fill;       /* last call of AqMembership_FillHeartbeat */
+    AqTime listening_since; /* creation or the end of the last pause */
+    /* False after a start, until this daemon certainly has every accepted
+     * version again; a majority must not include it before. */
+    bool counts_for_majority;
     bool has_epoch;
     int64_t epoch;
     int64_t version;
     AqTime contact; /* start of the last answered store read */
-    AqTime
-        relayed_contact; /* latest contact of a peer not above own version */
-    Member *members;     /* in order of id */
+    /* Latest store contact of a peer whose version was not above this
+     * daemon's when its heartbeat was received. */
+    AqTime relayed_contact;
+    Member *members; /* in order of id */
     size_t count;
     Peers peers;
 };
 
+/* Whether "count" members are a majority of the epoch. */
 bool membership_is_majority(const AqMembership *m, size_t count);
 bool membership_is_self(const AqMembership *m, const char *id);
-/* Whether the peer's last heartbeat was certainly sent within AQ_FRESH_MS. */
-bool membership_is_dated(const Peer *peer, AqTime now);
-/* Milliseconds for which this daemon has listened without hearing the peer. */
+/* Whether the peer certainly sent its last heartbeat within AQ_FRESH_MS. */
+bool membership_has_recent_heartbeat(const Peer *peer, AqTime now);
+/* Milliseconds since the last heartbeat of the peer, not counting time before
+ * the peer became a member or before the end of this daemon's last pause. */
 AqTime membership_silence(const AqMembership *m, AqTime now, const Peer *peer);
 
 #endif
--- a/packages/membership/peers.c
+++ b/packages/membership/peers.c
@@ -5,7 +5,7 @@
 
 #include "aq_hash.h"
 
-/* Index of the first peer whose id is not below "id". */
+/* Index of the first peer whose id does not sort before "id". */
 static size_t
 lower_bound(const Peers *peers, const char *id)
 {
@@ -63,7 +63,7 @@
     strncpy(peer->id, id, sizeof(peer->id) - 1);
     peer->hash = AqHash_String(peer->id);
     peer->last_heartbeat_at = TIME_UNKNOWN;
-    peer_restart(peer, 0);
+    peer_reset(peer, 0);
     return peer;
 }
 
@@ -106,7 +106,7 @@
 }
 
 void
-peer_restart(Peer *peer, uint64_t instance)
+peer_reset(Peer *peer, uint64_t instance)
 {
     free_lists(peer);
     peer->instance = instance;
--- a/packages/membership/peers.h
+++ b/packages/membership/peers.h
@@ -4,29 +4,30 @@
 #include "aq_membership.h"
 
 enum {
-    /* Peers remembered, members or not.  Bounds the memory that strangers
-     * with the right secret can use. */
+    /* Most peers in the table, members or not.  Bounds the memory that other
+     * hosts with a valid secret can use. */
     PEERS_MAX = 512
 };
 
-/* No time known. */
+/* AqTime value for an unknown time; it is before every other time. */
 #define TIME_UNKNOWN INT64_MIN
 
-/* What the last heartbeats of one peer said. */
+/* State of one peer as its heartbeats reported it.  The lists are copies owned
+ * by the peer. */
 typedef struct {
     char id[AQ_WIRE_MAX_NAME];
-    uint64_t hash;     /* for rendezvous */
-    uint64_t instance; /* 0: never heard */
+    uint64_t hash;     /* of the id; for rendezvous hashing */
+    uint64_t instance; /* 0: no heartbeat received yet */
     uint64_t seq;
     int64_t epoch;
     int64_t version;
     bool joining;
-    AqTime last_heartbeat_at; /* receipt of the last heartbeat */
-    AqTime sent_after;        /* lower bound of when it was sent, own clock */
+    AqTime last_heartbeat_at; /* receipt of the last heartbeat, own clock */
+    AqTime sent_after;        /* lower bound of its sending time, own clock */
     AqTime contact; /* lower bound of its last store contact, own clock */
-    AqWireCount *peer_ages; /* owned copies of the last lists */
+    AqWireCount *peer_ages; /* by peer id, in ms */
     size_t peer_age_count;
-    AqWireCount *leaving;
+    AqWireCount *leaving; /* requests in flight by leaving VM */
     size_t leaving_count;
 } Peer;
 
@@ -36,21 +37,24 @@
     size_t capacity;
 } Peers;
 
+/* Finds a peer; NULL if the table has none with this id. */
 Peer *peers_find(const Peers *peers, const char *id);
-/* Finds or adds; NULL when the table is full. */
+/* Finds a peer or adds it without any report; NULL if the table is full.  The
+ * call may move the other peers. */
 Peer *peers_add(Peers *peers, const char *id);
-/* Drops peers last heard before "limit" for which "keep" is false. */
+/* Removes the peers whose last heartbeat was received before "limit" and for
+ * which "keep" returns false. */
 void peers_prune(Peers *peers, AqTime limit,
                  bool (*keep)(const void *context, const char *id),
                  const void *context);
 void peers_clear(Peers *peers);
 
-/* Forgets what an earlier instance of the peer reported. */
-void peer_restart(Peer *peer, uint64_t instance);
-/* Copies the fields and lists of a heartbeat. */
+/* Discards the reports of the peer's previous instance and sets "instance". */
+void peer_reset(Peer *peer, uint64_t instance);
+/* Stores copies of the fields and lists of a heartbeat received at "now". */
 void peer_store(Peer *peer, AqTime now, const AqMsgHeartbeat *beat);
 
-/* The value for "name" in a list, or "absent". */
+/* Value for "name" in a list, or "absent" if the list does not contain it. */
 int64_t count_value(const AqWireCount *items, size_t count, const char *name,
                     int64_t absent);
 
--- a/packages/membership/rules.c
+++ b/packages/membership/rules.c
@@ -3,8 +3,8 @@
 #include "aq_hash.h"
 #include "membership_internal.h"
 
-/* What follows from the heartbeats and store contacts that membership.c has
- * taken in. */
+/* Decisions derived from the heartbeats and store contacts that membership.c
+ * has recorded: liveness, freshness, acceptance, removal and ownership. */
 
 bool
 membership_is_majority(const AqMembership *m, size_t count)
@@ -19,7 +19,7 @@
 }
 
 bool
-membership_is_dated(const Peer *peer, AqTime now)
+membership_has_recent_heartbeat(const Peer *peer, AqTime now)
 {
     return peer->sent_after != TIME_UNKNOWN &&
            now - peer->sent_after <= AQ_FRESH_MS;
@@ -34,7 +34,7 @@
     const Peer *peer = peers_find(&m->peers, id);
     return peer != NULL && peer->last_heartbeat_at != TIME_UNKNOWN &&
            now - peer->last_heartbeat_at <= AQ_SUSPECT_MS &&
-           membership_is_dated(peer, now);
+           membership_has_recent_heartbeat(peer, now);
 }
 
 static bool
@@ -43,19 +43,20 @@
     return contact != TIME_UNKNOWN && now - contact <= AQ_FRESH_MS;
 }
 
-/* Whether a majority is heard that does not reach the store and has no version
- * above this daemon's. */
+/* Whether a majority of the epoch recently reported versions that are not
+ * above this daemon's, and no member with a newer version recently reached the
+ * store. */
 static bool
-hears_majority(const AqMembership *m, AqTime now)
+is_fresh_by_majority(const AqMembership *m, AqTime now)
 {
-    size_t heard = 0;
+    size_t not_newer = 0;
     for (size_t i = 0; i < m->count; i++) {
         if (membership_is_self(m, m->members[i].id)) {
-            heard += m->counts_for_majority;
+            not_newer += m->counts_for_majority;
             continue;
         }
         const Peer *peer = peers_find(&m->peers, m->members[i].id);
-        if (peer == NULL || !membership_is_dated(peer, now)) {
+        if (peer == NULL || !membership_has_recent_heartbeat(peer, now)) {
             continue;
         }
         if (peer->version > m->version) {
@@ -64,9 +65,9 @@
             }
             continue;
         }
-        heard += !peer->joining;
+        not_newer += !peer->joining;
     }
-    return m->count > 0 && membership_is_majority(m, heard);
+    return m->count > 0 && membership_is_majority(m, not_newer);
 }
 
 bool
@@ -78,18 +79,20 @@
     if (is_recent(m->contact, now) || is_recent(m->relayed_contact, now)) {
         return true;
     }
-    /* A peer whose version was above this daemon's when its heartbeat came,
-     * but is not any more. */
+    /* relayed_contact leaves out peers whose version was above this daemon's
+     * when their heartbeat was received; this daemon may have installed that
+     * version since. */
     for (size_t i = 0; i < m->peers.count; i++) {
         const Peer *peer = &m->peers.items[i];
         if (peer->version <= m->version && is_recent(peer->contact, now)) {
             return true;
         }
     }
-    return hears_majority(m, now);
+    return is_fresh_by_majority(m, now);
 }
 
-/* Members, this daemon included, that reported "version" or more. */
+/* Number of members, this daemon included, that have reported "version" or a
+ * later version. */
 static size_t
 count_reported(const AqMembership *m, int64_t version)
 {
@@ -108,8 +111,8 @@
 bool
 AqMembership_IsAccepted(const AqMembership *m, AqTime now, int64_t version)
 {
-    /* Versions never fall, so a report holds however old it is.  The members
-     * are only known for versions up to this daemon's own. */
+    /* Versions never decrease, so a report is valid however old it is.  This
+     * daemon knows the members only of versions up to its own. */
     (void)now;
     return m->version >= version && m->count > 0 &&
            membership_is_majority(m, count_reported(m, version));
@@ -149,7 +152,8 @@
            AqMembership_IsAccepted(m, now, m->epoch);
 }
 
-/* Members, this daemon included, that report "id" as silent. */
+/* Number of members, this daemon included, that have received no heartbeat of
+ * "id" for AQ_REMOVE_MS. */
 static size_t
 count_silent(const AqMembership *m, AqTime now, const char *id)
 {
@@ -163,7 +167,7 @@
                  membership_silence(m, now, peer) >= AQ_REMOVE_MS;
         }
         else if (peer != NULL && strcmp(reporter, id) != 0 &&
-                 membership_is_dated(peer, now)) {
+                 membership_has_recent_heartbeat(peer, now)) {
             n += count_value(peer->peer_ages, peer->peer_age_count, id, 0) >=
                  AQ_REMOVE_MS;
         }
--- a/packages/membership/slices.c
+++ b/packages/membership/slices.c
@@ -35,10 +35,10 @@
 
 /* ---- Epochs and endpoints ----------------------------------------------- */
 
-/* Whether a member of the old epoch is not in the new one. */
+/* Whether a member of the previous epoch is not in the current one. */
 static bool
-is_any_gone(const AqSlices *slices, const char (*old)[AQ_WIRE_MAX_NAME],
-            size_t old_count)
+has_member_left(const AqSlices *slices, const char (*old)[AQ_WIRE_MAX_NAME],
+                size_t old_count)
 {
     for (size_t i = 0; i < old_count; i++) {
         if (!AqMembership_IsMember(slices->membership, old[i])) {
@@ -81,17 +81,18 @@
     copy_members(slices);
     slices->epoch = epoch;
     memset(slices->reported, 0, sizeof(slices->reported));
-    /* A daemon that was not a member does not know who was. */
+    /* A daemon that was not a member does not know the previous members. */
     if (!was_member ||
-        is_any_gone(slices, (const char(*)[AQ_WIRE_MAX_NAME])old, old_count)) {
+        has_member_left(slices, (const char(*)[AQ_WIRE_MAX_NAME])old,
+                        old_count)) {
         slices->guard_needed = true;
     }
     slices->guard_until = TIME_UNKNOWN;
     for (size_t b = 0; b < slices->bucket_count; b++) {
         for (Endpoint *e = slices->buckets[b]; e != NULL; e = e->next) {
-            endpoints_note_previous(slices, e,
-                                    (const char(*)[AQ_WIRE_MAX_NAME])old,
-                                    old_hashes, old_count);
+            endpoints_record_previous(slices, e,
+                                      (const char(*)[AQ_WIRE_MAX_NAME])old,
+                                      old_hashes, old_count);
             endpoints_assign_slots(slices, e, was_member);
         }
     }
@@ -145,12 +146,12 @@
     endpoints_assign_slots(slices, e, false);
     for (size_t i = 0; i < slices->leased_in.count; i++) {
         if (slices->leased_in.items[i].endpoint == e) {
-            slices->leased_in.items[i].until = TIME_UNKNOWN;
+            slices->leased_in.items[i].term_end = TIME_UNKNOWN;
         }
     }
 }
 
-/* ---- Letting go --------------------------------------------------------- */
+/* ---- Release of slots --------------------------------------------------- */
 
 static bool
 has_bit(const uint64_t *words, size_t i)
@@ -164,9 +165,9 @@
     words[i / 64] |= (uint64_t)1 << (i % 64);
 }
 
-/* Whether every member but this daemon has its bit set. */
+/* Whether the bit of every member other than this daemon is set. */
 static bool
-is_everybody(const AqSlices *slices, const uint64_t *words)
+has_every_peer(const AqSlices *slices, const uint64_t *words)
 {
     for (size_t i = 0; i < slices->member_count; i++) {
         if (!has_bit(words, i) &&
@@ -186,11 +187,11 @@
     slices->pending--;
 }
 
-/* Takes pending slots that everybody has let go. */
+/* Holds the pending slots of "e" that all other members have released. */
 static void
-promote(AqSlices *slices, Endpoint *e)
+hold_released_slots(AqSlices *slices, Endpoint *e)
 {
-    bool all = is_everybody(slices, e->confirmed);
+    bool all = has_every_peer(slices, e->released_by);
     bool previous_only =
         AqMembership_Faults(slices->membership) & AQ_FAULT_PREVIOUS_ONLY;
     int self = AqMembership_Index(slices->membership, slices->self);
@@ -198,7 +199,7 @@
         bool ready = all;
         if (previous_only && e->previous != NULL) {
             uint16_t p = e->previous[i];
-            ready = p == NO_MEMBER || p == self || has_bit(e->confirmed, p);
+            ready = p == NO_MEMBER || p == self || has_bit(e->released_by, p);
         }
         if (ready && e->state[i] == SLOT_PENDING) {
             hold_slot(slices, e, i);
@@ -206,6 +207,9 @@
     }
 }
 
+/* Whether no wait for daemons outside the epoch is needed, or it has ended. It
+ * begins when the epoch is accepted, lasts AQ_GUARD_MS, and does not end
+ * within AQ_GUARD_MS of this daemon's start. */
 static bool
 is_guard_over(AqSlices *slices, AqTime now)
 {
@@ -236,37 +240,40 @@
     for (size_t b = 0; b < slices->bucket_count; b++) {
         for (Endpoint *e = slices->buckets[b]; e != NULL; e = e->next) {
             if (e->pending > 0 && now >= e->blocked_until) {
-                promote(slices, e);
+                hold_released_slots(slices, e);
             }
         }
     }
 }
 
-/* Notes that member "i" has let go of every endpoint that its heartbeat does
- * not list as over. */
+/* Records that member "i" has released its former slots on every endpoint that
+ * its heartbeat does not list as over: it has no more requests in flight there
+ * than slots. */
 static void
-confirm(AqSlices *slices, size_t i, const AqMsgHeartbeat *beat)
+record_release(AqSlices *slices, size_t i, const AqMsgHeartbeat *beat)
 {
-    slices->stamp++;
+    slices->report_number++;
     bool ignore =
         AqMembership_Faults(slices->membership) & AQ_FAULT_IGNORE_OVER;
     for (size_t k = 0; !ignore && k < beat->over_count; k++) {
         Endpoint *e = slices_find(slices, beat->over[k].name);
         if (e != NULL) {
-            e->over_stamp = slices->stamp;
+            e->last_over_report = slices->report_number;
         }
     }
     for (size_t b = 0; b < slices->bucket_count; b++) {
         for (Endpoint *e = slices->buckets[b]; e != NULL; e = e->next) {
-            if (e->pending > 0 && e->over_stamp != slices->stamp) {
-                set_bit(e->confirmed, i);
+            if (e->pending > 0 &&
+                e->last_over_report != slices->report_number) {
+                set_bit(e->released_by, i);
             }
         }
     }
 }
 
-/* A daemon that was removed but is still heard says which endpoints it is
- * still using; its slots there are not taken for a while. */
+/* Processes the heartbeat of a daemon that is not a member, such as a removed
+ * one: on the endpoints that it lists as over it still has requests, so no
+ * pending slot is held there for AQ_FRESH_MS. */
 static void
 block_endpoints(AqSlices *slices, AqTime now, const AqMsgHeartbeat *beat)
 {
@@ -287,8 +294,8 @@
 {
     int i = AqMembership_Index(slices->membership, from);
     AqTime sent_after;
-    /* Before the peer has acknowledged this instance, its report may be older
-     * than this instance. */
+    /* Until the peer acknowledges a heartbeat of this instance, its report may
+     * be older than this instance. */
     if (!beat->slots_known || strcmp(from, slices->self) == 0 ||
         !AqMembership_SentAfter(slices->membership, from, &sent_after)) {
         return;
@@ -300,13 +307,13 @@
     slot_leases_heartbeat(slices, now, from, beat);
     set_bit(slices->reported, (size_t)i);
     slices->all_reported =
-        slices->all_reported || is_everybody(slices, slices->reported);
+        slices->all_reported || has_every_peer(slices, slices->reported);
     bool adopted =
         AqMembership_Faults(slices->membership) & AQ_FAULT_LATER_EPOCH
             ? beat->epoch >= slices->epoch
             : beat->epoch == slices->epoch;
     if (adopted && slices->pending > 0) {
-        confirm(slices, (size_t)i, beat);
+        record_release(slices, (size_t)i, beat);
     }
     slices_advance(slices, now);
 }
@@ -356,8 +363,9 @@
     return e != NULL ? e->leased_in : 0;
 }
 
-/* Frees removed endpoints without requests; returns the number of those that
- * have more requests than slots, and lists them when "items" is not NULL. */
+/* Returns the number of endpoints on which this daemon has more requests in
+ * flight than slots, and lists them with the excess if "items" is not NULL.
+ * Frees removed endpoints without requests. */
 static size_t
 list_over(AqSlices *slices, int (*in_use)(void *context, const char *endpoint),
           void *context, AqWireCount *items)
@@ -406,11 +414,12 @@
     beat->over_count = n;
     slot_leases_fill(slices, beat);
     beat->slots_known = true;
-    /* Without the whole list, and before this instance knows the slot leases
-     * of the one before, nothing is let go. */
+    /* Epoch 0 releases no slots.  It is reported if the list is truncated, and
+     * until this instance has learned of the slot leases that its predecessor
+     * granted. */
     slices->all_reported =
         slices->all_reported ||
-        (slices->is_member && is_everybody(slices, slices->reported));
+        (slices->is_member && has_every_peer(slices, slices->reported));
     if (n > AQ_WIRE_MAX_ITEMS || !slices->all_reported) {
         beat->epoch = 0;
     }
--- a/packages/membership/slot_leases.c
+++ b/packages/membership/slot_leases.c
@@ -23,7 +23,7 @@
     return NULL;
 }
 
-/* Adds a slot lease of 0 slots; NULL when there are too many. */
+/* Adds a slot lease of 0 slots; NULL if the table is full. */
 static SlotLease *
 add_slot_lease(SlotLeaseTable *leases, const char *peer, Endpoint *e)
 {
@@ -47,13 +47,14 @@
     return lease;
 }
 
-/* Removes slot lease "i"; the last one takes its place. */
+/* Removes slot lease "i" and moves the last one to its index. */
 static void
 remove_slot_lease(SlotLeaseTable *leases, size_t i)
 {
     leases->items[i] = leases->items[--leases->count];
 }
 
+/* Sets the number of slots of a leased-out slot lease; 0 removes it. */
 static void
 set_leased_out(AqSlices *slices, SlotLease *lease, int count)
 {
@@ -65,6 +66,7 @@
     }
 }
 
+/* Sets the number of slots of a leased-in slot lease; 0 removes it. */
 static void
 set_leased_in(AqSlices *slices, SlotLease *lease, int count)
 {
@@ -90,16 +92,16 @@
         return 0;
     }
     slices_advance(slices, now);
-    /* Only own slots: a leased-in slot is not leased on. */
-    int most = e->held - e->leased_out;
-    most = idle < most ? idle : most;
-    most = count < most ? count : most;
-    if (most <= 0) {
+    /* Only held slots are leased out; leased-in ones are not subleased. */
+    int granted = e->held - e->leased_out;
+    granted = idle < granted ? idle : granted;
+    granted = count < granted ? count : granted;
+    if (granted <= 0) {
         return 0;
     }
     uint64_t instance = AqMembership_Instance(slices->membership, lessee);
     SlotLease *lease = find_slot_lease(&slices->leased_out, lessee, e);
-    if (lease != NULL && (lease->gone || lease->instance != instance)) {
+    if (lease != NULL && (lease->is_orphaned || lease->instance != instance)) {
         return 0;
     }
     if (lease == NULL) {
@@ -109,9 +111,9 @@
         return 0;
     }
     lease->instance = instance;
-    lease->since = now;
-    set_leased_out(slices, lease, lease->count + most);
-    return most;
+    lease->granted_at = now;
+    set_leased_out(slices, lease, lease->count + granted);
+    return granted;
 }
 
 void
@@ -133,7 +135,7 @@
     unsigned faults = AqMembership_Faults(slices->membership);
     for (size_t i = slices->leased_out.count; i-- > 0;) {
         SlotLease *lease = &slices->leased_out.items[i];
-        if (!lease->gone) {
+        if (!lease->is_orphaned) {
             continue;
         }
         if (lease->reclaim_at == TIME_UNKNOWN &&
@@ -147,7 +149,7 @@
     }
 }
 
-/* Slots of "e" that a heartbeat says were leased in from "lessor". */
+/* Number of slots of "e" that a heartbeat lists as leased in from "lessor". */
 static int
 reported_count(const AqMsgHeartbeat *beat, const char *lessor,
                const Endpoint *e)
@@ -163,9 +165,9 @@
     return sum < SLOTS_MAX ? (int)sum : SLOTS_MAX;
 }
 
-/* Lowers slot leases of which the lessee holds less than this lessor counts:
- * its heartbeat answers one that was sent after the LEND, so the LEND or a
- * RETURN was lost. */
+/* Lowers the slot leases of a lessee that reports fewer slots than this lessor
+ * counts, if its heartbeat acknowledges one that was sent after the LEND: the
+ * LEND or a RETURN was lost. */
 static void
 lower_slot_leases(AqSlices *slices, AqTime now, const char *from,
                   const AqMsgHeartbeat *beat)
@@ -178,21 +180,22 @@
             continue;
         }
         if (lease->instance != beat->instance) {
-            /* The lessee restarted; its requests may still run. */
-            if (!lease->gone) {
-                lease->gone = true;
+            /* The lessee restarted; its requests may still be running. */
+            if (!lease->is_orphaned) {
+                lease->is_orphaned = true;
                 lease->reclaim_at = now + AQ_GUARD_MS;
             }
             continue;
         }
         int reported = reported_count(beat, slices->self, lease->endpoint);
-        if (sent_after > lease->since && reported < lease->count) {
+        if (sent_after > lease->granted_at && reported < lease->count) {
             set_leased_out(slices, lease, reported);
         }
     }
 }
 
-/* Learns of slot leases that an earlier instance of this daemon made. */
+/* Adds or raises slot leases that a lessee reports and that a previous
+ * instance of this daemon granted. */
 static void
 raise_slot_leases(AqSlices *slices, AqTime now, const char *from,
                   const AqMsgHeartbeat *beat)
@@ -211,7 +214,7 @@
             lease = add_slot_lease(&slices->leased_out, from, e);
             if (lease != NULL) {
                 lease->instance = beat->instance;
-                lease->since = now;
+                lease->granted_at = now;
             }
         }
         if (lease != NULL && reported > lease->count) {
@@ -227,15 +230,16 @@
                       const char *endpoint, int count, AqTime term_ms)
 {
     Endpoint *e = slices_find(slices, endpoint);
-    /* A lessor that is not in this epoch has lost its slots already. */
+    /* The slots of a lessor that is not in this epoch are assigned to other
+     * members. */
     if (e == NULL || e->removed || count <= 0 || count > SLOTS_MAX ||
         !slices->is_member ||
         !AqMembership_IsMember(slices->membership, lessor)) {
         return;
     }
-    /* LEND was sent after the lessor's last heartbeat that came before it.  A
-     * LEND that was held up for longer may be one that the lessor reclaimed
-     * after the guard. */
+    /* The LEND was sent after the lessor's last heartbeat that was received
+     * before it.  The lessor may already have reclaimed the slots of a LEND
+     * that was delayed for longer, once its wait of AQ_GUARD_MS ended. */
     AqTime sent_after;
     if (!AqMembership_SentAfter(slices->membership, lessor, &sent_after) ||
         now - sent_after > AQ_FRESH_MS) {
@@ -245,12 +249,12 @@
     if (lease == NULL) {
         lease = add_slot_lease(&slices->leased_in, lessor, e);
     }
-    if (lease == NULL || lease->gone) {
+    if (lease == NULL || lease->is_orphaned) {
         return;
     }
     lease->instance = AqMembership_Instance(slices->membership, lessor);
-    lease->since = now;
-    lease->until = now + term_ms;
+    lease->granted_at = now;
+    lease->term_end = now + term_ms;
     set_leased_in(slices, lease, lease->count + count);
 }
 
@@ -269,9 +273,10 @@
         if (lease->endpoint != e) {
             continue;
         }
-        /* A slot lease just received may wait for its first request. */
-        bool needless = in_use < own && now - lease->since >= AQ_HEARTBEAT_MS;
-        if (now < lease->until && !needless) {
+        /* A newly granted slot may not have its first request yet. */
+        bool is_unneeded =
+            in_use < own && now - lease->granted_at >= AQ_HEARTBEAT_MS;
+        if (now < lease->term_end && !is_unneeded) {
             continue;
         }
         int count = unused < lease->count ? unused : lease->count;
@@ -289,7 +294,7 @@
     int n = 0;
     for (size_t i = 0; e->leased_in > 0 && i < slices->leased_in.count; i++) {
         const SlotLease *lease = &slices->leased_in.items[i];
-        n += lease->endpoint == e && !lease->gone ? lease->count : 0;
+        n += lease->endpoint == e && !lease->is_orphaned ? lease->count : 0;
     }
     return n;
 }
@@ -300,36 +305,37 @@
     int n = 0;
     for (size_t i = 0; e->leased_in > 0 && i < slices->leased_in.count; i++) {
         const SlotLease *lease = &slices->leased_in.items[i];
-        if (lease->endpoint == e && now < lease->until) {
+        if (lease->endpoint == e && now < lease->term_end) {
             n += lease->count;
         }
     }
     return n;
 }
 
-/* ---- Both --------------------------------------------------------------- */
+/* ---- Lessor and lessee -------------------------------------------------- */
 
 void
 slot_leases_epoch_changed(AqSlices *slices)
 {
     for (size_t i = slices->leased_in.count; i-- > 0;) {
         SlotLease *lease = &slices->leased_in.items[i];
-        /* Kept until its requests end, because the lessor takes a slot lease
-         * that is not reported for returned. */
+        /* The slot lease is kept until its requests end, because the lessor
+         * treats an unreported slot lease as returned. */
         if (!AqMembership_IsMember(slices->membership, lease->peer)) {
-            lease->gone = true;
+            lease->is_orphaned = true;
         }
-        if (lease->gone || !slices->is_member) {
-            lease->until = TIME_UNKNOWN;
+        if (lease->is_orphaned || !slices->is_member) {
+            lease->term_end = TIME_UNKNOWN;
         }
     }
     for (size_t i = 0; i < slices->leased_out.count; i++) {
         SlotLease *lease = &slices->leased_out.items[i];
-        bool gone = !AqMembership_IsMember(slices->membership, lease->peer) ||
-                    AqMembership_Instance(slices->membership, lease->peer) !=
-                        lease->instance;
-        if (gone != lease->gone) {
-            lease->gone = gone;
+        bool is_orphaned =
+            !AqMembership_IsMember(slices->membership, lease->peer) ||
+            AqMembership_Instance(slices->membership, lease->peer) !=
+                lease->instance;
+        if (is_orphaned != lease->is_orphaned) {
+            lease->is_orphaned = is_orphaned;
             lease->reclaim_at = TIME_UNKNOWN;
         }
     }
@@ -345,8 +351,8 @@
         SlotLease *lease = &slices->leased_in.items[i];
         if (strcmp(lease->peer, from) == 0 &&
             lease->instance != beat->instance) {
-            /* The lessor restarted; it wants its slots back. */
-            lease->until = now;
+            /* The lessor restarted, so its slots are to be returned. */
+            lease->term_end = now;
         }
     }
 }
