--- a/packages/membership/bench/bench_cluster.c
+++ b/packages/membership/bench/bench_cluster.c
@@ -6,12 +6,13 @@
 #include <time.h>
 
 enum {
-    READ_MS = 1000, /* wait of the watch on head */
-    REPLY_MS = 3,   /* store latency */
+    STORE_READ_WAIT_MS = 1000, /* wait of a store read without a new version */
+    STORE_LATENCY_MS = 3,
     SLOT_LEASE_TERM_MS = 2000,
     LEAVING_PERCENT = 2
 };
 
+/* CPU time of the process in microseconds. */
 static double
 cpu_us(void)
 {
@@ -50,7 +51,7 @@
     }
     c->now = 100000;
     c->members = members;
-    c->talking = members;
+    c->connected_count = members;
     c->endpoints = endpoints;
     c->leaving = endpoints * LEAVING_PERCENT / 100;
     const char *ids[BENCH_MEMBERS];
@@ -124,7 +125,7 @@
 }
 
 static void
-beat(BenchCluster *c, BenchMember *b)
+send_heartbeat(BenchCluster *c, BenchMember *b)
 {
     AqBuffer frame;
     AqBuffer_Init(&frame);
@@ -139,7 +140,8 @@
     c->fills++;
     start = cpu_us();
     for (int i = 0; i < c->members; i++) {
-        if (i != b->index && i < c->talking && b->index < c->talking) {
+        if (i != b->index && i < c->connected_count &&
+            b->index < c->connected_count) {
             handle_frame(c, &c->member[i], b->id, &frame);
             c->frames++;
             c->frame_bytes += frame.size;
@@ -152,12 +154,13 @@
 static void
 step_member(BenchCluster *c, BenchMember *b)
 {
-    if (b->reaches_store && c->now >= b->read_started + READ_MS + REPLY_MS) {
+    if (b->reaches_store &&
+        c->now >= b->read_started + STORE_READ_WAIT_MS + STORE_LATENCY_MS) {
         AqMembership_StoreContact(b->m, b->read_started);
         b->read_started = c->now;
     }
     if (c->now % AQ_HEARTBEAT_MS == b->phase) {
-        beat(c, b);
+        send_heartbeat(c, b);
     }
 }
 
@@ -189,8 +192,9 @@
     return sum;
 }
 
+/* Slots in use of one member over all endpoints. */
 static int
-running(const BenchCluster *c, const BenchMember *b)
+sum_used_slots(const BenchCluster *c, const BenchMember *b)
 {
     int n = 0;
     for (int e = 0; e < c->endpoints; e++) {
@@ -199,17 +203,17 @@
     return n;
 }
 
-/* Leases up to "wanted" slots from one member. */
+/* Leases up to "slot_count" slots of one member; returns the number leased. */
 static int
 request_slots_from(BenchCluster *c, BenchMember *b, BenchMember *lessor,
-                   int wanted)
+                   int slot_count)
 {
     int got = 0;
-    for (int e = 0; e < c->endpoints && got < wanted; e++) {
+    for (int e = 0; e < c->endpoints && got < slot_count; e++) {
         const char *name = c->endpoint[e];
         int idle = AqSlices_Usable(lessor->s, c->now, name) - lessor->used[e];
         int n = AqSlices_GrantLease(lessor->s, c->now, b->id, name, idle,
-                                    wanted - got);
+                                    slot_count - got);
         if (n > 0) {
             AqSlices_LeaseGranted(b->s, c->now, lessor->id, name, n,
                                   SLOT_LEASE_TERM_MS);
@@ -219,8 +223,10 @@
     return got;
 }
 
+/* Returns unused leased-in slots whose term has ended or that are not needed.
+ */
 static void
-give_back(BenchCluster *c, BenchMember *b)
+return_slot_leases(BenchCluster *c, BenchMember *b)
 {
     for (int e = 0; e < c->endpoints; e++) {
         const char *lessor;
@@ -238,11 +244,11 @@
 {
     for (int i = 0; i < c->members; i++) {
         BenchMember *b = &c->member[i];
-        give_back(c, b);
-        int wanted = b->demand - running(c, b);
-        for (int k = 1; k < c->members && wanted > 0; k++) {
-            wanted -= request_slots_from(
-                c, b, &c->member[(i + k) % c->members], wanted);
+        return_slot_leases(c, b);
+        int needed = b->demand - sum_used_slots(c, b);
+        for (int k = 1; k < c->members && needed > 0; k++) {
+            needed -= request_slots_from(
+                c, b, &c->member[(i + k) % c->members], needed);
         }
     }
 }
--- a/packages/membership/bench/bench_cluster.h
+++ b/packages/membership/bench/bench_cluster.h
@@ -4,13 +4,14 @@
 #include "aq_membership.h"
 #include "aq_slices.h"
 
-/* Daemons without faults, in virtual time, whose messages arrive at once. */
+/* Simulates a cluster without faults in virtual time, in which messages arrive
+ * without delay. */
 
 enum {
-    BENCH_MEMBERS = 27,
-    BENCH_ENDPOINTS = 900,
-    BENCH_SERVICES = 5,
-    BENCH_SLOTS = 8,
+    BENCH_MEMBERS = 27,    /* most members */
+    BENCH_ENDPOINTS = 900, /* most endpoints */
+    BENCH_SERVICES = 5,    /* services in each heartbeat */
+    BENCH_SLOTS = 8,       /* of each endpoint */
     BENCH_STEP_MS = 50
 };
 
@@ -22,37 +23,40 @@
     char id[AQ_WIRE_MAX_NAME];
     AqMembership *m;
     AqSlices *s;
-    AqTime phase; /* of its heartbeats and store reads */
+    AqTime phase; /* offset of its heartbeats and store reads */
     bool reaches_store;
     AqTime read_started;
-    int used[BENCH_ENDPOINTS];
-    int demand; /* requests that want to run at once */
+    int used[BENCH_ENDPOINTS]; /* slots in use */
+    int demand;                /* requests to run at once */
 } BenchMember;
 
 struct BenchCluster {
     AqTime now;
     int members;
-    int talking; /* only the first so many hear each other */
+    int connected_count; /* only the first so many exchange heartbeats */
     int endpoints;
-    int leaving;
+    int leaving; /* leaving endpoints in each heartbeat */
     BenchMember member[BENCH_MEMBERS];
     char endpoint[BENCH_ENDPOINTS][AQ_WIRE_MAX_NAME];
-    /* Measured while running. */
-    uint64_t frames;      /* handled by any member */
-    uint64_t frame_bytes; /* of them */
-    double handle_us;     /* decoding and handling them */
-    uint64_t fills;
-    double fill_us; /* filling and encoding, once for all peers */
+    /* Counters and CPU time of bench_run. */
+    uint64_t frames;      /* heartbeats received by all members */
+    uint64_t frame_bytes; /* sum of their sizes */
+    double handle_us;     /* CPU time to decode and process them */
+    uint64_t fills;       /* heartbeats filled, each for all peers */
+    double fill_us;       /* CPU time to fill and encode them */
 };
 
-/* 2% of the endpoints leave. */
+/* Creates a cluster whose members all use one epoch; heartbeats list 2% of the
+ * endpoints as leaving.  The caller owns the result. */
 BenchCluster *bench_create(int members, int endpoints);
 void bench_destroy(BenchCluster *c);
+/* Runs the cluster for "ms" of virtual time. */
 void bench_run(BenchCluster *c, AqTime ms);
-/* Runs as many requests as each member wants and its slots allow; returns the
- * slots in use over all members. */
+/* Sets the slots in use of each member to its demand, as far as its usable
+ * slots allow; returns the slots in use over all members. */
 int bench_load(BenchCluster *c);
-/* Members with a queue lease idle slots from the others, once. */
+/* Returns leased slots whose return is due, then lets each member whose demand
+ * exceeds its slots lease idle slots from the others. */
 void bench_lease_slots(BenchCluster *c);
 
 #endif
--- a/packages/membership/bench/bench_membership.c
+++ b/packages/membership/bench/bench_membership.c
@@ -2,19 +2,21 @@
 
 #include "bench_cluster.h"
 
-/* Prints what heartbeats cost and what slot leasing gains, for 3 to 27
- * members.  Bytes are those of the frames, without TCP/IP headers. */
+/* Prints the cost of heartbeats and the share of slots in use with and without
+ * slot leasing, for 3 to 27 members.  Sizes are those of the frames, without
+ * TCP/IP headers. */
 
 enum {
-    SETTLE_MS = 10000,
+    WARM_UP_MS = 10000,
     MEASURE_MS = 60000
 };
 
+/* Prints the traffic, CPU time and memory of one member. */
 static void
 measure_cost(int members, int endpoints)
 {
     BenchCluster *c = bench_create(members, endpoints);
-    bench_run(c, SETTLE_MS);
+    bench_run(c, WARM_UP_MS);
     size_t peers = AqMembership_MemoryBytes(c->member[0].m);
     size_t slices = AqSlices_MemoryBytes(c->member[0].s);
     c->frames = c->frame_bytes = c->fills = 0;
@@ -32,30 +34,32 @@
     bench_destroy(c);
 }
 
-/* Demand of 90% of all slots, of which "hot" members have all, or, for hot 0,
- * member i a share in proportion to 1/(i + 1). */
+/* Sets a demand of 90% of all slots: in equal shares on the first
+ * "loaded_count" members, or, for loaded_count 0, in proportion to 1/(i + 1)
+ * on member i. */
 static void
-set_demand(BenchCluster *c, int hot)
+set_demand(BenchCluster *c, int loaded_count)
 {
     int total = c->endpoints * BENCH_SLOTS * 9 / 10;
     double weight = 0;
     for (int i = 0; i < c->members; i++) {
-        weight += hot > 0 ? i < hot : 1.0 / (i + 1);
+        weight += loaded_count > 0 ? i < loaded_count : 1.0 / (i + 1);
     }
     for (int i = 0; i < c->members; i++) {
-        double share = hot > 0 ? i < hot : 1.0 / (i + 1);
+        double share = loaded_count > 0 ? i < loaded_count : 1.0 / (i + 1);
         c->member[i].demand = (int)(total * share / weight);
     }
 }
 
+/* Prints the share of slots in use without and with slot leasing. */
 static void
-measure_slot_leasing(int members, const char *load, int hot)
+measure_slot_leasing(int members, const char *load, int loaded_count)
 {
     BenchCluster *c = bench_create(members, 50);
-    bench_run(c, SETTLE_MS);
-    set_demand(c, hot);
+    bench_run(c, WARM_UP_MS);
+    set_demand(c, loaded_count);
     double slots = c->endpoints * BENCH_SLOTS;
-    double alone = bench_load(c) / slots;
+    double without_leasing = bench_load(c) / slots;
     double sum = 0;
     int samples = 0;
     for (int i = 0; i < 200; i++) {
@@ -64,14 +68,14 @@
         samples++;
         bench_lease_slots(c);
     }
-    printf("%7d  %-22s %6.1f%% %6.1f%%\n", members, load, alone * 100,
-           sum / samples * 100);
+    printf("%7d  %-22s %6.1f%% %6.1f%%\n", members, load,
+           without_leasing * 100, sum / samples * 100);
     bench_destroy(c);
 }
 
-/* Share of the time in which a member is fresh that hears nothing but one
- * peer, which reaches the store.  Prints the least and the mean over the
- * phases of its heartbeats against the peer's. */
+/* Prints the share of time in which a member is fresh that does not reach the
+ * store and receives heartbeats only from one peer that does: the least and
+ * the mean over the offsets between its heartbeats and the peer's. */
 static void
 measure_relayed_freshness(void)
 {
@@ -80,11 +84,11 @@
     int phases = 0;
     for (AqTime phase = 0; phase < AQ_HEARTBEAT_MS; phase += BENCH_STEP_MS) {
         BenchCluster *c = bench_create(9, 1);
-        bench_run(c, SETTLE_MS);
-        c->talking = 2;
+        bench_run(c, WARM_UP_MS);
+        c->connected_count = 2;
         c->member[1].reaches_store = false;
         c->member[1].phase = phase;
-        bench_run(c, SETTLE_MS);
+        bench_run(c, WARM_UP_MS);
         int fresh = 0;
         int samples = 0;
         for (int t = 0; t < MEASURE_MS; t += BENCH_STEP_MS) {
@@ -113,7 +117,7 @@
         measure_cost(sizes[i], 900);
     }
     printf("\nslots in use at a demand of 90%% of the slots\n"
-           "members  load                   static lending\n");
+           "members  load                   static leasing\n");
     for (int i = 0; i < 4; i++) {
         measure_slot_leasing(sizes[i], "all at a third", sizes[i] / 3);
         measure_slot_leasing(sizes[i], "share 1/rank", 0);
--- a/packages/membership/tests/network.c
+++ b/packages/membership/tests/network.c
@@ -6,7 +6,9 @@
 
 enum {
     SLOT_LEASE_TERM_MS = 2000,
-    KILLED_MS = 3000 /* endpoints end requests of closed connections */
+    /* Time after which an endpoint has ended the requests of a closed
+     * connection. */
+    ABORT_DELAY_MS = 3000
 };
 
 const char *
@@ -17,7 +19,7 @@
 }
 
 AqTime
-network_pick(Network *net, AqTime low, AqTime high)
+network_random_ms(Network *net, AqTime low, AqTime high)
 {
     return low +
            (AqTime)AqRandom_Below(&net->random, (uint64_t)(high - low + 1));
@@ -57,7 +59,7 @@
 send_message(Network *net, Node *from, int to, const AqMsg *msg)
 {
     Link *link = &net->link[from->index][to];
-    if (link->mode == LINK_LOST || !net->node[to].up) {
+    if (link->mode == LINK_DROPPING || !net->node[to].up) {
         return;
     }
     AqBuffer frame;
@@ -68,7 +70,7 @@
         abort();
     }
     packet->next = NULL;
-    packet->due = net->now + network_pick(net, 1, 8);
+    packet->due = net->now + network_random_ms(net, 1, 8);
     packet->to_instance = net->node[to].instance;
     packet->size = frame.size;
     memcpy(packet->bytes, frame.bytes, frame.size);
@@ -83,12 +85,12 @@
 }
 
 void
-network_cut(Network *net, int from, int to, LinkMode mode, AqTime ms)
+network_set_link(Network *net, int from, int to, LinkMode mode, AqTime ms)
 {
     Link *link = &net->link[from][to];
     link->mode = mode;
     link->until = net->now + ms;
-    if (mode == LINK_LOST) {
+    if (mode == LINK_DROPPING) {
         drop_packets(link);
     }
 }
@@ -109,9 +111,10 @@
                              net->slots[e]);
     }
     node->version = 0;
-    node->next_beat = net->now + network_pick(net, 0, AQ_HEARTBEAT_MS);
+    node->next_heartbeat_at =
+        net->now + network_random_ms(net, 0, AQ_HEARTBEAT_MS);
     node->reading = false;
-    node->read_version = 0;
+    node->response_version = 0;
 }
 
 static void
@@ -132,11 +135,11 @@
         return;
     }
     stop_node(node);
-    node->back_at = net->now + down_ms;
+    node->restart_at = net->now + down_ms;
     for (size_t i = 0; i < net->request_count; i++) {
         Request *r = &net->requests[i];
-        if (r->node == index && r->end > net->now + KILLED_MS) {
-            r->end = net->now + KILLED_MS;
+        if (r->node == index && r->end > net->now + ABORT_DELAY_MS) {
+            r->end = net->now + ABORT_DELAY_MS;
         }
     }
     for (int i = 0; i < net->nodes; i++) {
@@ -228,7 +231,7 @@
     int leased_out = AqSlices_GrantLease(node->s, net->now, peer, slots->name,
                                          idle, (int)slots->count);
     if (leased_out > 0) {
-        net->verdict.slot_leases++;
+        net->stats.slot_leases++;
         send_slots(net, node, from, AQ_MSG_LEND, slots->name, leased_out);
     }
 }
@@ -241,15 +244,15 @@
         AqMembership_Heartbeat(node->m, net->now, peer, &msg->as.heartbeat);
         AqSlices_Heartbeat(node->s, net->now, peer, &msg->as.heartbeat);
         Link *link = &net->link[from][node->index];
-        if (net->now - link->heard >= AQ_REMOVE_MS) {
-            link->unbroken = net->now;
+        if (net->now - link->last_heartbeat_at >= AQ_REMOVE_MS) {
+            link->received_since = net->now;
         }
-        link->heard = net->now;
+        link->last_heartbeat_at = net->now;
     }
     else if (msg->type == AQ_MSG_GET_FLEET && node->version > 0) {
-        AqMsg answer = {.type = AQ_MSG_FLEET};
-        answer.as.fleet.version = node->version;
-        send_message(net, node, from, &answer);
+        AqMsg response = {.type = AQ_MSG_FLEET};
+        response.as.fleet.version = node->version;
+        send_message(net, node, from, &response);
     }
     else if (msg->type == AQ_MSG_FLEET) {
         network_install(net, node, msg->as.fleet.version);
@@ -309,8 +312,8 @@
     }
     net->requests[net->request_count++] =
         (Request){endpoint, node->index, node->instance, net->now,
-                  net->now + network_pick(net, 50, net->longest_request)};
-    net->verdict.requests++;
+                  net->now + network_random_ms(net, 50, net->longest_request)};
+    net->stats.requests++;
 }
 
 static void
@@ -348,13 +351,15 @@
     }
 }
 
+/* Sends heartbeats when they are due, and requests the document from a peer
+ * that has a newer version. */
 static void
-step_beat(Network *net, Node *node)
+step_heartbeat(Network *net, Node *node)
 {
-    if (net->now < node->next_beat) {
+    if (net->now < node->next_heartbeat_at) {
         return;
     }
-    node->next_beat = net->now + AQ_HEARTBEAT_MS;
+    node->next_heartbeat_at = net->now + AQ_HEARTBEAT_MS;
     send_heartbeats(net, node);
     network_step_members(net, node);
     const char *peer;
@@ -416,20 +421,20 @@
 static void
 step_node(Network *net, Node *node)
 {
-    if (!node->up && net->now >= node->back_at) {
+    if (!node->up && net->now >= node->restart_at) {
         start_node(net, node);
     }
     if (!network_is_running(net, node)) {
         return;
     }
-    /* After a pause, timers may come before what waits in the buffers. */
+    /* After a pause, timers may run before buffered messages are received. */
     bool load_first = AqRandom_Below(&net->random, 2) == 0;
     if (load_first) {
         step_load(net, node);
     }
     receive_all(net, node);
     network_step_store(net, node);
-    step_beat(net, node);
+    step_heartbeat(net, node);
     if (!load_first) {
         step_load(net, node);
     }
--- a/packages/membership/tests/network.h
+++ b/packages/membership/tests/network.h
@@ -5,40 +5,44 @@
 #include "aq_random.h"
 #include "aq_slices.h"
 
-/* A small cluster in virtual time: daemons with their membership and slices, a
- * store with one versioned document, links that can be cut one way, and
- * endpoints that count the requests running on them. */
+/* Simulates a small cluster in virtual time: daemons with their membership and
+ * slices, a store with one versioned document, links that can fail in one
+ * direction, and endpoints that count the requests running on them. */
 
 enum {
-    NET_NODES = 9, /* most */
+    NET_NODES = 9, /* most daemons of a cluster */
     NET_ENDPOINTS = 4,
-    NET_VERSIONS = 4096,
-    NET_STEP_MS = 25
+    NET_VERSIONS = 4096, /* most versions of the document */
+    NET_STEP_MS = 25     /* virtual time per step */
 };
 
 typedef enum {
     LINK_OPEN,
-    LINK_LOST,   /* what is sent is lost */
-    LINK_STALLED /* what is sent arrives, in order, when the cut ends */
+    LINK_DROPPING, /* messages are dropped */
+    LINK_STALLED   /* messages arrive, in order, when the fault ends */
 } LinkMode;
 
+/* A message on its way over a link. */
 typedef struct Packet {
     struct Packet *next;
-    AqTime due;
-    uint64_t to_instance;
+    AqTime due;           /* arrival */
+    uint64_t to_instance; /* discarded by any other instance */
     size_t size;
     char bytes[];
 } Packet;
 
+/* One direction of the connection between two daemons. */
 typedef struct {
     LinkMode mode;
-    AqTime until; /* end of the cut */
-    Packet *first;
+    AqTime until;  /* end of the fault; then the link is open */
+    Packet *first; /* queue in the order of sending */
     Packet *last;
-    AqTime heard;    /* last delivery of a heartbeat; 0 for none */
-    AqTime unbroken; /* since when without a gap of AQ_REMOVE_MS */
+    AqTime last_heartbeat_at; /* delivery of the last heartbeat; 0 for none */
+    /* First heartbeat since the last gap of AQ_REMOVE_MS or more. */
+    AqTime received_since;
 } Link;
 
+/* A request that a daemon runs on an endpoint until "end". */
 typedef struct {
     int endpoint;
     int node;
@@ -54,44 +58,45 @@
     int index;
     char id[AQ_WIRE_MAX_NAME];
     bool up;
-    AqTime back_at;      /* start of the next instance while not up */
-    AqTime paused_until; /* 0 when running */
+    AqTime restart_at;   /* start of the next instance while not "up" */
+    AqTime paused_until; /* 0 if not paused */
     uint64_t instance;
     AqMembership *m;
     AqSlices *s;
-    int64_t version; /* document in force */
-    AqTime next_beat;
-    bool reading; /* a store read is running */
+    int64_t version; /* of the document in force */
+    AqTime next_heartbeat_at;
+    bool reading; /* a read of the store's newest version is in flight */
     AqTime read_started;
-    AqTime read_due;      /* when the store answers */
-    int64_t read_version; /* answered, on its way back; 0 for none */
-    AqTime read_arrives;
-    AqTime store_cut_until;
-    AqTime removed_at; /* last removal from the document; 0 for none */
-    double demand;     /* chance per step to start a request per free slot */
-    /* At the last check, while AqSlices_IsSteady: what may be used. */
+    AqTime response_due;      /* latest time at which the store responds */
+    int64_t response_version; /* version in the response in flight; 0: none */
+    AqTime response_arrives_at;
+    AqTime store_unreachable_until;
+    AqTime removed_at; /* last removal from the members; 0: never */
+    double demand;     /* probability per step and endpoint that requests are
+                          started on all free slots */
+    /* State at the last check of AqSlices_IsSteady. */
     bool was_steady;
     bool was_fresh;
     int64_t steady_epoch;
-    int usable[NET_ENDPOINTS];
+    int usable[NET_ENDPOINTS]; /* slots by AqSlices_Usable */
 } Node;
 
-/* What went wrong, by kind. */
+/* Violations found in a run, by kind, and the amount of work done in it. */
 typedef struct {
     int over_limit;     /* more requests on an endpoint than slots */
     int stale_fresh;    /* fresh 4 s after a newer version was accepted */
-    int wrong_removals; /* of a member that a majority hears */
-    int not_returned;   /* slots still leased after the quiet end */
-    int not_usable;     /* slots that nobody can use after the quiet end */
-    int inconsistent;   /* AqSlices_CheckConsistency */
-    int not_steady;     /* usable slots changed although AqSlices_IsSteady */
-    /* How much the run exercised. */
+    int wrong_removals; /* of members whose heartbeats reach a majority */
+    int not_returned;   /* slots still leased after the final quiet phase */
+    int not_usable;     /* slots usable by no daemon, or by two, after it */
+    int inconsistent;   /* AqSlices_CheckConsistency failed */
+    int not_steady;     /* usable slots changed despite AqSlices_IsSteady */
+    /* Events that show that the run exercised the rules. */
     int epochs;
-    int accepted;
+    int accepted; /* versions */
     int requests;
     int slot_leases;
-    int most_on_endpoint;
-} Verdict;
+    int max_on_endpoint; /* requests running on one endpoint at once */
+} RunStats;
 
 struct Network {
     AqRandom random;
@@ -104,53 +109,65 @@
     size_t request_count;
     size_t request_capacity;
     int slots[NET_ENDPOINTS];
-    int64_t head;
+    int64_t head; /* newest version in the store */
     int64_t epoch_of[NET_VERSIONS];
     unsigned members_of[NET_VERSIONS]; /* bit mask of nodes */
-    AqTime accepted_at[NET_VERSIONS];  /* 0: not yet */
+    AqTime accepted_at[NET_VERSIONS];  /* 0: not accepted yet */
     int64_t highest_accepted;
     AqTime head_changed;
     AqTime store_down_until;
     AqTime store_slow_until;
-    bool quiet; /* no faults, no load */
+    bool quiet; /* no faults and no new requests */
     AqTime longest_request;
-    bool forgive_removed; /* see is_forgiven */
-    Verdict verdict;
+    /* Whether requests of removed daemons are exempt from the limit; see
+     * is_exempt. */
+    bool exempt_removed;
+    RunStats stats;
 };
 
+/* Starts "nodes" daemons at once; "faults" are AQ_FAULT_* bits. */
 void network_init(Network *net, uint64_t seed, int nodes, unsigned faults);
 void network_clear(Network *net);
-/* Runs for ms. */
+/* Runs the cluster for "ms" of virtual time. */
 void network_run(Network *net, AqTime ms);
-/* Ends every cut, pause and outage, and stops new requests. */
-void network_heal(Network *net);
-/* Counts what the quiet end must have restored. */
+/* Ends every link fault, pause and outage, and starts no more requests. */
+void network_end_faults(Network *net);
+/* Counts, after the quiet phase, the slots that are still leased or not usable
+ * by exactly one daemon. */
 void network_check_end(Network *net);
 
-void network_cut(Network *net, int from, int to, LinkMode mode, AqTime ms);
+/* Sets the mode of a link for "ms"; LINK_DROPPING also drops the messages on
+ * their way. */
+void network_set_link(Network *net, int from, int to, LinkMode mode,
+                      AqTime ms);
+/* Pauses a daemon for "ms": it neither sends nor receives. */
 void network_pause(Network *net, int node, AqTime ms);
+/* Stops a daemon and starts a new instance of it after "down_ms". */
 void network_restart(Network *net, int index, AqTime down_ms);
-/* Commits a change that does not touch the members. */
+/* Commits a version of the document with the same members. */
 void network_commit(Network *net);
-/* One random fault of a random kind. */
-void network_disturb(Network *net, AqTime longest_pause);
+/* Starts a fault of random kind, place and length. */
+void network_inject_fault(Network *net, AqTime longest_pause);
 
+/* Number of requests that all daemons run on an endpoint. */
 int network_in_use(const Network *net, int endpoint);
 
-/* ---- Between the files of the network ----------------------------------- */
+/* ---- Internal to the network*.c files ----------------------------------- */
 
-/* Uniform in low .. high. */
-AqTime network_pick(Network *net, AqTime low, AqTime high);
+/* Uniformly distributed time from "low" to "high", inclusive. */
+AqTime network_random_ms(Network *net, AqTime low, AqTime high);
 bool network_is_running(const Network *net, const Node *node);
+/* Index of the daemon with this id, which must exist. */
 int network_node_of(const Network *net, const char *id);
 const char *network_endpoint(int endpoint);
-/* Counts faults seen at one daemon, and at the endpoints. */
+/* Count the violations at one daemon and at the endpoints. */
 void network_check_node(Network *net, Node *node);
 void network_check_endpoints(Network *net);
 /* Puts a version of the document in force at a daemon. */
 void network_install(Network *net, Node *node, int64_t version);
-/* The watch on head, and the changes of members that a daemon commits. */
+/* Runs a step of the daemon's watch on the store's newest version. */
 void network_step_store(Network *net, Node *node);
+/* Commits the change of members that the daemon may make now, if any. */
 void network_step_members(Network *net, Node *node);
 
 #endif
--- a/packages/membership/tests/network_checks.c
+++ b/packages/membership/tests/network_checks.c
@@ -3,7 +3,9 @@
 #include "network.h"
 
 enum {
-    STALE_LIMIT_MS = 4000 /* invariant 8 */
+    /* Invariant 8: within this time of the acceptance of a version, no daemon
+     * with an older one is fresh. */
+    STALE_LIMIT_MS = 4000
 };
 
 static void
@@ -13,11 +15,12 @@
            AqMembership_IsAccepted(node->m, net->now,
                                    net->highest_accepted + 1)) {
         net->accepted_at[++net->highest_accepted] = net->now;
-        net->verdict.accepted++;
+        net->stats.accepted++;
     }
 }
 
-/* The daemon does not ask again for usable slots while AqSlices_IsSteady. */
+/* Checks that usable slots do not change while AqSlices_IsSteady: the daemon
+ * does not query them again during that time. */
 static void
 check_steady(Network *net, Node *node)
 {
@@ -27,7 +30,7 @@
                 node->steady_epoch == AqMembership_Epoch(node->m);
     for (int e = 0; e < NET_ENDPOINTS; e++) {
         int usable = AqSlices_Usable(node->s, net->now, network_endpoint(e));
-        net->verdict.not_steady += same && usable != node->usable[e];
+        net->stats.not_steady += same && usable != node->usable[e];
         node->usable[e] = usable;
     }
     node->was_steady = steady;
@@ -42,34 +45,36 @@
     note_accepted(net, node);
     AqError error;
     if (!AqSlices_CheckConsistency(node->s, &error)) {
-        net->verdict.inconsistent++;
+        net->stats.inconsistent++;
     }
     if (node->version < net->highest_accepted &&
         net->now - net->accepted_at[node->version + 1] > STALE_LIMIT_MS &&
         AqMembership_IsFresh(node->m, net->now)) {
-        net->verdict.stale_fresh++;
+        net->stats.stale_fresh++;
     }
 }
 
-/* The rules do not cover requests of a daemon that was removed while they ran:
- * unless it is heard, its slots are taken AQ_GUARD_MS after the removal was
- * accepted, up to which it may start requests for AQ_FRESH_MS (NOTES.md). */
+/* Whether a request is exempt from the limit of its endpoint.  The rules do
+ * not cover requests of a daemon that is removed while they run: it may start
+ * requests for AQ_FRESH_MS after the removal was accepted, and unless its
+ * heartbeats are received, its slots are reused AQ_GUARD_MS after the
+ * acceptance, when such requests may still run (NOTES.md). */
 static bool
-is_forgiven(const Network *net, const Request *r)
+is_exempt(const Network *net, const Request *r)
 {
     AqTime removed = net->node[r->node].removed_at;
-    return net->forgive_removed && removed != 0 &&
+    return net->exempt_removed && removed != 0 &&
            r->start <= removed + AQ_GUARD_MS;
 }
 
 static int
-count_charged(const Network *net, int endpoint)
+count_checked_requests(const Network *net, int endpoint)
 {
     int n = 0;
     for (size_t i = 0; i < net->request_count; i++) {
         const Request *r = &net->requests[i];
-        n += r->endpoint == endpoint && r->end > net->now &&
-             !is_forgiven(net, r);
+        n +=
+            r->endpoint == endpoint && r->end > net->now && !is_exempt(net, r);
     }
     return n;
 }
@@ -85,10 +90,10 @@
     }
     net->request_count = kept;
     for (int e = 0; e < NET_ENDPOINTS; e++) {
-        int n = count_charged(net, e);
-        net->verdict.over_limit += n > net->slots[e];
-        if (n > net->verdict.most_on_endpoint) {
-            net->verdict.most_on_endpoint = n;
+        int n = count_checked_requests(net, e);
+        net->stats.over_limit += n > net->slots[e];
+        if (n > net->stats.max_on_endpoint) {
+            net->stats.max_on_endpoint = n;
         }
     }
 }
@@ -101,10 +106,10 @@
         for (int i = 0; i < net->nodes; i++) {
             Node *node = &net->node[i];
             usable += AqSlices_Usable(node->s, net->now, network_endpoint(e));
-            net->verdict.not_returned +=
+            net->stats.not_returned +=
                 AqSlices_LeasedOut(node->s, network_endpoint(e)) +
                 AqSlices_LeasedIn(node->s, network_endpoint(e));
         }
-        net->verdict.not_usable += abs(net->slots[e] - usable);
+        net->stats.not_usable += abs(net->slots[e] - usable);
     }
 }
--- a/packages/membership/tests/network_store.c
+++ b/packages/membership/tests/network_store.c
@@ -1,16 +1,19 @@
 #include "network.h"
 
 enum {
-    READ_WAIT_MS = 1000, /* wait of the watch on head */
-    HEARD_MS = 2500,     /* surely not silent for AQ_REMOVE_MS */
-    REPORT_MS = 4000     /* a report that counts was sent within this time */
+    /* Time for which a read waits for a version newer than the reader's. */
+    HEAD_READ_WAIT_MS = 1000,
+    /* A heartbeat younger than this rules out a silence of AQ_REMOVE_MS. */
+    RECENT_HEARTBEAT_MS = 2500,
+    /* Reports of silence that were sent earlier do not count. */
+    MAX_REPORT_AGE_MS = 4000
 };
 
 static bool
 reaches_store(const Network *net, const Node *node)
 {
     return net->now >= net->store_down_until &&
-           net->now >= node->store_cut_until;
+           net->now >= node->store_unreachable_until;
 }
 
 static void
@@ -24,7 +27,7 @@
     net->epoch_of[v] = net->epoch_of[v - 1];
     if (members != net->members_of[v - 1]) {
         net->epoch_of[v] = v;
-        net->verdict.epochs++;
+        net->stats.epochs++;
     }
     net->head_changed = net->now;
 }
@@ -55,61 +58,64 @@
     AqSlices_EpochChanged(node->s, net->now);
 }
 
-/* The watch on head: starts, is answered, and its answer arrives. */
+/* Watches the store's newest version: starts a read, lets the store respond,
+ * or processes the response when it arrives. */
 void
 network_step_store(Network *net, Node *node)
 {
-    if (node->read_version != 0 && net->now >= node->read_arrives) {
+    if (node->response_version != 0 && net->now >= node->response_arrives_at) {
         if (reaches_store(net, node)) {
-            network_install(net, node, node->read_version);
+            network_install(net, node, node->response_version);
             AqMembership_StoreContact(node->m, node->read_started);
         }
-        node->read_version = 0;
+        node->response_version = 0;
         node->reading = false;
     }
     if (!node->reading) {
         node->reading = true;
         node->read_started = net->now;
-        node->read_due = net->now + READ_WAIT_MS;
+        node->response_due = net->now + HEAD_READ_WAIT_MS;
     }
-    else if (node->read_version == 0 &&
-             (net->now >= node->read_due || net->head > node->version)) {
+    else if (node->response_version == 0 &&
+             (net->now >= node->response_due || net->head > node->version)) {
         if (!reaches_store(net, node)) {
             node->reading = false;
             return;
         }
-        node->read_version = net->head;
-        node->read_arrives = net->now + network_pick(net, 2, 10);
+        node->response_version = net->head;
+        node->response_arrives_at = net->now + network_random_ms(net, 2, 10);
         if (net->now < net->store_slow_until) {
-            node->read_arrives += network_pick(net, 0, 1500);
+            node->response_arrives_at += network_random_ms(net, 0, 1500);
         }
     }
 }
 
-/* A member that a majority hears, and has heard for as long as a report of
- * its silence may be old, must not be removed. */
+/* Counts a wrong removal if a majority receives the member's heartbeats and
+ * has done so for longer than MAX_REPORT_AGE_MS. */
 static void
-check_removal(Network *net, int gone)
+check_removal(Network *net, int removed)
 {
     unsigned members = net->members_of[net->head];
-    int hears = 0;
+    int receiving = 0;
     int count = 0;
     for (int i = 0; i < net->nodes; i++) {
         if (!(members >> i & 1)) {
             continue;
         }
-        const Link *link = &net->link[gone][i];
+        const Link *link = &net->link[removed][i];
         count++;
-        hears += i == gone ||
-                 (network_is_running(net, &net->node[i]) && link->heard != 0 &&
-                  net->now - link->heard < HEARD_MS &&
-                  net->now - link->unbroken > REPORT_MS);
+        receiving +=
+            i == removed ||
+            (network_is_running(net, &net->node[i]) &&
+             link->last_heartbeat_at != 0 &&
+             net->now - link->last_heartbeat_at < RECENT_HEARTBEAT_MS &&
+             net->now - link->received_since > MAX_REPORT_AGE_MS);
     }
-    net->verdict.wrong_removals += hears * 2 > count;
+    net->stats.wrong_removals += receiving * 2 > count;
 }
 
-/* Adds itself or removes a silent member, as the daemon does: one change at a
- * time, on top of the document in force. */
+/* Adds this daemon to the members or removes a silent member, as the daemon
+ * does: one change per commit, on top of the document in force. */
 void
 network_step_members(Network *net, Node *node)
 {
@@ -126,16 +132,16 @@
         members |= self;
     }
     else if (silent != NULL) {
-        int gone = network_node_of(net, silent);
-        check_removal(net, gone);
-        members &= ~(1U << gone);
-        net->node[gone].removed_at = net->now;
+        int removed = network_node_of(net, silent);
+        check_removal(net, removed);
+        members &= ~(1U << removed);
+        net->node[removed].removed_at = net->now;
     }
     else {
         return;
     }
     commit(net, members);
-    /* One reply in ten is lost; the watch tells. */
+    /* One response in ten is lost; the watch then delivers the version. */
     if (AqRandom_Below(&net->random, 10) != 0) {
         network_install(net, node, net->head);
     }
--- a/packages/membership/tests/test_cluster.c
+++ b/packages/membership/tests/test_cluster.c
@@ -3,9 +3,9 @@
 
 #include "network.h"
 
-/* Runs clusters under random faults.  Arguments: first seed, number of seeds
- * and, to measure what a rule is worth, AQ_FAULT_* bits; without arguments,
- * the checks of the single mechanisms. */
+/* Runs clusters under random faults.  Arguments: the first seed, the number of
+ * seeds and, optionally, AQ_FAULT_* bits of rules to disable.  Without
+ * arguments, runs the tests of single rules. */
 
 static uint64_t first_seed;
 static uint64_t seed_count;
@@ -19,7 +19,7 @@
 };
 
 static void
-run_seed(uint64_t seed, unsigned faults, Verdict *verdict)
+run_seed(uint64_t seed, unsigned faults, RunStats *stats)
 {
     Network *net = malloc(sizeof(*net));
     if (net == NULL) {
@@ -29,31 +29,31 @@
     bool is_long = seed % 5 == 0;
     network_init(net, seed, nodes, faults);
     net->longest_request = seed % 2 == 0 ? 20000 : 1000;
-    net->forgive_removed = seed % 2 == 0;
+    net->exempt_removed = seed % 2 == 0;
     network_run(net, START_MS);
     AqTime end = net->now + (is_long ? 200000 : 60000);
     while (net->now < end) {
-        network_disturb(net, is_long ? LONG_PAUSE_MS : SHORT_PAUSE_MS);
+        network_inject_fault(net, is_long ? LONG_PAUSE_MS : SHORT_PAUSE_MS);
         network_commit(net);
         network_run(net, 200 + (AqTime)AqRandom_Below(&net->random, 8000));
     }
-    network_heal(net);
+    network_end_faults(net);
     network_run(net, QUIET_MS);
     network_check_end(net);
-    *verdict = net->verdict;
+    *stats = net->stats;
     network_clear(net);
     free(net);
 }
 
-/* Guards against every fault of the rules that random cuts, one-way cuts,
- * pauses, restarts and store outages bring out. */
+/* Guards against violations of the rules under random link faults in one or
+ * both directions, pauses, restarts and store outages. */
 static void
 test_random_faults(void)
 {
-    Verdict sum = {0};
+    RunStats sum = {0};
     int bad = 0;
     for (uint64_t seed = first_seed; seed < first_seed + seed_count; seed++) {
-        Verdict v;
+        RunStats v;
         run_seed(seed, seed_faults, &v);
         bool is_bad = v.over_limit || v.stale_fresh || v.wrong_removals ||
                       v.not_returned || v.not_usable || v.inconsistent ||
@@ -78,12 +78,12 @@
         sum.accepted += v.accepted;
         sum.requests += v.requests;
         sum.slot_leases += v.slot_leases;
-        if (v.most_on_endpoint > sum.most_on_endpoint) {
-            sum.most_on_endpoint = v.most_on_endpoint;
+        if (v.max_on_endpoint > sum.max_on_endpoint) {
+            sum.max_on_endpoint = v.max_on_endpoint;
         }
     }
     printf("seeds %llu, %d bad: epochs %d, versions accepted %d, requests %d, "
-           "loans %d\n",
+           "slot leases %d\n",
            (unsigned long long)seed_count, bad, sum.epochs, sum.accepted,
            sum.requests, sum.slot_leases);
     CU_ASSERT_EQUAL(sum.over_limit, 0);
@@ -93,23 +93,25 @@
     CU_ASSERT_EQUAL(sum.not_usable, 0);
     CU_ASSERT_EQUAL(sum.inconsistent, 0);
     CU_ASSERT_EQUAL(sum.not_steady, 0);
-    /* The run must have exercised what it checks: 8 slots is the limit of the
-     * largest endpoint. */
-    CU_ASSERT_EQUAL(sum.most_on_endpoint, 8);
+    /* The run must have exercised the rules that it checks; the largest
+     * endpoint has 8 slots. */
+    CU_ASSERT_EQUAL(sum.max_on_endpoint, 8);
     CU_ASSERT_TRUE(sum.epochs >= 5 * (int)seed_count);
     CU_ASSERT_TRUE(sum.slot_leases >= 50 * (int)seed_count);
 }
 
 enum {
-    FAULT_SEEDS = 400 /* most seeds until a left-out rule must show */
+    /* Number of seeds within which disabling a rule must cause a violation. */
+    MAX_FAULT_SEEDS = 400
 };
 
-/* Runs seeds until one shows what leaving out a rule leads to. */
+/* Runs seeds with a rule disabled until one causes the violation; returns that
+ * seed, or 0 if none of MAX_FAULT_SEEDS does. */
 static uint64_t
-first_bad_seed(unsigned fault, bool (*is_bad)(const Verdict *v))
+first_bad_seed(unsigned fault, bool (*is_bad)(const RunStats *v))
 {
-    for (uint64_t seed = 1; seed <= FAULT_SEEDS; seed++) {
-        Verdict v;
+    for (uint64_t seed = 1; seed <= MAX_FAULT_SEEDS; seed++) {
+        RunStats v;
         run_seed(seed, fault, &v);
         if (is_bad(&v)) {
             return seed;
@@ -119,32 +121,32 @@
 }
 
 static bool
-is_over_limit(const Verdict *v)
+is_over_limit(const RunStats *v)
 {
     return v->over_limit > 0;
 }
 
 static bool
-is_stale(const Verdict *v)
+is_stale(const RunStats *v)
 {
     return v->stale_fresh > 0;
 }
 
 static bool
-is_wrong_removal(const Verdict *v)
+is_wrong_removal(const RunStats *v)
 {
     return v->wrong_removals > 0;
 }
 
-/* Guards against rules that the random runs would not miss, and against runs
- * that do not exercise them: each left-out rule must show. */
+/* Guards against rules that are not needed and against random runs that do not
+ * exercise them: disabling each rule must cause its violation. */
 static void
 test_left_out_rules(void)
 {
     static const struct {
         const char *rule;
         unsigned fault;
-        bool (*is_bad)(const Verdict *v);
+        bool (*is_bad)(const RunStats *v);
     } cases[] = {
         {"guard", AQ_FAULT_NO_GUARD, is_over_limit},
         {"over-report", AQ_FAULT_IGNORE_OVER, is_over_limit},
@@ -161,9 +163,11 @@
     }
 }
 
-/* Three members lose the store and the four daemons that join meanwhile. */
+/* Three members lose their connections to the store and to four daemons, which
+ * join meanwhile.  Returns the number of checks at which a stale daemon was
+ * fresh. */
 static int
-join_behind_cut(unsigned faults)
+join_during_partition(unsigned faults)
 {
     Network *net = malloc(sizeof(*net));
     if (net == NULL) {
@@ -175,44 +179,46 @@
     }
     network_run(net, START_MS - 5000);
     for (int i = 0; i < 3; i++) {
-        net->node[i].store_cut_until = net->now + QUIET_MS;
+        net->node[i].store_unreachable_until = net->now + QUIET_MS;
         for (int k = 3; k < 7; k++) {
-            network_cut(net, i, k, LINK_LOST, QUIET_MS);
-            network_cut(net, k, i, LINK_LOST, QUIET_MS);
+            network_set_link(net, i, k, LINK_DROPPING, QUIET_MS);
+            network_set_link(net, k, i, LINK_DROPPING, QUIET_MS);
         }
     }
     network_run(net, 20000);
     network_commit(net);
     network_run(net, 20000);
-    int stale = net->verdict.stale_fresh;
+    int stale = net->stats.stale_fresh;
     network_clear(net);
     free(net);
     return stale;
 }
 
-/* Guards against two majorities of different epochs that do not intersect, of
- * which one goes on with an old version. */
+/* Guards against two disjoint majorities of different epochs, of which one
+ * continues with an old version: it arises if members join before a majority
+ * of the previous epoch has accepted the change. */
 static void
 test_join_needs_acceptance(void)
 {
-    CU_ASSERT_EQUAL(join_behind_cut(0), 0);
-    CU_ASSERT_NOT_EQUAL(join_behind_cut(AQ_FAULT_CHANGE_UNACCEPTED), 0);
+    CU_ASSERT_EQUAL(join_during_partition(0), 0);
+    CU_ASSERT_NOT_EQUAL(join_during_partition(AQ_FAULT_CHANGE_UNACCEPTED), 0);
 }
 
-/* Cuts or opens what comes in to a node. */
+/* Drops all messages to a daemon for "ms"; 0 opens its incoming links. */
 static void
-cut_incoming(Network *net, int to, AqTime ms)
+block_incoming(Network *net, int to, AqTime ms)
 {
     for (int i = 0; i < net->nodes; i++) {
         if (i != to) {
-            network_cut(net, i, to, LINK_LOST, ms);
+            network_set_link(net, i, to, LINK_DROPPING, ms);
         }
     }
 }
 
-/* Node 3 joins, and leaves again because nobody hears it, while node 0 hears
- * nothing: node 0 goes from the epoch before to the epoch after without having
- * let go of a slot, while node 3 still waits for it. */
+/* Node 3 joins, and is removed because its heartbeats are lost, while node 0
+ * receives nothing.  Node 0 therefore goes from the epoch before to the epoch
+ * after without releasing a slot, while node 3 still waits for it.  Returns
+ * the number of checks at which an endpoint was over its limit. */
 static int
 skip_epoch(unsigned faults)
 {
@@ -225,29 +231,29 @@
     for (int i = 0; i < 5; i++) {
         net->node[i].demand = 1;
     }
-    net->node[3].store_cut_until = net->now + START_MS;
+    net->node[3].store_unreachable_until = net->now + START_MS;
     network_run(net, START_MS);
-    net->node[0].store_cut_until = net->now + QUIET_MS;
-    cut_incoming(net, 0, QUIET_MS);
+    net->node[0].store_unreachable_until = net->now + QUIET_MS;
+    block_incoming(net, 0, QUIET_MS);
     network_run(net, 2000);
     for (int i = 1; i < 5; i++) {
-        network_cut(net, 3, i, LINK_LOST, QUIET_MS);
+        network_set_link(net, 3, i, LINK_DROPPING, QUIET_MS);
     }
     while (net->members_of[net->head] >> 3 & 1 && net->now < 1100000) {
         network_run(net, NET_STEP_MS);
     }
-    net->node[3].store_cut_until = net->now + QUIET_MS;
-    net->node[0].store_cut_until = 0;
-    cut_incoming(net, 0, 0);
+    net->node[3].store_unreachable_until = net->now + QUIET_MS;
+    net->node[0].store_unreachable_until = 0;
+    block_incoming(net, 0, 0);
     network_run(net, 5000);
-    int over = net->verdict.over_limit;
+    int over = net->stats.over_limit;
     network_clear(net);
     free(net);
     return over;
 }
 
-/* Guards against taking a slot on the report of a member that has gone past
- * this epoch and never let go. */
+/* Guards against using a slot on the report of a member that is already in a
+ * later epoch and has never released the slot. */
 static void
 test_later_epoch(void)
 {
