--- a/packages/membership/bench/bench_cluster.c
+++ b/packages/membership/bench/bench_cluster.c
@@ -6,7 +6,8 @@
 #include <time.h>
 
 enum {
-    STORE_READ_WAIT_MS = 1000, /* wait of a store read without a new version */
+    /* Time for which a store read waits for a new version. */
+    STORE_READ_WAIT_MS = 1000,
     STORE_LATENCY_MS = 3,
     SLOT_LEASE_TERM_MS = 2000,
     LEAVING_PERCENT = 2
--- a/packages/membership/bench/bench_cluster.h
+++ b/packages/membership/bench/bench_cluster.h
@@ -8,10 +8,10 @@
  * without delay. */
 
 enum {
-    BENCH_MEMBERS = 27,    /* most members */
-    BENCH_ENDPOINTS = 900, /* most endpoints */
-    BENCH_SERVICES = 5,    /* services in each heartbeat */
-    BENCH_SLOTS = 8,       /* of each endpoint */
+    BENCH_MEMBERS = 27,    /* largest number of members */
+    BENCH_ENDPOINTS = 900, /* largest number of endpoints */
+    BENCH_SERVICES = 5,    /* services listed in each heartbeat */
+    BENCH_SLOTS = 8,       /* slots of each endpoint */
     BENCH_STEP_MS = 50
 };
 
@@ -23,27 +23,28 @@
     char id[AQ_WIRE_MAX_NAME];
     AqMembership *m;
     AqSlices *s;
-    AqTime phase; /* offset of its heartbeats and store reads */
+    AqTime phase; /* offset of the member's heartbeats and store reads */
     bool reaches_store;
     AqTime read_started;
-    int used[BENCH_ENDPOINTS]; /* slots in use */
-    int demand;                /* requests to run at once */
+    int used[BENCH_ENDPOINTS]; /* slots in use on each endpoint */
+    int demand;                /* requests that the member is to run at once */
 } BenchMember;
 
 struct BenchCluster {
     AqTime now;
     int members;
-    int connected_count; /* only the first so many exchange heartbeats */
+    /* Number of members, from the first, that exchange heartbeats. */
+    int connected_count;
     int endpoints;
-    int leaving; /* leaving endpoints in each heartbeat */
+    int leaving; /* leaving endpoints listed in each heartbeat */
     BenchMember member[BENCH_MEMBERS];
     char endpoint[BENCH_ENDPOINTS][AQ_WIRE_MAX_NAME];
     /* Counters and CPU time of bench_run. */
     uint64_t frames;      /* heartbeats received by all members */
-    uint64_t frame_bytes; /* sum of their sizes */
-    double handle_us;     /* CPU time to decode and process them */
-    uint64_t fills;       /* heartbeats filled, each for all peers */
-    double fill_us;       /* CPU time to fill and encode them */
+    uint64_t frame_bytes; /* bytes of these heartbeats */
+    double handle_us; /* CPU time to decode and process received heartbeats */
+    uint64_t fills;   /* heartbeats filled; each goes to all peers */
+    double fill_us;   /* CPU time to fill and encode heartbeats */
 };
 
 /* Creates a cluster whose members all use one epoch; heartbeats list 2% of the
--- a/packages/membership/membership.c
+++ b/packages/membership/membership.c
@@ -7,9 +7,11 @@
 #include "membership_internal.h"
 
 enum {
-    /* A longer gap between two heartbeats of this daemon is a pause. */
+    /* A gap between two heartbeats of this daemon that exceeds this counts as
+     * a pause of the daemon. */
     PAUSE_THRESHOLD_MS = 3 * AQ_HEARTBEAT_MS,
-    /* A peer that is not a member is removed after this silence. */
+    /* A peer that is not a member is removed from the table after this
+     * silence. */
     NONMEMBER_RETENTION_MS = 60000,
     /* Limits seq_base to 31 bits, so that seq, which grows by one per
      * millisecond, stays below 2^32 (five bytes in msgpack) for 24 days. */
--- a/packages/membership/membership_internal.h
+++ b/packages/membership/membership_internal.h
@@ -25,11 +25,11 @@
     bool has_epoch;
     int64_t epoch;
     int64_t version;
-    AqTime contact; /* start of the last answered store read */
+    AqTime contact; /* start of the last store read that got a response */
     /* Latest store contact of a peer whose version was not above this
      * daemon's when its heartbeat was received. */
     AqTime relayed_contact;
-    Member *members; /* in order of id */
+    Member *members; /* of the epoch, in order of id */
     size_t count;
     Peers peers;
 };
--- a/packages/membership/peers.h
+++ b/packages/membership/peers.h
@@ -23,11 +23,16 @@
     int64_t version;
     bool joining;
     AqTime last_heartbeat_at; /* receipt of the last heartbeat, own clock */
-    AqTime sent_after;        /* lower bound of its sending time, own clock */
-    AqTime contact; /* lower bound of its last store contact, own clock */
-    AqWireCount *peer_ages; /* by peer id, in ms */
+    /* Lower bound, on this daemon's clock, of the time at which the peer sent
+     * a heartbeat that has been received. */
+    AqTime sent_after;
+    /* Lower bound of the peer's last store contact, on the own clock. */
+    AqTime contact;
+    /* For each other daemon, milliseconds since the peer last received its
+     * heartbeat. */
+    AqWireCount *peer_ages;
     size_t peer_age_count;
-    AqWireCount *leaving; /* requests in flight by leaving VM */
+    AqWireCount *leaving; /* leaving VMs and the peer's requests on them */
     size_t leaving_count;
 } Peer;
 
--- a/packages/membership/slices_internal.h
+++ b/packages/membership/slices_internal.h
@@ -7,8 +7,8 @@
 enum {
     MEMBER_WORDS = AQ_MAX_MEMBERS / 64,
     SLOTS_MAX = 1000, /* largest value of the pool field "slots" */
-    SLOT_LEASES_MAX = AQ_WIRE_MAX_ITEMS, /* in each SlotLeaseTable */
-    NO_MEMBER = UINT16_MAX               /* in place of a member's index */
+    SLOT_LEASES_MAX = AQ_WIRE_MAX_ITEMS, /* of each SlotLeaseTable */
+    NO_MEMBER = UINT16_MAX               /* no member's index */
 };
 
 /* State of one slot of an endpoint for this daemon. */
@@ -22,17 +22,17 @@
     struct Endpoint *next; /* next entry of the hash bucket */
     char name[AQ_WIRE_MAX_NAME];
     uint64_t hash;
-    bool removed;         /* kept until its requests in flight have ended */
-    int slots;            /* slots over all members */
-    int pending;          /* slots in SLOT_PENDING */
-    int held;             /* slots in SLOT_HELD */
+    bool removed;         /* freed once its requests in flight have ended */
+    int slots;            /* limit of the endpoint, over all members */
+    int pending;          /* number of slots in SLOT_PENDING */
+    int held;             /* number of slots in SLOT_HELD */
     int leased_out;       /* slots leased out to other members */
     int leased_in;        /* slots leased in from other members */
     unsigned char *state; /* SlotState of each slot */
     uint16_t *previous;   /* index of each slot's member in the previous epoch;
                              only for AQ_FAULT_PREVIOUS_ONLY */
-    /* No pending slot becomes held before; set when a daemon that is not a
-     * member reports requests on the endpoint. */
+    /* Time before which no pending slot becomes held; set when a daemon that
+     * is not a member reports requests on the endpoint. */
     AqTime blocked_until;
     /* Number of the last report that listed the endpoint as over. */
     uint64_t last_over_report;
@@ -47,7 +47,7 @@
     Endpoint *endpoint;
     int count;
     AqTime granted_at; /* last grant under this slot lease, own clock */
-    AqTime term_end;   /* leased in: no new requests start from then on */
+    AqTime term_end;   /* leased in: time from which no request may start */
     bool is_orphaned;  /* leased out: the lessee left the epoch or restarted;
                           leased in: the lessor left the epoch, so its slots
                           are assigned to others */
@@ -68,7 +68,7 @@
     bool is_member;
     size_t member_count;
     char (*members)[AQ_WIRE_MAX_NAME]; /* of the epoch, in order of id */
-    uint64_t *hashes;                  /* of the members' ids */
+    uint64_t *hashes;                  /* of the members' ids, same order */
     /* Whether a daemon that is not a member may still use slots. */
     bool guard_needed;
     /* End of the wait for such daemons; TIME_UNKNOWN until the epoch is
@@ -76,12 +76,13 @@
     AqTime guard_until;
     /* Whether every member has reported its slot leases to this instance. */
     bool all_reported;
-    uint64_t reported[MEMBER_WORDS]; /* members that have, by index */
-    uint64_t report_number;          /* number of the last report processed */
+    /* Members that have reported their slot leases in this epoch, by index. */
+    uint64_t reported[MEMBER_WORDS];
+    uint64_t report_number; /* number of the last report processed */
     Endpoint **buckets;
     size_t bucket_count; /* power of two */
     size_t endpoint_count;
-    int pending; /* pending slots of all endpoints */
+    int pending; /* number of pending slots of all endpoints */
     SlotLeaseTable leased_out;
     SlotLeaseTable leased_in;
     char lessor[AQ_WIRE_MAX_NAME]; /* last result of AqSlices_NextReturn */
--- a/packages/membership/slot_leases.c
+++ b/packages/membership/slot_leases.c
@@ -273,7 +273,8 @@
         if (lease->endpoint != e) {
             continue;
         }
-        /* A newly granted slot may not have its first request yet. */
+        /* A newly granted slot may not have its first request yet, so it is
+         * kept for at least one heartbeat interval. */
         bool is_unneeded =
             in_use < own && now - lease->granted_at >= AQ_HEARTBEAT_MS;
         if (now < lease->term_end && !is_unneeded) {
--- a/packages/membership/tests/network.h
+++ b/packages/membership/tests/network.h
@@ -10,9 +10,9 @@
  * direction, and endpoints that count the requests running on them. */
 
 enum {
-    NET_NODES = 9, /* most daemons of a cluster */
+    NET_NODES = 9, /* largest number of daemons */
     NET_ENDPOINTS = 4,
-    NET_VERSIONS = 4096, /* most versions of the document */
+    NET_VERSIONS = 4096, /* largest number of document versions */
     NET_STEP_MS = 25     /* virtual time per step */
 };
 
@@ -25,8 +25,8 @@
 /* A message on its way over a link. */
 typedef struct Packet {
     struct Packet *next;
-    AqTime due;           /* arrival */
-    uint64_t to_instance; /* discarded by any other instance */
+    AqTime due;           /* arrival time */
+    uint64_t to_instance; /* other instances discard the message */
     size_t size;
     char bytes[];
 } Packet;
@@ -35,7 +35,7 @@
 typedef struct {
     LinkMode mode;
     AqTime until;  /* end of the fault; then the link is open */
-    Packet *first; /* queue in the order of sending */
+    Packet *first; /* first message of the queue, in order of sending */
     Packet *last;
     AqTime last_heartbeat_at; /* delivery of the last heartbeat; 0 for none */
     /* First heartbeat since the last gap of AQ_REMOVE_MS or more. */
@@ -63,39 +63,41 @@
     uint64_t instance;
     AqMembership *m;
     AqSlices *s;
-    int64_t version; /* of the document in force */
+    int64_t version; /* version of the document in force */
     AqTime next_heartbeat_at;
-    bool reading; /* a read of the store's newest version is in flight */
+    /* Whether a read of the store's newest version is in flight. */
+    bool reading;
     AqTime read_started;
-    AqTime response_due;      /* latest time at which the store responds */
-    int64_t response_version; /* version in the response in flight; 0: none */
+    AqTime response_due; /* time by which the store responds */
+    /* Version in the store's response while it is in flight; 0: none. */
+    int64_t response_version;
     AqTime response_arrives_at;
     AqTime store_unreachable_until;
-    AqTime removed_at; /* last removal from the members; 0: never */
+    AqTime removed_at; /* last removal of this daemon as a member; 0: none */
     double demand;     /* probability per step and endpoint that requests are
                           started on all free slots */
-    /* State at the last check of AqSlices_IsSteady. */
+    /* Values at the last check that steady slots do not change. */
     bool was_steady;
     bool was_fresh;
     int64_t steady_epoch;
-    int usable[NET_ENDPOINTS]; /* slots by AqSlices_Usable */
+    int usable[NET_ENDPOINTS]; /* results of AqSlices_Usable */
 } Node;
 
 /* Violations found in a run, by kind, and the amount of work done in it. */
 typedef struct {
-    int over_limit;     /* more requests on an endpoint than slots */
-    int stale_fresh;    /* fresh 4 s after a newer version was accepted */
-    int wrong_removals; /* of members whose heartbeats reach a majority */
+    int over_limit;  /* checks with more requests on an endpoint than slots */
+    int stale_fresh; /* daemon fresh 4 s after a newer version was accepted */
+    int wrong_removals; /* removed members whose heartbeats reach a majority */
     int not_returned;   /* slots still leased after the final quiet phase */
-    int not_usable;     /* slots usable by no daemon, or by two, after it */
+    int not_usable;     /* missing or surplus usable slots after that phase */
     int inconsistent;   /* AqSlices_CheckConsistency failed */
     int not_steady;     /* usable slots changed despite AqSlices_IsSteady */
     /* Events that show that the run exercised the rules. */
     int epochs;
-    int accepted; /* versions */
+    int accepted; /* accepted versions */
     int requests;
     int slot_leases;
-    int max_on_endpoint; /* requests running on one endpoint at once */
+    int max_on_endpoint; /* most requests on one endpoint at once */
 } RunStats;
 
 struct Network {
@@ -104,14 +106,14 @@
     int nodes;
     unsigned faults;
     Node node[NET_NODES];
-    Link link[NET_NODES][NET_NODES]; /* [from][to] */
+    Link link[NET_NODES][NET_NODES]; /* by sender and receiver */
     Request *requests;
     size_t request_count;
     size_t request_capacity;
     int slots[NET_ENDPOINTS];
     int64_t head; /* newest version in the store */
     int64_t epoch_of[NET_VERSIONS];
-    unsigned members_of[NET_VERSIONS]; /* bit mask of nodes */
+    unsigned members_of[NET_VERSIONS]; /* bit masks of nodes */
     AqTime accepted_at[NET_VERSIONS];  /* 0: not accepted yet */
     int64_t highest_accepted;
     AqTime head_changed;
--- a/packages/membership/tests/network_checks.c
+++ b/packages/membership/tests/network_checks.c
@@ -3,7 +3,7 @@
 #include "network.h"
 
 enum {
-    /* Invariant 8: within this time of the acceptance of a version, no daemon
+    /* Invariant 8: once a version has been accepted for this long, no daemon
      * with an older one is fresh. */
     STALE_LIMIT_MS = 4000
 };
--- a/packages/membership/tests/network_store.c
+++ b/packages/membership/tests/network_store.c
@@ -5,7 +5,7 @@
     HEAD_READ_WAIT_MS = 1000,
     /* A heartbeat younger than this rules out a silence of AQ_REMOVE_MS. */
     RECENT_HEARTBEAT_MS = 2500,
-    /* Reports of silence that were sent earlier do not count. */
+    /* A report of silence that was sent longer ago does not count. */
     MAX_REPORT_AGE_MS = 4000
 };
 
--- a/packages/membership/tests/test_membership.c
+++ b/packages/membership/tests/test_membership.c
@@ -15,7 +15,7 @@
  * otherwise. */
 typedef struct {
     AqMembership *m;
-    uint64_t seq; /* of the last heartbeat of vm-0 */
+    uint64_t seq; /* seq of the last heartbeat of vm-0 */
 } Fixture;
 
 static const char *const ids[PEERS] = {"vm-0", "vm-1", "vm-2", "vm-3", "vm-4"};
@@ -81,7 +81,7 @@
     static const struct {
         const char *name;
         AqTime own_contact_age_ms; /* 0: no store contact */
-        PeerReport reports[4]; /* of vm-1 and up; version 0: none received */
+        PeerReport reports[4]; /* by vm-1 and up; version 0: no heartbeat */
         bool fresh;
     } cases[] = {
         {"own contact of 3 s", 3000, {{0}}, true},
