--- a/packages/membership/rules.c
+++ b/packages/membership/rules.c
@@ -111,8 +111,8 @@
 bool
 AqMembership_IsAccepted(const AqMembership *m, AqTime now, int64_t version)
 {
-    /* Versions never decrease, so a report is valid however old it is.  This
-     * daemon knows the members only of versions up to its own. */
+    /* Versions never decrease, so a report is valid however old it is.  Above
+     * this daemon's own version its list of members may be out of date. */
     (void)now;
     return m->version >= version && m->count > 0 &&
            membership_is_majority(m, count_reported(m, version));
--- a/packages/membership/slices.c
+++ b/packages/membership/slices.c
@@ -81,7 +81,8 @@
     copy_members(slices);
     slices->epoch = epoch;
     memset(slices->reported, 0, sizeof(slices->reported));
-    /* A daemon that was not a member does not know the previous members. */
+    /* A daemon that was not a member has no list of the previous members, so
+     * any of them may have left. */
     if (!was_member ||
         has_member_left(slices, (const char(*)[AQ_WIRE_MAX_NAME])old,
                         old_count)) {
--- a/packages/membership/slices_internal.h
+++ b/packages/membership/slices_internal.h
@@ -8,7 +8,7 @@
     MEMBER_WORDS = AQ_MAX_MEMBERS / 64,
     SLOTS_MAX = 1000, /* largest value of the pool field "slots" */
     SLOT_LEASES_MAX = AQ_WIRE_MAX_ITEMS, /* of each SlotLeaseTable */
-    NO_MEMBER = UINT16_MAX               /* no member's index */
+    NO_MEMBER = UINT16_MAX               /* index that no member has */
 };
 
 /* State of one slot of an endpoint for this daemon. */
--- a/packages/membership/tests/network_checks.c
+++ b/packages/membership/tests/network_checks.c
@@ -8,8 +8,9 @@
     STALE_LIMIT_MS = 4000
 };
 
+/* Records the time at which the daemon first sees each version accepted. */
 static void
-note_accepted(Network *net, const Node *node)
+record_accepted(Network *net, const Node *node)
 {
     while (net->highest_accepted < node->version &&
            AqMembership_IsAccepted(node->m, net->now,
@@ -42,7 +43,7 @@
 network_check_node(Network *net, Node *node)
 {
     check_steady(net, node);
-    note_accepted(net, node);
+    record_accepted(net, node);
     AqError error;
     if (!AqSlices_CheckConsistency(node->s, &error)) {
         net->stats.inconsistent++;
--- a/packages/membership/tests/network_store.c
+++ b/packages/membership/tests/network_store.c
@@ -9,6 +9,7 @@
     MAX_REPORT_AGE_MS = 4000
 };
 
+/* Whether the daemon can reach the store now. */
 static bool
 reaches_store(const Network *net, const Node *node)
 {
