--- a/packages/pool/pool_maintenance.c
+++ b/packages/pool/pool_maintenance.c
@@ -241,8 +241,8 @@
     if (AqScheduler_IsIdle(s, plan->vm)) {
         order_maintenance(self, entry, at, plan);
     }
-    else if (AqWave_IsPressing(entry->wave, round->waiting, plan->since,
-                               machines_now(self))) {
+    else if (AqWave_MustStopTasks(entry->wave, round->waiting, plan->since,
+                                  machines_now(self))) {
         AqScheduler_StopTasks(s, plan->vm, machines_now(self));
     }
 }
@@ -265,8 +265,8 @@
 choose_for_wave(WaveRound *round, const WaveEntry *entry)
 {
     PoolMachines *self = round->self;
-    size_t parallel = AqWave_Parallel(entry->wave, round->waiting,
-                                      self->vms->len, machines_now(self));
+    size_t parallel = AqWave_MaxDrains(entry->wave, round->waiting,
+                                       self->vms->len, machines_now(self));
     size_t busy = machines_count_plans(self, PLAN_MAINTENANCE);
     for (guint i = 0; i < self->vms->len; i++) {
         const VmCopy *vm = &g_array_index(self->vms, VmCopy, i);
--- a/packages/pool/pool_owner.c
+++ b/packages/pool/pool_owner.c
@@ -576,9 +576,9 @@
     AqBuffer_Init(&text);
     for (size_t i = 0; i < site->queue_count; i++) {
         if (strcmp(site->queues[i].pool, owner->ownership.pool) == 0) {
-            AqBuffer_Printf(
-                &text, "%s %zu\n", site->queues[i].name,
-                AqScheduler_Waiting(owner->scheduler, site->queues[i].name));
+            AqBuffer_Printf(&text, "%s %zu\n", site->queues[i].name,
+                            AqScheduler_CountWaiting(owner->scheduler,
+                                                     site->queues[i].name));
         }
     }
     if (owner->report == NULL ||
--- a/packages/scheduler/Include/aq_job_spec.h
+++ b/packages/scheduler/Include/aq_job_spec.h
@@ -26,8 +26,8 @@
     int64_t estimate_ms; /* declared duration; 0: none */
     uint32_t *after;     /* earlier steps that must be done; owned */
     size_t after_count;
-    bool is_gang;        /* tasks work only while all of them run */
-    bool wants_one_rack; /* slower when spread over racks */
+    bool is_gang;          /* tasks work only while all of them run */
+    bool prefers_one_rack; /* slower when spread over racks */
     bool is_checkpointable;
     bool allows_copies;   /* copies of a task may run beside it */
     bool is_perpetual;    /* runs until the job is cancelled */
--- a/packages/scheduler/Include/aq_scheduler.h
+++ b/packages/scheduler/Include/aq_scheduler.h
@@ -11,20 +11,22 @@
 #include "aq_site_config.h"
 #include "aq_worker_client.h"
 
-/* Decisions of the one owner of a pool: which task runs on which VM, when it
- * is started again, and what has to be stored before a VM may forget an end.
- * No I/O and no clock: replies and times come in, orders go out.
+/* Scheduler of a pool, run by the pool's single owner.  It decides which task
+ * runs on which VM, when it is restarted, and what must be stored before a VM
+ * may forget the end of a run.  It does no I/O and reads no clock: replies and
+ * times are passed in, orders are emitted through AqSchedulerActions.
  *
- * What holds at all times (AqScheduler_CheckConsistency):
- * - a task has at most one run that may be alive; the next one starts only
- *   when the last has ended, was stopped for good, or its lease has lapsed on
- *   the VM's own clock, which may be 2% slow;
- * - a run's number is above all earlier ones, over all owners;
- * - an end is confirmed to its VM only when the job's record is stored.
+ * Invariants (see AqScheduler_CheckConsistency):
+ * - a task has at most one run that may be alive; the next run starts only
+ *   after the last one has ended, its stop is confirmed, or its lease has
+ *   expired on the VM's own clock, which may be 2% slow;
+ * - a run's number is above those of all earlier runs, across all owners;
+ * - an end is confirmed to its VM only after the job's record is stored.
  *
- * A new owner knows from the stored list of used VMs which ones earlier owners
- * used.  Until each of them has answered under the new fence, or its leases
- * must have lapsed, nothing is started. */
+ * A new owner reads from the stored list of used VMs which VMs earlier owners
+ * used.  It starts nothing that an earlier owner may have started until each
+ * of these VMs has replied under the new fence or its leases must have
+ * expired. */
 
 typedef struct AqScheduler AqScheduler;
 
@@ -41,15 +43,16 @@
 
 typedef struct {
     char pool[64];
-    uint64_t fence;     /* of this ownership; above all earlier ones */
-    int64_t generation; /* owners before this one */
-    AqTime lease_ms;    /* of each order to a VM */
-    /* An earlier owner may give orders until so long after the creation;
+    uint64_t fence;     /* fencing number of this owner; above all earlier */
+    int64_t generation; /* number of owners before this one */
+    AqTime lease_ms;    /* lease that each order grants to a VM */
+    /* How long after the creation an earlier owner may still send orders;
      * 0: it is known to have ended. */
     AqTime earlier_owner_ms;
 } AqSchedulerConfig;
 
-/* What the scheduler wants done.  Orders come back by AqScheduler_On*. */
+/* Calls by which the scheduler sends its orders.  The caller reports the reply
+ * to each with the AqScheduler_On* function of that order; "pace" has none. */
 typedef struct {
     void (*start)(void *context, const AqOrderTarget *target,
                   const AqStartOrder *order);
@@ -61,7 +64,7 @@
                  const AqTaskName *task, int64_t run, int percent);
     void (*request_tickets)(void *context, const AqTaskName *step,
                             const char *const *vms, size_t count);
-    /* A VM answered that a later owner gives orders. */
+    /* A VM replied that it has orders with a higher fence. */
     void (*superseded)(void *context);
 } AqSchedulerActions;
 
@@ -70,57 +73,64 @@
                                 void *context, AqTime now);
 void AqScheduler_Destroy(AqScheduler *scheduler);
 
-/* Borrowed until the next call; NULL is not allowed. */
+/* Sets the site configuration, which is borrowed until the next call.  "site"
+ * must not be NULL. */
 void AqScheduler_SetSite(AqScheduler *scheduler, const AqSiteConfig *site);
 
-/* Adds a job, which takes what *spec owns.  "record" is its stored progress,
- * or NULL.  A known job is left as it is. */
+/* Adds a job and takes over what *spec owns.  "record" is its stored progress,
+ * or NULL.  A job that was added before stays unchanged.  False with
+ * AQ_ERR_INVALID when the record is damaged. */
 bool AqScheduler_AddJob(AqScheduler *scheduler, AqJobSpec *spec,
                         const char *record, size_t size, AqTime now,
                         AqError *error);
 void AqScheduler_CancelJob(AqScheduler *scheduler, const char *id, AqTime now);
-/* Forgets a finished job. */
+/* Removes a finished job whose record is stored; otherwise has no effect. */
 void AqScheduler_RemoveJob(AqScheduler *scheduler, const char *id);
-/* Whether the job is known; its stage as stored. */
+/* Sets *stage; of a finished job to the stored stage.  False when the job is
+ * not known. */
 bool AqScheduler_GetStage(const AqScheduler *scheduler, const char *id,
                           AqJobStage *stage);
-/* The stage in a stored record; AQ_ERR_INVALID when it is damaged. */
+/* Reads the stage from a stored record; AQ_ERR_INVALID when it is damaged. */
 bool AqScheduler_ReadStage(const char *record, size_t size, AqJobStage *stage,
                            AqError *error);
-/* Plain jobs of a queue whose first task has not started. */
-size_t AqScheduler_Waiting(const AqScheduler *scheduler, const char *queue);
+/* Number of jobs of the queue, recurring ones excluded, of which no task has
+ * started. */
+size_t AqScheduler_CountWaiting(const AqScheduler *scheduler,
+                                const char *queue);
 
 /* ---- VMs ---------------------------------------------------------------- */
 
+/* Adds a VM or updates its report; the store has an entry of it. */
 void AqScheduler_SetVm(AqScheduler *scheduler, const AqVmReport *report,
                        AqTime now);
-/* The store has no entry of the VM any more. */
+/* Records that the VM's entry in the store has disappeared. */
 void AqScheduler_VmUnlisted(AqScheduler *scheduler, const char *id,
                             AqTime now);
-/* The VM has gone down or to another pool by an order: all that ran there has
- * ended.  One that answers again is taken back. */
+/* Records that an order took the VM down or to another pool, so that all runs
+ * there have ended.  The VM is used again if it replies later. */
 void AqScheduler_VmEnded(AqScheduler *scheduler, const char *id, AqTime now);
-/* No new tasks there; perpetual ones move away as their steps allow. */
+/* A cordoned VM gets no new tasks; its perpetual tasks move to other VMs as
+ * far as their steps' limits on missing tasks allow. */
 void AqScheduler_SetCordon(AqScheduler *scheduler, const char *id,
                            bool is_cordoned);
-/* Stops what runs on the VM, but for perpetual tasks, to be started elsewhere.
- * Saved work is kept. */
+/* Stops the tasks on the VM, except perpetual ones, so that they start
+ * elsewhere from their last checkpoint. */
 void AqScheduler_StopTasks(AqScheduler *scheduler, const char *id, AqTime now);
-/* Whether nothing runs, starts or stops there, and no end of a run is known to
- * the VM alone: it may be moved, rebooted or switched off. */
+/* Whether no run is starting, running or stopping on the VM and all ends of
+ * its runs are stored, so that it may be moved, rebooted or switched off. */
 bool AqScheduler_IsIdle(const AqScheduler *scheduler, const char *id);
 
 typedef struct {
-    const char *vm;      /* borrowed */
-    const char *machine; /* borrowed */
-    bool is_usable;      /* listed, answering, not draining or cordoned */
-    bool is_answering;
+    const char *vm;         /* borrowed */
+    const char *machine;    /* borrowed */
+    bool is_usable;         /* tasks may be started on it */
+    bool is_answering;      /* it replies to this owner's orders */
     size_t tasks;           /* running, starting and stopping */
-    size_t perpetual_tasks; /* of them perpetual */
+    size_t perpetual_tasks; /* part of "tasks" */
     int64_t cpu_millis;
     AqTime idle_since; /* when the last task ended; AQ_TIME_NEVER: not idle */
-    /* Orders may have gone to it, it is not known to have ended, and does not
-     * answer since then; AQ_TIME_NEVER: none of that. */
+    /* Since when a VM that may have orders has not replied; AQ_TIME_NEVER for
+     * one that replies or is known to have ended. */
     AqTime silent_since;
 } AqScheduledVm;
 
@@ -130,13 +140,14 @@
                                       const AqScheduledVm *view),
                         void *context);
 
-/* Gives no more orders, for a hand-over: the list of used VMs then holds only
- * those that have tasks, and names these, so that the next owner waits for
- * nothing else. */
+/* Stops sending orders, for a hand-over.  The list of used VMs then has only
+ * the VMs that have runs or come from an earlier owner's list, each with its
+ * runs, so that the next owner waits for no other VM. */
 void AqScheduler_Close(AqScheduler *scheduler);
 
-/* VMs that orders may have gone to.  They must be stored before the first
- * order: AqScheduler_UsedVmsSaved with the version that was written. */
+/* The list of used VMs: those that may have received orders.  A VM gets its
+ * first task only after a version of the list that includes it is stored and
+ * reported by AqScheduler_UsedVmsSaved. */
 uint64_t AqScheduler_UsedVmsVersion(const AqScheduler *scheduler);
 void AqScheduler_EncodeUsedVms(const AqScheduler *scheduler, AqBuffer *out);
 void AqScheduler_UsedVmsSaved(AqScheduler *scheduler, uint64_t version);
@@ -144,7 +155,8 @@
 bool AqScheduler_AddUsedVms(AqScheduler *scheduler, const char *bytes,
                             size_t size, AqTime now);
 
-/* The stored used VMs and jobs are all added.  Nothing starts before. */
+/* Reports that all stored used VMs and jobs have been added.  No task starts
+ * before this call. */
 void AqScheduler_SetLoaded(AqScheduler *scheduler);
 
 /* ---- Replies ------------------------------------------------------------ */
@@ -155,10 +167,12 @@
 void AqScheduler_OnStop(AqScheduler *scheduler, const char *id,
                         const AqTaskName *name, int64_t run,
                         const AqOrderReply *reply, AqTime now);
-/* "sent_at" is when the hold was ordered. */
+/* "sent_at" is the scheduler's time when the hold was sent. */
 void AqScheduler_OnHold(AqScheduler *scheduler, const char *id, AqTime sent_at,
                         const AqOrderReply *reply, AqTime now);
-/* Tickets for a step; "valid_ms" from now.  No VMs: ask again later. */
+/* Adds a ticket for the step on one VM, valid for "valid_ms" from now.
+ * AqScheduler_OnTicketsEnd ends the request; "is_answered" says whether the
+ * advice service responded. */
 void AqScheduler_OnTicket(AqScheduler *scheduler, const AqTaskName *name,
                           const char *vm, const char *ticket, AqTime valid_ms,
                           AqTime now);
@@ -169,38 +183,40 @@
 
 typedef struct {
     char id[AQ_JOB_ID_SIZE];
-    AqBuffer record; /* cleared by AqScheduler_EndSave */
+    AqBuffer record; /* owned; cleared by AqScheduler_EndSave */
     AqJobStage stage;
 } AqJobSave;
 
-/* Records of jobs that have changed, oldest change first; returns how many.
- * None while a save is under way. */
+/* Fills "saves" with up to "most" records of changed jobs, oldest change
+ * first, and returns how many.  Returns 0 while a save is under way. */
 size_t AqScheduler_BeginSave(AqScheduler *scheduler, AqJobSave *saves,
                              size_t most);
 void AqScheduler_EndSave(AqScheduler *scheduler, AqJobSave *saves,
                          size_t count, bool is_stored, AqTime now);
+/* Whether a changed record is not stored yet. */
 bool AqScheduler_HasUnsaved(const AqScheduler *scheduler);
 
 /* ---- Time --------------------------------------------------------------- */
 
-/* Gives the orders that are due.  "wall" is Unix ms.  While "may_order" is
- * false nothing is ordered, since another owner may exist.  Returns when to
- * call again at the latest. */
+/* Sends the orders that are due.  "wall" is Unix ms.  While "may_order" is
+ * false no order is sent, since another owner may exist.  Returns the latest
+ * time for the next call. */
 AqTime AqScheduler_Tick(AqScheduler *scheduler, AqTime now, int64_t wall,
                         bool may_order);
 
 typedef struct {
-    int64_t ready_cpu_millis; /* of tasks that could start now */
-    int64_t used_cpu_millis;
-    int64_t perpetual_cpu_millis; /* of it by perpetual tasks */
-    int64_t capacity_cpu_millis;  /* of usable VMs */
-    /* Cores that the work submitted lately needs, were it to go on so. */
+    int64_t ready_cpu_millis;     /* needed by the ready tasks */
+    int64_t used_cpu_millis;      /* taken by tasks on all VMs */
+    int64_t perpetual_cpu_millis; /* part of used_cpu_millis */
+    int64_t capacity_cpu_millis;  /* total of the usable VMs */
+    /* Needed if work keeps being submitted at the recent rate. */
     int64_t offered_cpu_millis;
     size_t ready_tasks;
-    size_t jobs;            /* not finished */
-    AqTime longest_wait_ms; /* of a ready task */
-    size_t widest_spread; /* VMs that a perpetual step needs, one for a task */
-    bool is_recovered;    /* starts are allowed */
+    size_t jobs;            /* unfinished ones */
+    AqTime longest_wait_ms; /* longest time that a task has been ready */
+    size_t widest_spread;   /* most VMs that one perpetual step needs for its
+                             * limit of tasks per VM */
+    bool is_recovered;      /* no run of an earlier owner can be unknown */
 } AqSchedulerLoad;
 
 void AqScheduler_GetLoad(AqScheduler *scheduler, AqTime now,
@@ -208,19 +224,22 @@
 
 /* Counters since the creation. */
 typedef struct {
-    uint64_t starts;
-    uint64_t starts_refused;
-    uint64_t done;
-    uint64_t failed;
-    uint64_t lost;    /* runs that ended with their VM or lease */
-    uint64_t stalled; /* stopped for standing still */
-    uint64_t copied;  /* started beside a run on a silent VM */
-    uint64_t paced;
+    uint64_t starts;         /* confirmed by the VM */
+    uint64_t starts_refused; /* start orders refused or not sent */
+    uint64_t done;           /* tasks */
+    uint64_t failed;         /* runs */
+    uint64_t lost;    /* runs that ended with their VM, lease or gang, or are
+                       * no longer listed */
+    uint64_t stalled; /* runs stopped because they made no progress */
+    uint64_t copied;  /* tasks requeued while their run on a silent VM may
+                       * continue */
+    uint64_t paced;   /* changes of a filler's pace */
 } AqSchedulerCounters;
 
 const AqSchedulerCounters *AqScheduler_Counters(const AqScheduler *scheduler);
 
-/* Fails with a message when an invariant does not hold; for tests. */
+/* Checks the counts and states of tasks and VMs; false with an error when one
+ * is inconsistent.  For tests. */
 bool AqScheduler_CheckConsistency(const AqScheduler *scheduler,
                                   AqError *error);
 
--- a/packages/scheduler/Include/aq_waves.h
+++ b/packages/scheduler/Include/aq_waves.h
@@ -45,11 +45,11 @@
 
 /* How many VMs of a pool should be made empty at a time: more when little
  * time is left for those that wait. */
-size_t AqWave_Parallel(const AqWave *wave, size_t waiting_in_pool,
-                       size_t pool_size, AqTime now);
+size_t AqWave_MaxDrains(const AqWave *wave, size_t waiting_in_pool,
+                        size_t pool_size, AqTime now);
 /* Whether tasks should be stopped rather than waited for on a VM that has
  * been cordoned since then. */
-bool AqWave_IsPressing(const AqWave *wave, size_t waiting_in_pool,
-                       AqTime cordoned_at, AqTime now);
+bool AqWave_MustStopTasks(const AqWave *wave, size_t waiting_in_pool,
+                          AqTime cordoned_at, AqTime now);
 
 #endif
--- a/packages/scheduler/job_spec.c
+++ b/packages/scheduler/job_spec.c
@@ -93,7 +93,7 @@
 step_flags(const AqStepSpec *step)
 {
     return (step->is_gang ? FLAG_GANG : 0) |
-           (step->wants_one_rack ? FLAG_ONE_RACK : 0) |
+           (step->prefers_one_rack ? FLAG_ONE_RACK : 0) |
            (step->is_checkpointable ? FLAG_CHECKPOINTS : 0) |
            (step->allows_copies ? FLAG_COPIES : 0) |
            (step->is_perpetual ? FLAG_PERPETUAL : 0) |
@@ -167,7 +167,7 @@
 set_flags(AqStepSpec *step, int64_t flags)
 {
     step->is_gang = flags & FLAG_GANG;
-    step->wants_one_rack = flags & FLAG_ONE_RACK;
+    step->prefers_one_rack = flags & FLAG_ONE_RACK;
     step->is_checkpointable = flags & FLAG_CHECKPOINTS;
     step->allows_copies = flags & FLAG_COPIES;
     step->is_perpetual = flags & FLAG_PERPETUAL;
--- a/packages/scheduler/perpetual.c
+++ b/packages/scheduler/perpetual.c
@@ -6,16 +6,16 @@
  * slowed before its users are harmed. */
 
 enum {
-    SCAN_EVERY_MS = 20,
-    UNHEARD_MS = 900, /* two looks at a busy VM */
+    SCAN_PERIOD_MS = 20,
+    NO_REPLY_LIMIT_MS = 900, /* two looks at a busy VM */
     /* Serving tasks: a filler is slowed from this share of the target on, and
      * sped up again below the other. */
-    SLOW_PERCENT = 85,
-    SPEED_PERCENT = 55,
-    PACE_UP_MS = 1500,  /* calm for so long before fillers get faster */
-    PACE_DOWN_MS = 400, /* between two steps down */
-    PACE_STEP_UP = 20,  /* percent */
-    PACE_START = 100
+    SLOW_DOWN_PERCENT = 85,
+    SPEED_UP_PERCENT = 55,
+    PACE_UP_DELAY_MS = 1500, /* calm for so long before fillers get faster */
+    PACE_DOWN_INTERVAL_MS = 400, /* between two steps down */
+    PACE_STEP_UP_PERCENT = 20,   /* percent */
+    FULL_PACE_PERCENT = 100
 };
 
 /* Whether a task is not at work, or may not be: nothing is known of it while
@@ -25,7 +25,7 @@
 {
     return task->absent_since != AQ_TIME_NEVER || task->vm == NULL ||
            task->vm->silent_since != AQ_TIME_NEVER ||
-           s->now - task->vm->clock_at > UNHEARD_MS;
+           s->now - task->vm->clock_at > NO_REPLY_LIMIT_MS;
 }
 
 static uint32_t
@@ -57,7 +57,7 @@
 
 /* Tasks leave a draining VM whatever their step may miss. */
 static bool
-may_take_away(const AqScheduler *s, const Vm *vm, const Task *task)
+may_move_away(const AqScheduler *s, const Vm *vm, const Task *task)
 {
     const AqStepSpec *spec = task->step->spec;
     if (!spec->limits_missing) {
@@ -69,7 +69,7 @@
 }
 
 static bool
-has_other_room(const AqScheduler *s, const Vm *vm, const AqStepSpec *spec)
+fits_on_other_vm(const AqScheduler *s, const Vm *vm, const AqStepSpec *spec)
 {
     AqList_ForEach(at, &s->vms)
     {
@@ -91,8 +91,8 @@
     {
         Task *task = AqList_Entry(at, Task, link);
         if (!task->step->spec->is_perpetual || task->state != TASK_RUNNING ||
-            !may_take_away(s, vm, task) ||
-            !has_other_room(s, vm, task->step->spec)) {
+            !may_move_away(s, vm, task) ||
+            !fits_on_other_vm(s, vm, task->step->spec)) {
             continue;
         }
         AqLog_Event(AQ_LOG_INFO, "lasting_task_moved",
@@ -110,15 +110,15 @@
 /* ---- Pacing ------------------------------------------------------------- */
 
 typedef struct {
-    bool is_pressed; /* a serving task is near its target */
-    bool is_relaxed; /* all are far below it */
+    bool is_near_target;      /* a serving task is near its target */
+    bool is_far_below_target; /* all are far below it */
     bool has_serving;
-} Pressure;
+} LatencyPressure;
 
-static Pressure
+static LatencyPressure
 measure_pressure(const Vm *vm)
 {
-    Pressure pressure = {.is_relaxed = true};
+    LatencyPressure pressure = {.is_far_below_target = true};
     AqList_ForEach(at, &vm->tasks)
     {
         const Task *task = AqList_Entry(at, Task, link);
@@ -127,11 +127,11 @@
             continue;
         }
         pressure.has_serving = true;
-        if (task->usage * 100 > target * SLOW_PERCENT) {
-            pressure.is_pressed = true;
+        if (task->usage * 100 > target * SLOW_DOWN_PERCENT) {
+            pressure.is_near_target = true;
         }
-        if (task->usage * 100 > target * SPEED_PERCENT) {
-            pressure.is_relaxed = false;
+        if (task->usage * 100 > target * SPEED_UP_PERCENT) {
+            pressure.is_far_below_target = false;
         }
     }
     return pressure;
@@ -148,7 +148,7 @@
                 "request=%s step=%u task=%u vm=%s from=%d to=%d", name.job,
                 name.step, name.index, vm->report.id, task->pace, percent);
     task->pace = percent;
-    task->paced_at = s->now;
+    task->pace_changed_at = s->now;
     s->counters.paced++;
     s->actions.pace(s->context, &target, &name, task->run, percent);
 }
@@ -156,21 +156,24 @@
 static void
 pace_fillers(AqScheduler *s, const Vm *vm)
 {
-    Pressure pressure = measure_pressure(vm);
+    LatencyPressure pressure = measure_pressure(vm);
     AqList_ForEach(at, &vm->tasks)
     {
         Task *task = AqList_Entry(at, Task, link);
         if (!task->step->spec->is_filler || task->state != TASK_RUNNING) {
             continue;
         }
-        AqTime since = s->now - task->paced_at;
-        if (pressure.is_pressed && task->pace > 0 && since >= PACE_DOWN_MS) {
+        AqTime since = s->now - task->pace_changed_at;
+        if (pressure.is_near_target && task->pace > 0 &&
+            since >= PACE_DOWN_INTERVAL_MS) {
             set_pace(s, vm, task, task->pace > 30 ? task->pace / 2 : 0);
         }
-        else if (task->pace < PACE_START && since >= PACE_UP_MS &&
-                 (pressure.is_relaxed || !pressure.has_serving)) {
-            int percent = task->pace + PACE_STEP_UP;
-            set_pace(s, vm, task, percent > PACE_START ? PACE_START : percent);
+        else if (task->pace < FULL_PACE_PERCENT && since >= PACE_UP_DELAY_MS &&
+                 (pressure.is_far_below_target || !pressure.has_serving)) {
+            int percent = task->pace + PACE_STEP_UP_PERCENT;
+            set_pace(s, vm, task,
+                     percent > FULL_PACE_PERCENT ? FULL_PACE_PERCENT
+                                                 : percent);
         }
     }
 }
@@ -178,10 +181,10 @@
 void
 perpetual_tick(AqScheduler *s)
 {
-    if (s->now < s->next_scan) {
+    if (s->now < s->next_scan_at) {
         return;
     }
-    s->next_scan = s->now + SCAN_EVERY_MS;
+    s->next_scan_at = s->now + SCAN_PERIOD_MS;
     replies_tick(s);
     /* Draining VMs first: what leaves them counts for the others. */
     AqList_ForEach(at, &s->vms)
--- a/packages/scheduler/placement.c
+++ b/packages/scheduler/placement.c
@@ -4,17 +4,20 @@
 #include "aq_log.h"
 #include "scheduler_internal.h"
 
-/* Which VM a task goes to: one that has room and may run it; near its data;
- * among those the fullest, so that others become empty and can be given back.
- * Tasks that last are spread over racks, so that one rack's loss takes few of
- * a step. */
+/* Placement of tasks on VMs.  A task goes to a VM that may run it and has
+ * room, preferably in the rack of its data.  Among these the fullest VM is
+ * chosen, so that other VMs become empty and can be released.  The perpetual
+ * tasks of a step are spread over racks, so that the loss of one rack affects
+ * few of them. */
 
 enum {
-    RACK_SPREAD_WEIGHT = 1000000, /* above any free processor share */
-    NEAR_WEIGHT = 10000000,
-    RUNS_PER_OWNER = 100000, /* run numbers of one generation of owners */
+    /* Costs in the unit of free CPU, thousandths of a core. */
+    RACK_SPREAD_COST = 1000000, /* for each task of the step in the rack;
+                                 * above any amount of free CPU */
+    OTHER_RACK_COST = 10000000, /* for a rack other than that of the data */
+    RUNS_PER_OWNER = 100000,    /* run numbers reserved for each generation */
     TICKET_RETRY_MS = 200,
-    MAX_ADVICE = 100
+    MAX_TICKET_REQUEST_VMS = 100
 };
 
 static bool
@@ -25,7 +28,7 @@
 }
 
 static bool
-has_room(const Vm *vm, const AqStepSpec *spec)
+fits_on(const Vm *vm, const AqStepSpec *spec)
 {
     int64_t cpu = spec->is_filler ? 0 : spec->cpu_millis;
     return vm->used_cpu + vm->foreign_cpu + cpu <= vm->report.cpu_millis &&
@@ -35,7 +38,7 @@
 }
 
 static uint32_t
-count_of_step(const Vm *vm, const Step *step)
+count_step_tasks(const Vm *vm, const Step *step)
 {
     uint32_t count = 0;
     AqList_ForEach(at, &vm->tasks)
@@ -46,14 +49,15 @@
 }
 
 static uint32_t
-count_on_rack(const AqScheduler *s, const char *rack, const Step *step)
+count_step_tasks_on_rack(const AqScheduler *s, const char *rack,
+                         const Step *step)
 {
     uint32_t count = 0;
     AqList_ForEach(at, &s->vms)
     {
         const Vm *vm = AqList_Entry(at, Vm, link);
         if (strcmp(vm->report.rack, rack) == 0) {
-            count += count_of_step(vm, step);
+            count += count_step_tasks(vm, step);
         }
     }
     return count;
@@ -64,10 +68,10 @@
 {
     enum {
         TICKET_MARGIN_MS = 300
-    }; /* for the order to arrive */
+    }; /* time for the order to arrive */
     for (guint i = 0; step->tickets != NULL && i < step->tickets->len; i++) {
         const Ticket *ticket = &g_array_index(step->tickets, Ticket, i);
-        if (ticket->until > s->now + TICKET_MARGIN_MS &&
+        if (ticket->expires_at > s->now + TICKET_MARGIN_MS &&
             strcmp(ticket->vm, vm->report.id) == 0) {
             return ticket->ticket;
         }
@@ -83,34 +87,34 @@
 }
 
 static bool
-may_run(const AqScheduler *s, const Vm *vm, const Task *task, bool tickets)
+can_run_on(const AqScheduler *s, const Vm *vm, const Task *task, bool tickets)
 {
     const Step *step = task->step;
     const AqStepSpec *spec = step->spec;
     return vms_is_usable(s, vm) && vm->blocked_until <= s->now &&
-           has_room(vm, spec) && has_label(vm, spec->required_label) &&
+           fits_on(vm, spec) && has_label(vm, spec->required_label) &&
            (spec->max_per_vm == 0 ||
             (vm->foreign_cpu == 0 &&
-             count_of_step(vm, step) < spec->max_per_vm)) &&
+             count_step_tasks(vm, step) < spec->max_per_vm)) &&
            (!tickets || find_ticket(s, step, vm) != NULL);
 }
 
-/* Lower is better. */
+/* Cost of running the task on the VM; the VM with the lowest is chosen. */
 static int64_t
-cost_of(const AqScheduler *s, const Vm *vm, const Task *task)
+placement_cost(const AqScheduler *s, const Vm *vm, const Task *task)
 {
     const AqStepSpec *spec = task->step->spec;
     int64_t cost = vm->report.cpu_millis - vm->used_cpu;
     if (spec->is_perpetual) {
-        cost += (int64_t)RACK_SPREAD_WEIGHT *
-                count_on_rack(s, vm->report.rack, task->step);
+        cost += (int64_t)RACK_SPREAD_COST *
+                count_step_tasks_on_rack(s, vm->report.rack, task->step);
     }
     if (spec->near_rack != NULL &&
         strcmp(vm->report.rack, spec->near_rack) != 0) {
-        cost += NEAR_WEIGHT;
+        cost += OTHER_RACK_COST;
     }
     if (strcmp(vm->report.id, task->avoid) == 0) {
-        cost += 2 * (int64_t)NEAR_WEIGHT;
+        cost += 2 * (int64_t)OTHER_RACK_COST;
     }
     return cost;
 }
@@ -127,8 +131,8 @@
         if (rack != NULL && strcmp(vm->report.rack, rack) != 0) {
             continue;
         }
-        if (may_run(s, vm, task, tickets)) {
-            int64_t cost = cost_of(s, vm, task);
+        if (can_run_on(s, vm, task, tickets)) {
+            int64_t cost = placement_cost(s, vm, task);
             if (cost < best_cost) {
                 best = vm;
                 best_cost = cost;
@@ -148,12 +152,12 @@
         .text = task->step->occurrence->job->spec.text,
         .checkpoint = task->checkpoint != NULL ? task->checkpoint : "",
         .ticket = ticket != NULL ? ticket : "",
-        .deadline_ms = vms_grant(s, task->vm),
+        .deadline_ms = vms_grant_lease(s, task->vm),
         .fence = s->config.fence,
     };
     scheduler_name_task(task, &order.task);
     vms_target(task->vm, &target);
-    task->is_order_out = true;
+    task->is_order_pending = true;
     AqLog_Event(AQ_LOG_INFO, "run_ordered",
                 "request=%s occurrence=%u step=%u task=%u run=%lld vm=%s "
                 "fence=%llu waited_ms=%lld",
@@ -165,13 +169,13 @@
 }
 
 static void
-assign(AqScheduler *s, Vm *vm, Task *task, int64_t run)
+assign_task(AqScheduler *s, Vm *vm, Task *task, int64_t run)
 {
     task->step->ready--;
     task->state = TASK_STARTING;
     task->run = run;
-    task->is_uncertain = false;
-    task->must_stop = false;
+    task->may_start_late = false;
+    task->must_stop_after_reply = false;
     task->percent = 0;
     task->resend_at = 0;
     vms_attach(s, vm, task);
@@ -180,7 +184,7 @@
 static void
 request_tickets(AqScheduler *s, Step *step)
 {
-    const char *vms[MAX_ADVICE];
+    const char *vms[MAX_TICKET_REQUEST_VMS];
     size_t count = 0;
     AqTaskName name;
     if (step->is_requesting_tickets || step->request_tickets_at > s->now) {
@@ -189,7 +193,7 @@
     AqList_ForEach(at, &s->vms)
     {
         const Vm *vm = AqList_Entry(at, Vm, link);
-        if (count < MAX_ADVICE && vms_is_usable(s, vm)) {
+        if (count < MAX_TICKET_REQUEST_VMS && vms_is_usable(s, vm)) {
             vms[count++] = vm->report.id;
         }
     }
@@ -202,8 +206,8 @@
     s->actions.request_tickets(s->context, &name, vms, count);
 }
 
-/* The number of a new run: above all of the task, and above those that an
- * earlier owner may have ordered without an answer. */
+/* Number of a new run: above all earlier runs of the task, including those
+ * that an earlier owner may have ordered without receiving a reply. */
 static int64_t
 next_run(const AqScheduler *s, int64_t last)
 {
@@ -218,15 +222,15 @@
 }
 
 static void
-measure_free(AqScheduler *s)
+update_largest_free(AqScheduler *s)
 {
-    s->largest_free = 0;
+    s->largest_free_cpu_millis = 0;
     AqList_ForEach(at, &s->vms)
     {
         const Vm *vm = AqList_Entry(at, Vm, link);
         int64_t free = vm->report.cpu_millis - vm->used_cpu - vm->foreign_cpu;
-        if (free > s->largest_free && vms_is_usable(s, vm)) {
-            s->largest_free = free;
+        if (free > s->largest_free_cpu_millis && vms_is_usable(s, vm)) {
+            s->largest_free_cpu_millis = free;
         }
     }
 }
@@ -235,8 +239,9 @@
 place_tasks(AqScheduler *s, Step *step)
 {
     bool has_placed = false;
-    if (!step->spec->is_filler && step->spec->cpu_millis > s->largest_free) {
-        return; /* a full pool has many jobs that wait */
+    if (!step->spec->is_filler &&
+        step->spec->cpu_millis > s->largest_free_cpu_millis) {
+        return; /* fast exit: in a full pool many jobs wait */
     }
     for (uint32_t i = 0; i < step->spec->task_count && step->ready > 0; i++) {
         Task *task = &step->tasks[i];
@@ -245,18 +250,19 @@
         }
         Vm *vm = choose_vm(s, task, NULL);
         if (vm == NULL) {
-            break; /* the others of the step need as much */
+            break; /* the step's other tasks need the same resources */
         }
-        assign(s, vm, task, next_run(s, task->run));
+        assign_task(s, vm, task, next_run(s, task->run));
         placement_send_start(s, task);
         has_placed = true;
     }
     if (has_placed) {
-        measure_free(s);
+        update_largest_free(s);
     }
 }
 
-/* Places all tasks of a gang or none.  Returns whether it did. */
+/* Starts all tasks of a gang, or none when they do not all fit.  With a "rack"
+ * only VMs in it are used; NULL allows all.  Returns whether they started. */
 static bool
 place_gang_on(AqScheduler *s, Step *step, const char *rack)
 {
@@ -274,7 +280,7 @@
             break;
         }
         earlier[placed] = task->run;
-        assign(s, vm, task, next_run(s, run));
+        assign_task(s, vm, task, next_run(s, run));
     }
     if (placed < count) {
         while (placed-- > 0) {
@@ -299,10 +305,10 @@
 {
     for (uint32_t i = 0; i < step->spec->task_count; i++) {
         if (!is_startable(s, &step->tasks[i])) {
-            return; /* a member's last run has not ended */
+            return; /* a member is not ready or waits for a retry */
         }
     }
-    if (step->spec->wants_one_rack) {
+    if (step->spec->prefers_one_rack) {
         AqList_ForEach(at, &s->vms)
         {
             const Vm *vm = AqList_Entry(at, Vm, link);
@@ -343,21 +349,22 @@
 void
 placement_run(AqScheduler *s)
 {
-    if (!s->is_loaded || (!s->placement_due && s->now < s->next_place)) {
+    if (!s->is_loaded ||
+        (!s->placement_due && s->now < s->next_placement_at)) {
         return;
     }
     enum {
-        PLACE_EVERY_MS = 100, /* for pauses that end without an event */
-        PLACE_PAUSE_MS = 5    /* a placement looks at all jobs, and ends come
-                               * one by one */
+        PLACEMENT_PERIOD_MS = 100, /* for pauses that end without an event */
+        MIN_PLACEMENT_GAP_MS = 5   /* a placement visits all jobs, and ends
+                                    * arrive one by one */
     };
-    if (s->now < s->earliest_place) {
+    if (s->now < s->earliest_placement_at) {
         return;
     }
     s->placement_due = false;
-    s->next_place = s->now + PLACE_EVERY_MS;
-    s->earliest_place = s->now + PLACE_PAUSE_MS;
-    measure_free(s);
+    s->next_placement_at = s->now + PLACEMENT_PERIOD_MS;
+    s->earliest_placement_at = s->now + MIN_PLACEMENT_GAP_MS;
+    update_largest_free(s);
     size_t count = 0;
     Job **jobs = malloc((AqList_Length(&s->active) + 1) * sizeof(Job *));
     AqList_ForEach(at, &s->active)
@@ -403,7 +410,7 @@
         if (strcmp(known->vm, vm) == 0) {
             free(known->ticket);
             known->ticket = strdup(ticket);
-            known->until = now + valid_ms;
+            known->expires_at = now + valid_ms;
             return;
         }
     }
@@ -416,14 +423,14 @@
                          bool is_answered, AqTime now)
 {
     enum {
-        ASK_AGAIN_MS = 1000
+        TICKET_REFRESH_MS = 1000
     };
     Step *step = find_step(s, name);
     s->now = now;
     if (step != NULL) {
         step->is_requesting_tickets = false;
         step->request_tickets_at =
-            now + (is_answered ? ASK_AGAIN_MS : TICKET_RETRY_MS);
+            now + (is_answered ? TICKET_REFRESH_MS : TICKET_RETRY_MS);
         s->placement_due = true;
     }
 }
--- a/packages/scheduler/progress.c
+++ b/packages/scheduler/progress.c
@@ -160,7 +160,7 @@
 }
 
 static bool
-read_head(const msgpack_object *root, int64_t *stage, int64_t *next)
+read_header(const msgpack_object *root, int64_t *stage, int64_t *next)
 {
     int64_t format;
     return root->type == MSGPACK_OBJECT_ARRAY &&
@@ -173,11 +173,11 @@
 }
 
 static bool
-apply(AqScheduler *s, Job *job, const msgpack_object *root)
+apply_record(AqScheduler *s, Job *job, const msgpack_object *root)
 {
     int64_t stage;
     int64_t next;
-    if (!read_head(root, &stage, &next)) {
+    if (!read_header(root, &stage, &next)) {
         return false;
     }
     const msgpack_object *list = &root->via.array.ptr[3];
@@ -197,8 +197,8 @@
 progress_apply(AqScheduler *s, Job *job, const char *bytes, size_t size)
 {
     msgpack_unpacked unpacked;
-    bool ok =
-        record_unpack(&unpacked, bytes, size) && apply(s, job, &unpacked.data);
+    bool ok = record_unpack(&unpacked, bytes, size) &&
+              apply_record(s, job, &unpacked.data);
     msgpack_unpacked_destroy(&unpacked);
     return ok;
 }
@@ -211,7 +211,7 @@
     int64_t value = 0;
     int64_t next;
     bool ok = record_unpack(&unpacked, record, size) &&
-              read_head(&unpacked.data, &value, &next);
+              read_header(&unpacked.data, &value, &next);
     msgpack_unpacked_destroy(&unpacked);
     if (!ok) {
         return AqError_Set(error, AQ_ERR_INVALID,
--- a/packages/scheduler/ranking.c
+++ b/packages/scheduler/ranking.c
@@ -13,8 +13,9 @@
     BUCKET_IN_TIME,
     BUCKET_LATE,
     BUCKET_VERY_LATE,
-    BUCKETS,
-    LATE_FACTOR = 3 /* of the objective: an answer after that is worthless */
+    BUCKET_COUNT,
+    VERY_LATE_FACTOR =
+        3 /* of the objective: an answer after that is worthless */
 };
 
 /* Longest chain of declared durations from the given step on, over the steps
@@ -105,13 +106,13 @@
     else if (job->slack >= 0) {
         job->bucket = BUCKET_IN_TIME;
     }
-    else if (since + LATE_FACTOR * objective - s->now - left >= 0) {
+    else if (since + VERY_LATE_FACTOR * objective - s->now - left >= 0) {
         job->bucket = BUCKET_LATE;
     }
     else {
         job->bucket = BUCKET_VERY_LATE;
     }
-    job->bucket += BUCKETS * (queue != NULL ? queue->priority : 0);
+    job->bucket += BUCKET_COUNT * (queue != NULL ? queue->priority : 0);
     return has_ready;
 }
 
@@ -123,7 +124,7 @@
     if (first->bucket != second->bucket) {
         return first->bucket < second->bucket ? -1 : 1;
     }
-    if (first->bucket % BUCKETS != BUCKET_VERY_LATE &&
+    if (first->bucket % BUCKET_COUNT != BUCKET_VERY_LATE &&
         first->remaining_work != second->remaining_work) {
         return first->remaining_work < second->remaining_work ? -1 : 1;
     }
--- a/packages/scheduler/record_codec.c
+++ b/packages/scheduler/record_codec.c
@@ -27,7 +27,7 @@
 typedef struct {
     const unsigned char *at;
     const unsigned char *end;
-} Scan;
+} Scanner;
 
 enum {
     MAX_DEPTH = 16 /* the records have less; bounds the recursion */
@@ -35,7 +35,7 @@
 
 /* Reads a big-endian number of so many bytes. */
 static bool
-scan_number(Scan *scan, size_t bytes, uint64_t *value)
+scan_number(Scanner *scan, size_t bytes, uint64_t *value)
 {
     if ((size_t)(scan->end - scan->at) < bytes) {
         return false;
@@ -48,7 +48,7 @@
 }
 
 static bool
-scan_skip(Scan *scan, uint64_t bytes)
+scan_skip(Scanner *scan, uint64_t bytes)
 {
     if ((uint64_t)(scan->end - scan->at) < bytes) {
         return false;
@@ -57,10 +57,10 @@
     return true;
 }
 
-static bool scan_value(Scan *scan, int depth);
+static bool scan_value(Scanner *scan, int depth);
 
 static bool
-scan_array(Scan *scan, uint64_t count, int depth)
+scan_array(Scanner *scan, uint64_t count, int depth)
 {
     /* Each element takes a byte at least. */
     if (depth == MAX_DEPTH || (uint64_t)(scan->end - scan->at) < count) {
@@ -76,7 +76,7 @@
 
 /* Passes over one value of the types that records have. */
 static bool
-scan_value(Scan *scan, int depth)
+scan_value(Scanner *scan, int depth)
 {
     uint64_t size;
     if (scan->at == scan->end) {
@@ -117,7 +117,7 @@
     size_t offset = 0;
     msgpack_unpacked_init(unpacked);
     const unsigned char *start = (const unsigned char *)bytes;
-    Scan scan = {start, start + size};
+    Scanner scan = {start, start + size};
     return scan_value(&scan, 0) &&
            msgpack_unpack_next(unpacked, bytes, size, &offset) ==
                MSGPACK_UNPACK_SUCCESS;
--- a/packages/scheduler/replies.c
+++ b/packages/scheduler/replies.c
@@ -12,9 +12,9 @@
     /* A run whose percent stands still for so long, and for this share of its
      * declared time, is started elsewhere. */
     STALL_MS = 1200,
-    STALL_SHARE = 25,
+    STALL_ESTIMATE_DIVISOR = 25,
     /* A perpetual task starts up within a second or two. */
-    PERPETUAL_START_MS = 5000
+    PERPETUAL_START_LIMIT_MS = 5000
 };
 
 static void
@@ -47,15 +47,15 @@
     AqTaskName name;
     scheduler_name_task(task, &name);
     vms_target(task->vm, &target);
-    task->is_order_out = true;
+    task->is_order_pending = true;
     s->actions.stop(s->context, &target, &name, task->run);
 }
 
 void
 replies_order_stop(AqScheduler *s, Task *task)
 {
-    if (task->state == TASK_STARTING && task->is_order_out) {
-        task->must_stop = true;
+    if (task->state == TASK_STARTING && task->is_order_pending) {
+        task->must_stop_after_reply = true;
         return;
     }
     if (task->state == TASK_STOPPING) {
@@ -63,16 +63,17 @@
     }
     task->state = TASK_STOPPING;
     task->is_stop_acked = false;
-    task->must_stop = false;
+    task->must_stop_after_reply = false;
     task->resend_at = s->now;
-    if (s->may_order && !task->is_order_out) {
+    if (s->may_order && !task->is_order_pending) {
         send_stop(s, task);
     }
 }
 
 /* A run that no job of ours wants. */
 static void
-stop_stray(AqScheduler *s, const Vm *vm, const AqTaskName *name, int64_t run)
+stop_unknown_run(AqScheduler *s, const Vm *vm, const AqTaskName *name,
+                 int64_t run)
 {
     AqOrderTarget target;
     vms_target(vm, &target);
@@ -88,19 +89,19 @@
 /* Stops the run of a task that is superseded.  It takes room until its VM no
  * longer lists it. */
 static void
-stop_superseded(AqScheduler *s, Task *task)
+stop_superseded_run(AqScheduler *s, Task *task)
 {
     const AqStepSpec *spec = task->step->spec;
     AqTaskName name;
     scheduler_name_task(task, &name);
     task->vm->foreign_cpu += spec->is_filler ? 0 : spec->cpu_millis;
     task->vm->foreign_memory += spec->memory_mb;
-    stop_stray(s, task->vm, &name, task->run);
+    stop_unknown_run(s, task->vm, &name, task->run);
     vms_detach(s, task);
 }
 
 static bool
-note_common(AqScheduler *s, Vm *vm, const AqOrderReply *reply)
+handle_common_result(AqScheduler *s, Vm *vm, const AqOrderReply *reply)
 {
     switch (reply->result) {
     case AQ_ORDER_FENCED:
@@ -112,7 +113,7 @@
     case AQ_ORDER_OTHER_LIFE:
         AqLog_Event(AQ_LOG_WARNING, "vm_ended", "vm=%s reason=other_life",
                     vm->report.id);
-        vms_end(s, vm);
+        vms_remove(s, vm);
         return true;
     case AQ_ORDER_UNKNOWN:
     case AQ_ORDER_NOT_SENT:
@@ -127,35 +128,35 @@
 /* The task whose order has been answered, or NULL when it is no longer of
  * that run. */
 static Task *
-end_order(const AqScheduler *s, const Vm *vm, const AqTaskName *name,
-          int64_t run)
+finish_order(const AqScheduler *s, const Vm *vm, const AqTaskName *name,
+             int64_t run)
 {
     Task *task = scheduler_find_task(s, name);
     if (task == NULL || task->vm != vm || task->run != run) {
         return NULL;
     }
-    task->is_order_out = false;
+    task->is_order_pending = false;
     return task;
 }
 
 /* ---- Start -------------------------------------------------------------- */
 
 static void
-start_confirmed(AqScheduler *s, Task *task)
+confirm_start(AqScheduler *s, Task *task)
 {
     Job *job = task->step->occurrence->job;
     task->state = TASK_RUNNING;
     task->started_at = s->now;
     task->progress_at = s->now;
     task->listed_after = s->now;
-    task->is_uncertain = false;
+    task->may_start_late = false;
     s->counters.starts++;
     if (job->stage == AQ_STAGE_WAITING) {
         job->stage = AQ_STAGE_RUNNING;
         scheduler_changed(s, job);
     }
     job->has_started = true;
-    if (task->must_stop) {
+    if (task->must_stop_after_reply) {
         replies_order_stop(s, task);
     }
 }
@@ -163,10 +164,10 @@
 /* Nothing was done for this order.  An earlier one without an answer may
  * still come, which only a stop rules out. */
 static void
-start_refused(AqScheduler *s, Task *task, AqTime pause)
+handle_refused_start(AqScheduler *s, Task *task, AqTime pause)
 {
     s->counters.starts_refused++;
-    if (task->is_uncertain) {
+    if (task->may_start_late) {
         task->state = TASK_RUNNING;
         replies_order_stop(s, task);
         return;
@@ -184,45 +185,45 @@
     if (vm == NULL) {
         return;
     }
-    Task *task = end_order(s, vm, name, run);
+    Task *task = finish_order(s, vm, name, run);
     if (task != NULL && reply->result != AQ_ORDER_DONE) {
         log_task(AQ_LOG_WARNING, "start_refused", task, vm, s,
                  AqOrderResult_Name(reply->result));
     }
-    if (note_common(s, vm, reply) || task == NULL ||
+    if (handle_common_result(s, vm, reply) || task == NULL ||
         task->state != TASK_STARTING) {
         return;
     }
     switch (reply->result) {
     case AQ_ORDER_DONE:
-        start_confirmed(s, task);
+        confirm_start(s, task);
         break;
     case AQ_ORDER_NO_ROOM:
         vm->blocked_until = now + NO_ROOM_PAUSE_MS;
-        start_refused(s, task, 0);
+        handle_refused_start(s, task, 0);
         break;
     case AQ_ORDER_UNHEALTHY:
         vm->quarantined_until = now + UNHEALTHY_PAUSE_MS;
-        start_refused(s, task, 0);
+        handle_refused_start(s, task, 0);
         break;
     case AQ_ORDER_OLD_RUN:
-        if (task->is_uncertain) {
+        if (task->may_start_late) {
             /* It ran and ended already; the next hold lists the end. */
-            start_confirmed(s, task);
+            confirm_start(s, task);
         }
         else {
-            start_refused(s, task, 0);
+            handle_refused_start(s, task, 0);
         }
         break;
     case AQ_ORDER_UNKNOWN:
-        task->is_uncertain = true;
+        task->may_start_late = true;
         task->resend_at = now + RESEND_MS;
         break;
     case AQ_ORDER_INVALID:
-        start_refused(s, task, INVALID_PAUSE_MS);
+        handle_refused_start(s, task, INVALID_PAUSE_MS);
         break;
     default: /* late, no ticket, not sent */
-        start_refused(s, task, RESEND_MS);
+        handle_refused_start(s, task, RESEND_MS);
         break;
     }
 }
@@ -238,8 +239,8 @@
     if (vm == NULL) {
         return;
     }
-    Task *task = end_order(s, vm, name, run);
-    if (note_common(s, vm, reply) || task == NULL ||
+    Task *task = finish_order(s, vm, name, run);
+    if (handle_common_result(s, vm, reply) || task == NULL ||
         task->state != TASK_STOPPING) {
         return;
     }
@@ -272,9 +273,9 @@
         "done", "failed", "stopped", "lapsed", "broken", "alone", "other"};
     log_task(AQ_LOG_INFO, "run_ended", task, vm, s, names[end->kind]);
     if (end->kind == AQ_END_DONE) {
-        vms_note_end(s, vm, task, false);
+        vms_record_result(s, vm, task, false);
         if (task->vm != NULL && (task->vm != vm || task->run != end->run)) {
-            stop_superseded(s, task);
+            stop_superseded_run(s, task);
         }
         scheduler_task_done(s, task);
         return;
@@ -290,7 +291,7 @@
         scheduler_requeue_task(s, task);
     }
     if (end->kind == AQ_END_FAILED) {
-        vms_note_end(s, vm, task, true);
+        vms_record_result(s, vm, task, true);
         g_strlcpy(task->avoid, vm->report.id, sizeof(task->avoid));
         scheduler_task_failed(s, task, end->run);
     }
@@ -302,16 +303,16 @@
 /* Takes the ends in order; stops at one of a job that is not known yet.
  * Returns whether all were taken. */
 static bool
-take_ends(AqScheduler *s, Vm *vm, const AqOrderReply *reply)
+process_ends(AqScheduler *s, Vm *vm, const AqOrderReply *reply)
 {
     for (size_t i = 0; i < reply->ended_count; i++) {
         const AqEndedTask *end = &reply->ended[i];
-        if (end->number <= vm->last_end) {
+        if (end->number <= vm->last_end_number) {
             continue;
         }
         Task *task = scheduler_find_task(s, &end->task);
         if (task == NULL && scheduler_find_job(s, end->task.job) == NULL &&
-            !vms_is_foreign_old(s, vm)) {
+            !vms_is_foreign_run_overdue(s, vm)) {
             if (vm->foreign_since == 0) {
                 vm->foreign_since = s->now;
             }
@@ -320,7 +321,7 @@
         if (task != NULL) {
             apply_end(s, vm, task, end);
         }
-        vm->last_end = end->number;
+        vm->last_end_number = end->number;
         PendingEnd pending = {.number = end->number, .seq = s->change_seq};
         g_array_append_val(vm->pending_ends, pending);
     }
@@ -330,7 +331,7 @@
 /* ---- Hold: runs --------------------------------------------------------- */
 
 static void
-check_stall(AqScheduler *s, Vm *vm, Task *task, const AqRunningTask *row)
+stop_if_stalled(AqScheduler *s, Vm *vm, Task *task, const AqRunningTask *row)
 {
     const AqStepSpec *spec = task->step->spec;
     if (row->percent != task->percent) {
@@ -342,8 +343,8 @@
         return;
     }
     AqTime limit = spec->is_perpetual
-                       ? PERPETUAL_START_MS
-                       : STALL_MS + spec->estimate_ms / STALL_SHARE;
+                       ? PERPETUAL_START_LIMIT_MS
+                       : STALL_MS + spec->estimate_ms / STALL_ESTIMATE_DIVISOR;
     bool is_at_work = spec->is_perpetual && row->percent >= 100;
     if (!is_at_work && s->now - task->progress_at > limit) {
         s->counters.stalled++;
@@ -354,7 +355,7 @@
 }
 
 static void
-note_presence(AqScheduler *s, Task *task, const AqRunningTask *row)
+update_presence(AqScheduler *s, Task *task, const AqRunningTask *row)
 {
     /* One that is being stopped is listed for a while yet. */
     if (task->step->spec->is_perpetual && task->state == TASK_RUNNING) {
@@ -373,10 +374,10 @@
 /* Takes over a run that an earlier owner or an order without an answer has
  * started. */
 static void
-adopt(AqScheduler *s, Vm *vm, Task *task, const AqRunningTask *row)
+adopt_run(AqScheduler *s, Vm *vm, Task *task, const AqRunningTask *row)
 {
     if (task->vm != NULL && task->vm != vm) {
-        stop_superseded(s, task);
+        stop_superseded_run(s, task);
     }
     if (task->state == TASK_READY) {
         task->step->ready--;
@@ -385,14 +386,14 @@
     task->run = row->run;
     task->percent = row->percent;
     task->state = TASK_STARTING;
-    start_confirmed(s, task);
+    confirm_start(s, task);
     task->started_at = 0; /* not known: no measurement of its duration */
 }
 
 /* A run that takes room and is not a task's of ours.  Of an unknown job it may
  * take all. */
 static void
-count_foreign(Vm *vm, const Job *job, uint32_t step)
+add_foreign_usage(Vm *vm, const Job *job, uint32_t step)
 {
     if (job == NULL || step >= job->spec.step_count) {
         vm->foreign_cpu += vm->report.cpu_millis;
@@ -406,7 +407,7 @@
 }
 
 static void
-take_run(AqScheduler *s, Vm *vm, const AqRunningTask *row)
+process_running_task(AqScheduler *s, Vm *vm, const AqRunningTask *row)
 {
     Task *task = scheduler_find_task(s, &row->task);
     const Job *job = scheduler_find_job(s, row->task.job);
@@ -415,12 +416,12 @@
         bool is_expected =
             task != NULL && task->vm == vm && task->run == row->run;
         if (is_expected) {
-            task->seen_in = vm->holds;
+            task->last_listed_hold = vm->hold_count;
             return; /* its stop is under way */
         }
-        count_foreign(vm, job, row->task.step);
-        if (job != NULL || vms_is_foreign_old(s, vm)) {
-            stop_stray(s, vm, &row->task, row->run);
+        add_foreign_usage(vm, job, row->task.step);
+        if (job != NULL || vms_is_foreign_run_overdue(s, vm)) {
+            stop_unknown_run(s, vm, &row->task, row->run);
         }
         else if (vm->foreign_since == 0) {
             vm->foreign_since = s->now;
@@ -429,27 +430,27 @@
     }
     if (task->vm != vm || task->run != row->run) {
         log_task(AQ_LOG_INFO, "run_adopted", task, vm, s, "running");
-        adopt(s, vm, task, row);
+        adopt_run(s, vm, task, row);
     }
     else if (task->state == TASK_STARTING) {
-        start_confirmed(s, task);
+        confirm_start(s, task);
     }
-    task->seen_in = vm->holds;
+    task->last_listed_hold = vm->hold_count;
     set_checkpoint(task, row->checkpoint);
-    note_presence(s, task, row);
-    check_stall(s, vm, task, row);
+    update_presence(s, task, row);
+    stop_if_stalled(s, vm, task, row);
 }
 
 /* Runs that the VM should list and does not. */
 static void
-find_vanished(AqScheduler *s, Vm *vm, AqTime sent_at)
+requeue_missing_runs(AqScheduler *s, Vm *vm, AqTime sent_at)
 {
     AqList_ForEachSafe(at, after, &vm->tasks)
     {
         Task *task = AqList_Entry(at, Task, link);
         bool is_over = task->state == TASK_RUNNING ||
                        (task->state == TASK_STOPPING && task->is_stop_acked);
-        if (!is_over || task->seen_in == vm->holds ||
+        if (!is_over || task->last_listed_hold == vm->hold_count ||
             task->listed_after >= sent_at) {
             continue;
         }
@@ -470,8 +471,8 @@
     if (vm == NULL) {
         return;
     }
-    vm->is_hold_out = false;
-    if (note_common(s, vm, reply)) {
+    vm->is_hold_pending = false;
+    if (handle_common_result(s, vm, reply)) {
         return;
     }
     if (reply->result != AQ_ORDER_DONE) {
@@ -485,20 +486,20 @@
         }
         return;
     }
-    bool is_first = !vm->has_answered;
-    vm->has_answered = true;
-    vm->holds++;
+    bool is_first = !vm->has_replied;
+    vm->has_replied = true;
+    vm->hold_count++;
     vm->foreign_cpu = 0;
     vm->foreign_memory = 0;
-    bool are_known = take_ends(s, vm, reply);
+    bool are_known = process_ends(s, vm, reply);
     for (size_t i = 0; i < reply->running_count; i++) {
-        take_run(s, vm, &reply->running[i]);
+        process_running_task(s, vm, &reply->running[i]);
     }
     if (vm->foreign_cpu == 0 && are_known) {
         vm->foreign_since = 0;
     }
     if (are_known) {
-        find_vanished(s, vm, sent_at);
+        requeue_missing_runs(s, vm, sent_at);
     }
     vms_confirm_ends(s, vm);
     vms_schedule_hold(s, vm);
@@ -521,12 +522,12 @@
         AqList_ForEachSafe(each, after, &vm->tasks)
         {
             Task *task = AqList_Entry(each, Task, link);
-            if (task->is_order_out || task->resend_at > s->now) {
+            if (task->is_order_pending || task->resend_at > s->now) {
                 continue;
             }
             if (task->state == TASK_STARTING &&
                 vm->silent_since == AQ_TIME_NEVER) {
-                if (task->must_stop) {
+                if (task->must_stop_after_reply) {
                     replies_order_stop(s, task);
                 }
                 else {
--- a/packages/scheduler/saves.c
+++ b/packages/scheduler/saves.c
@@ -9,7 +9,7 @@
 AqScheduler_BeginSave(AqScheduler *s, AqJobSave *saves, size_t most)
 {
     size_t count = 0;
-    if (s->saving > 0) {
+    if (s->saving_count > 0) {
         return 0;
     }
     while (count < most) {
@@ -26,7 +26,7 @@
         AqBuffer_Init(&save->record);
         progress_encode(job, &save->record);
     }
-    s->saving = count;
+    s->saving_count = count;
     return count;
 }
 
@@ -57,7 +57,7 @@
                     bool is_stored, AqTime now)
 {
     s->now = now;
-    s->saving = 0;
+    s->saving_count = 0;
     for (size_t i = count; i-- > 0;) {
         Job *job = scheduler_find_job(s, saves[i].id);
         if (job != NULL) {
@@ -83,5 +83,5 @@
 bool
 AqScheduler_HasUnsaved(const AqScheduler *s)
 {
-    return s->saving > 0 || !AqList_IsEmpty(&s->dirty);
+    return s->saving_count > 0 || !AqList_IsEmpty(&s->dirty);
 }
--- a/packages/scheduler/scheduler.c
+++ b/packages/scheduler/scheduler.c
@@ -7,10 +7,11 @@
 #include "scheduler_internal.h"
 
 enum {
-    TICK_MS = 100, /* longest time between two ticks with work */
-    /* Weight of a measured duration is one in so many. */
-    MEASUREMENTS = 32,
-    AHEAD_MS = 2000 /* a VM takes so long to come */
+    MAX_TICK_INTERVAL_MS = 100, /* longest time between two ticks */
+    /* A task's duration has the weight 1 / DURATION_MEAN_DIVISOR in the moving
+     * average. */
+    DURATION_MEAN_DIVISOR = 32,
+    VM_ARRIVAL_MS = 2000 /* from requesting a VM until it is usable */
 };
 
 /* ---- Jobs --------------------------------------------------------------- */
@@ -216,7 +217,7 @@
     }
 }
 
-/* Ends the job: what still runs is stopped by its VMs' next holds. */
+/* Ends the job and orders the stop of all its runs. */
 static void
 finish_job(AqScheduler *s, Job *job, AqJobStage stage)
 {
@@ -257,44 +258,45 @@
     finish_job(s, job, AQ_STAGE_COMPLETED);
 }
 
-/* Work that has been submitted fades with these time constants. */
-static const double offered_ms = 1000.0;
-static const double offered_long_ms = 2000.0;
+/* Time constants, ms, with which submitted work decays. */
+static const double offered_decay_ms = 1000.0;
+static const double offered_long_decay_ms = 2000.0;
 
 static void
-fade_offered(AqScheduler *s)
+decay_offered_work(AqScheduler *s)
 {
     double passed = (double)(s->now - s->offered_at);
     if (passed > 0) {
-        s->offered *= exp(-passed / offered_ms);
-        s->offered_long *= exp(-passed / offered_long_ms);
+        s->offered_work *= exp(-passed / offered_decay_ms);
+        s->offered_work_long *= exp(-passed / offered_long_decay_ms);
         s->offered_at = s->now;
     }
 }
 
-/* Cores that are offered once a VM that is asked for now has come.  While the
- * load rises steadily, the mean over the longer time lags by one time constant
- * more than that over the shorter one: their difference is the rise. */
+/* Cores that the offered load will need when a VM requested now is usable.
+ * While the load rises steadily, each average lags by its time constant, so
+ * the rate of the rise is the difference of the two averages divided by the
+ * difference of their time constants. */
 static double
-expected_offer(const AqScheduler *s)
+forecast_offered_cores(const AqScheduler *s)
 {
-    double now = s->offered / offered_ms;
-    double rise = (now - s->offered_long / offered_long_ms) /
-                  (offered_long_ms - offered_ms);
-    return rise > 0 ? now + rise * AHEAD_MS : now;
+    double now = s->offered_work / offered_decay_ms;
+    double rise = (now - s->offered_work_long / offered_long_decay_ms) /
+                  (offered_long_decay_ms - offered_decay_ms);
+    return rise > 0 ? now + rise * VM_ARRIVAL_MS : now;
 }
 
 static void
-count_offered(AqScheduler *s, const AqJobSpec *spec)
+add_offered_work(AqScheduler *s, const AqJobSpec *spec)
 {
-    fade_offered(s);
+    decay_offered_work(s);
     for (size_t i = 0; i < spec->step_count; i++) {
         const AqStepSpec *step = &spec->steps[i];
         if (!step->is_perpetual && spec->occurrences == 0) {
             double work = (double)step->task_count * (double)step->cpu_millis /
                           1000.0 * (double)scheduler_estimate(s, step);
-            s->offered += work;
-            s->offered_long += work;
+            s->offered_work += work;
+            s->offered_work_long += work;
         }
     }
 }
@@ -318,8 +320,8 @@
     job->submitted_at = now - (age > 0 ? age : 0);
     if (record != NULL && !progress_apply(s, job, record, size)) {
         AqError_Set(error, AQ_ERR_INVALID,
-                    "the stored progress of job %s is damaged; it is left "
-                    "alone, remove both keys",
+                    "the stored progress of job %s is damaged; it is kept "
+                    "unchanged, remove both keys",
                     job->spec.id);
         free_job(s, job);
         return false;
@@ -329,7 +331,7 @@
         return true;
     }
     if (s->is_loaded) {
-        count_offered(s, &job->spec);
+        add_offered_work(s, &job->spec);
         job->is_new = now - s->created_at >= s->config.earlier_owner_ms;
     }
     AqList_Append(&s->active, &job->link);
@@ -379,7 +381,7 @@
 }
 
 size_t
-AqScheduler_Waiting(const AqScheduler *s, const char *queue)
+AqScheduler_CountWaiting(const AqScheduler *s, const char *queue)
 {
     size_t count = 0;
     AqList_ForEach(at, &s->active)
@@ -393,25 +395,29 @@
 
 /* ---- Ends of tasks ------------------------------------------------------ */
 
-/* Declared durations are off by large factors either way.  The mean of the
- * single ratios is far above the ratio of the means, which says how much work
- * there is. */
+/* Adds a finished task to the averages of declared and actual durations.
+ * Declared durations are off by large factors either way, so the mean of the
+ * individual ratios is far above the ratio of the means, and only the latter
+ * gives the amount of work. */
 static void
-measure_duration(AqScheduler *s, const Task *task)
+update_mean_durations(AqScheduler *s, const Task *task)
 {
     AqTime declared = task->step->spec->estimate_ms;
     AqTime taken = s->now - task->started_at;
     if (declared > 0 && task->started_at > 0 && taken > 0 &&
         task->checkpoint == NULL) {
-        s->declared_ms += ((double)declared - s->declared_ms) / MEASUREMENTS;
-        s->taken_ms += ((double)taken - s->taken_ms) / MEASUREMENTS;
+        s->mean_declared_ms +=
+            ((double)declared - s->mean_declared_ms) / DURATION_MEAN_DIVISOR;
+        s->mean_actual_ms +=
+            ((double)taken - s->mean_actual_ms) / DURATION_MEAN_DIVISOR;
     }
 }
 
 AqTime
 scheduler_estimate(const AqScheduler *s, const AqStepSpec *spec)
 {
-    return (AqTime)((double)spec->estimate_ms * s->taken_ms / s->declared_ms);
+    return (AqTime)((double)spec->estimate_ms * s->mean_actual_ms /
+                    s->mean_declared_ms);
 }
 
 static void
@@ -435,7 +441,7 @@
     if (task->state == TASK_READY) {
         step->ready--;
     }
-    vms_detach(s, task); /* of a gang's members, which end together */
+    vms_detach(s, task); /* members of a gang end together */
     task->state = TASK_DONE;
     step->done++;
 }
@@ -447,7 +453,7 @@
     if (task->state == TASK_DONE) {
         return;
     }
-    measure_duration(s, task);
+    update_mean_durations(s, task);
     s->counters.done++;
     mark_done(s, task);
     if (step->spec->is_gang) {
@@ -471,9 +477,9 @@
         task->ready_at = s->now;
         task->state = TASK_READY;
     }
-    task->is_order_out = false;
-    task->is_uncertain = false;
-    task->must_stop = false;
+    task->is_order_pending = false;
+    task->may_start_late = false;
+    task->must_stop_after_reply = false;
     task->is_stop_acked = false;
     task->started_at = 0;
     task->percent = 0;
@@ -512,7 +518,7 @@
 {
     enum {
         RESTART_PAUSE_MS = 20,
-        LONGEST_PAUSE_MS = 1000
+        MAX_RESTART_PAUSE_MS = 1000
     };
     Job *job = task->step->occurrence->job;
     const AqQueueConfig *queue = scheduler_queue(s, job);
@@ -529,11 +535,12 @@
         return;
     }
     if (task->step->spec->is_perpetual) {
-        /* One that fails at once each time must not take all orders. */
+        /* The pause grows, so that a task that keeps failing at once does not
+         * use up all orders. */
         pause *= task->failures < 50 ? task->failures : 50;
     }
     task->not_before =
-        s->now + (pause < LONGEST_PAUSE_MS ? pause : LONGEST_PAUSE_MS);
+        s->now + (pause < MAX_RESTART_PAUSE_MS ? pause : MAX_RESTART_PAUSE_MS);
 }
 
 /* ---- Time --------------------------------------------------------------- */
@@ -556,7 +563,8 @@
         perpetual_tick(s);
         placement_run(s);
     }
-    AqTime latest = s->placement_due ? s->earliest_place : now + TICK_MS;
+    AqTime latest = s->placement_due ? s->earliest_placement_at
+                                     : now + MAX_TICK_INTERVAL_MS;
     return due < latest ? due : latest;
 }
 
@@ -591,8 +599,8 @@
 {
     memset(load, 0, sizeof(*load));
     s->now = now;
-    fade_offered(s);
-    load->offered_cpu_millis = (int64_t)(expected_offer(s) * 1000.0);
+    decay_offered_work(s);
+    load->offered_cpu_millis = (int64_t)(forecast_offered_cores(s) * 1000.0);
     load->is_recovered = s->is_recovered;
     AqList_ForEach(at, &s->active)
     {
@@ -637,8 +645,8 @@
     s->context = context;
     s->created_at = now;
     s->now = now;
-    s->declared_ms = 1000.0;
-    s->taken_ms = 1000.0;
+    s->mean_declared_ms = 1000.0;
+    s->mean_actual_ms = 1000.0;
     s->jobs = g_hash_table_new(g_str_hash, g_str_equal);
     s->vms_by_id = g_hash_table_new(g_str_hash, g_str_equal);
     s->inherited_runs = g_array_new(FALSE, FALSE, sizeof(InheritedRun));
--- a/packages/scheduler/sizing.c
+++ b/packages/scheduler/sizing.c
@@ -5,28 +5,28 @@
 enum {
     /* Room that stays free of the room in use, in hundredths. */
     RESERVE_PERCENT = 30,
-    LEAST_VMS = 3,   /* so that perpetual tasks do not all share one VM */
+    MIN_VMS = 3,     /* so that perpetual tasks do not all share one VM */
     RESERVE_VMS = 1, /* so that a burst can begin before VMs come */
     /* Taken in one decision at most, so that one mistaken estimate does not
      * empty the other pools: so many, or this part of a large site. */
-    MOST_TAKEN = 16,
-    MOST_TAKEN_PART = 4,
-    AHEAD_PERCENT = 200, /* of what is there: most that is taken ahead */
-    FULL_PERCENT = 50,   /* of the room: VMs are taken ahead of need */
-    STUCK_MS = 800       /* a task waits although there is room */
+    MAX_ACQUIRED_VMS = 16,
+    MAX_ACQUIRED_SITE_DIVISOR = 4,
+    MAX_AHEAD_PERCENT = 200, /* of what is there: most that is taken ahead */
+    AHEAD_LOAD_PERCENT = 50, /* of the room: VMs are taken ahead of need */
+    STUCK_WAIT_MS = 800      /* a task waits although there is room */
 };
 
 static size_t
-least_vms(const AqSizingInput *input)
+min_vms(const AqSizingInput *input)
 {
     size_t spread = input->widest_spread + 1;
     size_t perpetual = input->perpetual_vms;
     size_t least = spread > perpetual ? spread : perpetual;
-    return least > LEAST_VMS ? least : LEAST_VMS;
+    return least > MIN_VMS ? least : MIN_VMS;
 }
 
 static size_t
-vms_for(const AqSizingInput *input, int64_t cpu)
+vms_for_cpu(const AqSizingInput *input, int64_t cpu)
 {
     if (cpu <= 0 || input->vm_cpu_millis <= 0) {
         return 0;
@@ -36,64 +36,64 @@
 
 /* Cores for what is submitted now, with some to spare. */
 static int64_t
-offered_need(const AqSizingInput *input)
+offered_cpu_with_reserve(const AqSizingInput *input)
 {
     return input->perpetual_cpu_millis + input->offered_cpu_millis +
            input->offered_cpu_millis * RESERVE_PERCENT / 100;
 }
 
 static size_t
-decide_need(const AqSizingInput *input)
+count_needed_vms(const AqSizingInput *input)
 {
     size_t pending_vms = input->pending_vms + input->maintenance_vms;
     int64_t pending = (int64_t)pending_vms * input->vm_cpu_millis;
     int64_t have = input->capacity_cpu_millis + pending;
     int64_t need = input->used_cpu_millis + input->ready_cpu_millis;
-    size_t take = 0;
+    size_t needed = 0;
     if (input->ready_cpu_millis > 0) {
-        bool is_stuck = input->longest_wait_ms > STUCK_MS && pending == 0;
-        take = vms_for(input, need - have);
-        take = take == 0 && is_stuck ? 1 : take;
+        bool is_stuck = input->longest_wait_ms > STUCK_WAIT_MS && pending == 0;
+        needed = vms_for_cpu(input, need - have);
+        needed = needed == 0 && is_stuck ? 1 : needed;
     }
     /* What is submitted counts only once the pool fills up: a few large jobs
      * look like a lot for a moment. */
-    if (need * 100 > input->capacity_cpu_millis * FULL_PERCENT) {
-        int64_t most = need + need * AHEAD_PERCENT / 100;
-        int64_t offered = offered_need(input);
+    if (need * 100 > input->capacity_cpu_millis * AHEAD_LOAD_PERCENT) {
+        int64_t most = need + need * MAX_AHEAD_PERCENT / 100;
+        int64_t offered = offered_cpu_with_reserve(input);
         size_t for_offered =
-            vms_for(input, (offered < most ? offered : most) - have);
-        take = for_offered > take ? for_offered : take;
+            vms_for_cpu(input, (offered < most ? offered : most) - have);
+        needed = for_offered > needed ? for_offered : needed;
     }
     size_t vms = input->usable_vms + pending_vms;
     size_t least = input->widest_spread + 1;
-    if (vms < least && take < least - vms) {
-        take = least - vms;
+    if (vms < least && needed < least - vms) {
+        needed = least - vms;
     }
-    return take;
+    return needed;
 }
 
 /* What other pools give away is not theirs to use: only what is taken from
  * the spare pool is limited. */
 static size_t
-limit_take(const AqSizingInput *input, size_t need)
+limit_acquired_vms(const AqSizingInput *input, size_t need)
 {
-    size_t part = input->site_vms / MOST_TAKEN_PART;
-    size_t most_taken = part > MOST_TAKEN ? part : MOST_TAKEN;
+    size_t part = input->site_vms / MAX_ACQUIRED_SITE_DIVISOR;
+    size_t most_taken = part > MAX_ACQUIRED_VMS ? part : MAX_ACQUIRED_VMS;
     return need < most_taken ? need : most_taken;
 }
 
 static size_t
-decide_give(const AqSizingInput *input)
+count_released_vms(const AqSizingInput *input)
 {
     if (input->ready_cpu_millis > 0 || input->pending_vms > 0) {
         return 0;
     }
     int64_t used = input->used_cpu_millis +
                    input->used_cpu_millis * RESERVE_PERCENT / 100;
-    int64_t offered = offered_need(input);
+    int64_t offered = offered_cpu_with_reserve(input);
     size_t wanted =
-        vms_for(input, used > offered ? used : offered) + RESERVE_VMS;
-    size_t least = least_vms(input);
+        vms_for_cpu(input, used > offered ? used : offered) + RESERVE_VMS;
+    size_t least = min_vms(input);
     size_t keep = wanted > least ? wanted : least;
     return input->usable_vms > keep ? input->usable_vms - keep : 0;
 }
@@ -102,9 +102,9 @@
 AqSizing_Decide(const AqSizingInput *input, AqSizingDecision *decision)
 {
     memset(decision, 0, sizeof(*decision));
-    decision->needed_vms = decide_need(input);
-    decision->acquire_vms = limit_take(input, decision->needed_vms);
+    decision->needed_vms = count_needed_vms(input);
+    decision->acquire_vms = limit_acquired_vms(input, decision->needed_vms);
     if (decision->needed_vms == 0) {
-        decision->release_vms = decide_give(input);
+        decision->release_vms = count_released_vms(input);
     }
 }
--- a/packages/scheduler/tests/test_records.c
+++ b/packages/scheduler/tests/test_records.c
@@ -30,7 +30,7 @@
                                   .gpus = 1,
                                   .estimate_ms = 900,
                                   .is_gang = true,
-                                  .wants_one_rack = true,
+                                  .prefers_one_rack = true,
                                   .near_rack = strdup("r1-3")};
     spec->steps[1] = (AqStepSpec){.task_count = 20,
                                   .is_checkpointable = true,
@@ -308,13 +308,13 @@
     };
     AqWave *wave = make_wave(4, 20000);
     for (size_t i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
-        CU_ASSERT_EQUAL(AqWave_Parallel(wave, cases[i].waiting, cases[i].pool,
-                                        cases[i].now),
+        CU_ASSERT_EQUAL(AqWave_MaxDrains(wave, cases[i].waiting, cases[i].pool,
+                                         cases[i].now),
                         cases[i].parallel);
     }
-    CU_ASSERT_FALSE(AqWave_IsPressing(wave, 1, 0, 3000));
-    CU_ASSERT_TRUE(AqWave_IsPressing(wave, 1, 0, 6000));
-    CU_ASSERT_TRUE(AqWave_IsPressing(wave, 4, 17000, 19000));
+    CU_ASSERT_FALSE(AqWave_MustStopTasks(wave, 1, 0, 3000));
+    CU_ASSERT_TRUE(AqWave_MustStopTasks(wave, 1, 0, 6000));
+    CU_ASSERT_TRUE(AqWave_MustStopTasks(wave, 4, 17000, 19000));
     AqWave_Destroy(wave);
 }
 
--- a/packages/scheduler/used_vms.c
+++ b/packages/scheduler/used_vms.c
@@ -24,8 +24,9 @@
 static bool
 is_in_used_vms(const AqScheduler *s, const Vm *vm)
 {
-    return !vm->has_ended && (!s->is_closed || vm->task_count > 0 ||
-                              vm->foreign_cpu > 0 || vm->was_used);
+    return !vm->has_ended &&
+           (!s->is_closed || vm->task_count > 0 || vm->foreign_cpu > 0 ||
+            vm->used_by_earlier_owner);
 }
 
 void
@@ -101,7 +102,7 @@
 }
 
 static bool
-add_handed_task(AqScheduler *s, const Vm *vm, const msgpack_object *row)
+add_inherited_run(AqScheduler *s, const Vm *vm, const msgpack_object *row)
 {
     InheritedRun inherited = {0};
     char *job = NULL;
@@ -138,7 +139,7 @@
         vm = vms_add(s, &report);
         vm->unlisted_at = s->now;
     }
-    vm->was_used = true;
+    vm->used_by_earlier_owner = true;
     return vm;
 }
 
@@ -159,7 +160,7 @@
         const Vm *vm = add_used_vm(s, id, address, machine);
         const msgpack_object_array *tasks = &row->via.array.ptr[2].via.array;
         for (uint32_t i = 0; ok && i < tasks->size; i++) {
-            ok = add_handed_task(s, vm, &tasks->ptr[i]);
+            ok = add_inherited_run(s, vm, &tasks->ptr[i]);
         }
     }
     free(id);
@@ -195,7 +196,7 @@
 /* Takes the runs over that the earlier owner has named; nothing else of its
  * can be alive, so the rest may start at once. */
 static void
-take_handed_tasks(AqScheduler *s)
+adopt_inherited_runs(AqScheduler *s)
 {
     for (guint i = 0; i < s->inherited_runs->len && s->is_handed_over; i++) {
         const InheritedRun *inherited =
@@ -218,5 +219,5 @@
 AqScheduler_SetLoaded(AqScheduler *s)
 {
     s->is_loaded = true;
-    take_handed_tasks(s);
+    adopt_inherited_runs(s);
 }
--- a/packages/scheduler/vms.c
+++ b/packages/scheduler/vms.c
@@ -6,24 +6,26 @@
 enum {
     /* Looks at a busy VM; each answer also renews its lease and shows how far
      * its tasks are. */
-    BUSY_WAIT_MS = 400,
-    IDLE_WAIT_MS = 1000,
+    BUSY_HOLD_WAIT_MS = 400,
+    IDLE_HOLD_WAIT_MS = 1000,
     /* Ends that are not stored yet would be listed again at once. */
-    UNSTORED_WAIT_MS = 200,
-    SILENT_RETRY_MS = 300,
-    COPY_AFTER_MS = 700, /* one answer may be lost, not those of two holds */
+    UNSTORED_HOLD_DELAY_MS = 200,
+    SILENT_HOLD_RETRY_MS = 300,
+    COPY_AFTER_SILENCE_MS =
+        700, /* one answer may be lost, not those of two holds */
     /* An entry that lapsed while the store was away is back after about 2 s;
      * one that is still missing is gone. */
     UNLISTED_GRACE_MS = 2200,
     UNLISTED_FORGET_MS = 10000,
-    FOREIGN_GRACE_MS = 3000, /* for the job of an unknown run to be seen */
-    LAPSE_MARGIN_MS = 100,
-    BAD_ENDS = 3, /* in a row, of different tasks: the VM is at fault */
+    UNKNOWN_JOB_GRACE_MS = 3000, /* for the job of an unknown run to be seen */
+    LEASE_EXPIRY_MARGIN_MS = 100,
+    QUARANTINE_AFTER_FAILURES =
+        3, /* in a row, of different tasks: the VM is at fault */
     QUARANTINE_MS = 3000
 };
 
 /* A VM's clock may be so much slower than ours. */
-static const double slowest_clock = 0.98;
+static const double slowest_clock_rate = 0.98;
 
 Vm *
 vms_find(const AqScheduler *s, const char *id)
@@ -66,7 +68,7 @@
 /* ---- Room --------------------------------------------------------------- */
 
 static void
-count_room(Vm *vm, const AqStepSpec *spec, int sign)
+add_usage(Vm *vm, const AqStepSpec *spec, int sign)
 {
     int64_t cpu = sign * (spec->is_filler ? 0 : spec->cpu_millis);
     vm->used_cpu += cpu;
@@ -83,7 +85,7 @@
     AqList_Append(&vm->tasks, &task->link);
     vm->task_count++;
     vm->idle_since = AQ_TIME_NEVER;
-    count_room(vm, task->step->spec, 1);
+    add_usage(vm, task->step->spec, 1);
 }
 
 void
@@ -93,7 +95,7 @@
     if (vm == NULL) {
         return;
     }
-    count_room(vm, task->step->spec, -1);
+    add_usage(vm, task->step->spec, -1);
     AqList_Remove(&task->link);
     task->vm = NULL;
     if (--vm->task_count == 0) {
@@ -106,7 +108,7 @@
 {
     bool is_present =
         vm->is_listed || s->now - vm->unlisted_at < UNLISTED_GRACE_MS;
-    return is_present && !vm->has_ended && vm->has_answered &&
+    return is_present && !vm->has_ended && vm->has_replied &&
            vm->is_use_recorded && !vm->is_cordoned &&
            !vm->report.is_draining && vm->silent_since == AQ_TIME_NEVER &&
            vm->quarantined_until <= s->now;
@@ -168,7 +170,7 @@
 }
 
 AqTime
-vms_grant(AqScheduler *s, Vm *vm)
+vms_grant_lease(AqScheduler *s, Vm *vm)
 {
     AqTime deadline =
         vm->clock_ms + (s->now - vm->clock_at) + s->config.lease_ms;
@@ -179,7 +181,7 @@
 }
 
 static void
-lose_tasks(AqScheduler *s, Vm *vm, const char *reason)
+requeue_lost_tasks(AqScheduler *s, Vm *vm, const char *reason)
 {
     AqList_ForEachSafe(at, after, &vm->tasks)
     {
@@ -191,9 +193,9 @@
 }
 
 void
-vms_end(AqScheduler *s, Vm *vm)
+vms_remove(AqScheduler *s, Vm *vm)
 {
-    lose_tasks(s, vm, "other_life");
+    requeue_lost_tasks(s, vm, "other_life");
     g_hash_table_remove(s->vms_by_id, vm->report.id);
     s->used_vms_version++;
     s->placement_due = true;
@@ -202,35 +204,36 @@
 
 /* Whether the VM's leases have ended for certain on its own clock. */
 static bool
-has_lapsed(const AqScheduler *s, const Vm *vm)
+has_lease_expired(const AqScheduler *s, const Vm *vm)
 {
     if (vm->clock_ms < 0) {
         /* Only an earlier owner can have given it a lease. */
-        AqTime most = (AqTime)((double)s->config.lease_ms / slowest_clock);
+        AqTime most =
+            (AqTime)((double)s->config.lease_ms / slowest_clock_rate);
         return s->now - s->created_at >
-               s->config.earlier_owner_ms + most + LAPSE_MARGIN_MS;
+               s->config.earlier_owner_ms + most + LEASE_EXPIRY_MARGIN_MS;
     }
-    double passed = (double)(s->now - vm->clock_at) * slowest_clock;
+    double passed = (double)(s->now - vm->clock_at) * slowest_clock_rate;
     return (double)vm->clock_ms + passed >
-           (double)(vm->deadline_ms + LAPSE_MARGIN_MS);
+           (double)(vm->deadline_ms + LEASE_EXPIRY_MARGIN_MS);
 }
 
 static void
-check_silence(AqScheduler *s, Vm *vm)
+handle_silence(AqScheduler *s, Vm *vm)
 {
     if (vm->silent_since == AQ_TIME_NEVER) {
         return;
     }
-    if (s->now - vm->silent_since > COPY_AFTER_MS) {
+    if (s->now - vm->silent_since > COPY_AFTER_SILENCE_MS) {
         copy_tasks(s, vm);
     }
-    if (!has_lapsed(s, vm)) {
+    if (!has_lease_expired(s, vm)) {
         return;
     }
-    vm->was_used = false;
-    lose_tasks(s, vm, "leases_lapsed");
+    vm->used_by_earlier_owner = false;
+    requeue_lost_tasks(s, vm, "leases_lapsed");
     if (!vm->is_listed) {
-        vms_end(s, vm);
+        vms_remove(s, vm);
     }
 }
 
@@ -239,10 +242,10 @@
 static AqTime
 hold_wait(const Vm *vm)
 {
-    if (!vm->has_answered || vm->silent_since != AQ_TIME_NEVER) {
+    if (!vm->has_replied || vm->silent_since != AQ_TIME_NEVER) {
         return 0;
     }
-    return vm->task_count > 0 ? BUSY_WAIT_MS : IDLE_WAIT_MS;
+    return vm->task_count > 0 ? BUSY_HOLD_WAIT_MS : IDLE_HOLD_WAIT_MS;
 }
 
 static void
@@ -251,12 +254,12 @@
     AqOrderTarget target;
     bool may_extend = vm->clock_ms >= 0 && vm->silent_since == AQ_TIME_NEVER;
     AqHoldOrder order = {
-        .deadline_ms = may_extend ? vms_grant(s, vm) : -1,
+        .deadline_ms = may_extend ? vms_grant_lease(s, vm) : -1,
         .fence = s->config.fence,
-        .acked_end = vm->confirmed,
+        .acked_end = vm->confirmed_end_number,
         .wait_ms = hold_wait(vm),
     };
-    vm->is_hold_out = true;
+    vm->is_hold_pending = true;
     vms_target(vm, &target);
     s->actions.hold(s->context, &target, &order);
 }
@@ -268,7 +271,7 @@
     while (stored < vm->pending_ends->len &&
            g_array_index(vm->pending_ends, PendingEnd, stored).seq <=
                s->stored_seq) {
-        vm->confirmed =
+        vm->confirmed_end_number =
             g_array_index(vm->pending_ends, PendingEnd, stored).number;
         stored++;
     }
@@ -291,8 +294,8 @@
     AqList_ForEach(at, &s->vms)
     {
         const Vm *vm = AqList_Entry(at, Vm, link);
-        if (vm->was_used && !vm->has_answered && !vm->has_ended &&
-            !has_lapsed(s, vm)) {
+        if (vm->used_by_earlier_owner && !vm->has_replied && !vm->has_ended &&
+            !has_lease_expired(s, vm)) {
             return;
         }
     }
@@ -305,17 +308,17 @@
 {
     AqTime forget =
         vm->has_ended ? UNLISTED_GRACE_MS : (AqTime)UNLISTED_FORGET_MS;
-    if (!vm->is_listed && vm->task_count == 0 && !vm->was_used &&
+    if (!vm->is_listed && vm->task_count == 0 && !vm->used_by_earlier_owner &&
         s->now - vm->unlisted_at > forget) {
-        vms_end(s, vm);
+        vms_remove(s, vm);
         return AQ_TIME_NEVER;
     }
-    if (!vm->is_hold_out && s->may_order && vm->hold_due <= s->now) {
+    if (!vm->is_hold_pending && s->may_order && vm->hold_due <= s->now) {
         send_hold(s, vm);
     }
     AqTime due =
-        vm->is_hold_out || !s->may_order ? AQ_TIME_NEVER : vm->hold_due;
-    check_silence(s, vm);
+        vm->is_hold_pending || !s->may_order ? AQ_TIME_NEVER : vm->hold_due;
+    handle_silence(s, vm);
     return due;
 }
 
@@ -367,7 +370,7 @@
     Vm *vm = vms_find(s, id);
     if (vm != NULL && !vm->has_ended) {
         vm->has_ended = true;
-        lose_tasks(s, vm, "vm_ended");
+        requeue_lost_tasks(s, vm, "vm_ended");
         s->used_vms_version++;
     }
 }
@@ -413,8 +416,8 @@
     if (vm->has_ended) {
         return AQ_TIME_NEVER;
     }
-    return vm->was_used && !vm->has_answered ? s->created_at
-                                             : vm->silent_since;
+    return vm->used_by_earlier_owner && !vm->has_replied ? s->created_at
+                                                         : vm->silent_since;
 }
 
 void
@@ -430,7 +433,7 @@
             .machine = vm->report.machine,
             .is_usable = vms_is_usable(s, vm),
             .is_answering =
-                vm->has_answered && vm->silent_since == AQ_TIME_NEVER,
+                vm->has_replied && vm->silent_since == AQ_TIME_NEVER,
             .silent_since = silent_since(s, vm),
             .tasks = vm->task_count,
             .cpu_millis = vm->report.cpu_millis,
@@ -448,16 +451,17 @@
 /* ---- Ends --------------------------------------------------------------- */
 
 void
-vms_note_end(AqScheduler *s, Vm *vm, const Task *task, bool is_failure)
+vms_record_result(AqScheduler *s, Vm *vm, const Task *task, bool is_failure)
 {
     if (!is_failure) {
-        vm->bad_ends = 0;
+        vm->consecutive_failures = 0;
         return;
     }
     /* A task that failed elsewhere too says little of this VM. */
-    if (task->failures == 0 && ++vm->bad_ends >= BAD_ENDS) {
+    if (task->failures == 0 &&
+        ++vm->consecutive_failures >= QUARANTINE_AFTER_FAILURES) {
         vm->quarantined_until = s->now + QUARANTINE_MS;
-        vm->bad_ends = 0;
+        vm->consecutive_failures = 0;
     }
 }
 
@@ -465,10 +469,11 @@
 vms_schedule_hold(AqScheduler *s, Vm *vm)
 {
     if (vm->silent_since != AQ_TIME_NEVER) {
-        vm->hold_due = s->now + SILENT_RETRY_MS;
+        vm->hold_due = s->now + SILENT_HOLD_RETRY_MS;
     }
-    else if (vm->pending_ends->len > 0 || vm->last_end > vm->confirmed) {
-        vm->hold_due = s->now + UNSTORED_WAIT_MS;
+    else if (vm->pending_ends->len > 0 ||
+             vm->last_end_number > vm->confirmed_end_number) {
+        vm->hold_due = s->now + UNSTORED_HOLD_DELAY_MS;
     }
     else {
         vm->hold_due = s->now;
@@ -476,8 +481,8 @@
 }
 
 bool
-vms_is_foreign_old(const AqScheduler *s, const Vm *vm)
+vms_is_foreign_run_overdue(const AqScheduler *s, const Vm *vm)
 {
     return vm->foreign_since > 0 &&
-           s->now - vm->foreign_since > FOREIGN_GRACE_MS;
+           s->now - vm->foreign_since > UNKNOWN_JOB_GRACE_MS;
 }
--- a/packages/scheduler/waves.c
+++ b/packages/scheduler/waves.c
@@ -9,12 +9,12 @@
 
 enum {
     /* Time that one VM takes: tasks end, maintenance, and it is seen back. */
-    VM_MS = 5000,
+    VM_MAINTENANCE_MS = 5000,
     /* Tasks that have not ended after this are stopped. */
-    PATIENCE_MS = 5000,
-    SHORT_PATIENCE_MS = 1200, /* when the wave is about to be late */
+    TASK_END_WAIT_MS = 5000,
+    LATE_TASK_END_WAIT_MS = 1200, /* when the wave is about to be late */
     /* A pool gives up at most this share of its VMs at a time. */
-    LARGEST_SHARE = 3
+    MAX_POOL_DIVISOR = 3
 };
 
 typedef struct {
@@ -28,7 +28,7 @@
     AqTime deadline;
     Entry *entries;
     size_t count;
-    GHashTable *places; /* machine -> position + 1; keys in the entries */
+    GHashTable *positions; /* machine -> position + 1; keys in the entries */
 };
 
 AqWave *
@@ -39,12 +39,12 @@
     wave->cap = spec->cap;
     wave->deadline = now + spec->within_ms;
     wave->entries = calloc(spec->machine_count + 1, sizeof(*wave->entries));
-    wave->places = g_hash_table_new(g_str_hash, g_str_equal);
+    wave->positions = g_hash_table_new(g_str_hash, g_str_equal);
     for (size_t i = 0; i < spec->machine_count; i++) {
         Entry *entry = &wave->entries[i];
         memcpy(entry->machine, spec->machines[i], AQ_VM_ID_SIZE);
-        if (!g_hash_table_contains(wave->places, entry->machine)) {
-            g_hash_table_insert(wave->places, entry->machine,
+        if (!g_hash_table_contains(wave->positions, entry->machine)) {
+            g_hash_table_insert(wave->positions, entry->machine,
                                 GSIZE_TO_POINTER(i + 1));
         }
     }
@@ -56,7 +56,7 @@
 AqWave_Destroy(AqWave *wave)
 {
     if (wave != NULL) {
-        g_hash_table_destroy(wave->places);
+        g_hash_table_destroy(wave->positions);
         free(wave->entries);
         free(wave);
     }
@@ -89,8 +89,9 @@
 int
 AqWave_Find(const AqWave *wave, const char *machine)
 {
-    gsize place = GPOINTER_TO_SIZE(g_hash_table_lookup(wave->places, machine));
-    return (int)place - 1;
+    gsize position =
+        GPOINTER_TO_SIZE(g_hash_table_lookup(wave->positions, machine));
+    return (int)position - 1;
 }
 
 void
@@ -185,13 +186,13 @@
 }
 
 size_t
-AqWave_Parallel(const AqWave *wave, size_t waiting, size_t pool_size,
-                AqTime now)
+AqWave_MaxDrains(const AqWave *wave, size_t waiting, size_t pool_size,
+                 AqTime now)
 {
     AqTime left = wave->deadline - now;
-    size_t most = pool_size / LARGEST_SHARE;
+    size_t most = pool_size / MAX_POOL_DIVISOR;
     /* Rounds that fit into the time that is left, with one in reserve. */
-    AqTime rounds = left / VM_MS - 1;
+    AqTime rounds = left / VM_MAINTENANCE_MS - 1;
     size_t parallel =
         rounds > 0 ? (waiting + (size_t)rounds - 1) / (size_t)rounds : waiting;
     most = most > 0 ? most : 1;
@@ -202,10 +203,11 @@
 }
 
 bool
-AqWave_IsPressing(const AqWave *wave, size_t waiting, AqTime cordoned_at,
-                  AqTime now)
+AqWave_MustStopTasks(const AqWave *wave, size_t waiting, AqTime cordoned_at,
+                     AqTime now)
 {
-    bool is_late = wave->deadline - now < (AqTime)waiting * VM_MS / 2;
-    AqTime patience = is_late ? SHORT_PATIENCE_MS : PATIENCE_MS;
+    bool is_late =
+        wave->deadline - now < (AqTime)waiting * VM_MAINTENANCE_MS / 2;
+    AqTime patience = is_late ? LATE_TASK_END_WAIT_MS : TASK_END_WAIT_MS;
     return now - cordoned_at > patience;
 }
