--- a/packages/scheduler/Include/aq_machines.h
+++ b/packages/scheduler/Include/aq_machines.h
@@ -8,8 +8,9 @@
 #include "aq_clock.h"
 #include "aq_worker_client.h"
 
-/* The platform's list of VMs and the orders that move them between pools or
- * take them down for maintenance, and the operator's waves of maintenance. */
+/* Clients of the platform's VM list, of its orders that move VMs between pools
+ * or take them down for maintenance, and of its advice service; and the
+ * operator's maintenance waves. */
 
 typedef enum {
     AQ_MACHINE_UP,
@@ -21,7 +22,7 @@
 typedef struct {
     char machine[AQ_VM_ID_SIZE];
     char pool[64];
-    char vm[AQ_VM_ID_SIZE]; /* id of its present incarnation, or "" */
+    char vm[AQ_VM_ID_SIZE]; /* id of the present incarnation, or "" */
     char zone[64];
     char rack[64];
     AqMachineState state;
@@ -30,18 +31,20 @@
 } AqMachine;
 
 typedef enum {
-    AQ_MACHINE_ORDER_DONE,    /* accepted, or done already */
-    AQ_MACHINE_ORDER_FENCED,  /* a later holder has given orders */
-    AQ_MACHINE_ORDER_BUSY,    /* not up, or leaving */
+    AQ_MACHINE_ORDER_DONE,    /* accepted, or carried out before */
+    AQ_MACHINE_ORDER_FENCED,  /* a holder with a higher fence sent orders */
+    AQ_MACHINE_ORDER_BUSY,    /* the VM is not up, or is leaving */
     AQ_MACHINE_ORDER_REFUSED, /* no such VM, pool or wave */
-    AQ_MACHINE_ORDER_LATER,   /* over the rate, or not reached; not done */
-    AQ_MACHINE_ORDER_UNKNOWN  /* no answer; it may be done later */
+    AQ_MACHINE_ORDER_LATER,   /* not carried out: over the rate limit, or the
+                               * platform was not reached */
+    AQ_MACHINE_ORDER_UNKNOWN  /* no response; it may be carried out later */
 } AqMachineResult;
 
+/* Static storage. */
 const char *AqMachineResult_Name(AqMachineResult result);
 
 typedef struct {
-    bool is_whole;             /* all pages were read */
+    bool is_whole;             /* all pages of the list were read */
     const AqMachine *machines; /* borrowed */
     size_t count;
 } AqMachineList;
@@ -51,6 +54,9 @@
 typedef void (*AqMachineListDone)(void *context, const AqMachineList *list);
 typedef void (*AqMachineOrderDone)(void *context, AqMachineResult result);
 
+/* "holder" and "fence" are the id and the fencing number of the node that
+ * orders.  Each call of "list", "move" or "maintenance" ends with one call of
+ * "done". */
 typedef struct {
     void (*list)(AqMachineClient *calls, AqMachineListDone done,
                  void *context);
@@ -67,8 +73,8 @@
     const AqMachineClientOps *ops;
 };
 
-/* A wave: each of the VMs has its maintenance within "within_ms", at most
- * "cap" at a time. */
+/* A maintenance wave: every VM in it has its maintenance within "within_ms",
+ * at most "cap" of them at a time. */
 typedef struct {
     int64_t number;
     char (*machines)[AQ_VM_ID_SIZE]; /* owned */
@@ -77,25 +83,31 @@
     uint32_t cap;
 } AqWaveSpec;
 
+/* Frees what the wave owns and zeroes it. */
 void AqWaveSpec_Clear(AqWaveSpec *wave);
 
-/* Advice on which VMs may run a step of a queue with tickets. */
+/* A ticket of the advice service, without which a task of a queue with tickets
+ * may not start on the VM. */
 typedef struct {
     const char *vm;
     const char *ticket;
 } AqTicket;
 
 typedef struct {
-    AqOrderResult result;    /* done, unhealthy (too many calls) or unknown */
+    /* AQ_ORDER_DONE, AQ_ORDER_UNHEALTHY (too many calls) or
+     * AQ_ORDER_UNKNOWN. */
+    AqOrderResult result;
     const AqTicket *tickets; /* borrowed */
     size_t count;
-    AqTime valid_ms;
+    AqTime valid_ms; /* validity of the tickets from the reply on */
 } AqAdviceReply;
 
 typedef void (*AqAdviceDone)(void *context, const AqAdviceReply *reply);
 
 typedef struct AqAdviceClient AqAdviceClient;
 
+/* Requests tickets for a step on the given VMs; ends with one call of "done".
+ */
 typedef struct {
     void (*request_tickets)(AqAdviceClient *calls, const AqTaskName *step,
                             const char *const *vms, size_t count,
--- a/packages/scheduler/Include/aq_worker_client.h
+++ b/packages/scheduler/Include/aq_worker_client.h
@@ -8,8 +8,8 @@
 #include "aq_clock.h"
 #include "aq_job_spec.h"
 
-/* Orders to the process on a VM that runs tasks, and what it answers.  The
- * scheduler decides them; an adapter carries them. */
+/* Orders to the worker process on a VM, which runs tasks, and its replies. The
+ * scheduler decides on the orders; an adapter of AqWorkerClient sends them. */
 
 /* One task of one occurrence of a job. */
 typedef struct {
@@ -24,59 +24,63 @@
     AQ_CHECKPOINT_SIZE = 128 /* bytes, with the NUL; a longer one is dropped */
 };
 
-/* What the VM's process says of itself in the store. */
+/* A VM's entry in the store, as reported by its worker process. */
 typedef struct {
     char id[AQ_VM_ID_SIZE]; /* of this incarnation of the VM */
     char address[32];       /* "IP:port" */
     char pool[64];
     char zone[64];
-    char machine[AQ_VM_ID_SIZE]; /* the VM; one in all incarnations, or "" */
+    char machine[AQ_VM_ID_SIZE]; /* id that all incarnations share, or "" */
     char kind[64];
     char rack[64];
     int64_t cpu_millis;
     int64_t memory_mb;
     int64_t gpus;
-    int64_t leaves_ms; /* least time left while draining; -1: not said */
+    int64_t leaves_ms; /* least time left while draining; -1: not reported */
     bool is_draining;
 } AqVmReport;
 
 typedef enum {
     AQ_ORDER_DONE,
-    AQ_ORDER_FENCED,  /* a later owner has given orders */
-    AQ_ORDER_OLD_RUN, /* a higher run was stopped or ended there */
-    AQ_ORDER_LATE,    /* the deadline has passed on the VM's clock */
-    AQ_ORDER_NO_ROOM,
-    AQ_ORDER_NO_TICKET,
-    AQ_ORDER_OTHER_LIFE, /* another incarnation of the VM answered */
-    AQ_ORDER_UNHEALTHY,  /* refused by an unhealthy VM; nothing was done */
-    AQ_ORDER_INVALID,    /* refused as malformed; nothing was done */
-    AQ_ORDER_NOT_SENT,   /* nothing left this process */
-    AQ_ORDER_UNKNOWN     /* no answer; it may be carried out later */
+    AQ_ORDER_FENCED,     /* an owner with a higher fence has sent orders */
+    AQ_ORDER_OLD_RUN,    /* a run of this or a higher number was stopped or has
+                          * ended there */
+    AQ_ORDER_LATE,       /* the deadline has passed on the VM's clock */
+    AQ_ORDER_NO_ROOM,    /* the VM lacks the resources */
+    AQ_ORDER_NO_TICKET,  /* the start had no valid ticket */
+    AQ_ORDER_OTHER_LIFE, /* another incarnation of the VM replied */
+    AQ_ORDER_UNHEALTHY,  /* refused by an unhealthy VM; no effect */
+    AQ_ORDER_INVALID,    /* refused as malformed; no effect */
+    AQ_ORDER_NOT_SENT,   /* nothing was sent */
+    AQ_ORDER_UNKNOWN     /* no reply; the VM may carry it out later */
 } AqOrderResult;
 
+/* Static storage. */
 const char *AqOrderResult_Name(AqOrderResult result);
 
+/* A run that is alive on the VM. */
 typedef struct {
     AqTaskName task;
     int64_t run;
     const char *checkpoint; /* borrowed; "" for none */
-    int64_t percent;        /* of its work; 100 for serving: at work */
-    /* Serving: tail latency, ms; otherwise: thousandths of a core in use. */
+    int64_t percent;        /* progress; a perpetual task is at work at 100 */
+    /* Tail latency in ms of a serving task; otherwise thousandths of a core in
+     * use. */
     int64_t usage;
 } AqRunningTask;
 
 typedef enum {
     AQ_END_DONE,
     AQ_END_FAILED,
-    AQ_END_STOPPED,
-    AQ_END_LAPSED,
-    AQ_END_BROKEN, /* another member of the gang ended */
-    AQ_END_ALONE,  /* the other members of the gang did not come */
+    AQ_END_STOPPED, /* by an order */
+    AQ_END_LAPSED,  /* the lease expired */
+    AQ_END_BROKEN,  /* another member of the gang ended */
+    AQ_END_ALONE,   /* the other members of the gang did not start */
     AQ_END_OTHER
 } AqEndKind;
 
 typedef struct {
-    int64_t number; /* rises within an incarnation of the VM */
+    int64_t number; /* increases within an incarnation of the VM */
     AqTaskName task;
     int64_t run;
     AqEndKind kind;
@@ -85,8 +89,8 @@
 
 typedef struct {
     AqOrderResult result;
-    AqTime clock_ms; /* steady clock of the VM; -1: not said */
-    /* Only of a hold that was done; borrowed. */
+    AqTime clock_ms; /* monotonic clock of the VM; -1: not reported */
+    /* Only with AQ_ORDER_DONE of a hold; borrowed. */
     const AqRunningTask *running;
     size_t running_count;
     const AqEndedTask *ended;
@@ -97,29 +101,33 @@
 
 typedef struct {
     const char *address;
-    const char *vm; /* id of the incarnation that is meant */
+    const char *vm; /* id of the incarnation that the order is for */
 } AqOrderTarget;
 
 typedef struct {
     AqTaskName task;
     int64_t run;
-    const char *text;
-    const char *checkpoint; /* "" for none */
+    const char *text;       /* of the job */
+    const char *checkpoint; /* where to continue; "" for none */
     const char *ticket;     /* "" for none */
-    AqTime deadline_ms;     /* on the VM's clock */
+    AqTime deadline_ms;     /* end of the VM's lease, on the VM's clock */
     uint64_t fence;
 } AqStartOrder;
 
 typedef struct {
-    AqTime deadline_ms; /* on the VM's clock; -1: leave it */
+    AqTime deadline_ms; /* end of the VM's lease, on the VM's clock; -1: the
+                         * lease stays unchanged */
     uint64_t fence;
-    int64_t acked_end; /* highest end that may be forgotten */
-    AqTime wait_ms;    /* the answer waits for an end */
+    int64_t acked_end; /* highest end that the VM may forget */
+    AqTime wait_ms;    /* longest time that the VM may delay its reply until a
+                        * run ends */
 } AqHoldOrder;
 
 typedef struct AqWorkerClient AqWorkerClient;
 
-/* Every call ends with one call of "done" from the event loop. */
+/* Every call ends with one call of "done" from the event loop.  "start" starts
+ * a run and "stop" ends it.  "hold" renews the VM's lease and lists its runs
+ * and ends.  "pace" limits a filler to a percentage of its full speed. */
 typedef struct {
     void (*start)(AqWorkerClient *calls, const AqOrderTarget *target,
                   const AqStartOrder *order, AqOrderDone done, void *context);
--- a/packages/scheduler/job_spec.c
+++ b/packages/scheduler/job_spec.c
@@ -7,9 +7,9 @@
 #include "record_codec.h"
 
 enum {
-    SPEC_FORMAT = 1, /* first element of the stored form */
-    SPEC_FIELDS = 9,
-    STEP_FIELDS = 14,
+    SPEC_FORMAT = 1,  /* first element of the stored form */
+    SPEC_FIELDS = 9,  /* elements of the stored form of a job */
+    STEP_FIELDS = 14, /* elements of the stored form of a step */
     FLAG_GANG = 1,
     FLAG_ONE_RACK = 2,
     FLAG_CHECKPOINTS = 4,
@@ -265,8 +265,8 @@
     if (!ok) {
         AqJobSpec_Clear(spec);
         return AqError_Set(error, AQ_ERR_INVALID,
-                           "the stored job is damaged; it is left alone, "
-                           "remove its key");
+                           "the stored job is damaged; it is kept "
+                           "unchanged, remove its key");
     }
     return true;
 }
--- a/packages/scheduler/perpetual.c
+++ b/packages/scheduler/perpetual.c
@@ -1,25 +1,26 @@
 #include "aq_log.h"
 #include "scheduler_internal.h"
 
-/* Tasks that last: how they leave a VM that is cordoned or draining without
- * too many of a step being away, and how fillers beside a serving task are
- * slowed before its users are harmed. */
+/* Perpetual tasks.  They are moved off a cordoned or draining VM within the
+ * limit on missing tasks of their step.  Fillers on the VM of a serving task
+ * are slowed before the task exceeds its latency target. */
 
 enum {
     SCAN_PERIOD_MS = 20,
-    NO_REPLY_LIMIT_MS = 900, /* two looks at a busy VM */
-    /* Serving tasks: a filler is slowed from this share of the target on, and
-     * sped up again below the other. */
+    NO_REPLY_LIMIT_MS = 900, /* two holds of a busy VM */
+    /* Tail latency of a serving task, in percent of its target, above which
+     * fillers are slowed, and up to which they are sped up again. */
     SLOW_DOWN_PERCENT = 85,
     SPEED_UP_PERCENT = 55,
-    PACE_UP_DELAY_MS = 1500, /* calm for so long before fillers get faster */
-    PACE_DOWN_INTERVAL_MS = 400, /* between two steps down */
-    PACE_STEP_UP_PERCENT = 20,   /* percent */
+    PACE_UP_DELAY_MS = 1500, /* since the last change, before a step up */
+    PACE_DOWN_INTERVAL_MS =
+        400,                   /* since the last change, before a step down */
+    PACE_STEP_UP_PERCENT = 20, /* percent */
     FULL_PACE_PERCENT = 100
 };
 
-/* Whether a task is not at work, or may not be: nothing is known of it while
- * its VM has not answered for a while. */
+/* Whether a task is not at work, or may not be, because its VM has not replied
+ * recently. */
 static bool
 is_absent(const AqScheduler *s, const Task *task)
 {
@@ -28,6 +29,7 @@
            s->now - task->vm->clock_at > NO_REPLY_LIMIT_MS;
 }
 
+/* Number of absent tasks of the step other than "except". */
 static uint32_t
 count_absent(const AqScheduler *s, const Step *step, const Task *except)
 {
@@ -39,8 +41,9 @@
     return count;
 }
 
-/* Whether a stop that counts against what the step may miss is on its way to
- * a VM that answers.  A later one may arrive before it. */
+/* Whether an unconfirmed stop of a task of the step, which counts against the
+ * limit on missing tasks, is on its way to a VM that replies.  A stop sent
+ * later may arrive before it. */
 static bool
 is_stop_under_way(const Step *step)
 {
@@ -55,7 +58,8 @@
     return false;
 }
 
-/* Tasks leave a draining VM whatever their step may miss. */
+/* Whether the task may be stopped on this VM now.  The limit on missing tasks
+ * does not apply on a draining VM. */
 static bool
 may_move_away(const AqScheduler *s, const Vm *vm, const Task *task)
 {
@@ -68,6 +72,7 @@
                : count_absent(s, task->step, task) < spec->may_miss;
 }
 
+/* Whether another usable VM has room for a task of the step. */
 static bool
 fits_on_other_vm(const AqScheduler *s, const Vm *vm, const AqStepSpec *spec)
 {
@@ -84,6 +89,7 @@
     return false;
 }
 
+/* Stops the perpetual tasks on the VM that may start elsewhere now. */
 static void
 move_perpetual(AqScheduler *s, const Vm *vm)
 {
@@ -110,8 +116,8 @@
 /* ---- Pacing ------------------------------------------------------------- */
 
 typedef struct {
-    bool is_near_target;      /* a serving task is near its target */
-    bool is_far_below_target; /* all are far below it */
+    bool is_near_target;      /* a serving task is near or above its target */
+    bool is_far_below_target; /* all serving tasks are far below it */
     bool has_serving;
 } LatencyPressure;
 
@@ -153,6 +159,7 @@
     s->actions.pace(s->context, &target, &name, task->run, percent);
 }
 
+/* Slows or speeds up the fillers on the VM by one step when one is due. */
 static void
 pace_fillers(AqScheduler *s, const Vm *vm)
 {
@@ -186,7 +193,8 @@
     }
     s->next_scan_at = s->now + SCAN_PERIOD_MS;
     replies_tick(s);
-    /* Draining VMs first: what leaves them counts for the others. */
+    /* Draining VMs first: tasks that leave them count as missing for the moves
+     * off cordoned VMs. */
     AqList_ForEach(at, &s->vms)
     {
         const Vm *vm = AqList_Entry(at, Vm, link);
--- a/packages/scheduler/progress.c
+++ b/packages/scheduler/progress.c
@@ -8,9 +8,9 @@
 /* The stored record of a job:
  * [format, stage, next occurrence, [[occurrence, [[done, [[task, [run ...]]
  * ...]] ... of each step]] ... of each unfinished occurrence]]
- * "done" is a bit map of the tasks of a step; the runs are those that failed,
- * by number, since an end may be listed again to a later owner.  An occurrence
- * below the next one that is not listed is done. */
+ * "done" is a bitmap of the tasks of a step.  The failed runs are stored by
+ * number, so that an end that a VM lists again to a later owner is not counted
+ * twice.  An occurrence below the next one that is not listed is done. */
 
 enum {
     RECORD_FORMAT = 1,
@@ -215,8 +215,8 @@
     msgpack_unpacked_destroy(&unpacked);
     if (!ok) {
         return AqError_Set(error, AQ_ERR_INVALID,
-                           "the stored progress of the job is damaged; ask "
-                           "the pool's owner for its log");
+                           "the stored progress of the job is damaged; see "
+                           "the log of the pool's owner");
     }
     *stage = (AqJobStage)value;
     return true;
--- a/packages/scheduler/ranking.c
+++ b/packages/scheduler/ranking.c
@@ -1,12 +1,13 @@
 #include "scheduler_internal.h"
 
-/* Which job comes first while there is less room than work.
+/* Order in which jobs are placed when the pool has less capacity than work.
  *
- * A job that can still be in time goes before one that cannot, and among
- * those the one with the least work left, so that the most jobs are in time.
- * Late jobs follow in the same order, then those so late that nobody gains
- * from haste, oldest first.  Perpetual tasks go first of all: their users wait
- * now, and they are started rarely. */
+ * The queue's priority comes first.  Within a priority, jobs with perpetual
+ * tasks precede all others, because their users are waiting and starts of such
+ * tasks are rare.  Next are the jobs that can still meet their objective, the
+ * one with the least remaining work first, so that the most jobs meet it.
+ * Late jobs follow in the same order.  Last are the very late jobs, oldest
+ * first, since a faster completion has no value for them any more. */
 
 enum {
     BUCKET_PERPETUAL,
@@ -14,12 +15,12 @@
     BUCKET_LATE,
     BUCKET_VERY_LATE,
     BUCKET_COUNT,
-    VERY_LATE_FACTOR =
-        3 /* of the objective: an answer after that is worthless */
+    VERY_LATE_FACTOR = 3 /* of the objective: a result later than that has no
+                          * value */
 };
 
-/* Longest chain of declared durations from the given step on, over the steps
- * that are not done. */
+/* Longest chain of dependent steps by estimated duration, ms: of all steps if
+ * "whole", otherwise of the steps that are not done. */
 static AqTime
 longest_chain(const AqScheduler *s, const Occurrence *occurrence, bool whole)
 {
@@ -43,6 +44,7 @@
     return longest;
 }
 
+/* Remaining work of an occurrence by declared durations, core-milliseconds. */
 static int64_t
 work_left(const Occurrence *occurrence)
 {
@@ -55,6 +57,8 @@
     return work;
 }
 
+/* Whether the occurrence has ready tasks.  Sets *is_perpetual_task when one of
+ * them is perpetual, and leaves it unchanged otherwise. */
 static bool
 has_ready_tasks(const Occurrence *occurrence, bool *is_perpetual_task)
 {
--- a/packages/scheduler/record_codec.c
+++ b/packages/scheduler/record_codec.c
@@ -24,16 +24,17 @@
     msgpack_pack_str_body(pk, text, size);
 }
 
+/* Position in msgpack bytes and their end. */
 typedef struct {
     const unsigned char *at;
     const unsigned char *end;
 } Scanner;
 
 enum {
-    MAX_DEPTH = 16 /* the records have less; bounds the recursion */
+    MAX_DEPTH = 16 /* bounds the recursion; records nest less deeply */
 };
 
-/* Reads a big-endian number of so many bytes. */
+/* Reads a big-endian unsigned number of "bytes" bytes. */
 static bool
 scan_number(Scanner *scan, size_t bytes, uint64_t *value)
 {
@@ -62,7 +63,7 @@
 static bool
 scan_array(Scanner *scan, uint64_t count, int depth)
 {
-    /* Each element takes a byte at least. */
+    /* Each element takes at least one byte. */
     if (depth == MAX_DEPTH || (uint64_t)(scan->end - scan->at) < count) {
         return false;
     }
@@ -74,7 +75,8 @@
     return true;
 }
 
-/* Passes over one value of the types that records have. */
+/* Skips one value; false when it is truncated or of a type that records do not
+ * have. */
 static bool
 scan_value(Scanner *scan, int depth)
 {
@@ -152,7 +154,7 @@
     if (object->type != MSGPACK_OBJECT_STR) {
         return false;
     }
-    /* msgpack-c gives no pointer with an empty text. */
+    /* msgpack-c gives a NULL pointer for an empty text. */
     *value = object->via.str.size == 0
                  ? strdup("")
                  : strndup(object->via.str.ptr, object->via.str.size);
--- a/packages/scheduler/replies.c
+++ b/packages/scheduler/replies.c
@@ -9,11 +9,12 @@
     NO_ROOM_PAUSE_MS = 150,
     UNHEALTHY_PAUSE_MS = 1000,
     INVALID_PAUSE_MS = 2000,
-    /* A run whose percent stands still for so long, and for this share of its
-     * declared time, is started elsewhere. */
+    /* A run is stopped and started elsewhere when its percent has not changed
+     * for STALL_MS plus its declared duration divided by
+     * STALL_ESTIMATE_DIVISOR. */
     STALL_MS = 1200,
     STALL_ESTIMATE_DIVISOR = 25,
-    /* A perpetual task starts up within a second or two. */
+    /* Limit for a perpetual task to get to work, which takes 1 to 2 s. */
     PERPETUAL_START_LIMIT_MS = 5000
 };
 
@@ -70,7 +71,8 @@
     }
 }
 
-/* A run that no job of ours wants. */
+/* Stops a run that is not the present run of any task, for example one of a
+ * finished job. */
 static void
 stop_unknown_run(AqScheduler *s, const Vm *vm, const AqTaskName *name,
                  int64_t run)
@@ -86,8 +88,8 @@
     }
 }
 
-/* Stops the run of a task that is superseded.  It takes room until its VM no
- * longer lists it. */
+/* Stops the task's run on its VM because another run replaces it.  It counts
+ * as foreign usage there for as long as the VM lists it. */
 static void
 stop_superseded_run(AqScheduler *s, Task *task)
 {
@@ -100,6 +102,9 @@
     vms_detach(s, task);
 }
 
+/* Handles what a reply to any order says of the VM and of this owner.  Returns
+ * true when the reply needs no further handling: a later owner exists, or *vm
+ * has been freed. */
 static bool
 handle_common_result(AqScheduler *s, Vm *vm, const AqOrderReply *reply)
 {
@@ -125,8 +130,8 @@
     }
 }
 
-/* The task whose order has been answered, or NULL when it is no longer of
- * that run. */
+/* Clears the pending order of a task after its reply.  Returns the task, or
+ * NULL when that run is no longer the task's run on the VM. */
 static Task *
 finish_order(const AqScheduler *s, const Vm *vm, const AqTaskName *name,
              int64_t run)
@@ -161,8 +166,8 @@
     }
 }
 
-/* Nothing was done for this order.  An earlier one without an answer may
- * still come, which only a stop rules out. */
+/* Handles a start order that had no effect.  An earlier start order without a
+ * reply may still be carried out, which only a stop rules out. */
 static void
 handle_refused_start(AqScheduler *s, Task *task, AqTime pause)
 {
@@ -208,7 +213,7 @@
         break;
     case AQ_ORDER_OLD_RUN:
         if (task->may_start_late) {
-            /* It ran and ended already; the next hold lists the end. */
+            /* The run has already ended; the next hold lists its end. */
             confirm_start(s, task);
         }
         else {
@@ -300,8 +305,8 @@
     }
 }
 
-/* Takes the ends in order; stops at one of a job that is not known yet.
- * Returns whether all were taken. */
+/* Applies the listed ends in order and stops at the first one of a job that
+ * is not known yet.  Returns whether all were applied. */
 static bool
 process_ends(AqScheduler *s, Vm *vm, const AqOrderReply *reply)
 {
@@ -357,7 +362,8 @@
 static void
 update_presence(AqScheduler *s, Task *task, const AqRunningTask *row)
 {
-    /* One that is being stopped is listed for a while yet. */
+    /* A task that is being stopped is still listed for a while, so only a
+     * running one counts as present. */
     if (task->step->spec->is_perpetual && task->state == TASK_RUNNING) {
         if (row->percent < 100 && task->pace >= 100) {
             if (task->absent_since == AQ_TIME_NEVER) {
@@ -371,8 +377,8 @@
     task->usage = row->usage;
 }
 
-/* Takes over a run that an earlier owner or an order without an answer has
- * started. */
+/* Makes a listed run the task's run.  An earlier owner started it, or an order
+ * of this owner that had no reply. */
 static void
 adopt_run(AqScheduler *s, Vm *vm, Task *task, const AqRunningTask *row)
 {
@@ -387,11 +393,11 @@
     task->percent = row->percent;
     task->state = TASK_STARTING;
     confirm_start(s, task);
-    task->started_at = 0; /* not known: no measurement of its duration */
+    task->started_at = 0; /* unknown: the duration is not averaged */
 }
 
-/* A run that takes room and is not a task's of ours.  Of an unknown job it may
- * take all. */
+/* Adds the resources of a listed run that is not the present run of a task.  A
+ * run of an unknown job is assumed to take the whole VM. */
 static void
 add_foreign_usage(Vm *vm, const Job *job, uint32_t step)
 {
@@ -401,11 +407,13 @@
         return;
     }
     const AqStepSpec *spec = &job->spec.steps[step];
-    /* Never 0: the VM is not idle. */
+    /* At least 1, so that the VM does not count as idle. */
     vm->foreign_cpu += spec->is_filler ? 1 : spec->cpu_millis + 1;
     vm->foreign_memory += spec->memory_mb;
 }
 
+/* Applies one running task that a hold has listed: confirms or adopts the run,
+ * or stops it when it is not the present run of a known, unfinished task. */
 static void
 process_running_task(AqScheduler *s, Vm *vm, const AqRunningTask *row)
 {
@@ -417,7 +425,7 @@
             task != NULL && task->vm == vm && task->run == row->run;
         if (is_expected) {
             task->last_listed_hold = vm->hold_count;
-            return; /* its stop is under way */
+            return; /* its stop has been ordered */
         }
         add_foreign_usage(vm, job, row->task.step);
         if (job != NULL || vms_is_foreign_run_overdue(s, vm)) {
@@ -441,7 +449,7 @@
     stop_if_stalled(s, vm, task, row);
 }
 
-/* Runs that the VM should list and does not. */
+/* Requeues the tasks whose runs the VM no longer lists. */
 static void
 requeue_missing_runs(AqScheduler *s, Vm *vm, AqTime sent_at)
 {
@@ -511,7 +519,7 @@
     }
 }
 
-/* ---- Orders that are due again ------------------------------------------ */
+/* ---- Repeated orders ---------------------------------------------------- */
 
 void
 replies_tick(AqScheduler *s)
--- a/packages/scheduler/saves.c
+++ b/packages/scheduler/saves.c
@@ -2,8 +2,8 @@
 
 #include "scheduler_internal.h"
 
-/* Which records have to be stored, and which ends may be forgotten once they
- * are. */
+/* Saves of job records.  Once a change is stored, the VMs may forget the ends
+ * of runs that it contains. */
 
 size_t
 AqScheduler_BeginSave(AqScheduler *s, AqJobSave *saves, size_t most)
@@ -30,6 +30,8 @@
     return count;
 }
 
+/* Ends the save of one job; it becomes dirty again if the save failed or the
+ * job has changed since. */
 static void
 end_save(AqScheduler *s, Job *job, const AqJobSave *save, bool is_stored)
 {
@@ -40,7 +42,8 @@
     if (!is_stored || job->changed_while_saving) {
         job->changed_while_saving = false;
         if (!is_stored || job->dirty_seq == 0) {
-            /* An unstored change keeps its place before later ones. */
+            /* A change whose save failed keeps its place before later ones: it
+             * counts as the oldest, so that no later end is confirmed. */
             job->dirty_seq = is_stored ? s->change_seq : 1;
         }
         if (is_stored) {
--- a/packages/scheduler/sizing.c
+++ b/packages/scheduler/sizing.c
@@ -3,19 +3,23 @@
 #include <string.h>
 
 enum {
-    /* Room that stays free of the room in use, in hundredths. */
-    RESERVE_PERCENT = 30,
-    MIN_VMS = 3,     /* so that perpetual tasks do not all share one VM */
-    RESERVE_VMS = 1, /* so that a burst can begin before VMs come */
-    /* Taken in one decision at most, so that one mistaken estimate does not
-     * empty the other pools: so many, or this part of a large site. */
+    RESERVE_PERCENT = 30, /* capacity kept free, of the capacity in use */
+    MIN_VMS = 3,          /* keeps perpetual tasks from all sharing one VM */
+    RESERVE_VMS = 1,      /* for the start of a burst, until more VMs arrive */
+    /* One decision acquires at most MAX_ACQUIRED_VMS or, on a large site, the
+     * site's VMs divided by MAX_ACQUIRED_SITE_DIVISOR, so that one wrong
+     * estimate does not empty the other pools. */
     MAX_ACQUIRED_VMS = 16,
     MAX_ACQUIRED_SITE_DIVISOR = 4,
-    MAX_AHEAD_PERCENT = 200, /* of what is there: most that is taken ahead */
-    AHEAD_LOAD_PERCENT = 50, /* of the room: VMs are taken ahead of need */
-    STUCK_WAIT_MS = 800      /* a task waits although there is room */
+    MAX_AHEAD_PERCENT = 200, /* most that is acquired ahead, of the present
+                              * need */
+    AHEAD_LOAD_PERCENT = 50, /* present need, of the capacity, above which
+                              * VMs are acquired ahead */
+    STUCK_WAIT_MS = 800      /* a task ready for longer gets one more VM
+                              * even if the total capacity suffices */
 };
 
+/* Number of VMs that a pool keeps whatever its load. */
 static size_t
 min_vms(const AqSizingInput *input)
 {
@@ -25,6 +29,7 @@
     return least > MIN_VMS ? least : MIN_VMS;
 }
 
+/* VMs needed for "cpu" thousandths of a core; 0 for a negative amount. */
 static size_t
 vms_for_cpu(const AqSizingInput *input, int64_t cpu)
 {
@@ -34,7 +39,8 @@
     return (size_t)((cpu + input->vm_cpu_millis - 1) / input->vm_cpu_millis);
 }
 
-/* Cores for what is submitted now, with some to spare. */
+/* Thousandths of a core that the perpetual tasks and the offered load need,
+ * with the reserve for the latter. */
 static int64_t
 offered_cpu_with_reserve(const AqSizingInput *input)
 {
@@ -42,6 +48,7 @@
            input->offered_cpu_millis * RESERVE_PERCENT / 100;
 }
 
+/* VMs needed beside those that are usable, requested or in maintenance. */
 static size_t
 count_needed_vms(const AqSizingInput *input)
 {
@@ -55,8 +62,8 @@
         needed = vms_for_cpu(input, need - have);
         needed = needed == 0 && is_stuck ? 1 : needed;
     }
-    /* What is submitted counts only once the pool fills up: a few large jobs
-     * look like a lot for a moment. */
+    /* The offered load counts only once the pool fills up, since a few large
+     * jobs raise it far above the real need for a moment. */
     if (need * 100 > input->capacity_cpu_millis * AHEAD_LOAD_PERCENT) {
         int64_t most = need + need * MAX_AHEAD_PERCENT / 100;
         int64_t offered = offered_cpu_with_reserve(input);
@@ -72,8 +79,8 @@
     return needed;
 }
 
-/* What other pools give away is not theirs to use: only what is taken from
- * the spare pool is limited. */
+/* Limits the VMs acquired from the spare pool in one decision.  VMs that other
+ * pools release are surplus there, so the need for those is not limited. */
 static size_t
 limit_acquired_vms(const AqSizingInput *input, size_t need)
 {
@@ -82,6 +89,7 @@
     return need < most_taken ? need : most_taken;
 }
 
+/* VMs to release to the spare pool: those above the need with its reserve. */
 static size_t
 count_released_vms(const AqSizingInput *input)
 {
@@ -91,10 +99,10 @@
     int64_t used = input->used_cpu_millis +
                    input->used_cpu_millis * RESERVE_PERCENT / 100;
     int64_t offered = offered_cpu_with_reserve(input);
-    size_t wanted =
+    size_t target =
         vms_for_cpu(input, used > offered ? used : offered) + RESERVE_VMS;
     size_t least = min_vms(input);
-    size_t keep = wanted > least ? wanted : least;
+    size_t keep = target > least ? target : least;
     return input->usable_vms > keep ? input->usable_vms - keep : 0;
 }
 
--- a/packages/scheduler/used_vms.c
+++ b/packages/scheduler/used_vms.c
@@ -5,12 +5,12 @@
 #include "record_codec.h"
 #include "scheduler_internal.h"
 
-/* The VMs that orders of this owner may have gone to, for the owners after
- * it; on a hand-over with the runs that it leaves. */
+/* The stored list of the VMs that may have received orders of this owner, read
+ * by the next owner.  A hand-over also lists the runs on each VM. */
 
 enum {
-    TASK_FIELDS = 5, /* of a task in the stored list of used VMs */
-    VM_FIELDS = 4
+    TASK_FIELDS = 5, /* elements of a task in the stored list */
+    VM_FIELDS = 4    /* elements of a VM in the stored list */
 };
 
 uint64_t
@@ -19,8 +19,9 @@
     return s->used_vms_version;
 }
 
-/* Whether a later owner has to hear from the VM.  Once no more orders are
- * given, only those with tasks matter. */
+/* Whether the VM belongs in the list, so that a later owner waits for its
+ * reply.  Once the scheduler is closed, only a VM with runs, or one of an
+ * earlier owner's list, does. */
 static bool
 is_in_used_vms(const AqScheduler *s, const Vm *vm)
 {
@@ -55,7 +56,8 @@
 }
 
 /* The stored form: [is_handed_over, [[id, address, [[job, occurrence, step,
- * task, run] ...], machine] ...]].  Only a hand-over names the tasks. */
+ * task, run] ...], machine] ...]].  The task lists are
+ * empty except in a hand-over. */
 void
 AqScheduler_EncodeUsedVms(const AqScheduler *s, AqBuffer *out)
 {
@@ -193,8 +195,8 @@
     return ok;
 }
 
-/* Takes the runs over that the earlier owner has named; nothing else of its
- * can be alive, so the rest may start at once. */
+/* Adopts the runs that the earlier owner listed in a hand-over.  No other run
+ * of it can be alive, so all other tasks may start at once. */
 static void
 adopt_inherited_runs(AqScheduler *s)
 {
--- a/packages/scheduler/vms.c
+++ b/packages/scheduler/vms.c
@@ -4,27 +4,30 @@
 #include "scheduler_internal.h"
 
 enum {
-    /* Looks at a busy VM; each answer also renews its lease and shows how far
-     * its tasks are. */
+    /* How long a hold waits on the VM for an end of a run.  Each reply also
+     * reports the progress of the tasks, and the next hold renews the
+     * lease. */
     BUSY_HOLD_WAIT_MS = 400,
     IDLE_HOLD_WAIT_MS = 1000,
-    /* Ends that are not stored yet would be listed again at once. */
+    /* Pause before the next hold while ends are not confirmed, since the VM
+     * would list them again at once. */
     UNSTORED_HOLD_DELAY_MS = 200,
     SILENT_HOLD_RETRY_MS = 300,
-    COPY_AFTER_SILENCE_MS =
-        700, /* one answer may be lost, not those of two holds */
-    /* An entry that lapsed while the store was away is back after about 2 s;
-     * one that is still missing is gone. */
+    COPY_AFTER_SILENCE_MS = 700, /* a single reply may be lost, those of
+                                  * two holds mean a silent VM */
+    /* A VM whose entry in the store expired during a store outage adds it
+     * again within about 2 s; one still missing after that is gone. */
     UNLISTED_GRACE_MS = 2200,
     UNLISTED_FORGET_MS = 10000,
-    UNKNOWN_JOB_GRACE_MS = 3000, /* for the job of an unknown run to be seen */
+    UNKNOWN_JOB_GRACE_MS =
+        3000, /* for a run's job to be read from the store */
     LEASE_EXPIRY_MARGIN_MS = 100,
-    QUARANTINE_AFTER_FAILURES =
-        3, /* in a row, of different tasks: the VM is at fault */
+    QUARANTINE_AFTER_FAILURES = 3, /* consecutive ones, of different
+                                    * tasks: the VM is at fault */
     QUARANTINE_MS = 3000
 };
 
-/* A VM's clock may be so much slower than ours. */
+/* Lowest rate of a VM's clock relative to this node's clock. */
 static const double slowest_clock_rate = 0.98;
 
 Vm *
@@ -65,8 +68,9 @@
     free(vm);
 }
 
-/* ---- Room --------------------------------------------------------------- */
+/* ---- Resources in use --------------------------------------------------- */
 
+/* Adds the resources of one task with sign 1, removes them with sign -1. */
 static void
 add_usage(Vm *vm, const AqStepSpec *spec, int sign)
 {
@@ -114,7 +118,7 @@
            vm->quarantined_until <= s->now;
 }
 
-/* ---- Belief ------------------------------------------------------------- */
+/* ---- Replies and leases ------------------------------------------------- */
 
 void
 vms_on_reply(AqScheduler *s, Vm *vm, const AqOrderReply *reply)
@@ -123,8 +127,8 @@
         return;
     }
     if (vm->clock_ms < 0) {
-        /* An earlier owner may have granted that much just before our fence
-         * reached the VM. */
+        /* An earlier owner may have granted a whole lease just before this
+         * owner's fence reached the VM. */
         vm->deadline_ms = reply->clock_ms + s->config.lease_ms;
     }
     vm->clock_ms = reply->clock_ms;
@@ -140,8 +144,8 @@
     }
 }
 
-/* Tasks that allow copies start elsewhere at once: the run on a silent VM may
- * go on beside the new one. */
+/* Requeues the running tasks of a silent VM that allow copies, without waiting
+ * for the lease to expire: their old runs may continue beside the new ones. */
 static void
 copy_tasks(AqScheduler *s, Vm *vm)
 {
@@ -153,7 +157,7 @@
             continue;
         }
         s->counters.copied++;
-        /* The run takes room there until the VM no longer lists it. */
+        /* The old run counts as foreign until the VM replies to a hold. */
         vm->foreign_cpu += spec->cpu_millis;
         vm->foreign_memory += spec->memory_mb;
         g_strlcpy(task->avoid, vm->report.id, sizeof(task->avoid));
@@ -180,6 +184,7 @@
     return deadline;
 }
 
+/* Requeues all tasks of a VM whose runs have ended without a listed end. */
 static void
 requeue_lost_tasks(AqScheduler *s, Vm *vm, const char *reason)
 {
@@ -202,12 +207,14 @@
     vms_free(vm);
 }
 
-/* Whether the VM's leases have ended for certain on its own clock. */
+/* Whether the VM's leases have expired on its own clock, at the lowest rate
+ * that the clock may have. */
 static bool
 has_lease_expired(const AqScheduler *s, const Vm *vm)
 {
     if (vm->clock_ms < 0) {
-        /* Only an earlier owner can have given it a lease. */
+        /* The VM has not replied to this owner, so only an earlier owner can
+         * have granted it a lease. */
         AqTime most =
             (AqTime)((double)s->config.lease_ms / slowest_clock_rate);
         return s->now - s->created_at >
@@ -218,6 +225,8 @@
            (double)(vm->deadline_ms + LEASE_EXPIRY_MARGIN_MS);
 }
 
+/* Copies tasks off a silent VM, and requeues all of them once its leases have
+ * expired. */
 static void
 handle_silence(AqScheduler *s, Vm *vm)
 {
@@ -239,6 +248,7 @@
 
 /* ---- Holds -------------------------------------------------------------- */
 
+/* How long the VM may delay its reply to a hold, ms. */
 static AqTime
 hold_wait(const Vm *vm)
 {
@@ -285,6 +295,8 @@
 
 /* ---- Time --------------------------------------------------------------- */
 
+/* Sets is_recovered once each VM used by earlier owners has replied, has ended
+ * or has no valid lease. */
 static void
 update_recovered(AqScheduler *s)
 {
@@ -303,6 +315,8 @@
     s->placement_due = true;
 }
 
+/* Sends the VM's hold when it is due.  Returns when the next one is due.  May
+ * free the VM. */
 static AqTime
 tick_vm(AqScheduler *s, Vm *vm)
 {
@@ -335,7 +349,7 @@
     return due;
 }
 
-/* ---- The list in the store ---------------------------------------------- */
+/* ---- VM entries in the store -------------------------------------------- */
 
 void
 AqScheduler_SetVm(AqScheduler *s, const AqVmReport *report, AqTime now)
@@ -410,6 +424,8 @@
                           vm->pending_ends->len == 0);
 }
 
+/* AqScheduledVm.silent_since of the VM.  One of an earlier owner counts as
+ * silent from the start until it replies. */
 static AqTime
 silent_since(const AqScheduler *s, const Vm *vm)
 {
@@ -457,7 +473,7 @@
         vm->consecutive_failures = 0;
         return;
     }
-    /* A task that failed elsewhere too says little of this VM. */
+    /* A task that has failed before is not evidence against this VM. */
     if (task->failures == 0 &&
         ++vm->consecutive_failures >= QUARANTINE_AFTER_FAILURES) {
         vm->quarantined_until = s->now + QUARANTINE_MS;
--- a/packages/scheduler/waves.c
+++ b/packages/scheduler/waves.c
@@ -8,12 +8,15 @@
 #include "record_codec.h"
 
 enum {
-    /* Time that one VM takes: tasks end, maintenance, and it is seen back. */
+    /* Time for one VM: its tasks end, it has its maintenance and it is listed
+     * again. */
     VM_MAINTENANCE_MS = 5000,
-    /* Tasks that have not ended after this are stopped. */
+    /* Time after the cordon of a VM at which its remaining tasks are
+     * stopped. */
     TASK_END_WAIT_MS = 5000,
-    LATE_TASK_END_WAIT_MS = 1200, /* when the wave is about to be late */
-    /* A pool gives up at most this share of its VMs at a time. */
+    LATE_TASK_END_WAIT_MS = 1200, /* the same when the wave may miss its
+                                   * deadline */
+    /* A pool drains at most its number of VMs divided by this at a time. */
     MAX_POOL_DIVISOR = 3
 };
 
@@ -25,7 +28,7 @@
 struct AqWave {
     int64_t number;
     uint32_t cap;
-    AqTime deadline;
+    AqTime deadline; /* for the last VM to be back */
     Entry *entries;
     size_t count;
     GHashTable *positions; /* machine -> position + 1; keys in the entries */
@@ -191,7 +194,8 @@
 {
     AqTime left = wave->deadline - now;
     size_t most = pool_size / MAX_POOL_DIVISOR;
-    /* Rounds that fit into the time that is left, with one in reserve. */
+    /* Rounds of maintenance that fit before the deadline, less one in
+     * reserve. */
     AqTime rounds = left / VM_MAINTENANCE_MS - 1;
     size_t parallel =
         rounds > 0 ? (waiting + (size_t)rounds - 1) / (size_t)rounds : waiting;
