--- a/packages/scheduler/Include/aq_machines.h
+++ b/packages/scheduler/Include/aq_machines.h
@@ -22,7 +22,7 @@
 typedef struct {
     char machine[AQ_VM_ID_SIZE];
     char pool[64];
-    char vm[AQ_VM_ID_SIZE]; /* id of the present incarnation, or "" */
+    char vm[AQ_VM_ID_SIZE]; /* id of the current incarnation, or "" */
     char zone[64];
     char rack[64];
     AqMachineState state;
--- a/packages/scheduler/Include/aq_scheduler.h
+++ b/packages/scheduler/Include/aq_scheduler.h
@@ -17,9 +17,10 @@
  * times are passed in, orders are emitted through AqSchedulerActions.
  *
  * Invariants (see AqScheduler_CheckConsistency):
- * - a task has at most one run that may be alive; the next run starts only
- *   after the last one has ended, its stop is confirmed, or its lease has
- *   expired on the VM's own clock, which may be 2% slow;
+ * - a task has at most one run that may be alive, unless its step allows
+ *   copies; the next run starts only after the last one has ended, its stop is
+ *   confirmed, or its lease has expired on the VM's own clock, which may be 2%
+ *   slow;
  * - a run's number is above those of all earlier runs, across all owners;
  * - an end is confirmed to its VM only after the job's record is stored.
  *
--- a/packages/scheduler/Include/aq_sizing.h
+++ b/packages/scheduler/Include/aq_sizing.h
@@ -44,7 +44,7 @@
     AQ_SIZING_IDLE_MS = 400 /* a VM idle for less is not released */
 };
 
-/* Sets *decision for the present load of a pool. */
+/* Sets *decision for the current load of a pool. */
 void AqSizing_Decide(const AqSizingInput *input, AqSizingDecision *decision);
 
 #endif
--- a/packages/scheduler/Include/aq_worker_client.h
+++ b/packages/scheduler/Include/aq_worker_client.h
@@ -8,8 +8,8 @@
 #include "aq_clock.h"
 #include "aq_job_spec.h"
 
-/* Orders to the worker process on a VM, which runs tasks, and its replies. The
- * scheduler decides on the orders; an adapter of AqWorkerClient sends them. */
+/* Orders to the worker process on a VM, which runs the tasks, and its replies.
+ * The scheduler decides on the orders; an AqWorkerClient sends them. */
 
 /* One task of one occurrence of a job. */
 typedef struct {
--- a/packages/scheduler/perpetual.c
+++ b/packages/scheduler/perpetual.c
@@ -1,9 +1,10 @@
 #include "aq_log.h"
 #include "scheduler_internal.h"
 
-/* Perpetual tasks.  They are moved off a cordoned or draining VM within the
- * limit on missing tasks of their step.  Fillers on the VM of a serving task
- * are slowed before the task exceeds its latency target. */
+/* Perpetual tasks.  They are moved off a cordoned VM within the limit on
+ * missing tasks of their step, and off a draining VM regardless of it. Fillers
+ * on the VM of a serving task are slowed before the task exceeds its latency
+ * target. */
 
 enum {
     SCAN_PERIOD_MS = 20,
@@ -12,10 +13,10 @@
      * fillers are slowed, and up to which they are sped up again. */
     SLOW_DOWN_PERCENT = 85,
     SPEED_UP_PERCENT = 55,
-    PACE_UP_DELAY_MS = 1500, /* since the last change, before a step up */
-    PACE_DOWN_INTERVAL_MS =
-        400,                   /* since the last change, before a step down */
-    PACE_STEP_UP_PERCENT = 20, /* percent */
+    /* Least time from the last change of a pace to a step up or down. */
+    PACE_UP_DELAY_MS = 1500,
+    PACE_DOWN_DELAY_MS = 400,
+    PACE_STEP_UP_PERCENT = 20,
     FULL_PACE_PERCENT = 100
 };
 
@@ -172,7 +173,7 @@
         }
         AqTime since = s->now - task->pace_changed_at;
         if (pressure.is_near_target && task->pace > 0 &&
-            since >= PACE_DOWN_INTERVAL_MS) {
+            since >= PACE_DOWN_DELAY_MS) {
             set_pace(s, vm, task, task->pace > 30 ? task->pace / 2 : 0);
         }
         else if (task->pace < FULL_PACE_PERCENT && since >= PACE_UP_DELAY_MS &&
--- a/packages/scheduler/replies.c
+++ b/packages/scheduler/replies.c
@@ -71,7 +71,7 @@
     }
 }
 
-/* Stops a run that is not the present run of any task, for example one of a
+/* Stops a run that is not the current run of any task, for example one of a
  * finished job. */
 static void
 stop_unknown_run(AqScheduler *s, const Vm *vm, const AqTaskName *name,
@@ -396,7 +396,7 @@
     task->started_at = 0; /* unknown: the duration is not averaged */
 }
 
-/* Adds the resources of a listed run that is not the present run of a task.  A
+/* Adds the resources of a listed run that is not the current run of a task.  A
  * run of an unknown job is assumed to take the whole VM. */
 static void
 add_foreign_usage(Vm *vm, const Job *job, uint32_t step)
@@ -413,7 +413,7 @@
 }
 
 /* Applies one running task that a hold has listed: confirms or adopts the run,
- * or stops it when it is not the present run of a known, unfinished task. */
+ * or stops it when it is not the current run of a known, unfinished task. */
 static void
 process_running_task(AqScheduler *s, Vm *vm, const AqRunningTask *row)
 {
--- a/packages/scheduler/scheduler_internal.h
+++ b/packages/scheduler/scheduler_internal.h
@@ -18,8 +18,9 @@
  * saves.c       which records to store, and what a save allows */
 
 typedef enum {
-    TASK_BLOCKED,  /* earlier steps are not done */
-    TASK_READY,    /* may start; no run of it can be alive */
+    TASK_BLOCKED, /* earlier steps are not done */
+    TASK_READY,   /* may start; no run is alive, except one copied off a silent
+                     VM */
     TASK_STARTING, /* a start is ordered and not confirmed */
     TASK_RUNNING,
     TASK_STOPPING, /* a stop is ordered or due */
@@ -164,7 +165,7 @@
     int64_t perpetual_cpu; /* part of used_cpu taken by perpetual tasks */
     int64_t used_memory;
     int64_t used_gpus;
-    int64_t foreign_cpu; /* taken by listed runs that are not the present run
+    int64_t foreign_cpu; /* taken by listed runs that are not the current run
                           * of a task here */
     int64_t foreign_memory;
     AqTime foreign_since; /* since when runs or ends of unknown jobs have been
@@ -198,7 +199,7 @@
     AqLink dirty;        /* jobs with unsaved changes, oldest change first */
     uint64_t change_seq; /* number of the last change of a job */
     uint64_t stored_seq; /* all changes up to this one are stored */
-    size_t saving_count; /* records in the present save; 0: no save */
+    size_t saving_count; /* records in the current save; 0: no save */
     GHashTable *vms_by_id;
     AqLink vms;                /* owned */
     uint64_t used_vms_version; /* version of the list of used VMs */
@@ -233,7 +234,8 @@
 void scheduler_task_failed(AqScheduler *s, Task *task, int64_t run);
 /* Adds the run to the task's failures without any other effect. */
 void scheduler_add_failure(Task *task, int64_t run);
-/* Makes a task ready for its next run, after the last one has ended. */
+/* Makes a task ready for its next run, after the last one has ended or its VM
+ * is silent and the step allows copies. */
 void scheduler_requeue_task(AqScheduler *s, Task *task);
 bool scheduler_is_finished(const Job *job);
 /* Queue of the job, or NULL when the site has none of that name. */
--- a/packages/scheduler/sizing.c
+++ b/packages/scheduler/sizing.c
@@ -11,9 +11,9 @@
      * estimate does not empty the other pools. */
     MAX_ACQUIRED_VMS = 16,
     MAX_ACQUIRED_SITE_DIVISOR = 4,
-    MAX_AHEAD_PERCENT = 200, /* most that is acquired ahead, of the present
+    MAX_AHEAD_PERCENT = 200, /* most that is acquired ahead, of the current
                               * need */
-    AHEAD_LOAD_PERCENT = 50, /* present need, of the capacity, above which
+    AHEAD_LOAD_PERCENT = 50, /* current need, of the capacity, above which
                               * VMs are acquired ahead */
     STUCK_WAIT_MS = 800      /* a task ready for longer gets one more VM
                               * even if the total capacity suffices */
@@ -85,8 +85,8 @@
 limit_acquired_vms(const AqSizingInput *input, size_t need)
 {
     size_t part = input->site_vms / MAX_ACQUIRED_SITE_DIVISOR;
-    size_t most_taken = part > MAX_ACQUIRED_VMS ? part : MAX_ACQUIRED_VMS;
-    return need < most_taken ? need : most_taken;
+    size_t limit = part > MAX_ACQUIRED_VMS ? part : MAX_ACQUIRED_VMS;
+    return need < limit ? need : limit;
 }
 
 /* VMs to release to the spare pool: those above the need with its reserve. */
--- a/packages/scheduler/used_vms.c
+++ b/packages/scheduler/used_vms.c
@@ -56,8 +56,8 @@
 }
 
 /* The stored form: [is_handed_over, [[id, address, [[job, occurrence, step,
- * task, run] ...], machine] ...]].  The task lists are
- * empty except in a hand-over. */
+ * task, run] ...], machine] ...]].  The task lists are empty
+ * except in a hand-over. */
 void
 AqScheduler_EncodeUsedVms(const AqScheduler *s, AqBuffer *out)
 {
--- a/packages/scheduler/vms.c
+++ b/packages/scheduler/vms.c
@@ -18,12 +18,12 @@
     /* A VM whose entry in the store expired during a store outage adds it
      * again within about 2 s; one still missing after that is gone. */
     UNLISTED_GRACE_MS = 2200,
-    UNLISTED_FORGET_MS = 10000,
-    UNKNOWN_JOB_GRACE_MS =
-        3000, /* for a run's job to be read from the store */
+    UNLISTED_FORGET_MS = 10000, /* an idle VM without an entry is removed */
+    /* Time for the job of an unknown run to be read from the store. */
+    UNKNOWN_JOB_GRACE_MS = 3000,
     LEASE_EXPIRY_MARGIN_MS = 100,
-    QUARANTINE_AFTER_FAILURES = 3, /* consecutive ones, of different
-                                    * tasks: the VM is at fault */
+    /* Consecutive failures of different tasks mean that the VM is at fault. */
+    QUARANTINE_AFTER_FAILURES = 3,
     QUARANTINE_MS = 3000
 };
 
