--- a/packages/pool/pool_maintenance.c
+++ b/packages/pool/pool_maintenance.c
@@ -251,8 +251,8 @@
     if (AqScheduler_IsIdle(s, plan->vm)) {
         request_maintenance(self, entry, at, plan);
     }
-    else if (AqWave_IsPressing(entry->wave, round->waiting, plan->started_at,
-                               machines_now(self))) {
+    else if (AqWave_MustStopTasks(entry->wave, round->waiting,
+                                  plan->started_at, machines_now(self))) {
         AqScheduler_StopTasks(s, plan->vm, machines_now(self));
     }
 }
@@ -276,8 +276,8 @@
 cordon_for_wave(WaveRound *round, const WaveEntry *entry)
 {
     PoolMachines *self = round->self;
-    size_t parallel = AqWave_Parallel(entry->wave, round->waiting,
-                                      self->vms->len, machines_now(self));
+    size_t parallel = AqWave_MaxDrains(entry->wave, round->waiting,
+                                       self->vms->len, machines_now(self));
     size_t plan_count = machines_count_plans(self, PLAN_MAINTENANCE);
     for (guint i = 0; i < self->vms->len; i++) {
         const VmCopy *vm = &g_array_index(self->vms, VmCopy, i);
--- a/packages/scheduler/perpetual.c
+++ b/packages/scheduler/perpetual.c
@@ -1,33 +1,36 @@
 #include "aq_log.h"
 #include "scheduler_internal.h"
 
-/* Tasks that last: how they leave a VM that is cordoned or draining without
- * too many of a step being away, and how fillers beside a serving task are
- * slowed before its users are harmed. */
+/* Perpetual tasks.  They are moved off a cordoned VM within the limit on
+ * missing tasks of their step, and off a draining VM regardless of it. Fillers
+ * on the VM of a serving task are slowed before the task exceeds its latency
+ * target. */
 
 enum {
-    SCAN_EVERY_MS = 20,
-    UNHEARD_MS = 900, /* two looks at a busy VM */
-    /* Serving tasks: a filler is slowed from this share of the target on, and
-     * sped up again below the other. */
-    SLOW_PERCENT = 85,
-    SPEED_PERCENT = 55,
-    PACE_UP_MS = 1500,  /* calm for so long before fillers get faster */
-    PACE_DOWN_MS = 400, /* between two steps down */
-    PACE_STEP_UP = 20,  /* percent */
-    PACE_START = 100
+    SCAN_PERIOD_MS = 20,
+    NO_REPLY_LIMIT_MS = 900, /* two holds of a busy VM */
+    /* Tail latency of a serving task, in percent of its target, above which
+     * fillers are slowed, and up to which they are sped up again. */
+    SLOW_DOWN_PERCENT = 85,
+    SPEED_UP_PERCENT = 55,
+    /* Least time from the last change of a pace to a step up or down. */
+    PACE_UP_DELAY_MS = 1500,
+    PACE_DOWN_DELAY_MS = 400,
+    PACE_STEP_UP_PERCENT = 20,
+    FULL_PACE_PERCENT = 100
 };
 
-/* Whether a task is not at work, or may not be: nothing is known of it while
- * its VM has not answered for a while. */
+/* Whether a task is not at work, or may not be, because its VM has not replied
+ * recently. */
 static bool
 is_absent(const AqScheduler *s, const Task *task)
 {
     return task->absent_since != AQ_TIME_NEVER || task->vm == NULL ||
            task->vm->silent_since != AQ_TIME_NEVER ||
-           s->now - task->vm->clock_at > UNHEARD_MS;
+           s->now - task->vm->clock_at > NO_REPLY_LIMIT_MS;
 }
 
+/* Number of absent tasks of the step other than "except". */
 static uint32_t
 count_absent(const AqScheduler *s, const Step *step, const Task *except)
 {
@@ -39,8 +42,9 @@
     return count;
 }
 
-/* Whether a stop that counts against what the step may miss is on its way to
- * a VM that answers.  A later one may arrive before it. */
+/* Whether an unconfirmed stop of a task of the step, which counts against the
+ * limit on missing tasks, is on its way to a VM that replies.  A stop sent
+ * later may arrive before it. */
 static bool
 is_stop_under_way(const Step *step)
 {
@@ -55,9 +59,10 @@
     return false;
 }
 
-/* Tasks leave a draining VM whatever their step may miss. */
+/* Whether the task may be stopped on this VM now.  The limit on missing tasks
+ * does not apply on a draining VM. */
 static bool
-may_take_away(const AqScheduler *s, const Vm *vm, const Task *task)
+may_move_away(const AqScheduler *s, const Vm *vm, const Task *task)
 {
     const AqStepSpec *spec = task->step->spec;
     if (!spec->limits_missing) {
@@ -68,8 +73,9 @@
                : count_absent(s, task->step, task) < spec->may_miss;
 }
 
+/* Whether another usable VM has room for a task of the step. */
 static bool
-has_other_room(const AqScheduler *s, const Vm *vm, const AqStepSpec *spec)
+fits_on_other_vm(const AqScheduler *s, const Vm *vm, const AqStepSpec *spec)
 {
     AqList_ForEach(at, &s->vms)
     {
@@ -84,6 +90,7 @@
     return false;
 }
 
+/* Stops the perpetual tasks on the VM that may start elsewhere now. */
 static void
 move_perpetual(AqScheduler *s, const Vm *vm)
 {
@@ -91,8 +98,8 @@
     {
         Task *task = AqList_Entry(at, Task, link);
         if (!task->step->spec->is_perpetual || task->state != TASK_RUNNING ||
-            !may_take_away(s, vm, task) ||
-            !has_other_room(s, vm, task->step->spec)) {
+            !may_move_away(s, vm, task) ||
+            !fits_on_other_vm(s, vm, task->step->spec)) {
             continue;
         }
         AqLog_Event(AQ_LOG_INFO, "lasting_task_moved",
@@ -110,15 +117,15 @@
 /* ---- Pacing ------------------------------------------------------------- */
 
 typedef struct {
-    bool is_pressed; /* a serving task is near its target */
-    bool is_relaxed; /* all are far below it */
+    bool is_near_target;      /* a serving task is near or above its target */
+    bool is_far_below_target; /* all serving tasks are far below it */
     bool has_serving;
-} Pressure;
+} LatencyPressure;
 
-static Pressure
+static LatencyPressure
 measure_pressure(const Vm *vm)
 {
-    Pressure pressure = {.is_relaxed = true};
+    LatencyPressure pressure = {.is_far_below_target = true};
     AqList_ForEach(at, &vm->tasks)
     {
         const Task *task = AqList_Entry(at, Task, link);
@@ -127,11 +134,11 @@
             continue;
         }
         pressure.has_serving = true;
-        if (task->usage * 100 > target * SLOW_PERCENT) {
-            pressure.is_pressed = true;
+        if (task->usage * 100 > target * SLOW_DOWN_PERCENT) {
+            pressure.is_near_target = true;
         }
-        if (task->usage * 100 > target * SPEED_PERCENT) {
-            pressure.is_relaxed = false;
+        if (task->usage * 100 > target * SPEED_UP_PERCENT) {
+            pressure.is_far_below_target = false;
         }
     }
     return pressure;
@@ -148,29 +155,33 @@
                 "request=%s step=%u task=%u vm=%s from=%d to=%d", name.job,
                 name.step, name.index, vm->report.id, task->pace, percent);
     task->pace = percent;
-    task->paced_at = s->now;
+    task->pace_changed_at = s->now;
     s->counters.paced++;
     s->actions.pace(s->context, &target, &name, task->run, percent);
 }
 
+/* Slows or speeds up the fillers on the VM by one step when one is due. */
 static void
 pace_fillers(AqScheduler *s, const Vm *vm)
 {
-    Pressure pressure = measure_pressure(vm);
+    LatencyPressure pressure = measure_pressure(vm);
     AqList_ForEach(at, &vm->tasks)
     {
         Task *task = AqList_Entry(at, Task, link);
         if (!task->step->spec->is_filler || task->state != TASK_RUNNING) {
             continue;
         }
-        AqTime since = s->now - task->paced_at;
-        if (pressure.is_pressed && task->pace > 0 && since >= PACE_DOWN_MS) {
+        AqTime since = s->now - task->pace_changed_at;
+        if (pressure.is_near_target && task->pace > 0 &&
+            since >= PACE_DOWN_DELAY_MS) {
             set_pace(s, vm, task, task->pace > 30 ? task->pace / 2 : 0);
         }
-        else if (task->pace < PACE_START && since >= PACE_UP_MS &&
-                 (pressure.is_relaxed || !pressure.has_serving)) {
-            int percent = task->pace + PACE_STEP_UP;
-            set_pace(s, vm, task, percent > PACE_START ? PACE_START : percent);
+        else if (task->pace < FULL_PACE_PERCENT && since >= PACE_UP_DELAY_MS &&
+                 (pressure.is_far_below_target || !pressure.has_serving)) {
+            int percent = task->pace + PACE_STEP_UP_PERCENT;
+            set_pace(s, vm, task,
+                     percent > FULL_PACE_PERCENT ? FULL_PACE_PERCENT
+                                                 : percent);
         }
     }
 }
@@ -178,12 +189,13 @@
 void
 perpetual_tick(AqScheduler *s)
 {
-    if (s->now < s->next_scan) {
+    if (s->now < s->next_scan_at) {
         return;
     }
-    s->next_scan = s->now + SCAN_EVERY_MS;
+    s->next_scan_at = s->now + SCAN_PERIOD_MS;
     replies_tick(s);
-    /* Draining VMs first: what leaves them counts for the others. */
+    /* Draining VMs first: tasks that leave them count as missing for the moves
+     * off cordoned VMs. */
     AqList_ForEach(at, &s->vms)
     {
         const Vm *vm = AqList_Entry(at, Vm, link);
--- a/packages/scheduler/progress.c
+++ b/packages/scheduler/progress.c
@@ -8,9 +8,9 @@
 /* The stored record of a job:
  * [format, stage, next occurrence, [[occurrence, [[done, [[task, [run ...]]
  * ...]] ... of each step]] ... of each unfinished occurrence]]
- * "done" is a bit map of the tasks of a step; the runs are those that failed,
- * by number, since an end may be listed again to a later owner.  An occurrence
- * below the next one that is not listed is done. */
+ * "done" is a bitmap of the tasks of a step.  The failed runs are stored by
+ * number, so that an end that a VM lists again to a later owner is not counted
+ * twice.  An occurrence below the next one that is not listed is done. */
 
 enum {
     RECORD_FORMAT = 1,
@@ -160,7 +160,7 @@
 }
 
 static bool
-read_head(const msgpack_object *root, int64_t *stage, int64_t *next)
+read_header(const msgpack_object *root, int64_t *stage, int64_t *next)
 {
     int64_t format;
     return root->type == MSGPACK_OBJECT_ARRAY &&
@@ -173,11 +173,11 @@
 }
 
 static bool
-apply(AqScheduler *s, Job *job, const msgpack_object *root)
+apply_record(AqScheduler *s, Job *job, const msgpack_object *root)
 {
     int64_t stage;
     int64_t next;
-    if (!read_head(root, &stage, &next)) {
+    if (!read_header(root, &stage, &next)) {
         return false;
     }
     const msgpack_object *list = &root->via.array.ptr[3];
@@ -197,8 +197,8 @@
 progress_apply(AqScheduler *s, Job *job, const char *bytes, size_t size)
 {
     msgpack_unpacked unpacked;
-    bool ok =
-        record_unpack(&unpacked, bytes, size) && apply(s, job, &unpacked.data);
+    bool ok = record_unpack(&unpacked, bytes, size) &&
+              apply_record(s, job, &unpacked.data);
     msgpack_unpacked_destroy(&unpacked);
     return ok;
 }
@@ -211,12 +211,12 @@
     int64_t value = 0;
     int64_t next;
     bool ok = record_unpack(&unpacked, record, size) &&
-              read_head(&unpacked.data, &value, &next);
+              read_header(&unpacked.data, &value, &next);
     msgpack_unpacked_destroy(&unpacked);
     if (!ok) {
         return AqError_Set(error, AQ_ERR_INVALID,
-                           "the stored progress of the job is damaged; ask "
-                           "the pool's owner for its log");
+                           "the stored progress of the job is damaged; see "
+                           "the log of the pool's owner");
     }
     *stage = (AqJobStage)value;
     return true;
--- a/packages/scheduler/saves.c
+++ b/packages/scheduler/saves.c
@@ -2,14 +2,14 @@
 
 #include "scheduler_internal.h"
 
-/* Which records have to be stored, and which ends may be forgotten once they
- * are. */
+/* Saves of job records.  Once a change is stored, the VMs may forget the ends
+ * of runs that it contains. */
 
 size_t
 AqScheduler_BeginSave(AqScheduler *s, AqJobSave *saves, size_t most)
 {
     size_t count = 0;
-    if (s->saving > 0) {
+    if (s->saving_count > 0) {
         return 0;
     }
     while (count < most) {
@@ -26,10 +26,12 @@
         AqBuffer_Init(&save->record);
         progress_encode(job, &save->record);
     }
-    s->saving = count;
+    s->saving_count = count;
     return count;
 }
 
+/* Ends the save of one job; it becomes dirty again if the save failed or the
+ * job has changed since. */
 static void
 end_save(AqScheduler *s, Job *job, const AqJobSave *save, bool is_stored)
 {
@@ -40,7 +42,8 @@
     if (!is_stored || job->changed_while_saving) {
         job->changed_while_saving = false;
         if (!is_stored || job->dirty_seq == 0) {
-            /* An unstored change keeps its place before later ones. */
+            /* A change whose save failed keeps its place before later ones: it
+             * counts as the oldest, so that no later end is confirmed. */
             job->dirty_seq = is_stored ? s->change_seq : 1;
         }
         if (is_stored) {
@@ -57,7 +60,7 @@
                     bool is_stored, AqTime now)
 {
     s->now = now;
-    s->saving = 0;
+    s->saving_count = 0;
     for (size_t i = count; i-- > 0;) {
         Job *job = scheduler_find_job(s, saves[i].id);
         if (job != NULL) {
@@ -83,5 +86,5 @@
 bool
 AqScheduler_HasUnsaved(const AqScheduler *s)
 {
-    return s->saving > 0 || !AqList_IsEmpty(&s->dirty);
+    return s->saving_count > 0 || !AqList_IsEmpty(&s->dirty);
 }
--- a/packages/scheduler/sizing.c
+++ b/packages/scheduler/sizing.c
@@ -3,30 +3,35 @@
 #include <string.h>
 
 enum {
-    /* Room that stays free of the room in use, in hundredths. */
-    RESERVE_PERCENT = 30,
-    LEAST_VMS = 3,   /* so that perpetual tasks do not all share one VM */
-    RESERVE_VMS = 1, /* so that a burst can begin before VMs come */
-    /* Taken in one decision at most, so that one mistaken estimate does not
-     * empty the other pools: so many, or this part of a large site. */
-    MOST_TAKEN = 16,
-    MOST_TAKEN_PART = 4,
-    AHEAD_PERCENT = 200, /* of what is there: most that is taken ahead */
-    FULL_PERCENT = 50,   /* of the room: VMs are taken ahead of need */
-    STUCK_MS = 800       /* a task waits although there is room */
+    RESERVE_PERCENT = 30, /* capacity kept free, of the capacity in use */
+    MIN_VMS = 3,          /* keeps perpetual tasks from all sharing one VM */
+    RESERVE_VMS = 1,      /* for the start of a burst, until more VMs arrive */
+    /* One decision acquires at most MAX_ACQUIRED_VMS or, on a large site, the
+     * site's VMs divided by MAX_ACQUIRED_SITE_DIVISOR, so that one wrong
+     * estimate does not empty the other pools. */
+    MAX_ACQUIRED_VMS = 16,
+    MAX_ACQUIRED_SITE_DIVISOR = 4,
+    MAX_AHEAD_PERCENT = 200, /* most that is acquired ahead, of the current
+                              * need */
+    AHEAD_LOAD_PERCENT = 50, /* current need, of the capacity, above which
+                              * VMs are acquired ahead */
+    STUCK_WAIT_MS = 800      /* a task ready for longer gets one more VM
+                              * even if the total capacity suffices */
 };
 
+/* Number of VMs that a pool keeps whatever its load. */
 static size_t
-least_vms(const AqSizingInput *input)
+min_vms(const AqSizingInput *input)
 {
     size_t spread = input->widest_spread + 1;
     size_t perpetual = input->perpetual_vms;
     size_t least = spread > perpetual ? spread : perpetual;
-    return least > LEAST_VMS ? least : LEAST_VMS;
+    return least > MIN_VMS ? least : MIN_VMS;
 }
 
+/* VMs needed for "cpu" thousandths of a core; 0 for a negative amount. */
 static size_t
-vms_for(const AqSizingInput *input, int64_t cpu)
+vms_for_cpu(const AqSizingInput *input, int64_t cpu)
 {
     if (cpu <= 0 || input->vm_cpu_millis <= 0) {
         return 0;
@@ -34,67 +39,70 @@
     return (size_t)((cpu + input->vm_cpu_millis - 1) / input->vm_cpu_millis);
 }
 
-/* Cores for what is submitted now, with some to spare. */
+/* Thousandths of a core that the perpetual tasks and the offered load need,
+ * with the reserve for the latter. */
 static int64_t
-offered_need(const AqSizingInput *input)
+offered_cpu_with_reserve(const AqSizingInput *input)
 {
     return input->perpetual_cpu_millis + input->offered_cpu_millis +
            input->offered_cpu_millis * RESERVE_PERCENT / 100;
 }
 
+/* VMs needed beside those that are usable, requested or in maintenance. */
 static size_t
-decide_need(const AqSizingInput *input)
+count_needed_vms(const AqSizingInput *input)
 {
     size_t pending_vms = input->pending_vms + input->maintenance_vms;
     int64_t pending = (int64_t)pending_vms * input->vm_cpu_millis;
     int64_t have = input->capacity_cpu_millis + pending;
     int64_t need = input->used_cpu_millis + input->ready_cpu_millis;
-    size_t take = 0;
+    size_t needed = 0;
     if (input->ready_cpu_millis > 0) {
-        bool is_stuck = input->longest_wait_ms > STUCK_MS && pending == 0;
-        take = vms_for(input, need - have);
-        take = take == 0 && is_stuck ? 1 : take;
+        bool is_stuck = input->longest_wait_ms > STUCK_WAIT_MS && pending == 0;
+        needed = vms_for_cpu(input, need - have);
+        needed = needed == 0 && is_stuck ? 1 : needed;
     }
-    /* What is submitted counts only once the pool fills up: a few large jobs
-     * look like a lot for a moment. */
-    if (need * 100 > input->capacity_cpu_millis * FULL_PERCENT) {
-        int64_t most = need + need * AHEAD_PERCENT / 100;
-        int64_t offered = offered_need(input);
+    /* The offered load counts only once the pool fills up, since a few large
+     * jobs raise it far above the real need for a moment. */
+    if (need * 100 > input->capacity_cpu_millis * AHEAD_LOAD_PERCENT) {
+        int64_t most = need + need * MAX_AHEAD_PERCENT / 100;
+        int64_t offered = offered_cpu_with_reserve(input);
         size_t for_offered =
-            vms_for(input, (offered < most ? offered : most) - have);
-        take = for_offered > take ? for_offered : take;
+            vms_for_cpu(input, (offered < most ? offered : most) - have);
+        needed = for_offered > needed ? for_offered : needed;
     }
     size_t vms = input->usable_vms + pending_vms;
     size_t least = input->widest_spread + 1;
-    if (vms < least && take < least - vms) {
-        take = least - vms;
+    if (vms < least && needed < least - vms) {
+        needed = least - vms;
     }
-    return take;
+    return needed;
 }
 
-/* What other pools give away is not theirs to use: only what is taken from
- * the spare pool is limited. */
+/* Limits the VMs acquired from the spare pool in one decision.  VMs that other
+ * pools release are surplus there, so the need for those is not limited. */
 static size_t
-limit_take(const AqSizingInput *input, size_t need)
+limit_acquired_vms(const AqSizingInput *input, size_t need)
 {
-    size_t part = input->site_vms / MOST_TAKEN_PART;
-    size_t most_taken = part > MOST_TAKEN ? part : MOST_TAKEN;
-    return need < most_taken ? need : most_taken;
+    size_t part = input->site_vms / MAX_ACQUIRED_SITE_DIVISOR;
+    size_t limit = part > MAX_ACQUIRED_VMS ? part : MAX_ACQUIRED_VMS;
+    return need < limit ? need : limit;
 }
 
+/* VMs to release to the spare pool: those above the need with its reserve. */
 static size_t
-decide_give(const AqSizingInput *input)
+count_released_vms(const AqSizingInput *input)
 {
     if (input->ready_cpu_millis > 0 || input->pending_vms > 0) {
         return 0;
     }
     int64_t used = input->used_cpu_millis +
                    input->used_cpu_millis * RESERVE_PERCENT / 100;
-    int64_t offered = offered_need(input);
-    size_t wanted =
-        vms_for(input, used > offered ? used : offered) + RESERVE_VMS;
-    size_t least = least_vms(input);
-    size_t keep = wanted > least ? wanted : least;
+    int64_t offered = offered_cpu_with_reserve(input);
+    size_t target =
+        vms_for_cpu(input, used > offered ? used : offered) + RESERVE_VMS;
+    size_t least = min_vms(input);
+    size_t keep = target > least ? target : least;
     return input->usable_vms > keep ? input->usable_vms - keep : 0;
 }
 
@@ -102,9 +110,9 @@
 AqSizing_Decide(const AqSizingInput *input, AqSizingDecision *decision)
 {
     memset(decision, 0, sizeof(*decision));
-    decision->needed_vms = decide_need(input);
-    decision->acquire_vms = limit_take(input, decision->needed_vms);
+    decision->needed_vms = count_needed_vms(input);
+    decision->acquire_vms = limit_acquired_vms(input, decision->needed_vms);
     if (decision->needed_vms == 0) {
-        decision->release_vms = decide_give(input);
+        decision->release_vms = count_released_vms(input);
     }
 }
--- a/packages/scheduler/used_vms.c
+++ b/packages/scheduler/used_vms.c
@@ -5,12 +5,12 @@
 #include "record_codec.h"
 #include "scheduler_internal.h"
 
-/* The VMs that orders of this owner may have gone to, for the owners after
- * it; on a hand-over with the runs that it leaves. */
+/* The stored list of the VMs that may have received orders of this owner, read
+ * by the next owner.  A hand-over also lists the runs on each VM. */
 
 enum {
-    TASK_FIELDS = 5, /* of a task in the stored list of used VMs */
-    VM_FIELDS = 4
+    TASK_FIELDS = 5, /* elements of a task in the stored list */
+    VM_FIELDS = 4    /* elements of a VM in the stored list */
 };
 
 uint64_t
@@ -19,13 +19,15 @@
     return s->used_vms_version;
 }
 
-/* Whether a later owner has to hear from the VM.  Once no more orders are
- * given, only those with tasks matter. */
+/* Whether the VM belongs in the list, so that a later owner waits for its
+ * reply.  Once the scheduler is closed, only a VM with runs, or one of an
+ * earlier owner's list, does. */
 static bool
 is_in_used_vms(const AqScheduler *s, const Vm *vm)
 {
-    return !vm->has_ended && (!s->is_closed || vm->task_count > 0 ||
-                              vm->foreign_cpu > 0 || vm->was_used);
+    return !vm->has_ended &&
+           (!s->is_closed || vm->task_count > 0 || vm->foreign_cpu > 0 ||
+            vm->used_by_earlier_owner);
 }
 
 void
@@ -54,7 +56,8 @@
 }
 
 /* The stored form: [is_handed_over, [[id, address, [[job, occurrence, step,
- * task, run] ...], machine] ...]].  Only a hand-over names the tasks. */
+ * task, run] ...], machine] ...]].  The task lists are empty
+ * except in a hand-over. */
 void
 AqScheduler_EncodeUsedVms(const AqScheduler *s, AqBuffer *out)
 {
@@ -101,7 +104,7 @@
 }
 
 static bool
-add_handed_task(AqScheduler *s, const Vm *vm, const msgpack_object *row)
+add_inherited_run(AqScheduler *s, const Vm *vm, const msgpack_object *row)
 {
     InheritedRun inherited = {0};
     char *job = NULL;
@@ -138,7 +141,7 @@
         vm = vms_add(s, &report);
         vm->unlisted_at = s->now;
     }
-    vm->was_used = true;
+    vm->used_by_earlier_owner = true;
     return vm;
 }
 
@@ -159,7 +162,7 @@
         const Vm *vm = add_used_vm(s, id, address, machine);
         const msgpack_object_array *tasks = &row->via.array.ptr[2].via.array;
         for (uint32_t i = 0; ok && i < tasks->size; i++) {
-            ok = add_handed_task(s, vm, &tasks->ptr[i]);
+            ok = add_inherited_run(s, vm, &tasks->ptr[i]);
         }
     }
     free(id);
@@ -192,10 +195,10 @@
     return ok;
 }
 
-/* Takes the runs over that the earlier owner has named; nothing else of its
- * can be alive, so the rest may start at once. */
+/* Adopts the runs that the earlier owner listed in a hand-over.  No other run
+ * of it can be alive, so all other tasks may start at once. */
 static void
-take_handed_tasks(AqScheduler *s)
+adopt_inherited_runs(AqScheduler *s)
 {
     for (guint i = 0; i < s->inherited_runs->len && s->is_handed_over; i++) {
         const InheritedRun *inherited =
@@ -218,5 +221,5 @@
 AqScheduler_SetLoaded(AqScheduler *s)
 {
     s->is_loaded = true;
-    take_handed_tasks(s);
+    adopt_inherited_runs(s);
 }
