--- a/packages/scheduler/record_codec.c
+++ b/packages/scheduler/record_codec.c
@@ -24,18 +24,19 @@
     msgpack_pack_str_body(pk, text, size);
 }
 
+/* Position in msgpack bytes and their end. */
 typedef struct {
     const unsigned char *at;
     const unsigned char *end;
-} Scan;
+} Scanner;
 
 enum {
-    MAX_DEPTH = 16 /* the records have less; bounds the recursion */
+    MAX_DEPTH = 16 /* bounds the recursion; records nest less deeply */
 };
 
-/* Reads a big-endian number of so many bytes. */
+/* Reads a big-endian unsigned number of "bytes" bytes. */
 static bool
-scan_number(Scan *scan, size_t bytes, uint64_t *value)
+scan_number(Scanner *scan, size_t bytes, uint64_t *value)
 {
     if ((size_t)(scan->end - scan->at) < bytes) {
         return false;
@@ -48,7 +49,7 @@
 }
 
 static bool
-scan_skip(Scan *scan, uint64_t bytes)
+scan_skip(Scanner *scan, uint64_t bytes)
 {
     if ((uint64_t)(scan->end - scan->at) < bytes) {
         return false;
@@ -57,12 +58,12 @@
     return true;
 }
 
-static bool scan_value(Scan *scan, int depth);
+static bool scan_value(Scanner *scan, int depth);
 
 static bool
-scan_array(Scan *scan, uint64_t count, int depth)
+scan_array(Scanner *scan, uint64_t count, int depth)
 {
-    /* Each element takes a byte at least. */
+    /* Each element takes at least one byte. */
     if (depth == MAX_DEPTH || (uint64_t)(scan->end - scan->at) < count) {
         return false;
     }
@@ -74,9 +75,10 @@
     return true;
 }
 
-/* Passes over one value of the types that records have. */
+/* Skips one value; false when it is truncated or of a type that records do not
+ * have. */
 static bool
-scan_value(Scan *scan, int depth)
+scan_value(Scanner *scan, int depth)
 {
     uint64_t size;
     if (scan->at == scan->end) {
@@ -117,7 +119,7 @@
     size_t offset = 0;
     msgpack_unpacked_init(unpacked);
     const unsigned char *start = (const unsigned char *)bytes;
-    Scan scan = {start, start + size};
+    Scanner scan = {start, start + size};
     return scan_value(&scan, 0) &&
            msgpack_unpack_next(unpacked, bytes, size, &offset) ==
                MSGPACK_UNPACK_SUCCESS;
@@ -152,7 +154,7 @@
     if (object->type != MSGPACK_OBJECT_STR) {
         return false;
     }
-    /* msgpack-c gives no pointer with an empty text. */
+    /* msgpack-c gives a NULL pointer for an empty text. */
     *value = object->via.str.size == 0
                  ? strdup("")
                  : strndup(object->via.str.ptr, object->via.str.size);
--- a/packages/scheduler/vms.c
+++ b/packages/scheduler/vms.c
@@ -4,26 +4,31 @@
 #include "scheduler_internal.h"
 
 enum {
-    /* Looks at a busy VM; each answer also renews its lease and shows how far
-     * its tasks are. */
-    BUSY_WAIT_MS = 400,
-    IDLE_WAIT_MS = 1000,
-    /* Ends that are not stored yet would be listed again at once. */
-    UNSTORED_WAIT_MS = 200,
-    SILENT_RETRY_MS = 300,
-    COPY_AFTER_MS = 700, /* one answer may be lost, not those of two holds */
-    /* An entry that lapsed while the store was away is back after about 2 s;
-     * one that is still missing is gone. */
+    /* How long a hold waits on the VM for an end of a run.  Each reply also
+     * reports the progress of the tasks, and the next hold renews the
+     * lease. */
+    BUSY_HOLD_WAIT_MS = 400,
+    IDLE_HOLD_WAIT_MS = 1000,
+    /* Pause before the next hold while ends are not confirmed, since the VM
+     * would list them again at once. */
+    UNSTORED_HOLD_DELAY_MS = 200,
+    SILENT_HOLD_RETRY_MS = 300,
+    COPY_AFTER_SILENCE_MS = 700, /* a single reply may be lost, those of
+                                  * two holds mean a silent VM */
+    /* A VM whose entry in the store expired during a store outage adds it
+     * again within about 2 s; one still missing after that is gone. */
     UNLISTED_GRACE_MS = 2200,
-    UNLISTED_FORGET_MS = 10000,
-    FOREIGN_GRACE_MS = 3000, /* for the job of an unknown run to be seen */
-    LAPSE_MARGIN_MS = 100,
-    BAD_ENDS = 3, /* in a row, of different tasks: the VM is at fault */
+    UNLISTED_FORGET_MS = 10000, /* an idle VM without an entry is removed */
+    /* Time for the job of an unknown run to be read from the store. */
+    UNKNOWN_JOB_GRACE_MS = 3000,
+    LEASE_EXPIRY_MARGIN_MS = 100,
+    /* Consecutive failures of different tasks mean that the VM is at fault. */
+    QUARANTINE_AFTER_FAILURES = 3,
     QUARANTINE_MS = 3000
 };
 
-/* A VM's clock may be so much slower than ours. */
-static const double slowest_clock = 0.98;
+/* Lowest rate of a VM's clock relative to this node's clock. */
+static const double slowest_clock_rate = 0.98;
 
 Vm *
 vms_find(const AqScheduler *s, const char *id)
@@ -63,10 +68,11 @@
     free(vm);
 }
 
-/* ---- Room --------------------------------------------------------------- */
+/* ---- Resources in use --------------------------------------------------- */
 
+/* Adds the resources of one task with sign 1, removes them with sign -1. */
 static void
-count_room(Vm *vm, const AqStepSpec *spec, int sign)
+add_usage(Vm *vm, const AqStepSpec *spec, int sign)
 {
     int64_t cpu = sign * (spec->is_filler ? 0 : spec->cpu_millis);
     vm->used_cpu += cpu;
@@ -83,7 +89,7 @@
     AqList_Append(&vm->tasks, &task->link);
     vm->task_count++;
     vm->idle_since = AQ_TIME_NEVER;
-    count_room(vm, task->step->spec, 1);
+    add_usage(vm, task->step->spec, 1);
 }
 
 void
@@ -93,7 +99,7 @@
     if (vm == NULL) {
         return;
     }
-    count_room(vm, task->step->spec, -1);
+    add_usage(vm, task->step->spec, -1);
     AqList_Remove(&task->link);
     task->vm = NULL;
     if (--vm->task_count == 0) {
@@ -106,13 +112,13 @@
 {
     bool is_present =
         vm->is_listed || s->now - vm->unlisted_at < UNLISTED_GRACE_MS;
-    return is_present && !vm->has_ended && vm->has_answered &&
+    return is_present && !vm->has_ended && vm->has_replied &&
            vm->is_use_recorded && !vm->is_cordoned &&
            !vm->report.is_draining && vm->silent_since == AQ_TIME_NEVER &&
            vm->quarantined_until <= s->now;
 }
 
-/* ---- Belief ------------------------------------------------------------- */
+/* ---- Replies and leases ------------------------------------------------- */
 
 void
 vms_on_reply(AqScheduler *s, Vm *vm, const AqOrderReply *reply)
@@ -121,8 +127,8 @@
         return;
     }
     if (vm->clock_ms < 0) {
-        /* An earlier owner may have granted that much just before our fence
-         * reached the VM. */
+        /* An earlier owner may have granted a whole lease just before this
+         * owner's fence reached the VM. */
         vm->deadline_ms = reply->clock_ms + s->config.lease_ms;
     }
     vm->clock_ms = reply->clock_ms;
@@ -138,8 +144,8 @@
     }
 }
 
-/* Tasks that allow copies start elsewhere at once: the run on a silent VM may
- * go on beside the new one. */
+/* Requeues the running tasks of a silent VM that allow copies, without waiting
+ * for the lease to expire: their old runs may continue beside the new ones. */
 static void
 copy_tasks(AqScheduler *s, Vm *vm)
 {
@@ -151,7 +157,7 @@
             continue;
         }
         s->counters.copied++;
-        /* The run takes room there until the VM no longer lists it. */
+        /* The old run counts as foreign until the VM replies to a hold. */
         vm->foreign_cpu += spec->cpu_millis;
         vm->foreign_memory += spec->memory_mb;
         g_strlcpy(task->avoid, vm->report.id, sizeof(task->avoid));
@@ -168,7 +174,7 @@
 }
 
 AqTime
-vms_grant(AqScheduler *s, Vm *vm)
+vms_grant_lease(AqScheduler *s, Vm *vm)
 {
     AqTime deadline =
         vm->clock_ms + (s->now - vm->clock_at) + s->config.lease_ms;
@@ -178,8 +184,9 @@
     return deadline;
 }
 
+/* Requeues all tasks of a VM whose runs have ended without a listed end. */
 static void
-lose_tasks(AqScheduler *s, Vm *vm, const char *reason)
+requeue_lost_tasks(AqScheduler *s, Vm *vm, const char *reason)
 {
     AqList_ForEachSafe(at, after, &vm->tasks)
     {
@@ -191,58 +198,64 @@
 }
 
 void
-vms_end(AqScheduler *s, Vm *vm)
+vms_remove(AqScheduler *s, Vm *vm)
 {
-    lose_tasks(s, vm, "other_life");
+    requeue_lost_tasks(s, vm, "other_life");
     g_hash_table_remove(s->vms_by_id, vm->report.id);
     s->used_vms_version++;
     s->placement_due = true;
     vms_free(vm);
 }
 
-/* Whether the VM's leases have ended for certain on its own clock. */
+/* Whether the VM's leases have expired on its own clock, at the lowest rate
+ * that the clock may have. */
 static bool
-has_lapsed(const AqScheduler *s, const Vm *vm)
+has_lease_expired(const AqScheduler *s, const Vm *vm)
 {
     if (vm->clock_ms < 0) {
-        /* Only an earlier owner can have given it a lease. */
-        AqTime most = (AqTime)((double)s->config.lease_ms / slowest_clock);
+        /* The VM has not replied to this owner, so only an earlier owner can
+         * have granted it a lease. */
+        AqTime most =
+            (AqTime)((double)s->config.lease_ms / slowest_clock_rate);
         return s->now - s->created_at >
-               s->config.earlier_owner_ms + most + LAPSE_MARGIN_MS;
+               s->config.earlier_owner_ms + most + LEASE_EXPIRY_MARGIN_MS;
     }
-    double passed = (double)(s->now - vm->clock_at) * slowest_clock;
+    double passed = (double)(s->now - vm->clock_at) * slowest_clock_rate;
     return (double)vm->clock_ms + passed >
-           (double)(vm->deadline_ms + LAPSE_MARGIN_MS);
+           (double)(vm->deadline_ms + LEASE_EXPIRY_MARGIN_MS);
 }
 
+/* Copies tasks off a silent VM, and requeues all of them once its leases have
+ * expired. */
 static void
-check_silence(AqScheduler *s, Vm *vm)
+handle_silence(AqScheduler *s, Vm *vm)
 {
     if (vm->silent_since == AQ_TIME_NEVER) {
         return;
     }
-    if (s->now - vm->silent_since > COPY_AFTER_MS) {
+    if (s->now - vm->silent_since > COPY_AFTER_SILENCE_MS) {
         copy_tasks(s, vm);
     }
-    if (!has_lapsed(s, vm)) {
+    if (!has_lease_expired(s, vm)) {
         return;
     }
-    vm->was_used = false;
-    lose_tasks(s, vm, "leases_lapsed");
+    vm->used_by_earlier_owner = false;
+    requeue_lost_tasks(s, vm, "leases_lapsed");
     if (!vm->is_listed) {
-        vms_end(s, vm);
+        vms_remove(s, vm);
     }
 }
 
 /* ---- Holds -------------------------------------------------------------- */
 
+/* How long the VM may delay its reply to a hold, ms. */
 static AqTime
 hold_wait(const Vm *vm)
 {
-    if (!vm->has_answered || vm->silent_since != AQ_TIME_NEVER) {
+    if (!vm->has_replied || vm->silent_since != AQ_TIME_NEVER) {
         return 0;
     }
-    return vm->task_count > 0 ? BUSY_WAIT_MS : IDLE_WAIT_MS;
+    return vm->task_count > 0 ? BUSY_HOLD_WAIT_MS : IDLE_HOLD_WAIT_MS;
 }
 
 static void
@@ -251,12 +264,12 @@
     AqOrderTarget target;
     bool may_extend = vm->clock_ms >= 0 && vm->silent_since == AQ_TIME_NEVER;
     AqHoldOrder order = {
-        .deadline_ms = may_extend ? vms_grant(s, vm) : -1,
+        .deadline_ms = may_extend ? vms_grant_lease(s, vm) : -1,
         .fence = s->config.fence,
-        .acked_end = vm->confirmed,
+        .acked_end = vm->confirmed_end_number,
         .wait_ms = hold_wait(vm),
     };
-    vm->is_hold_out = true;
+    vm->is_hold_pending = true;
     vms_target(vm, &target);
     s->actions.hold(s->context, &target, &order);
 }
@@ -268,7 +281,7 @@
     while (stored < vm->pending_ends->len &&
            g_array_index(vm->pending_ends, PendingEnd, stored).seq <=
                s->stored_seq) {
-        vm->confirmed =
+        vm->confirmed_end_number =
             g_array_index(vm->pending_ends, PendingEnd, stored).number;
         stored++;
     }
@@ -282,6 +295,8 @@
 
 /* ---- Time --------------------------------------------------------------- */
 
+/* Sets is_recovered once each VM used by earlier owners has replied, has ended
+ * or has no valid lease. */
 static void
 update_recovered(AqScheduler *s)
 {
@@ -291,8 +306,8 @@
     AqList_ForEach(at, &s->vms)
     {
         const Vm *vm = AqList_Entry(at, Vm, link);
-        if (vm->was_used && !vm->has_answered && !vm->has_ended &&
-            !has_lapsed(s, vm)) {
+        if (vm->used_by_earlier_owner && !vm->has_replied && !vm->has_ended &&
+            !has_lease_expired(s, vm)) {
             return;
         }
     }
@@ -300,22 +315,24 @@
     s->placement_due = true;
 }
 
+/* Sends the VM's hold when it is due.  Returns when the next one is due.  May
+ * free the VM. */
 static AqTime
 tick_vm(AqScheduler *s, Vm *vm)
 {
     AqTime forget =
         vm->has_ended ? UNLISTED_GRACE_MS : (AqTime)UNLISTED_FORGET_MS;
-    if (!vm->is_listed && vm->task_count == 0 && !vm->was_used &&
+    if (!vm->is_listed && vm->task_count == 0 && !vm->used_by_earlier_owner &&
         s->now - vm->unlisted_at > forget) {
-        vms_end(s, vm);
+        vms_remove(s, vm);
         return AQ_TIME_NEVER;
     }
-    if (!vm->is_hold_out && s->may_order && vm->hold_due <= s->now) {
+    if (!vm->is_hold_pending && s->may_order && vm->hold_due <= s->now) {
         send_hold(s, vm);
     }
     AqTime due =
-        vm->is_hold_out || !s->may_order ? AQ_TIME_NEVER : vm->hold_due;
-    check_silence(s, vm);
+        vm->is_hold_pending || !s->may_order ? AQ_TIME_NEVER : vm->hold_due;
+    handle_silence(s, vm);
     return due;
 }
 
@@ -332,7 +349,7 @@
     return due;
 }
 
-/* ---- The list in the store ---------------------------------------------- */
+/* ---- VM entries in the store -------------------------------------------- */
 
 void
 AqScheduler_SetVm(AqScheduler *s, const AqVmReport *report, AqTime now)
@@ -367,7 +384,7 @@
     Vm *vm = vms_find(s, id);
     if (vm != NULL && !vm->has_ended) {
         vm->has_ended = true;
-        lose_tasks(s, vm, "vm_ended");
+        requeue_lost_tasks(s, vm, "vm_ended");
         s->used_vms_version++;
     }
 }
@@ -407,14 +424,16 @@
                           vm->pending_ends->len == 0);
 }
 
+/* AqScheduledVm.silent_since of the VM.  One of an earlier owner counts as
+ * silent from the start until it replies. */
 static AqTime
 silent_since(const AqScheduler *s, const Vm *vm)
 {
     if (vm->has_ended) {
         return AQ_TIME_NEVER;
     }
-    return vm->was_used && !vm->has_answered ? s->created_at
-                                             : vm->silent_since;
+    return vm->used_by_earlier_owner && !vm->has_replied ? s->created_at
+                                                         : vm->silent_since;
 }
 
 void
@@ -430,7 +449,7 @@
             .machine = vm->report.machine,
             .is_usable = vms_is_usable(s, vm),
             .is_answering =
-                vm->has_answered && vm->silent_since == AQ_TIME_NEVER,
+                vm->has_replied && vm->silent_since == AQ_TIME_NEVER,
             .silent_since = silent_since(s, vm),
             .tasks = vm->task_count,
             .cpu_millis = vm->report.cpu_millis,
@@ -448,16 +467,17 @@
 /* ---- Ends --------------------------------------------------------------- */
 
 void
-vms_note_end(AqScheduler *s, Vm *vm, const Task *task, bool is_failure)
+vms_record_result(AqScheduler *s, Vm *vm, const Task *task, bool is_failure)
 {
     if (!is_failure) {
-        vm->bad_ends = 0;
+        vm->consecutive_failures = 0;
         return;
     }
-    /* A task that failed elsewhere too says little of this VM. */
-    if (task->failures == 0 && ++vm->bad_ends >= BAD_ENDS) {
+    /* A task that has failed before is not evidence against this VM. */
+    if (task->failures == 0 &&
+        ++vm->consecutive_failures >= QUARANTINE_AFTER_FAILURES) {
         vm->quarantined_until = s->now + QUARANTINE_MS;
-        vm->bad_ends = 0;
+        vm->consecutive_failures = 0;
     }
 }
 
@@ -465,10 +485,11 @@
 vms_schedule_hold(AqScheduler *s, Vm *vm)
 {
     if (vm->silent_since != AQ_TIME_NEVER) {
-        vm->hold_due = s->now + SILENT_RETRY_MS;
+        vm->hold_due = s->now + SILENT_HOLD_RETRY_MS;
     }
-    else if (vm->pending_ends->len > 0 || vm->last_end > vm->confirmed) {
-        vm->hold_due = s->now + UNSTORED_WAIT_MS;
+    else if (vm->pending_ends->len > 0 ||
+             vm->last_end_number > vm->confirmed_end_number) {
+        vm->hold_due = s->now + UNSTORED_HOLD_DELAY_MS;
     }
     else {
         vm->hold_due = s->now;
@@ -476,8 +497,8 @@
 }
 
 bool
-vms_is_foreign_old(const AqScheduler *s, const Vm *vm)
+vms_is_foreign_run_overdue(const AqScheduler *s, const Vm *vm)
 {
     return vm->foreign_since > 0 &&
-           s->now - vm->foreign_since > FOREIGN_GRACE_MS;
+           s->now - vm->foreign_since > UNKNOWN_JOB_GRACE_MS;
 }
