--- a/packages/scheduler/tests/sim.c
+++ b/packages/scheduler/tests/sim.c
@@ -7,52 +7,59 @@
 
 enum {
     TICK_MS = 10,
-    ANSWER_MS = 2,
-    TIMEOUT_MS = 600,
-    SAVE_MS = 8,
-    UNLIST_MS = 4500, /* an entry that is not renewed lapses */
-    MAX_ATTEMPTS = 2
+    REPLY_DELAY_MS = 2,
+    REPLY_TIMEOUT_MS = 600, /* an order without a reply ends with
+                             * AQ_ORDER_UNKNOWN */
+    SAVE_DURATION_MS = 8,
+    LISTING_TTL_MS = 4500, /* a VM that is silent for longer loses its entry
+                            * in the store */
+    MAX_ATTEMPTS = 2       /* failed runs of a task that fail its job */
 };
 
+/* A run on a VM. */
 typedef struct {
     AqTaskName name;
-    int64_t run;
-    AqTime began;
-    AqTime takes; /* ms of work */
-    AqTime worked;
-    bool fails;
+    int64_t run; /* number of the run */
+    AqTime started_at;
+    AqTime duration_ms; /* at full speed */
+    AqTime worked_ms;   /* progress, up to duration_ms */
+    bool will_fail;     /* after a quarter of duration_ms */
     bool is_perpetual;
-    int64_t cpu;
-    int pace;
+    int64_t cpu_millis; /* 0 for a filler */
+    int pace_percent;   /* of full speed */
 } Run;
 
+/* The end of a run, which the VM reports until it is confirmed. */
 typedef struct {
-    int64_t number;
+    int64_t number; /* increases within an incarnation of the VM */
     AqTaskName name;
-    int64_t run;
+    int64_t run; /* number of the run */
     AqEndKind kind;
-    AqTime at;
-} End;
+    AqTime ended_at;
+} RunEnd;
 
+/* One incarnation of a VM. */
 typedef struct {
     char id[AQ_VM_ID_SIZE];
     char address[32];
-    unsigned slot;
-    bool is_alive;
-    AqTime silent_until;
-    AqTime silent_since;
-    bool is_listed;
-    bool is_stalled;
+    unsigned slot;       /* index in Sim.vms; the same for all incarnations */
+    bool is_alive;       /* false once it has crashed */
+    AqTime silent_until; /* drops orders before this time */
+    AqTime silent_since; /* start of the last silence; AQ_TIME_NEVER: none */
+    bool is_listed;      /* has an entry in the store */
+    bool is_stalled;     /* its runs make no progress */
     bool is_draining;
-    double rate; /* of its clock */
-    uint64_t fence;
-    AqTime deadline;  /* on its clock */
-    AqTime lapsed_at; /* when its lease was last over */
-    int64_t tail_ms;
-    GArray *runs;       /* of Run */
-    GArray *ends;       /* of End that are not forgotten */
-    GHashTable *closed; /* task -> highest ended or stopped run */
-    int64_t last_end;
+    double clock_rate;       /* of the VM's clock, relative to Sim.now */
+    uint64_t fence;          /* highest of all orders received */
+    AqTime lease_deadline;   /* end of the VM's lease, on its own clock */
+    AqTime lease_expired_at; /* last Sim.now without a valid lease */
+    int64_t tail_latency_ms; /* reported for perpetual tasks */
+    GArray *runs;            /* of Run */
+    GArray *ends;            /* of RunEnd; not confirmed yet */
+    /* task -> highest number of its runs that ended or were stopped here; runs
+     * up to that number can't start. */
+    GHashTable *closed_runs;
+    int64_t last_end; /* number of the last RunEnd */
 } SimVm;
 
 typedef enum {
@@ -64,21 +71,24 @@
 
 typedef struct SimOwner SimOwner;
 
+/* An order or the reply to one, in transit. */
 typedef struct {
-    AqTime at;
-    uint64_t sequence;
-    bool is_answer;
+    AqTime deliver_at;
+    uint64_t sequence; /* breaks ties of deliver_at */
+    bool is_reply;
     OrderKind kind;
-    SimOwner *owner; /* gets the answer; NULL: nobody does */
-    char vm[AQ_VM_ID_SIZE];
-    AqTaskName name;
-    int64_t run;
+    SimOwner *owner;        /* receives the reply; NULL: there is no reply */
+    char vm[AQ_VM_ID_SIZE]; /* id of the incarnation that the order is for */
+    AqTaskName name;        /* of a start, stop or pace order */
+    int64_t run;            /* number of the run to start, stop or pace */
     uint64_t fence;
-    AqTime deadline;
-    AqHoldOrder hold;
-    AqTime sent_at;
-    AqTime wait_until;
-    int percent;
+    AqTime deadline;   /* start: end of the lease, on the VM's clock */
+    AqHoldOrder hold;  /* of a hold order */
+    AqTime sent_at;    /* when the order was sent */
+    AqTime wait_until; /* hold: the VM delays its reply at most until then */
+    int percent;       /* of a pace order */
+    /* Of a reply: result and VM's clock, and for a hold the VM's runs and the
+     * ends that are not confirmed. */
     AqOrderResult result;
     AqTime clock_ms;
     AqRunningTask *running;
@@ -91,73 +101,78 @@
     Sim *sim;
     AqScheduler *scheduler;
     uint64_t fence;
-    AqTime expires_at; /* of one that is replaced; AQ_TIME_NEVER: not */
-    bool is_dead;
-    AqJobSave saves[16];
-    size_t save_count;
-    AqTime save_due;
+    AqTime lease_end; /* time from which a replaced or superseded owner sends
+                       * no orders; AQ_TIME_NEVER for other owners */
+    bool has_exited;
+    AqJobSave saves[16]; /* records of the save under way */
+    size_t save_count;   /* 0: no save is under way */
+    AqTime save_due;     /* when the save under way ends */
 };
 
-/* What is true of a task, whoever believes what. */
+/* Actual state of a task on all VMs, independent of what the schedulers have
+ * recorded.  The invariants are checked against it. */
 typedef struct {
-    unsigned failed_noted;
-    bool is_done;
-    bool is_done_noted;
-    AqTime started_at; /* the last run */
-    bool is_stopped;   /* by an order, and not started since */
-} Truth;
-
+    unsigned confirmed_failures; /* failed ends that an owner has confirmed */
+    bool is_done;                /* a run has completed the task */
+    bool is_done_confirmed;      /* and an owner has confirmed that end */
+    AqTime last_started_at;      /* of the last run */
+    bool is_stopped; /* an order stopped the last run; none started since */
+} TaskState;
+
+/* A job in the store, and the faults that are injected into its runs. */
 typedef struct {
-    AqBuffer spec;
-    AqBuffer record;
+    AqBuffer spec;   /* encoded AqJobSpec */
+    AqBuffer record; /* progress that the scheduler has saved */
     bool has_record;
     bool is_cancelled;
-    unsigned failing_runs;
-    int taken_percent; /* of the declared duration */
-    unsigned runs;
-} Stored;
+    unsigned runs_to_fail;       /* next runs that fail */
+    int actual_duration_percent; /* of the declared duration */
+    unsigned started_run_count;
+} StoredJob;
 
 struct Sim {
     AqRandom random;
-    AqTime now;
+    AqTime now; /* virtual clock, and the owners' clock */
     SimFaults faults;
-    SimVm *vms[SIM_VMS];
-    unsigned lives;
-    GPtrArray *past; /* of SimVm that have ended */
-    GPtrArray *events;
-    uint64_t sequence;
-    GPtrArray *owners;
-    SimOwner *owner;
-    int64_t generation;
-    uint64_t fence;
-    bool is_certain;
-    GHashTable *jobs;   /* id -> Stored */
-    GHashTable *truths; /* task -> Truth */
-    AqBuffer used_vms;
+    SimVm *vms[SIM_VMS];        /* the current incarnations */
+    unsigned incarnation_count; /* of all VMs so far; makes their ids unique */
+    GPtrArray *ended_vms;       /* of SimVm; incarnations that have crashed */
+    GPtrArray *events;          /* of Event; orders and replies in transit */
+    uint64_t sequence;          /* of the next event */
+    GPtrArray *owners;          /* of SimOwner; all since the start */
+    SimOwner *owner;            /* the current one */
+    int64_t generation;         /* of the next owner */
+    uint64_t fence;             /* of the current owner */
+    bool is_lease_certain;      /* the current owner may send orders */
+    GHashTable *jobs;           /* id -> StoredJob */
+    GHashTable *task_states;    /* task -> TaskState */
+    AqBuffer used_vms;          /* stored list of used VMs */
     AqSiteConfig site;
     AqQueueConfig queue;
-    char broken[256];
+    char violation[256]; /* first violated invariant; "" for none */
 };
 
+/* Records the violation of an invariant; only the first one is kept. */
 static void
-broken(Sim *sim, const char *format, ...)
+report_violation(Sim *sim, const char *format, ...)
 {
     va_list args;
-    if (sim->broken[0] != '\0') {
+    if (sim->violation[0] != '\0') {
         return;
     }
     va_start(args, format);
     char *text = g_strdup_vprintf(format, args);
     va_end(args);
-    snprintf(sim->broken, sizeof(sim->broken), "at %lld: %s",
+    snprintf(sim->violation, sizeof(sim->violation), "at %lld ms: %s",
              (long long)sim->now, text);
     g_free(text);
 }
 
+/* True with the given probability. */
 static bool
-happens(Sim *sim, unsigned thousandths)
+draw_fault(Sim *sim, unsigned permille)
 {
-    return AqRandom_Below(&sim->random, 1000) < thousandths;
+    return AqRandom_Below(&sim->random, 1000) < permille;
 }
 
 static bool
@@ -174,22 +189,24 @@
                            name->step, name->index);
 }
 
-static Truth *
-truth_of(Sim *sim, const AqTaskName *name)
+/* State of the task, which is created when it is missing; borrowed. */
+static TaskState *
+task_state(Sim *sim, const AqTaskName *name)
 {
     char *key = task_key(name);
-    Truth *truth = g_hash_table_lookup(sim->truths, key);
-    if (truth == NULL) {
-        truth = g_new0(Truth, 1);
-        g_hash_table_insert(sim->truths, key, truth);
-        return truth;
+    TaskState *state = g_hash_table_lookup(sim->task_states, key);
+    if (state == NULL) {
+        state = g_new0(TaskState, 1);
+        g_hash_table_insert(sim->task_states, key, state);
+        return state;
     }
     g_free(key);
-    return truth;
+    return state;
 }
 
-static Stored *
-stored_of(const Sim *sim, const char *id)
+/* Borrowed; NULL when the store has no such job. */
+static StoredJob *
+find_job(const Sim *sim, const char *id)
 {
     return g_hash_table_lookup(sim->jobs, id);
 }
@@ -200,16 +217,17 @@
 new_vm(Sim *sim, unsigned slot)
 {
     SimVm *vm = g_new0(SimVm, 1);
-    snprintf(vm->id, sizeof(vm->id), "vm-%u-%u", slot, sim->lives++);
+    snprintf(vm->id, sizeof(vm->id), "vm-%u-%u", slot,
+             sim->incarnation_count++);
     snprintf(vm->address, sizeof(vm->address), "10.0.0.%u:80", slot + 1);
     vm->slot = slot;
     vm->is_alive = true;
     vm->is_listed = true;
     vm->silent_since = AQ_TIME_NEVER;
-    vm->rate = 0.98 + AqRandom_Unit(&sim->random) * 0.02;
+    vm->clock_rate = 0.98 + AqRandom_Unit(&sim->random) * 0.02;
     vm->runs = g_array_new(FALSE, FALSE, sizeof(Run));
-    vm->ends = g_array_new(FALSE, FALSE, sizeof(End));
-    vm->closed =
+    vm->ends = g_array_new(FALSE, FALSE, sizeof(RunEnd));
+    vm->closed_runs =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     return vm;
 }
@@ -220,16 +238,18 @@
     SimVm *vm = value;
     g_array_free(vm->runs, TRUE);
     g_array_free(vm->ends, TRUE);
-    g_hash_table_destroy(vm->closed);
+    g_hash_table_destroy(vm->closed_runs);
     g_free(vm);
 }
 
+/* The VM's own clock, which runs up to 2% slow. */
 static AqTime
 vm_clock(const Sim *sim, const SimVm *vm)
 {
-    return 1000 + (AqTime)((double)sim->now * vm->rate);
+    return 1000 + (AqTime)((double)sim->now * vm->clock_rate);
 }
 
+/* VM whose current incarnation has the id, or NULL.  Borrowed. */
 static SimVm *
 find_vm(const Sim *sim, const char *id)
 {
@@ -249,12 +269,13 @@
     g_strlcpy(report->address, vm->address, sizeof(report->address));
     snprintf(report->machine, sizeof(report->machine), "m-%u", vm->slot);
     snprintf(report->rack, sizeof(report->rack), "r-%u", vm->slot / 4);
-    report->cpu_millis = SIM_VM_CPU;
+    report->cpu_millis = SIM_VM_CPU_MILLIS;
     report->memory_mb = 65536;
     report->is_draining = vm->is_draining;
     report->leaves_ms = -1;
 }
 
+/* Notifies all owners of the VM's entry in the store. */
 static void
 list_vm(Sim *sim, const SimVm *vm)
 {
@@ -262,86 +283,94 @@
     report_vm(vm, &report);
     for (guint i = 0; i < sim->owners->len; i++) {
         const SimOwner *owner = g_ptr_array_index(sim->owners, i);
-        if (!owner->is_dead) {
+        if (!owner->has_exited) {
             AqScheduler_SetVm(owner->scheduler, &report, sim->now);
         }
     }
 }
 
+/* Removes the VM's entry from the store and notifies all owners of it. */
 static void
 unlist_vm(Sim *sim, SimVm *vm)
 {
     vm->is_listed = false;
     for (guint i = 0; i < sim->owners->len; i++) {
         const SimOwner *owner = g_ptr_array_index(sim->owners, i);
-        if (!owner->is_dead) {
+        if (!owner->has_exited) {
             AqScheduler_VmUnlisted(owner->scheduler, vm->id, sim->now);
         }
     }
 }
 
+/* Highest number of the task's runs that ended or were stopped on the VM; 0
+ * for none. */
 static int64_t
-closed_run(const SimVm *vm, const AqTaskName *name)
+highest_closed_run(const SimVm *vm, const AqTaskName *name)
 {
     char *key = task_key(name);
-    const int64_t *run = g_hash_table_lookup(vm->closed, key);
+    const int64_t *run = g_hash_table_lookup(vm->closed_runs, key);
     g_free(key);
     return run != NULL ? *run : 0;
 }
 
+/* Bars runs of the task up to this number from starting on the VM. */
 static void
 close_run(SimVm *vm, const AqTaskName *name, int64_t run)
 {
-    if (run > closed_run(vm, name)) {
+    if (run > highest_closed_run(vm, name)) {
         int64_t *value = g_new(int64_t, 1);
         *value = run;
-        g_hash_table_replace(vm->closed, task_key(name), value);
+        g_hash_table_replace(vm->closed_runs, task_key(name), value);
     }
 }
 
+/* Ends the VM's run at index "at" and adds its end to those to report. */
 static void
 end_run(Sim *sim, SimVm *vm, guint at, AqEndKind kind)
 {
     const Run *run = &g_array_index(vm->runs, Run, at);
-    End end = {++vm->last_end, run->name, run->run, kind, sim->now};
+    RunEnd end = {++vm->last_end, run->name, run->run, kind, sim->now};
     if (kind == AQ_END_DONE) {
-        truth_of(sim, &run->name)->is_done = true;
+        task_state(sim, &run->name)->is_done = true;
     }
     close_run(vm, &run->name, run->run);
     g_array_append_val(vm->ends, end);
     g_array_remove_index(vm->runs, at);
 }
 
+/* Advances the VM's runs by one tick; ends all of them when its lease has
+ * expired. */
 static void
-work(Sim *sim, SimVm *vm)
+run_tasks(Sim *sim, SimVm *vm)
 {
-    bool has_lapsed = vm_clock(sim, vm) > vm->deadline;
-    if (has_lapsed) {
-        vm->lapsed_at = sim->now;
+    bool is_lease_expired = vm_clock(sim, vm) > vm->lease_deadline;
+    if (is_lease_expired) {
+        vm->lease_expired_at = sim->now;
     }
     for (guint i = vm->runs->len; i-- > 0;) {
         Run *run = &g_array_index(vm->runs, Run, i);
-        if (has_lapsed) {
+        if (is_lease_expired) {
             end_run(sim, vm, i, AQ_END_LAPSED);
             continue;
         }
         if (vm->is_stalled) {
             continue;
         }
-        run->worked += TICK_MS * run->pace / 100;
-        if (run->fails && run->worked >= run->takes / 4) {
+        run->worked_ms += TICK_MS * run->pace_percent / 100;
+        if (run->will_fail && run->worked_ms >= run->duration_ms / 4) {
             end_run(sim, vm, i, AQ_END_FAILED);
         }
-        else if (!run->is_perpetual && run->worked >= run->takes) {
+        else if (!run->is_perpetual && run->worked_ms >= run->duration_ms) {
             end_run(sim, vm, i, AQ_END_DONE);
         }
     }
 }
 
-/* ---- Rules -------------------------------------------------------------- */
+/* ---- Invariants --------------------------------------------------------- */
 
+/* Checks that the task has no run on any VM when it starts on "starter". */
 static void
-check_alone(Sim *sim, const SimVm *starter, const AqTaskName *name)
+check_single_run(Sim *sim, const SimVm *starter, const AqTaskName *name)
 {
     for (unsigned i = 0; i < SIM_VMS; i++) {
         const SimVm *vm = sim->vms[i];
@@ -350,15 +379,17 @@
             if (strcmp(run->name.job, name->job) == 0 &&
                 run->name.step == name->step &&
                 run->name.index == name->index) {
-                broken(sim, "%s.%u.%u starts on %s and runs on %s", name->job,
-                       name->step, name->index, starter->id, vm->id);
+                report_violation(
+                    sim, "task %s.%u.%u starts on %s while it runs on %s",
+                    name->job, name->step, name->index, starter->id, vm->id);
             }
         }
     }
 }
 
+/* Checks that all tasks of the steps that must come first are done. */
 static void
-check_order(Sim *sim, const AqJobSpec *spec, const AqTaskName *name)
+check_step_order(Sim *sim, const AqJobSpec *spec, const AqTaskName *name)
 {
     const AqStepSpec *step = &spec->steps[name->step];
     for (size_t i = 0; i < step->after_count; i++) {
@@ -366,52 +397,59 @@
         earlier.step = step->after[i];
         for (uint32_t j = 0; j < spec->steps[earlier.step].task_count; j++) {
             earlier.index = j;
-            if (!truth_of(sim, &earlier)->is_done) {
-                broken(sim, "%s.%u starts before step %u is done", name->job,
-                       name->step, earlier.step);
+            if (!task_state(sim, &earlier)->is_done) {
+                report_violation(sim,
+                                 "step %s.%u starts before step %u is done",
+                                 name->job, name->step, earlier.step);
             }
         }
     }
 }
 
+/* Checks a start against all invariants: no second run, order of the steps, no
+ * start after a confirmed end or too many failures, tasks per VM and CPU. */
 static void
 check_start(Sim *sim, const SimVm *vm, const AqJobSpec *spec,
             const AqTaskName *name)
 {
-    Truth *truth = truth_of(sim, name);
+    TaskState *state = task_state(sim, name);
     const AqStepSpec *step = &spec->steps[name->step];
-    unsigned beside = 0;
+    unsigned same_step_count = 0;
     int64_t cpu = step->cpu_millis;
     if (!step->allows_copies) {
-        truth->started_at = sim->now;
-        check_alone(sim, vm, name);
+        state->last_started_at = sim->now;
+        check_single_run(sim, vm, name);
     }
-    check_order(sim, spec, name);
-    if (truth->is_done_noted && !step->allows_copies) {
-        broken(sim, "%s.%u.%u starts after its end was noted", name->job,
-               name->step, name->index);
+    check_step_order(sim, spec, name);
+    if (state->is_done_confirmed && !step->allows_copies) {
+        report_violation(sim,
+                         "task %s.%u.%u starts after its end was confirmed",
+                         name->job, name->step, name->index);
     }
-    if (!step->is_perpetual && truth->failed_noted >= MAX_ATTEMPTS) {
-        broken(sim, "%s.%u.%u starts after %u failed runs", name->job,
-               name->step, name->index, truth->failed_noted);
+    if (!step->is_perpetual && state->confirmed_failures >= MAX_ATTEMPTS) {
+        report_violation(sim, "task %s.%u.%u starts after %u failed runs",
+                         name->job, name->step, name->index,
+                         state->confirmed_failures);
     }
     for (guint i = 0; i < vm->runs->len; i++) {
         const Run *run = &g_array_index(vm->runs, Run, i);
-        cpu += run->cpu;
-        beside += strcmp(run->name.job, name->job) == 0 &&
-                  run->name.step == name->step;
+        cpu += run->cpu_millis;
+        same_step_count += strcmp(run->name.job, name->job) == 0 &&
+                           run->name.step == name->step;
     }
-    if (step->max_per_vm > 0 && beside >= step->max_per_vm) {
-        broken(sim, "%s.%u has %u tasks on %s", name->job, name->step,
-               beside + 1, vm->id);
+    if (step->max_per_vm > 0 && same_step_count >= step->max_per_vm) {
+        report_violation(sim, "step %s.%u has too many tasks, %u, on VM %s",
+                         name->job, name->step, same_step_count + 1, vm->id);
     }
-    if (cpu > SIM_VM_CPU) {
-        broken(sim, "%s is over its room", vm->id);
+    if (cpu > SIM_VM_CPU_MILLIS) {
+        report_violation(
+            sim, "VM %s has more tasks than its CPU capacity allows", vm->id);
     }
 }
 
 /* ---- Orders at a VM ----------------------------------------------------- */
 
+/* Executes a start order; a repeated one is confirmed without effect. */
 static AqOrderResult
 do_start(Sim *sim, SimVm *vm, const Event *event)
 {
@@ -425,68 +463,74 @@
     if (event->deadline < vm_clock(sim, vm)) {
         return AQ_ORDER_LATE;
     }
-    if (event->run <= closed_run(vm, &event->name)) {
+    if (event->run <= highest_closed_run(vm, &event->name)) {
         return AQ_ORDER_OLD_RUN;
     }
-    Stored *stored = stored_of(sim, event->name.job);
+    StoredJob *stored = find_job(sim, event->name.job);
     if (stored == NULL || !AqJobSpec_Decode(AqBuffer_Text(&stored->spec),
                                             stored->spec.size, &spec, NULL)) {
-        broken(sim, "%s was never submitted", event->name.job);
+        report_violation(sim, "job %s was started but never submitted",
+                         event->name.job);
         return AQ_ORDER_INVALID;
     }
     const AqStepSpec *step = &spec.steps[event->name.step];
     check_start(sim, vm, &spec, &event->name);
-    truth_of(sim, &event->name)->is_stopped = false;
+    task_state(sim, &event->name)->is_stopped = false;
     Run run = {
         .name = event->name,
         .run = event->run,
-        .began = sim->now,
-        .takes = step->estimate_ms * stored->taken_percent / 100,
+        .started_at = sim->now,
+        .duration_ms =
+            step->estimate_ms * stored->actual_duration_percent / 100,
         .is_perpetual = step->is_perpetual,
-        .cpu = step->is_filler ? 0 : step->cpu_millis,
-        .pace = 100,
-        .fails =
-            stored->failing_runs > 0 || happens(sim, sim->faults.failing_runs),
+        .cpu_millis = step->is_filler ? 0 : step->cpu_millis,
+        .pace_percent = 100,
+        .will_fail = stored->runs_to_fail > 0 ||
+                     draw_fault(sim, sim->faults.failing_runs_permille),
     };
-    if (stored->failing_runs > 0) {
-        stored->failing_runs--;
+    if (stored->runs_to_fail > 0) {
+        stored->runs_to_fail--;
     }
-    stored->runs++;
+    stored->started_run_count++;
     g_array_append_val(vm->runs, run);
-    if (event->deadline > vm->deadline) {
-        vm->deadline = event->deadline;
+    if (event->deadline > vm->lease_deadline) {
+        vm->lease_deadline = event->deadline;
     }
     AqJobSpec_Clear(&spec);
     return AQ_ORDER_DONE;
 }
 
-/* Whether too many of a perpetual step are away by orders when another is
- * taken away.  One on a VM that drains has to go whatever the step may
- * miss. */
+/* Checks that a stop order leaves no more tasks of the step missing than its
+ * limit allows.  A task on a draining VM must be stopped whatever the limit
+ * is. */
 static void
 check_stop(Sim *sim, const SimVm *vm, const AqTaskName *name)
 {
     AqJobSpec spec;
-    const Stored *stored = stored_of(sim, name->job);
+    const StoredJob *stored = find_job(sim, name->job);
     if (vm->is_draining || stored == NULL ||
         !AqJobSpec_Decode(AqBuffer_Text(&stored->spec), stored->spec.size,
                           &spec, NULL)) {
         return;
     }
     const AqStepSpec *step = &spec.steps[name->step];
-    unsigned away = 0;
+    unsigned missing_count = 0;
     for (uint32_t i = 0; i < step->task_count; i++) {
         AqTaskName other = *name;
         other.index = i;
-        away += i != name->index && truth_of(sim, &other)->is_stopped;
+        missing_count +=
+            i != name->index && task_state(sim, &other)->is_stopped;
     }
-    if (step->limits_missing && away >= step->may_miss) {
-        broken(sim, "%s.%u.%u is stopped while %u others are away", name->job,
-               name->step, name->index, away);
+    if (step->limits_missing && missing_count >= step->may_miss) {
+        report_violation(
+            sim, "task %s.%u.%u is stopped while %u others are missing",
+            name->job, name->step, name->index, missing_count);
     }
     AqJobSpec_Clear(&spec);
 }
 
+/* Ends the task's runs up to the order's run number and bars them from a later
+ * start. */
 static void
 do_stop(Sim *sim, SimVm *vm, const Event *event)
 {
@@ -494,56 +538,63 @@
         const Run *run = &g_array_index(vm->runs, Run, i);
         if (run->run <= event->run && is_same_task(&run->name, &event->name)) {
             check_stop(sim, vm, &event->name);
-            truth_of(sim, &event->name)->is_stopped = true;
+            task_state(sim, &event->name)->is_stopped = true;
             end_run(sim, vm, i, AQ_END_STOPPED);
         }
     }
     close_run(vm, &event->name, event->run);
 }
 
+/* Removes the ends that the owner has confirmed, and checks that no done task
+ * was started again between its end and the confirmation. */
 static void
 forget_ends(Sim *sim, SimVm *vm, int64_t acked_end)
 {
     for (guint i = vm->ends->len; i-- > 0;) {
-        const End *end = &g_array_index(vm->ends, End, i);
+        const RunEnd *end = &g_array_index(vm->ends, RunEnd, i);
         if (end->number > acked_end) {
             continue;
         }
-        Truth *truth = truth_of(sim, &end->name);
-        /* An end from before a lapse does not count. */
-        if (end->kind == AQ_END_DONE && vm->lapsed_at < end->at) {
-            truth->is_done_noted = true;
-            if (truth->started_at > end->at) {
-                broken(sim, "%s.%u.%u started after an end that is noted now",
-                       end->name.job, end->name.step, end->name.index);
+        TaskState *state = task_state(sim, &end->name);
+        /* An end from before the lease last expired is not counted: the
+         * scheduler may have restarted the task after the expiry. */
+        if (end->kind == AQ_END_DONE && vm->lease_expired_at < end->ended_at) {
+            state->is_done_confirmed = true;
+            if (state->last_started_at > end->ended_at) {
+                report_violation(
+                    sim,
+                    "task %s.%u.%u was started after the end confirmed now",
+                    end->name.job, end->name.step, end->name.index);
             }
         }
-        truth->failed_noted += end->kind == AQ_END_FAILED;
+        state->confirmed_failures += end->kind == AQ_END_FAILED;
         g_array_remove_index(vm->ends, i);
     }
 }
 
+/* Fills the lists of runs and ends in the reply to a hold. */
 static void
-fill_lists(const SimVm *vm, Event *answer)
+fill_lists(const SimVm *vm, Event *reply)
 {
-    answer->running = g_new0(AqRunningTask, vm->runs->len + 1);
-    answer->ended = g_new0(AqEndedTask, vm->ends->len + 1);
-    answer->running_count = vm->runs->len;
-    answer->ended_count = vm->ends->len;
+    reply->running = g_new0(AqRunningTask, vm->runs->len + 1);
+    reply->ended = g_new0(AqEndedTask, vm->ends->len + 1);
+    reply->running_count = vm->runs->len;
+    reply->ended_count = vm->ends->len;
     for (guint i = 0; i < vm->runs->len; i++) {
         const Run *run = &g_array_index(vm->runs, Run, i);
-        AqTime takes = run->takes > 0 ? run->takes : 1;
-        answer->running[i] = (AqRunningTask){
+        AqTime duration_ms = run->duration_ms > 0 ? run->duration_ms : 1;
+        reply->running[i] = (AqRunningTask){
             .task = run->name,
             .run = run->run,
             .checkpoint = "",
-            .percent = run->is_perpetual ? 100 : run->worked * 100 / takes,
-            .usage = run->is_perpetual ? vm->tail_ms : run->cpu,
+            .percent =
+                run->is_perpetual ? 100 : run->worked_ms * 100 / duration_ms,
+            .usage = run->is_perpetual ? vm->tail_latency_ms : run->cpu_millis,
         };
     }
     for (guint i = 0; i < vm->ends->len; i++) {
-        const End *end = &g_array_index(vm->ends, End, i);
-        answer->ended[i] = (AqEndedTask){
+        const RunEnd *end = &g_array_index(vm->ends, RunEnd, i);
+        reply->ended[i] = (AqEndedTask){
             .number = end->number,
             .task = end->name,
             .run = end->run,
@@ -559,13 +610,14 @@
     for (guint i = 0; i < vm->runs->len; i++) {
         Run *run = &g_array_index(vm->runs, Run, i);
         if (run->run == event->run && is_same_task(&run->name, &event->name)) {
-            run->pace = event->percent;
+            run->pace_percent = event->percent;
         }
     }
 }
 
+/* Executes an order on the VM unless its fence is too low. */
 static AqOrderResult
-carry_out(Sim *sim, SimVm *vm, const Event *event)
+execute_order(Sim *sim, SimVm *vm, const Event *event)
 {
     if (event->fence < vm->fence) {
         return AQ_ORDER_FENCED;
@@ -579,8 +631,8 @@
         break;
     case ORDER_HOLD:
         forget_ends(sim, vm, event->hold.acked_end);
-        if (event->hold.deadline_ms > vm->deadline) {
-            vm->deadline = event->hold.deadline_ms;
+        if (event->hold.deadline_ms > vm->lease_deadline) {
+            vm->lease_deadline = event->hold.deadline_ms;
         }
         break;
     case ORDER_PACE:
@@ -601,13 +653,15 @@
     g_free(event);
 }
 
+/* Queues the event for delivery and takes it over. */
 static void
-push(Sim *sim, Event *event)
+queue_event(Sim *sim, Event *event)
 {
     event->sequence = sim->sequence++;
     g_ptr_array_add(sim->events, event);
 }
 
+/* Copy without the lists of runs and ends; owned by the caller. */
 static Event *
 copy_event(const Event *event)
 {
@@ -618,58 +672,64 @@
     return copy;
 }
 
+/* Queues the reply to an order.  "vm" is NULL when no VM replies. */
 static void
-answer(Sim *sim, const Event *order, SimVm *vm, AqOrderResult result,
-       AqTime at)
+queue_reply(Sim *sim, const Event *order, SimVm *vm, AqOrderResult result,
+            AqTime deliver_at)
 {
     if (order->owner == NULL) {
         return;
     }
     Event *event = copy_event(order);
-    event->is_answer = true;
-    event->at = at;
+    event->is_reply = true;
+    event->deliver_at = deliver_at;
     event->result = result;
     event->clock_ms = vm != NULL ? vm_clock(sim, vm) : -1;
     if (vm != NULL && result == AQ_ORDER_DONE && order->kind == ORDER_HOLD) {
         fill_lists(vm, event);
     }
-    push(sim, event);
+    queue_event(sim, event);
 }
 
+/* Executes an order that has arrived and queues its reply.  A hold that may
+ * wait is repeated at each tick until a run has ended or its time is over. */
 static void
 deliver_order(Sim *sim, Event *event)
 {
     SimVm *vm = find_vm(sim, event->vm);
     if (vm == NULL) {
-        answer(sim, event, NULL, AQ_ORDER_OTHER_LIFE, sim->now + ANSWER_MS);
+        queue_reply(sim, event, NULL, AQ_ORDER_OTHER_LIFE,
+                    sim->now + REPLY_DELAY_MS);
         return;
     }
     if (vm->silent_until > sim->now) {
-        answer(sim, event, NULL, AQ_ORDER_UNKNOWN, sim->now + TIMEOUT_MS);
+        queue_reply(sim, event, NULL, AQ_ORDER_UNKNOWN,
+                    sim->now + REPLY_TIMEOUT_MS);
         return;
     }
     bool is_waiting = event->kind == ORDER_HOLD &&
                       event->wait_until > sim->now && vm->ends->len == 0;
     if (is_waiting && event->hold.wait_ms > 0) {
         if (event->fence >= vm->fence) {
-            carry_out(sim, vm, event);
+            execute_order(sim, vm, event);
         }
-        Event *again = copy_event(event);
-        again->at = sim->now + TICK_MS;
-        push(sim, again);
+        Event *retry = copy_event(event);
+        retry->deliver_at = sim->now + TICK_MS;
+        queue_event(sim, retry);
         return;
     }
-    AqOrderResult result = carry_out(sim, vm, event);
-    if (happens(sim, sim->faults.lost_answers)) {
-        answer(sim, event, NULL, AQ_ORDER_UNKNOWN, sim->now + TIMEOUT_MS);
+    AqOrderResult result = execute_order(sim, vm, event);
+    if (draw_fault(sim, sim->faults.lost_replies_permille)) {
+        queue_reply(sim, event, NULL, AQ_ORDER_UNKNOWN,
+                    sim->now + REPLY_TIMEOUT_MS);
     }
     else {
-        answer(sim, event, vm, result, sim->now + ANSWER_MS);
+        queue_reply(sim, event, vm, result, sim->now + REPLY_DELAY_MS);
     }
 }
 
 static void
-deliver_answer(Sim *sim, const Event *event)
+deliver_reply(Sim *sim, const Event *event)
 {
     AqScheduler *s = event->owner->scheduler;
     AqOrderReply reply = {
@@ -680,7 +740,7 @@
         .ended = event->ended,
         .ended_count = event->ended_count,
     };
-    if (event->owner->is_dead) {
+    if (event->owner->has_exited) {
         return;
     }
     switch (event->kind) {
@@ -705,27 +765,28 @@
 {
     const Event *first = *(const Event *const *)a;
     const Event *second = *(const Event *const *)b;
-    if (first->at != second->at) {
-        return first->at < second->at ? -1 : 1;
+    if (first->deliver_at != second->deliver_at) {
+        return first->deliver_at < second->deliver_at ? -1 : 1;
     }
     return first->sequence < second->sequence ? -1 : 1;
 }
 
+/* Delivers the orders and replies that are due, in order of their times. */
 static void
 deliver_due(Sim *sim)
 {
     GPtrArray *due = g_ptr_array_new_with_free_func(free_event);
     for (guint i = sim->events->len; i-- > 0;) {
         const Event *event = g_ptr_array_index(sim->events, i);
-        if (event->at <= sim->now) {
+        if (event->deliver_at <= sim->now) {
             g_ptr_array_add(due, g_ptr_array_steal_index_fast(sim->events, i));
         }
     }
     g_ptr_array_sort(due, compare_events);
     for (guint i = 0; i < due->len; i++) {
         Event *event = g_ptr_array_index(due, i);
-        if (event->is_answer) {
-            deliver_answer(sim, event);
+        if (event->is_reply) {
+            deliver_reply(sim, event);
         }
         else {
             deliver_order(sim, event);
@@ -744,27 +805,30 @@
     event->kind = kind;
     event->fence = owner->fence;
     event->sent_at = owner->sim->now;
-    event->at =
+    event->deliver_at =
         owner->sim->now + 1 + (AqTime)AqRandom_Below(&owner->sim->random, 3);
     g_strlcpy(event->vm, target->vm, sizeof(event->vm));
     return event;
 }
 
+/* Sends an order, or delays it, in which case the owner gets a timeout as the
+ * reply.  Takes over the event. */
 static void
 send_order(SimOwner *owner, Event *event)
 {
     Sim *sim = owner->sim;
-    if (happens(sim, sim->faults.late_orders)) {
+    if (draw_fault(sim, sim->faults.delayed_orders_permille)) {
         Event *late = copy_event(event);
         late->owner = NULL;
-        late->at =
+        late->deliver_at =
             sim->now + 1000 + (AqTime)AqRandom_Below(&sim->random, 5000);
-        push(sim, late);
-        answer(sim, event, NULL, AQ_ORDER_UNKNOWN, sim->now + TIMEOUT_MS);
+        queue_event(sim, late);
+        queue_reply(sim, event, NULL, AQ_ORDER_UNKNOWN,
+                    sim->now + REPLY_TIMEOUT_MS);
         free_event(event);
         return;
     }
-    push(sim, event);
+    queue_event(sim, event);
 }
 
 static void
@@ -824,21 +888,24 @@
 on_superseded(void *context)
 {
     SimOwner *owner = context;
-    owner->expires_at = owner->sim->now;
+    owner->lease_end = owner->sim->now;
 }
 
 /* ---- Owners ------------------------------------------------------------- */
 
-static void step(Sim *sim);
+static void tick(Sim *sim);
 
+/* Ends the owner's save under way.  Writes of an owner that was replaced
+ * fail. */
 static void
 end_save(SimOwner *owner)
 {
     Sim *sim = owner->sim;
     bool is_owner = owner == sim->owner;
-    bool is_stored = is_owner && !happens(sim, sim->faults.failed_saves);
+    bool is_stored =
+        is_owner && !draw_fault(sim, sim->faults.failed_saves_permille);
     for (size_t i = 0; is_stored && i < owner->save_count; i++) {
-        Stored *stored = stored_of(sim, owner->saves[i].id);
+        StoredJob *stored = find_job(sim, owner->saves[i].id);
         AqBuffer_Clear(&stored->record);
         AqBuffer_Append(&stored->record,
                         AqBuffer_Text(&owner->saves[i].record),
@@ -850,6 +917,8 @@
     owner->save_count = 0;
 }
 
+/* Ends the owner's save when it is due, or begins the next one.  The list of
+ * used VMs is stored at once, but only for the current owner. */
 static void
 save(SimOwner *owner)
 {
@@ -862,7 +931,7 @@
         return;
     }
     owner->save_count = AqScheduler_BeginSave(s, owner->saves, 16);
-    owner->save_due = sim->now + SAVE_MS;
+    owner->save_due = sim->now + SAVE_DURATION_MS;
     if (owner == sim->owner) {
         AqBuffer_Clear(&sim->used_vms);
         AqScheduler_EncodeUsedVms(s, &sim->used_vms);
@@ -870,29 +939,31 @@
     }
 }
 
+/* Lets the owner's scheduler send its orders, saves its records and checks its
+ * consistency. */
 static void
 run_owner(SimOwner *owner)
 {
     Sim *sim = owner->sim;
     AqError error;
-    bool may_order =
-        (owner == sim->owner ? sim->is_certain : sim->now < owner->expires_at);
+    bool may_order = (owner == sim->owner ? sim->is_lease_certain
+                                          : sim->now < owner->lease_end);
     AqScheduler_Tick(owner->scheduler, sim->now, sim->now, may_order);
     save(owner);
     if (!AqScheduler_CheckConsistency(owner->scheduler, &error)) {
-        broken(sim, "%s", error.message);
+        report_violation(sim, "%s", error.message);
     }
 }
 
 static void
-load_job(SimOwner *owner, const Stored *stored)
+load_job(SimOwner *owner, const StoredJob *stored)
 {
     AqJobSpec spec;
     AqError error;
     char id[AQ_JOB_ID_SIZE];
     if (!AqJobSpec_Decode(AqBuffer_Text(&stored->spec), stored->spec.size,
                           &spec, &error)) {
-        broken(owner->sim, "%s", error.message);
+        report_violation(owner->sim, "%s", error.message);
         return;
     }
     memcpy(id, spec.id, sizeof(id));
@@ -900,7 +971,7 @@
         stored->has_record ? AqBuffer_Text(&stored->record) : NULL;
     if (!AqScheduler_AddJob(owner->scheduler, &spec, record,
                             stored->record.size, owner->sim->now, &error)) {
-        broken(owner->sim, "%s", error.message);
+        report_violation(owner->sim, "%s", error.message);
     }
     if (stored->is_cancelled) {
         AqScheduler_CancelJob(owner->scheduler, id, owner->sim->now);
@@ -924,18 +995,18 @@
         .earlier_owner_ms = previous_may_be_active ? SIM_OWNER_LEASE_MS : 0,
     };
     if (sim->owner != NULL) {
-        sim->owner->expires_at =
+        sim->owner->lease_end =
             previous_may_be_active ? sim->now + SIM_OWNER_LEASE_MS : sim->now;
     }
     owner->sim = sim;
     owner->fence = config.fence;
-    owner->expires_at = AQ_TIME_NEVER;
+    owner->lease_end = AQ_TIME_NEVER;
     owner->scheduler = AqScheduler_Create(&config, &actions, owner, sim->now);
     AqScheduler_SetSite(owner->scheduler, &sim->site);
     AqScheduler_Tick(owner->scheduler, sim->now, sim->now, false);
     g_ptr_array_add(sim->owners, owner);
     sim->owner = owner;
-    sim->is_certain = true;
+    sim->is_lease_certain = true;
     for (unsigned i = 0; i < SIM_VMS; i++) {
         AqVmReport report;
         report_vm(sim->vms[i], &report);
@@ -957,8 +1028,8 @@
 void
 sim_kill_owner(Sim *sim)
 {
-    sim->owner->is_dead = true;
-    sim->owner->expires_at = sim->now;
+    sim->owner->has_exited = true;
+    sim->owner->lease_end = sim->now;
 }
 
 void
@@ -967,8 +1038,8 @@
     SimOwner *owner = sim->owner;
     AqScheduler *s = owner->scheduler;
     AqScheduler_Close(s);
-    while (AqScheduler_HasUnsaved(s) && sim->broken[0] == '\0') {
-        step(sim);
+    while (AqScheduler_HasUnsaved(s) && sim->violation[0] == '\0') {
+        tick(sim);
     }
     AqBuffer_Clear(&sim->used_vms);
     AqScheduler_EncodeUsedVms(s, &sim->used_vms);
@@ -983,19 +1054,21 @@
 }
 
 void
-sim_set_certain(Sim *sim, bool is_certain)
+sim_set_lease_certain(Sim *sim, bool is_lease_certain)
 {
-    sim->is_certain = is_certain;
+    sim->is_lease_certain = is_lease_certain;
 }
 
 /* ---- Time --------------------------------------------------------------- */
 
+/* Removes the entry of a VM that has been silent for too long; lists a VM
+ * again once it is no longer silent. */
 static void
 update_listing(Sim *sim, SimVm *vm)
 {
     bool is_silent = vm->silent_until > sim->now;
     if (is_silent && vm->is_listed &&
-        sim->now - vm->silent_since > UNLIST_MS) {
+        sim->now - vm->silent_since > LISTING_TTL_MS) {
         unlist_vm(sim, vm);
     }
     else if (!is_silent && !vm->is_listed) {
@@ -1004,18 +1077,19 @@
     }
 }
 
+/* Advances the virtual clock by TICK_MS. */
 static void
-step(Sim *sim)
+tick(Sim *sim)
 {
     sim->now += TICK_MS;
     for (unsigned i = 0; i < SIM_VMS; i++) {
-        work(sim, sim->vms[i]);
+        run_tasks(sim, sim->vms[i]);
         update_listing(sim, sim->vms[i]);
     }
     deliver_due(sim);
     for (guint i = 0; i < sim->owners->len; i++) {
         SimOwner *owner = g_ptr_array_index(sim->owners, i);
-        if (!owner->is_dead) {
+        if (!owner->has_exited) {
             run_owner(owner);
         }
     }
@@ -1025,16 +1099,16 @@
 sim_run(Sim *sim, AqTime ms)
 {
     AqTime end = sim->now + ms;
-    while (sim->now < end && sim->broken[0] == '\0') {
-        step(sim);
+    while (sim->now < end && sim->violation[0] == '\0') {
+        tick(sim);
     }
 }
 
 bool
-sim_finish(Sim *sim, AqTime most_ms)
+sim_run_until_finished(Sim *sim, AqTime timeout_ms)
 {
-    AqTime end = sim->now + most_ms;
-    while (sim->now < end && sim->broken[0] == '\0') {
+    AqTime end = sim->now + timeout_ms;
+    while (sim->now < end && sim->violation[0] == '\0') {
         GHashTableIter iter;
         gpointer key;
         bool is_finished = true;
@@ -1046,7 +1120,7 @@
         if (is_finished) {
             return true;
         }
-        step(sim);
+        tick(sim);
     }
     return false;
 }
@@ -1058,12 +1132,12 @@
 }
 
 const char *
-sim_broken(const Sim *sim)
+sim_violation(const Sim *sim)
 {
-    return sim->broken[0] != '\0' ? sim->broken : NULL;
+    return sim->violation[0] != '\0' ? sim->violation : NULL;
 }
 
-/* ---- VMs from outside --------------------------------------------------- */
+/* ---- Faults of VMs ------------------------------------------------------ */
 
 void
 sim_silence_vm(Sim *sim, unsigned vm, AqTime ms)
@@ -1079,7 +1153,7 @@
     old->is_alive = false;
     unlist_vm(sim, old);
     g_array_set_size(old->runs, 0);
-    g_ptr_array_add(sim->past, old);
+    g_ptr_array_add(sim->ended_vms, old);
     sim->vms[vm] = new_vm(sim, vm);
     list_vm(sim, sim->vms[vm]);
 }
@@ -1115,9 +1189,9 @@
 }
 
 void
-sim_set_tail(Sim *sim, unsigned vm, int64_t ms)
+sim_set_tail_latency(Sim *sim, unsigned vm, int64_t ms)
 {
-    sim->vms[vm]->tail_ms = ms;
+    sim->vms[vm]->tail_latency_ms = ms;
 }
 
 int
@@ -1126,7 +1200,7 @@
     int lowest = 100;
     for (guint i = 0; i < sim->vms[vm]->runs->len; i++) {
         const Run *run = &g_array_index(sim->vms[vm]->runs, Run, i);
-        lowest = run->pace < lowest ? run->pace : lowest;
+        lowest = run->pace_percent < lowest ? run->pace_percent : lowest;
     }
     return lowest;
 }
@@ -1136,11 +1210,11 @@
 void
 sim_add_job(Sim *sim, AqJobSpec *spec)
 {
-    Stored *stored = g_new0(Stored, 1);
+    StoredJob *stored = g_new0(StoredJob, 1);
     spec->queue = strdup("queue");
     spec->text = strdup("text");
     spec->submitted_ms = sim->now;
-    stored->taken_percent = 100;
+    stored->actual_duration_percent = 100;
     AqBuffer_Init(&stored->spec);
     AqBuffer_Init(&stored->record);
     AqJobSpec_Encode(spec, &stored->spec);
@@ -1148,15 +1222,15 @@
     AqJobSpec_Clear(spec);
     for (guint i = 0; i < sim->owners->len; i++) {
         SimOwner *owner = g_ptr_array_index(sim->owners, i);
-        if (!owner->is_dead && sim->now < owner->expires_at) {
+        if (!owner->has_exited && sim->now < owner->lease_end) {
             load_job(owner, stored);
         }
     }
 }
 
 void
-sim_add_simple(Sim *sim, const char *id, unsigned steps, unsigned tasks,
-               int64_t cpu_millis, AqTime duration_ms)
+sim_add_chain(Sim *sim, const char *id, unsigned steps, unsigned tasks,
+              int64_t cpu_millis, AqTime duration_ms)
 {
     AqJobSpec spec = {.step_count = steps};
     g_strlcpy(spec.id, id, sizeof(spec.id));
@@ -1177,28 +1251,28 @@
 }
 
 void
-sim_misdeclare(Sim *sim, const char *id, int percent)
+sim_set_actual_duration(Sim *sim, const char *id, int percent)
 {
-    stored_of(sim, id)->taken_percent = percent;
+    find_job(sim, id)->actual_duration_percent = percent;
 }
 
 void
-sim_fail_job(Sim *sim, const char *id, unsigned runs)
+sim_fail_next_runs(Sim *sim, const char *id, unsigned runs)
 {
-    stored_of(sim, id)->failing_runs = runs;
+    find_job(sim, id)->runs_to_fail = runs;
 }
 
 void
 sim_cancel_job(Sim *sim, const char *id)
 {
-    stored_of(sim, id)->is_cancelled = true;
+    find_job(sim, id)->is_cancelled = true;
     AqScheduler_CancelJob(sim->owner->scheduler, id, sim->now);
 }
 
 AqJobStage
 sim_stage(const Sim *sim, const char *id)
 {
-    const Stored *stored = stored_of(sim, id);
+    const StoredJob *stored = find_job(sim, id);
     AqJobStage stage = AQ_STAGE_WAITING;
     if (stored->has_record) {
         AqScheduler_ReadStage(AqBuffer_Text(&stored->record),
@@ -1208,9 +1282,9 @@
 }
 
 unsigned
-sim_runs(const Sim *sim, const char *id)
+sim_count_starts(const Sim *sim, const char *id)
 {
-    return stored_of(sim, id)->runs;
+    return find_job(sim, id)->started_run_count;
 }
 
 /* ---- Lifecycle ---------------------------------------------------------- */
@@ -1218,7 +1292,7 @@
 static void
 free_stored(gpointer value)
 {
-    Stored *stored = value;
+    StoredJob *stored = value;
     AqBuffer_Clear(&stored->spec);
     AqBuffer_Clear(&stored->record);
     g_free(stored);
@@ -1244,11 +1318,11 @@
     AqRandom_Seed(&sim->random, seed);
     sim->now = 1000;
     sim->events = g_ptr_array_new_with_free_func(free_event);
-    sim->past = g_ptr_array_new_with_free_func(free_vm);
+    sim->ended_vms = g_ptr_array_new_with_free_func(free_vm);
     sim->owners = g_ptr_array_new_with_free_func(free_sim_owner);
     sim->jobs =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_stored);
-    sim->truths =
+    sim->task_states =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     AqBuffer_Init(&sim->used_vms);
     sim->queue = (AqQueueConfig){
@@ -1278,9 +1352,9 @@
 {
     g_ptr_array_free(sim->events, TRUE);
     g_ptr_array_free(sim->owners, TRUE);
-    g_ptr_array_free(sim->past, TRUE);
+    g_ptr_array_free(sim->ended_vms, TRUE);
     g_hash_table_destroy(sim->jobs);
-    g_hash_table_destroy(sim->truths);
+    g_hash_table_destroy(sim->task_states);
     AqBuffer_Clear(&sim->used_vms);
     for (unsigned i = 0; i < SIM_VMS; i++) {
         free_vm(sim->vms[i]);
--- a/packages/scheduler/tests/sim.h
+++ b/packages/scheduler/tests/sim.h
@@ -6,87 +6,105 @@
 #include "aq_random.h"
 #include "aq_scheduler.h"
 
-/* A pool on a virtual clock: VMs that run tasks under leases, a store, and
- * one or two owners with a scheduler each.  Orders and answers may be lost or
- * late, VMs crash or fall silent, owners are killed or unaware that they are
- * replaced.  Everything follows from the seed. */
+/* Simulation of a pool on a virtual clock: VMs that run tasks under leases, a
+ * store, and one or two active owners with a scheduler each.  Orders may be
+ * delayed and replies lost, VMs crash or stop replying, owners are killed or
+ * go on sending orders after they were replaced.  The seed determines the
+ * whole simulation.
+ *
+ * The simulation checks invariants at each start, stop and confirmed end of a
+ * run, and the schedulers' consistency at each tick.  It stops at the first
+ * violation.  Times are ms of the virtual clock.  The VMs are numbered from 0
+ * to SIM_VMS - 1. */
 
 enum {
     SIM_VMS = 8,
-    SIM_LEASE_MS = 5000,
-    SIM_OWNER_LEASE_MS = 3000,
-    SIM_VM_CPU = 16000
+    SIM_LEASE_MS = 5000,       /* of a VM */
+    SIM_OWNER_LEASE_MS = 3000, /* of the pool's owner */
+    SIM_VM_CPU_MILLIS = 16000
 };
 
 typedef struct Sim Sim;
 
-/* What may go wrong, in thousandths of each order. */
+/* Probabilities of the injected faults, for each order, run or save. */
 typedef struct {
-    unsigned lost_answers;
-    unsigned late_orders; /* carried out 1 to 6 s later, without an answer */
-    unsigned failing_runs;
-    unsigned failed_saves;
+    unsigned lost_replies_permille;   /* the order is executed */
+    unsigned delayed_orders_permille; /* executed 1 to 6 s later, no reply */
+    unsigned failing_runs_permille;
+    unsigned failed_saves_permille;
 } SimFaults;
 
+/* Creates a pool without faults and jobs and starts its first owner. */
 Sim *sim_create(uint64_t seed);
 void sim_destroy(Sim *sim);
 void sim_set_faults(Sim *sim, const SimFaults *faults);
 
 AqTime sim_now(const Sim *sim);
-/* Runs for so long.  Stops at the first broken rule. */
+/* Advances the simulation by "ms", or to the first violation. */
 void sim_run(Sim *sim, AqTime ms);
-/* Runs until all jobs are finished as the store has it; false when that takes
- * longer. */
-bool sim_finish(Sim *sim, AqTime most_ms);
+/* Advances the simulation until the stored stages of all jobs are final.
+ * False when "timeout_ms" passes or an invariant is violated before that. */
+bool sim_run_until_finished(Sim *sim, AqTime timeout_ms);
 
-/* Text of the first broken rule, or NULL. */
-const char *sim_broken(const Sim *sim);
+/* Message of the first violated invariant, or NULL.  Borrowed. */
+const char *sim_violation(const Sim *sim);
 
 /* ---- Owners ------------------------------------------------------------- */
 
-/* Starts an owner that loads what is stored.  "previous_may_be_active": the
- * earlier one is unaware and gives orders for the rest of its lease. */
+/* Starts a new owner, which loads the stored jobs and used VMs.  With
+ * "previous_may_be_active" the previous owner does not notice that it was
+ * replaced and sends orders until its lease ends. */
 void sim_start_owner(Sim *sim, bool previous_may_be_active);
+/* Ends the current owner without a last save. */
 void sim_kill_owner(Sim *sim);
-/* Ends the owner as a graceful stop does, and starts the next one. */
+/* Stops the owner gracefully, which saves all its records, and starts the next
+ * one. */
 void sim_hand_over(Sim *sim);
+/* Scheduler of the current owner; borrowed. */
 AqScheduler *sim_scheduler(const Sim *sim);
-/* The owner's lease is in doubt: it gives no orders. */
-void sim_set_certain(Sim *sim, bool is_certain);
+/* Sets whether the current owner is certain to hold its lease; if not, it
+ * sends no orders. */
+void sim_set_lease_certain(Sim *sim, bool is_lease_certain);
 
 /* ---- VMs ---------------------------------------------------------------- */
 
-/* Silent for so long; its tasks go on. */
+/* Makes the VM drop all orders for "ms"; its runs continue while its lease
+ * lasts. */
 void sim_silence_vm(Sim *sim, unsigned vm, AqTime ms);
-/* A new incarnation, empty, under another id; the old one has ended. */
+/* Ends the VM's incarnation with its runs, and starts a new one without runs
+ * under another id. */
 void sim_crash_vm(Sim *sim, unsigned vm);
-/* Its runs make no progress. */
+/* While stalled, the VM's runs make no progress. */
 void sim_stall_vm(Sim *sim, unsigned vm, bool is_stalled);
-/* It is listed as draining from now on. */
+/* Makes the VM report that it is draining, from now on. */
 void sim_drain_vm(Sim *sim, unsigned vm);
+/* Id of the VM's current incarnation; borrowed. */
 const char *sim_vm_id(const Sim *sim, unsigned vm);
-/* Runs there now; of one job when "job" is not NULL. */
+/* Number of runs on the VM now; of one job when "job" is not NULL. */
 unsigned sim_count_runs(const Sim *sim, unsigned vm, const char *job);
-/* The tail latency that the VM's serving tasks show. */
-void sim_set_tail(Sim *sim, unsigned vm, int64_t ms);
-/* The lowest share that a run of the VM is paced to, percent. */
+/* Sets the tail latency that the VM reports for its perpetual tasks. */
+void sim_set_tail_latency(Sim *sim, unsigned vm, int64_t ms);
+/* Lowest pace of the VM's runs, percent of full speed; 100 without runs. */
 int sim_lowest_pace(const Sim *sim, unsigned vm);
 
 /* ---- Jobs --------------------------------------------------------------- */
 
-/* Accepts a job; what *spec owns is taken. */
+/* Stores a job and adds it to the active owners.  Takes over what *spec owns;
+ * sets its queue, text and time of submission. */
 void sim_add_job(Sim *sim, AqJobSpec *spec);
-/* A job of "steps" steps in a chain, each of "tasks" tasks. */
-void sim_add_simple(Sim *sim, const char *id, unsigned steps, unsigned tasks,
-                    int64_t cpu_millis, AqTime duration_ms);
-/* Runs of the job take so many percent of what it declares. */
-void sim_misdeclare(Sim *sim, const char *id, int percent);
-/* The next runs of a job fail. */
-void sim_fail_job(Sim *sim, const char *id, unsigned runs);
+/* Adds a job of "steps" steps, each of which waits for the one before it, with
+ * "tasks" tasks each.  "duration_ms" is the declared duration of a task. */
+void sim_add_chain(Sim *sim, const char *id, unsigned steps, unsigned tasks,
+                   int64_t cpu_millis, AqTime duration_ms);
+/* Sets the actual duration of the job's runs, in percent of the declared
+ * one. */
+void sim_set_actual_duration(Sim *sim, const char *id, int percent);
+/* Makes the next "runs" runs of the job fail. */
+void sim_fail_next_runs(Sim *sim, const char *id, unsigned runs);
 void sim_cancel_job(Sim *sim, const char *id);
-/* The stage that the store has. */
+/* Stage in the job's stored record; AQ_STAGE_WAITING without one. */
 AqJobStage sim_stage(const Sim *sim, const char *id);
-/* Runs of the job that were begun. */
-unsigned sim_runs(const Sim *sim, const char *id);
+/* Number of runs of the job that VMs have started so far. */
+unsigned sim_count_starts(const Sim *sim, const char *id);
 
 #endif
--- a/packages/scheduler/tests/test_records.c
+++ b/packages/scheduler/tests/test_records.c
@@ -47,8 +47,8 @@
     spec->steps[1].after_count = 1;
 }
 
-/* Guards against a field that is lost or changed between acceptance and the
- * pool's owner. */
+/* Guards against a field of a job that is lost or changed between the node
+ * that accepts the job and the pool's owner. */
 static void
 test_job_round_trip(void)
 {
@@ -76,8 +76,9 @@
     AqBuffer_Clear(&second);
 }
 
-/* Guards against crashes and wild sizes from damaged records: every prefix
- * and many changed bytes are refused or decode to a checked job. */
+/* Guards against crashes and huge allocations from damaged records: every
+ * prefix is refused, and records with random changed bytes are refused or
+ * decode to a job that passes AqJobSpec_Check. */
 static void
 test_damaged_job(void)
 {
@@ -108,7 +109,9 @@
     AqBuffer_Clear(&bytes);
 }
 
-/* Guards against jobs that the scheduler could not hold. */
+/* Guards against accepting jobs that the scheduler could not hold: without
+ * steps or tasks, with too many tasks, or with a step that does not come after
+ * those it depends on. */
 static void
 test_job_limits(void)
 {
@@ -137,7 +140,7 @@
     }
 }
 
-/* Guards against a damaged progress record that is taken for an end. */
+/* Guards against a damaged progress record that is read as a finished job. */
 static void
 test_damaged_stage(void)
 {
@@ -163,9 +166,10 @@
 
 /* ---- Machine requests --------------------------------------------------- */
 
-/* Guards against requests that change on their way, and damaged lists. */
+/* Guards against machine requests that change between encoding and decoding,
+ * and against accepting truncated lists. */
 static void
-test_asks(void)
+test_machine_requests(void)
 {
     AqMachineRequest requests[] = {
         {.number = 7, .machine = "m-1", .to_pool = "spare"},
@@ -193,8 +197,8 @@
 
 /* ---- Queues ------------------------------------------------------------- */
 
-/* Guards against a request that goes to a queue with a shorter prefix, or to
- * another host's. */
+/* Guards against a caller's request that is matched to a queue with a shorter
+ * path prefix than another matching one, or to a queue of another host. */
 static void
 test_queue_match(void)
 {
@@ -246,8 +250,8 @@
     return AqWave_Create(&spec, 0);
 }
 
-/* Guards against more VMs of a wave being down than its cap, and against a
- * wave that is said to be over while one of them is. */
+/* Guards against more VMs of a wave being down at a time than its cap, and
+ * against a wave that is reported as over while a VM is down. */
 static void
 test_wave_slots(void)
 {
@@ -268,7 +272,7 @@
     AqWave_Destroy(wave);
 }
 
-/* Guards against a damaged record that changes what is believed. */
+/* Guards against a damaged wave record that changes the states of VMs. */
 static void
 test_wave_record(void)
 {
@@ -289,8 +293,8 @@
     AqWave_Destroy(other);
 }
 
-/* Guards against a wave that is late because VMs are made empty one by one,
- * and against a pool that gives up most of its VMs at once. */
+/* Guards against a wave that misses its deadline because VMs are drained one
+ * by one, and against a pool that drains most of its VMs at once. */
 static void
 test_wave_pace(void)
 {
@@ -300,11 +304,11 @@
         size_t pool;
         size_t parallel;
     } cases[] = {
-        {0, 4, 12, 2},     /* 20 s: three rounds, one in reserve */
-        {0, 1, 12, 1},     /* one VM needs no hurry */
-        {12000, 4, 12, 4}, /* 8 s left: all that the pool can spare */
-        {19000, 4, 9, 3},  /* late: a third of the pool, no more */
-        {19000, 4, 2, 1},  /* a tiny pool still goes on */
+        {0, 4, 12, 2},     /* 20 s: three rounds of 5 s and a reserve */
+        {0, 1, 12, 1},     /* one VM is waiting */
+        {12000, 4, 12, 4}, /* 8 s left: a third of the pool */
+        {19000, 4, 9, 3},  /* 1 s left: still a third of the pool */
+        {19000, 4, 2, 1},  /* at least one VM of a small pool */
     };
     AqWave *wave = make_wave(4, 20000);
     for (size_t i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
@@ -329,7 +333,7 @@
         {"damaged_job", test_damaged_job},
         {"job_limits", test_job_limits},
         {"damaged_stage", test_damaged_stage},
-        {"asks", test_asks},
+        {"machine_requests", test_machine_requests},
         {"queue_match", test_queue_match},
         {"wave_slots", test_wave_slots},
         {"wave_record", test_wave_record},
--- a/packages/scheduler/tests/test_scheduler.c
+++ b/packages/scheduler/tests/test_scheduler.c
@@ -7,25 +7,26 @@
 #include "sim.h"
 
 static void
-expect_unbroken(const Sim *sim)
+expect_no_violation(const Sim *sim)
 {
-    const char *text = sim_broken(sim);
+    const char *text = sim_violation(sim);
     if (text != NULL) {
         fprintf(stderr, "%s\n", text);
     }
     CU_ASSERT_PTR_NULL(text);
 }
 
-/* Guards against a job that never ends although nothing is wrong. */
+/* Guards against a job that does not complete, or starts a task twice,
+ * although no fault occurs. */
 static void
 test_completes(void)
 {
     Sim *sim = sim_create(1);
-    sim_add_simple(sim, "a1", 3, 6, 2000, 500);
-    CU_ASSERT_TRUE(sim_finish(sim, 10000));
+    sim_add_chain(sim, "a1", 3, 6, 2000, 500);
+    CU_ASSERT_TRUE(sim_run_until_finished(sim, 10000));
     CU_ASSERT_EQUAL(sim_stage(sim, "a1"), AQ_STAGE_COMPLETED);
-    CU_ASSERT_EQUAL(sim_runs(sim, "a1"), 18);
-    expect_unbroken(sim);
+    CU_ASSERT_EQUAL(sim_count_starts(sim, "a1"), 18);
+    expect_no_violation(sim);
     sim_destroy(sim);
 }
 
@@ -39,50 +40,52 @@
     return count;
 }
 
-/* Guards against a VM that is moved or rebooted while only it holds the end
- * of a run: saves are slow under load, and the next owner would run the task
- * a second time. */
+/* Guards against a VM that counts as idle, and so may be moved or rebooted,
+ * while the end of a run is stored nowhere but on it.  Saves are slow under
+ * load; the next owner would run the task a second time. */
 static void
 test_unstored_end_keeps_vm(void)
 {
-    static const SimFaults no_saves = {.failed_saves = 1000};
+    static const SimFaults no_saves = {.failed_saves_permille = 1000};
     static const SimFaults none = {0};
     Sim *sim = sim_create(17);
     sim_set_faults(sim, &no_saves);
-    sim_add_simple(sim, "a1", 1, 1, 2000, 500);
+    sim_add_chain(sim, "a1", 1, 1, 2000, 500);
     sim_run(sim, 2500);
-    CU_ASSERT_EQUAL(sim_runs(sim, "a1"), 1);
+    CU_ASSERT_EQUAL(sim_count_starts(sim, "a1"), 1);
     CU_ASSERT_EQUAL(count_idle_vms(sim), SIM_VMS - 1);
     sim_set_faults(sim, &none);
     sim_run(sim, 1000);
     CU_ASSERT_EQUAL(count_idle_vms(sim), SIM_VMS);
-    expect_unbroken(sim);
+    expect_no_violation(sim);
     sim_destroy(sim);
 }
 
-/* Guards against runs of an earlier owner being taken as stale and started a
- * second time because of the new owner's higher run numbers. */
+/* Guards against a new owner that treats the runs of an earlier owner as
+ * stale, since its own run numbers are higher, and starts the tasks a second
+ * time. */
 static void
 test_takeover_adopts_runs(void)
 {
     Sim *sim = sim_create(2);
-    sim_add_simple(sim, "a1", 1, 6, 2000, 3000);
+    sim_add_chain(sim, "a1", 1, 6, 2000, 3000);
     sim_run(sim, 1000);
     sim_kill_owner(sim);
     sim_start_owner(sim, false);
-    CU_ASSERT_TRUE(sim_finish(sim, 10000));
-    CU_ASSERT_EQUAL(sim_runs(sim, "a1"), 6);
-    expect_unbroken(sim);
+    CU_ASSERT_TRUE(sim_run_until_finished(sim, 10000));
+    CU_ASSERT_EQUAL(sim_count_starts(sim, "a1"), 6);
+    expect_no_violation(sim);
     sim_destroy(sim);
 }
 
-/* Guards against starts before the VMs that an earlier owner used have
- * answered: one of them is silent and still runs its tasks. */
+/* Guards against a new owner that starts tasks before all VMs used by the
+ * earlier owner have replied: one of them is silent and still runs its
+ * tasks. */
 static void
 test_takeover_waits_for_silent_vm(void)
 {
     Sim *sim = sim_create(3);
-    sim_add_simple(sim, "a1", 1, 8, 8000, 4000);
+    sim_add_chain(sim, "a1", 1, 8, 8000, 4000);
     sim_run(sim, 500);
     unsigned silent = 0;
     while (sim_count_runs(sim, silent, "a1") == 0) {
@@ -91,94 +94,94 @@
     sim_silence_vm(sim, silent, 3500);
     sim_kill_owner(sim);
     sim_start_owner(sim, false);
-    CU_ASSERT_TRUE(sim_finish(sim, 30000));
-    expect_unbroken(sim);
+    CU_ASSERT_TRUE(sim_run_until_finished(sim, 30000));
+    expect_no_violation(sim);
     sim_destroy(sim);
 }
 
-/* Guards against a task that starts a third time because the new owner hears
- * of its second failure before the first. */
+/* Guards against a task that starts a third time because the new owner
+ * receives the report of its second failure before that of the first. */
 static void
 test_failures_count_in_any_order(void)
 {
     for (uint64_t seed = 0; seed < 20; seed++) {
         Sim *sim = sim_create(seed);
-        SimFaults faults = {.failed_saves = 1000};
-        sim_set_faults(sim, &faults); /* no end is ever confirmed */
-        sim_add_simple(sim, "a1", 1, 1, 2000, 800);
-        sim_fail_job(sim, "a1", 2);
+        SimFaults faults = {.failed_saves_permille = 1000};
+        sim_set_faults(sim, &faults); /* no end is confirmed */
+        sim_add_chain(sim, "a1", 1, 1, 2000, 800);
+        sim_fail_next_runs(sim, "a1", 2);
         sim_run(sim, 1500);
         SimFaults none = {0};
         sim_set_faults(sim, &none);
         sim_kill_owner(sim);
         sim_start_owner(sim, false);
-        CU_ASSERT_TRUE(sim_finish(sim, 10000));
+        CU_ASSERT_TRUE(sim_run_until_finished(sim, 10000));
         CU_ASSERT_EQUAL(sim_stage(sim, "a1"), AQ_STAGE_FAILED);
-        CU_ASSERT_EQUAL(sim_runs(sim, "a1"), 2);
-        expect_unbroken(sim);
+        CU_ASSERT_EQUAL(sim_count_starts(sim, "a1"), 2);
+        expect_no_violation(sim);
         sim_destroy(sim);
     }
 }
 
-/* Guards against double runs while an owner does not know that it has been
- * replaced. */
+/* Guards against two runs of a task at a time while an owner that has been
+ * replaced does not notice it and still sends orders. */
 static void
-test_unaware_rival(void)
+test_unaware_previous_owner(void)
 {
     Sim *sim = sim_create(5);
     for (unsigned i = 0; i < 6; i++) {
         char id[8];
         snprintf(id, sizeof(id), "a%u", i);
-        sim_add_simple(sim, id, 2, 8, 4000, 900);
+        sim_add_chain(sim, id, 2, 8, 4000, 900);
         sim_run(sim, 150);
     }
     sim_start_owner(sim, true);
-    CU_ASSERT_TRUE(sim_finish(sim, 40000));
-    expect_unbroken(sim);
+    CU_ASSERT_TRUE(sim_run_until_finished(sim, 40000));
+    expect_no_violation(sim);
     sim_destroy(sim);
 }
 
-/* Guards against tasks that stay on a VM where nothing makes progress. */
+/* Guards against tasks that are left on a VM where they make no progress. */
 static void
 test_stalled_vm(void)
 {
     Sim *sim = sim_create(6);
-    sim_add_simple(sim, "a1", 1, 4, 4000, 1000);
+    sim_add_chain(sim, "a1", 1, 4, 4000, 1000);
     sim_run(sim, 200);
     unsigned vm = 0;
     while (sim_count_runs(sim, vm, "a1") == 0) {
         vm++;
     }
     sim_stall_vm(sim, vm, true);
-    CU_ASSERT_TRUE(sim_finish(sim, 8000));
+    CU_ASSERT_TRUE(sim_run_until_finished(sim, 8000));
     CU_ASSERT_EQUAL(sim_stage(sim, "a1"), AQ_STAGE_COMPLETED);
     CU_ASSERT_TRUE(AqScheduler_Counters(sim_scheduler(sim))->stalled > 0);
-    expect_unbroken(sim);
+    expect_no_violation(sim);
     sim_destroy(sim);
 }
 
-/* Guards against tasks of a crashed VM that wait for a lease although its new
- * incarnation says that nothing runs there. */
+/* Guards against tasks of a crashed VM that wait for its lease to expire
+ * although the VM's new incarnation reports that nothing runs there. */
 static void
 test_crash_restarts_at_once(void)
 {
     Sim *sim = sim_create(7);
-    sim_add_simple(sim, "a1", 1, 4, 4000, 1000);
+    sim_add_chain(sim, "a1", 1, 4, 4000, 1000);
     sim_run(sim, 500);
     unsigned vm = 0;
     while (sim_count_runs(sim, vm, "a1") == 0) {
         vm++;
     }
     sim_crash_vm(sim, vm);
-    CU_ASSERT_TRUE(sim_finish(sim, 2500));
-    expect_unbroken(sim);
+    CU_ASSERT_TRUE(sim_run_until_finished(sim, 2500));
+    expect_no_violation(sim);
     sim_destroy(sim);
 }
 
-/* Guards against a task that allows copies waiting for the lease of a silent
- * VM. */
+/* Guards against a task that allows copies but is restarted only after the
+ * lease of its silent VM has expired. */
 static void
-test_copies_beside_silence(void)
+test_copies_despite_silent_vm(void)
 {
     Sim *sim = sim_create(13);
     AqJobSpec spec = {.step_count = 1};
@@ -196,14 +199,14 @@
         vm++;
     }
     sim_silence_vm(sim, vm, 20000);
-    CU_ASSERT_TRUE(sim_finish(sim, 4000));
+    CU_ASSERT_TRUE(sim_run_until_finished(sim, 4000));
     CU_ASSERT_TRUE(AqScheduler_Counters(sim_scheduler(sim))->copied > 0);
-    expect_unbroken(sim);
+    expect_no_violation(sim);
     sim_destroy(sim);
 }
 
-/* Guards against a new owner that waits for the old incarnation of a VM which
- * an order has ended. */
+/* Guards against a new owner that waits for an incarnation of a VM that an
+ * order has ended: the stored list of used VMs must not name it any more. */
 static void
 test_ended_vm_is_not_awaited(void)
 {
@@ -212,69 +215,70 @@
     AqScheduler_VmEnded(sim_scheduler(sim), sim_vm_id(sim, 0), sim_now(sim));
     sim_silence_vm(sim, 0, 20000);
     sim_run(sim, 200);
-    sim_add_simple(sim, "a1", 1, 4, 1000, 200);
+    sim_add_chain(sim, "a1", 1, 4, 1000, 200);
     sim_kill_owner(sim);
     sim_start_owner(sim, false);
-    CU_ASSERT_TRUE(sim_finish(sim, 1500));
-    expect_unbroken(sim);
+    CU_ASSERT_TRUE(sim_run_until_finished(sim, 1500));
+    expect_no_violation(sim);
     sim_destroy(sim);
 }
 
 typedef struct {
     AqScheduler *scheduler;
     AqTime now;
-    unsigned ended;
-} Replaced;
+    unsigned ended; /* VMs reported as ended */
+} EndSilentVisit;
 
-/* Tells the scheduler, as the platform's list would, that a silent incarnation
- * of a known VM has ended. */
+/* Reports each silent incarnation of a known machine to the scheduler as
+ * ended, as the pool does when the platform's list of VMs shows it. */
 static void
-end_silent(void *context, const AqScheduledVm *view)
+end_silent_vms(void *context, const AqScheduledVm *view)
 {
-    Replaced *replaced = context;
+    EndSilentVisit *visit = context;
     if (view->silent_since != AQ_TIME_NEVER && view->machine[0] != '\0') {
-        replaced->ended++;
-        AqScheduler_VmEnded(replaced->scheduler, view->vm, replaced->now);
+        visit->ended++;
+        AqScheduler_VmEnded(visit->scheduler, view->vm, visit->now);
     }
 }
 
-/* Guards against a new owner that waits for the leases of a VM which was
- * ended by an order of the owner before it: the stored list of used VMs must
- * name the machine, so that the platform's list can tell. */
+/* Guards against a new owner that waits for the leases of a VM that an order
+ * of the owner before it has ended.  The stored list of used VMs must name the
+ * machine, so that the platform's list of VMs can show that it has ended. */
 static void
 test_replaced_vm_is_not_awaited(void)
 {
     Sim *sim = sim_create(15);
-    sim_add_simple(sim, "a1", 1, 4, 1000, 200);
+    sim_add_chain(sim, "a1", 1, 4, 1000, 200);
     sim_run(sim, 500);
     sim_kill_owner(sim);
     sim_silence_vm(sim, 0, 20000);
-    sim_add_simple(sim, "a2", 1, 4, 1000, 200);
+    sim_add_chain(sim, "a2", 1, 4, 1000, 200);
     sim_start_owner(sim, false);
     sim_run(sim, 300);
-    Replaced replaced = {sim_scheduler(sim), sim_now(sim), 0};
+    EndSilentVisit visit = {sim_scheduler(sim), sim_now(sim), 0};
     AqSchedulerLoad load;
-    AqScheduler_GetLoad(replaced.scheduler, replaced.now, &load);
+    AqScheduler_GetLoad(visit.scheduler, visit.now, &load);
     CU_ASSERT_FALSE(load.is_recovered);
-    AqScheduler_EachVm(replaced.scheduler, end_silent, &replaced);
-    CU_ASSERT_EQUAL(replaced.ended, 1);
+    AqScheduler_EachVm(visit.scheduler, end_silent_vms, &visit);
+    CU_ASSERT_EQUAL(visit.ended, 1);
     sim_run(sim, 100);
-    AqScheduler_GetLoad(replaced.scheduler, sim_now(sim), &load);
+    AqScheduler_GetLoad(visit.scheduler, sim_now(sim), &load);
     CU_ASSERT_TRUE(load.is_recovered);
-    CU_ASSERT_TRUE(sim_finish(sim, 1500));
-    expect_unbroken(sim);
+    CU_ASSERT_TRUE(sim_run_until_finished(sim, 1500));
+    expect_no_violation(sim);
     sim_destroy(sim);
 }
 
-/* Guards against a hand-over after which tasks wait for a silent VM that does
- * not run them: the earlier owner has said what runs where. */
+/* Guards against tasks that wait, after a hand-over, for a silent VM that does
+ * not run them: the list of used VMs that the earlier owner stored names the
+ * runs of each VM. */
 static void
-test_hand_over_is_exact(void)
+test_hand_over_passes_on_runs(void)
 {
     Sim *sim = sim_create(16);
-    sim_add_simple(sim, "a1", 1, 8, 8000, 6000);
+    sim_add_chain(sim, "a1", 1, 8, 8000, 6000);
     sim_run(sim, 300);
-    sim_add_simple(sim, "a2", 1, 20, 8000, 500);
+    sim_add_chain(sim, "a2", 1, 20, 8000, 500);
     sim_run(sim, 100);
     unsigned vm = 0;
     while (sim_count_runs(sim, vm, "a1") == 0) {
@@ -284,38 +288,38 @@
     sim_hand_over(sim);
     sim_run(sim, 3000);
     CU_ASSERT_EQUAL(sim_stage(sim, "a2"), AQ_STAGE_COMPLETED);
-    CU_ASSERT_EQUAL(sim_runs(sim, "a2"), 20);
-    CU_ASSERT_TRUE(sim_finish(sim, 30000));
-    expect_unbroken(sim);
+    CU_ASSERT_EQUAL(sim_count_starts(sim, "a2"), 20);
+    CU_ASSERT_TRUE(sim_run_until_finished(sim, 30000));
+    expect_no_violation(sim);
     sim_destroy(sim);
 }
 
-/* Guards against jobs that come after a takeover waiting for a silent VM,
- * which can't run them. */
+/* Guards against jobs submitted after a takeover that wait for a silent VM,
+ * although it can't be running their tasks. */
 static void
 test_new_jobs_start_at_once(void)
 {
     Sim *sim = sim_create(15);
-    sim_add_simple(sim, "a1", 1, 8, 8000, 4000);
+    sim_add_chain(sim, "a1", 1, 8, 8000, 4000);
     sim_run(sim, 500);
     sim_silence_vm(sim, 0, 20000);
     sim_kill_owner(sim);
     sim_start_owner(sim, false);
     sim_run(sim, 100);
-    sim_add_simple(sim, "a2", 1, 4, 500, 300);
+    sim_add_chain(sim, "a2", 1, 4, 500, 300);
     sim_run(sim, 1500);
     CU_ASSERT_EQUAL(sim_stage(sim, "a2"), AQ_STAGE_COMPLETED);
-    CU_ASSERT_TRUE(sim_finish(sim, 30000));
-    expect_unbroken(sim);
+    CU_ASSERT_TRUE(sim_run_until_finished(sim, 30000));
+    expect_no_violation(sim);
     sim_destroy(sim);
 }
 
-/* Guards against work of a cancelled job that goes on. */
+/* Guards against tasks of a cancelled job that keep running. */
 static void
 test_cancel_stops(void)
 {
     Sim *sim = sim_create(8);
-    sim_add_simple(sim, "a1", 1, 8, 2000, 60000);
+    sim_add_chain(sim, "a1", 1, 8, 2000, 60000);
     sim_run(sim, 1000);
     sim_cancel_job(sim, "a1");
     sim_run(sim, 1000);
@@ -323,23 +327,24 @@
     for (unsigned i = 0; i < SIM_VMS; i++) {
         CU_ASSERT_EQUAL(sim_count_runs(sim, i, "a1"), 0);
     }
-    expect_unbroken(sim);
+    expect_no_violation(sim);
     sim_destroy(sim);
 }
 
-/* Guards against orders of an owner that may have lost its lease. */
+/* Guards against an owner that sends orders while it may have lost its
+ * lease. */
 static void
-test_uncertain_owner_is_quiet(void)
+test_uncertain_owner_sends_no_orders(void)
 {
     Sim *sim = sim_create(9);
     sim_run(sim, 500);
-    sim_set_certain(sim, false);
-    sim_add_simple(sim, "a1", 1, 4, 2000, 500);
+    sim_set_lease_certain(sim, false);
+    sim_add_chain(sim, "a1", 1, 4, 2000, 500);
     sim_run(sim, 2000);
-    CU_ASSERT_EQUAL(sim_runs(sim, "a1"), 0);
-    sim_set_certain(sim, true);
-    CU_ASSERT_TRUE(sim_finish(sim, 3000));
-    expect_unbroken(sim);
+    CU_ASSERT_EQUAL(sim_count_starts(sim, "a1"), 0);
+    sim_set_lease_certain(sim, true);
+    CU_ASSERT_TRUE(sim_run_until_finished(sim, 3000));
+    expect_no_violation(sim);
     sim_destroy(sim);
 }
 
@@ -374,23 +379,24 @@
     return count;
 }
 
-/* The least tasks of a perpetual job that run at any moment of so many ms. */
+/* Runs the simulation for "ms"; returns the lowest number of the job's tasks
+ * that were running after any tick. */
 static unsigned
-least_running(Sim *sim, const char *id, AqTime ms)
+min_running(Sim *sim, const char *id, AqTime ms)
 {
-    unsigned least = UINT_MAX;
+    unsigned min_count = UINT_MAX;
     for (AqTime i = 0; i < ms; i += 10) {
         sim_run(sim, 10);
         unsigned count = count_running(sim, id);
-        least = count < least ? count : least;
+        min_count = count < min_count ? count : min_count;
     }
-    return least;
+    return min_count;
 }
 
-/* Guards against more of a step being taken away at once than it may miss,
- * when all of its VMs are to be made empty. */
+/* Guards against moving more tasks of a step at a time than the step may miss,
+ * when all of its VMs are cordoned. */
 static void
-test_lasting_moves_one_by_one(void)
+test_perpetual_moves_one_by_one(void)
 {
     Sim *sim = sim_create(10);
     add_perpetual(sim, "b1", 4, 1);
@@ -401,13 +407,14 @@
             AqScheduler_SetCordon(sim_scheduler(sim), sim_vm_id(sim, i), true);
         }
     }
-    CU_ASSERT_EQUAL(least_running(sim, "b1", 8000), 3);
+    CU_ASSERT_EQUAL(min_running(sim, "b1", 8000), 3);
     CU_ASSERT_EQUAL(count_running(sim, "b1"), 4);
-    expect_unbroken(sim);
+    expect_no_violation(sim);
     sim_destroy(sim);
 }
 
-/* The VMs that run the job, in order; returns how many. */
+/* Sets "vms" to the numbers of the VMs that run the job, in ascending order;
+ * returns how many there are. */
 static unsigned
 find_vms(const Sim *sim, const char *id, unsigned vms[SIM_VMS])
 {
@@ -420,16 +427,16 @@
     return count;
 }
 
-/* Guards against a perpetual task that is taken off a cordoned VM while others
- * of its step leave VMs that drain: these go whatever the step may miss, and
- * their stops may reach the VMs first. */
+/* Guards against a perpetual task that is stopped on a cordoned VM while
+ * others of its step leave draining VMs.  Those are stopped whatever number of
+ * tasks the step may miss, and their stop orders may reach the VMs first. */
 static void
 test_draining_goes_before_cordoned(void)
 {
-    /* Between the cordon and the draining: none, and while the stop on the
-     * cordoned VM is under way. */
-    static const AqTime pauses[] = {0, 5, 10, 15, 20, 25, 30, 40, 60};
-    for (size_t i = 0; i < sizeof(pauses) / sizeof(pauses[0]); i++) {
+    /* Times from the cordon to the draining: none, and several at which the
+     * stop on the cordoned VM is under way. */
+    static const AqTime pauses_ms[] = {0, 5, 10, 15, 20, 25, 30, 40, 60};
+    for (size_t i = 0; i < sizeof(pauses_ms) / sizeof(pauses_ms[0]); i++) {
         for (uint64_t seed = 1; seed <= 20; seed++) {
             unsigned vms[SIM_VMS];
             Sim *sim = sim_create(seed);
@@ -438,22 +445,22 @@
             CU_ASSERT_EQUAL_FATAL(find_vms(sim, "b1", vms), 4);
             AqScheduler_SetCordon(sim_scheduler(sim), sim_vm_id(sim, vms[0]),
                                   true);
-            sim_run(sim, pauses[i]);
+            sim_run(sim, pauses_ms[i]);
             sim_drain_vm(sim, vms[2]);
             sim_drain_vm(sim, vms[3]);
             sim_run(sim, 4000);
             CU_ASSERT_EQUAL(sim_count_runs(sim, vms[0], "b1"), 0);
             CU_ASSERT_EQUAL(count_running(sim, "b1"), 4);
-            expect_unbroken(sim);
+            expect_no_violation(sim);
             sim_destroy(sim);
         }
     }
 }
 
-/* Guards against a perpetual task being taken away while another of its step
- * is on a VM that has gone silent. */
+/* Guards against a perpetual task that is stopped for a move while another
+ * task of its step is on a silent VM and counts as missing. */
 static void
-test_lasting_stays_beside_silence(void)
+test_perpetual_stays_while_another_is_silent(void)
 {
     Sim *sim = sim_create(11);
     add_perpetual(sim, "b1", 3, 1);
@@ -471,12 +478,13 @@
     AqScheduler_SetCordon(sim_scheduler(sim), sim_vm_id(sim, other), true);
     sim_run(sim, 1000);
     CU_ASSERT_EQUAL(sim_count_runs(sim, other, "b1"), 1);
-    expect_unbroken(sim);
+    expect_no_violation(sim);
     sim_destroy(sim);
 }
 
-/* Guards against fillers that go on at full speed while a serving task beside
- * them is over its target, and against staying slow afterwards. */
+/* Guards against a filler that runs at full speed while a serving task on the
+ * same VM exceeds its latency target, and against one that stays slow
+ * afterwards. */
 static void
 test_fillers_are_paced(void)
 {
@@ -498,68 +506,70 @@
     while (sim_count_runs(sim, vm, "c1") == 0) {
         vm++;
     }
-    sim_set_tail(sim, vm, 150);
+    sim_set_tail_latency(sim, vm, 150);
     sim_run(sim, 3000);
     CU_ASSERT_EQUAL(sim_lowest_pace(sim, vm), 0);
-    sim_set_tail(sim, vm, 20);
+    sim_set_tail_latency(sim, vm, 20);
     sim_run(sim, 12000);
     CU_ASSERT_EQUAL(sim_lowest_pace(sim, vm), 100);
-    expect_unbroken(sim);
+    expect_no_violation(sim);
     sim_destroy(sim);
 }
 
-/* ---- Offered work ------------------------------------------------------- */
+/* ---- Offered load ------------------------------------------------------- */
 
-/* What is offered once 40 jobs have shown how long tasks take and eight more
- * have come; half of them declare "long_ms", half "short_ms", and all take
- * 400 ms. */
+/* Returns the offered load, in thousandths of a core, after 40 jobs have run
+ * and eight more were submitted.  Half of the jobs declare "long_estimate_ms",
+ * half "short_estimate_ms"; all tasks actually take 400 ms, which the
+ * scheduler learns from the first 40. */
 static int64_t
-offered_after(AqTime long_ms, AqTime short_ms)
+measure_offered_load(AqTime long_estimate_ms, AqTime short_estimate_ms)
 {
     enum {
-        JOBS = 40,
-        MORE = 8,
-        TAKEN_MS = 400
+        MEASURED_JOBS = 40,
+        NEW_JOBS = 8,
+        ACTUAL_MS = 400
     };
     AqSchedulerLoad load;
     Sim *sim = sim_create(21);
-    for (int i = 0; i < JOBS + MORE; i++) {
-        AqTime declared = i % 2 == 0 ? long_ms : short_ms;
+    for (int i = 0; i < MEASURED_JOBS + NEW_JOBS; i++) {
+        AqTime estimate_ms = i % 2 == 0 ? long_estimate_ms : short_estimate_ms;
         char id[AQ_JOB_ID_SIZE];
         snprintf(id, sizeof(id), "a%d", i);
-        sim_add_simple(sim, id, 1, 2, 1000, declared);
-        sim_misdeclare(sim, id, (int)(TAKEN_MS * 100 / declared));
-        if (i < JOBS) {
-            sim_run(sim, TAKEN_MS);
+        sim_add_chain(sim, id, 1, 2, 1000, estimate_ms);
+        sim_set_actual_duration(sim, id, (int)(ACTUAL_MS * 100 / estimate_ms));
+        if (i < MEASURED_JOBS) {
+            sim_run(sim, ACTUAL_MS);
         }
-        if (i == JOBS - 1) {
+        if (i == MEASURED_JOBS - 1) {
             sim_run(sim, 20000);
         }
     }
     AqScheduler_GetLoad(sim_scheduler(sim), sim_now(sim), &load);
-    expect_unbroken(sim);
+    expect_no_violation(sim);
     sim_destroy(sim);
     return load.offered_cpu_millis;
 }
 
-/* Guards against a pool that hoards VMs because declared durations are off by
- * large factors either way. */
+/* Guards against a wrong offered load, for which the pool would hold too many
+ * VMs, when the declared durations are too long or too short by a factor of
+ * four. */
 static void
 test_misdeclared_durations(void)
 {
-    int64_t truth = offered_after(400, 400);
-    int64_t seen = offered_after(1600, 100);
-    CU_ASSERT_TRUE(seen > truth * 7 / 10);
-    CU_ASSERT_TRUE(seen < truth * 14 / 10);
+    int64_t exact = measure_offered_load(400, 400);
+    int64_t misdeclared = measure_offered_load(1600, 100);
+    CU_ASSERT_TRUE(misdeclared > exact * 7 / 10);
+    CU_ASSERT_TRUE(misdeclared < exact * 14 / 10);
 }
 
 enum {
-    OFFER_STEP_MS = 50
+    SUBMIT_INTERVAL_MS = 50
 };
 
-/* Adds jobs that need one core for 100 ms each. */
+/* Submits "jobs" jobs that need one core for 100 ms each. */
 static void
-offer(AqScheduler *s, unsigned jobs, AqTime now)
+submit_jobs(AqScheduler *s, unsigned jobs, AqTime now)
 {
     static unsigned number;
     for (unsigned i = 0; i < jobs; i++) {
@@ -575,10 +585,10 @@
     }
 }
 
-/* Guards against VMs that come too late for a burst: while the load rises, the
- * offer must not lag behind it, and while it is steady not exceed it. */
+/* Guards against VMs that arrive too late for a burst: the offered load must
+ * not lag behind a rising load, nor exceed a steady one. */
 static void
-test_offer_rises_on(void)
+test_offered_load_follows_rise(void)
 {
     static const AqSchedulerActions actions = {0};
     AqSiteConfig site = {.version = 1};
@@ -588,15 +598,15 @@
     AqTime now = 0;
     AqScheduler_SetSite(s, &site);
     AqScheduler_SetLoaded(s);
-    for (; now < 10000; now += OFFER_STEP_MS) {
-        offer(s, 1, now);
+    for (; now < 10000; now += SUBMIT_INTERVAL_MS) {
+        submit_jobs(s, 1, now);
     }
     AqScheduler_GetLoad(s, now, &load);
     CU_ASSERT_TRUE(load.offered_cpu_millis > 1800);
     CU_ASSERT_TRUE(load.offered_cpu_millis < 2200);
-    /* From 2 to 20 cores in 3 s. */
-    for (; now < 13000; now += OFFER_STEP_MS) {
-        offer(s, 1 + (unsigned)(now - 10000) / 300, now);
+    /* The load rises from 2 to 20 cores in 3 s. */
+    for (; now < 13000; now += SUBMIT_INTERVAL_MS) {
+        submit_jobs(s, 1 + (unsigned)(now - 10000) / 300, now);
     }
     AqScheduler_GetLoad(s, now, &load);
     CU_ASSERT_TRUE(load.offered_cpu_millis > 20000);
@@ -616,22 +626,24 @@
         {"takeover_adopts_runs", test_takeover_adopts_runs},
         {"takeover_waits_for_silent_vm", test_takeover_waits_for_silent_vm},
         {"failures_count_in_any_order", test_failures_count_in_any_order},
-        {"unaware_rival", test_unaware_rival},
+        {"unaware_previous_owner", test_unaware_previous_owner},
         {"stalled_vm", test_stalled_vm},
         {"crash_restarts_at_once", test_crash_restarts_at_once},
-        {"copies_beside_silence", test_copies_beside_silence},
+        {"copies_despite_silent_vm", test_copies_despite_silent_vm},
         {"ended_vm_is_not_awaited", test_ended_vm_is_not_awaited},
         {"new_jobs_start_at_once", test_new_jobs_start_at_once},
         {"replaced_vm_is_not_awaited", test_replaced_vm_is_not_awaited},
-        {"hand_over_is_exact", test_hand_over_is_exact},
+        {"hand_over_passes_on_runs", test_hand_over_passes_on_runs},
         {"cancel_stops", test_cancel_stops},
-        {"uncertain_owner_is_quiet", test_uncertain_owner_is_quiet},
-        {"lasting_moves_one_by_one", test_lasting_moves_one_by_one},
+        {"uncertain_owner_sends_no_orders",
+         test_uncertain_owner_sends_no_orders},
+        {"perpetual_moves_one_by_one", test_perpetual_moves_one_by_one},
         {"draining_goes_before_cordoned", test_draining_goes_before_cordoned},
-        {"lasting_stays_beside_silence", test_lasting_stays_beside_silence},
+        {"perpetual_stays_while_another_is_silent",
+         test_perpetual_stays_while_another_is_silent},
         {"fillers_are_paced", test_fillers_are_paced},
         {"misdeclared_durations", test_misdeclared_durations},
-        {"offer_rises_on", test_offer_rises_on},
+        {"offered_load_follows_rise", test_offered_load_follows_rise},
     };
     AqLog_Start("test", AQ_LOG_ERROR);
     CU_initialize_registry();
--- a/packages/scheduler/tests/test_scheduler_random.c
+++ b/packages/scheduler/tests/test_scheduler_random.c
@@ -5,13 +5,20 @@
 #include "aq_log.h"
 #include "sim.h"
 
-/* Random days of a pool.  Guards the rules that the sim checks at each start
- * (no task twice at once or after a noted end, steps in order, attempts, room)
- * under lost and late orders, crashes, silence, kills and unaware previous
- * owners. */
+/* Runs the simulated pool with random jobs and faults: lost replies, delayed
+ * orders, failing runs and saves, crashed and silent VMs, killed owners,
+ * hand-overs, and previous owners that do not notice that they were replaced.
+ * Guards against violations of the invariants that the simulation checks: a
+ * task does not run twice at a time or after a confirmed end, steps start in
+ * order, and the limits on failed runs and on CPU are kept.  Guards also
+ * against jobs that do not finish once the faults have ended.
+ *
+ * "test_scheduler_random FIRST_SEED COUNT" runs other seeds. */
 
+/* In half of the calls, replaces the owner in some way, crashes a VM or
+ * silences one. */
 static void
-disturb(Sim *sim, AqRandom *random)
+inject_fault(Sim *sim, AqRandom *random)
 {
     switch (AqRandom_Below(random, 10)) {
     case 0:
@@ -36,50 +43,52 @@
     }
 }
 
+/* Whether all jobs finish without a violation. */
 static bool
-play(uint64_t seed)
+run_seed(uint64_t seed)
 {
     AqRandom random;
     SimFaults faults;
     SimFaults none = {0};
     AqRandom_Seed(&random, seed * 7919 + 1);
     faults = (SimFaults){
-        .lost_answers = (unsigned)AqRandom_Below(&random, 60),
-        .late_orders = (unsigned)AqRandom_Below(&random, 40),
-        .failing_runs = (unsigned)AqRandom_Below(&random, 80),
-        .failed_saves = (unsigned)AqRandom_Below(&random, 200),
+        .lost_replies_permille = (unsigned)AqRandom_Below(&random, 60),
+        .delayed_orders_permille = (unsigned)AqRandom_Below(&random, 40),
+        .failing_runs_permille = (unsigned)AqRandom_Below(&random, 80),
+        .failed_saves_permille = (unsigned)AqRandom_Below(&random, 200),
     };
     Sim *sim = sim_create(seed);
     sim_set_faults(sim, &faults);
     for (unsigned i = 0; i < 30; i++) {
         char id[16];
         snprintf(id, sizeof(id), "a%u", i);
-        sim_add_simple(sim, id, 1 + (unsigned)AqRandom_Below(&random, 3),
-                       1 + (unsigned)AqRandom_Below(&random, 8),
-                       500 + (int64_t)AqRandom_Below(&random, 4000),
-                       100 + (AqTime)AqRandom_Below(&random, 1500));
+        sim_add_chain(sim, id, 1 + (unsigned)AqRandom_Below(&random, 3),
+                      1 + (unsigned)AqRandom_Below(&random, 8),
+                      500 + (int64_t)AqRandom_Below(&random, 4000),
+                      100 + (AqTime)AqRandom_Below(&random, 1500));
         sim_run(sim, (AqTime)AqRandom_Below(&random, 500));
-        disturb(sim, &random);
+        inject_fault(sim, &random);
     }
     sim_set_faults(sim, &none);
-    bool is_finished = sim_finish(sim, 90000);
-    const char *text = sim_broken(sim);
+    bool is_finished = sim_run_until_finished(sim, 90000);
+    const char *violation = sim_violation(sim);
     if (!is_finished) {
         fprintf(stderr, "seed %llu: %s\n", (unsigned long long)seed,
-                text != NULL ? text : "jobs are left");
+                violation != NULL ? violation
+                                  : "some jobs did not finish in time");
     }
     sim_destroy(sim);
     return is_finished;
 }
 
 static uint64_t first_seed = 1;
-static uint64_t seeds = 200;
+static uint64_t seed_count = 200;
 
 static void
-test_random_days(void)
+test_random_faults(void)
 {
-    for (uint64_t i = 0; i < seeds; i++) {
-        CU_ASSERT_TRUE(play(first_seed + i));
+    for (uint64_t i = 0; i < seed_count; i++) {
+        CU_ASSERT_TRUE(run_seed(first_seed + i));
     }
 }
 
@@ -88,12 +97,12 @@
 {
     if (argc > 2) {
         first_seed = strtoull(argv[1], NULL, 10);
-        seeds = strtoull(argv[2], NULL, 10);
+        seed_count = strtoull(argv[2], NULL, 10);
     }
     AqLog_Start("test", AQ_LOG_ERROR);
     CU_initialize_registry();
     CU_pSuite suite = CU_add_suite("scheduler_random", NULL, NULL);
-    CU_add_test(suite, "random_days", test_random_days);
+    CU_add_test(suite, "random_faults", test_random_faults);
     CU_basic_set_mode(CU_BRM_VERBOSE);
     CU_basic_run_tests();
     unsigned failed = CU_get_number_of_failures();
