--- a/packages/jobs/estimate.c
+++ b/packages/jobs/estimate.c
@@ -3,22 +3,23 @@
 #include <stdlib.h>
 
 enum {
-    MILLI = 1000,
-    MARGIN_PERCENT = 120
+    MILLI_PER_CORE = 1000,
+    ESTIMATE_PERCENT = 120 /* of the 90th percentile of the measured use */
 };
 
 Size
 size_declared(const json_t *job)
 {
     Size size = {
-        .cores_milli = job_int(job, "cores") * MILLI,
+        .cores_milli = job_int(job, "cores") * MILLI_PER_CORE,
         .memory_mb = job_int(job, "memory_mb"),
         .accelerators = job_int(job, "accelerators"),
     };
     return size;
 }
 
-/* Jobs that declare the same size form a class. */
+/* Returns the name of the job's class, freed with g_free.  Jobs that declare
+ * the same size form a class and share their samples. */
 static char *
 class_name(const json_t *job)
 {
@@ -28,16 +29,17 @@
 }
 
 static int
-compare(const void *a, const void *b)
+compare_int64(const void *a, const void *b)
 {
     int64_t x = *(const int64_t *)a;
     int64_t y = *(const int64_t *)b;
     return (x > y) - (x < y);
 }
 
-/* The 90th percentile of one element of the samples, plus the margin. */
+/* Returns the 90th percentile of the samples' element at index "element" (0:
+ * thousandths of a core, 1: MB of memory), scaled by ESTIMATE_PERCENT. */
 static int64_t
-learned(const json_t *samples, size_t element)
+estimate_from_samples(const json_t *samples, size_t element)
 {
     int64_t values[JOBS_MAX_SAMPLES];
     size_t count = json_array_size(samples);
@@ -45,9 +47,9 @@
         values[i] = json_integer_value(
             json_array_get(json_array_get(samples, i), element));
     }
-    qsort(values, count, sizeof(values[0]), compare);
+    qsort(values, count, sizeof(values[0]), compare_int64);
     size_t at = (count * 9 + 9) / 10 - 1;
-    return values[at] * MARGIN_PERCENT / 100;
+    return values[at] * ESTIMATE_PERCENT / 100;
 }
 
 Size
@@ -62,17 +64,20 @@
     if (count < JOBS_MIN_SAMPLES || count > JOBS_MAX_SAMPLES) {
         return size;
     }
-    size.cores_milli = MAX(learned(samples, 0), JOBS_FLOOR_CORES_MILLI);
-    size.memory_mb = MAX(learned(samples, 1), JOBS_FLOOR_MEMORY_MB);
+    size.cores_milli =
+        MAX(estimate_from_samples(samples, 0), JOBS_MIN_ESTIMATE_CORES_MILLI);
+    size.memory_mb =
+        MAX(estimate_from_samples(samples, 1), JOBS_MIN_ESTIMATE_MEMORY_MB);
     return size;
 }
 
 void
-size_add_sample(Team *team, const json_t *job, const TaskRuntime *memory)
+size_add_sample(Team *team, const json_t *job, const TaskRuntime *runtime)
 {
     json_t *all = json_object_get(team->working, "samples");
-    if (memory->cores_milli == 0 && memory->memory_mb == 0) {
-        /* The report lags: a short task may end before its first one. */
+    if (runtime->peak_cores_milli == 0 && runtime->peak_memory_mb == 0) {
+        /* The usage lags behind the state: a short task may end before its
+         * use was reported. */
         return;
     }
     char *class = class_name(job);
@@ -81,9 +86,9 @@
         samples = json_array();
         json_object_set_new(all, class, samples);
     }
-    json_array_append_new(samples,
-                          json_pack("[I,I]", (json_int_t)memory->cores_milli,
-                                    (json_int_t)memory->memory_mb));
+    json_array_append_new(
+        samples, json_pack("[I,I]", (json_int_t)runtime->peak_cores_milli,
+                           (json_int_t)runtime->peak_memory_mb));
     while (json_array_size(samples) > JOBS_MAX_SAMPLES) {
         json_array_remove(samples, 0);
     }
--- a/packages/jobs/job_intents.c
+++ b/packages/jobs/job_intents.c
@@ -5,7 +5,7 @@
 #include "aq_json.h"
 
 enum {
-    MAX_NAME = 63,
+    MAX_NAME_LENGTH = 63,
     MAX_CORES = 4096,
     MAX_RUN_MS = 7 * 24 * 3600 * 1000
 };
@@ -14,14 +14,14 @@
 check_name(const char *field, const char *name, AqError *error)
 {
     size_t length = strlen(name);
-    bool ok = length >= 1 && length <= MAX_NAME;
+    bool ok = length >= 1 && length <= MAX_NAME_LENGTH;
     for (size_t i = 0; i < length && ok; i++) {
         ok = g_ascii_isalnum(name[i]) || strchr("._-", name[i]) != NULL;
     }
     return ok || AqError_Set(error, AQ_ERR_INVALID,
                              "field \"%s\" is \"%.80s\"; use 1 to %d letters, "
                              "digits, dots, underscores or hyphens",
-                             field, name, MAX_NAME);
+                             field, name, MAX_NAME_LENGTH);
 }
 
 static bool
@@ -48,9 +48,10 @@
     return true;
 }
 
-/* Reads the arguments of job.submit into a new record, or NULL. */
+/* Returns a new record in state queued with the arguments of job.submit, or
+ * NULL with the error set. */
 static json_t *
-read_job(const json_t *args, AqError *error)
+parse_job(const json_t *args, AqError *error)
 {
     static const char *const allowed[] = {
         "id",    "team",      "urgent",       "idempotent", "selector",
@@ -89,6 +90,7 @@
         "queued", "tries", 0);
 }
 
+/* Whether the team's quota would allow the job with nothing else running. */
 static bool
 check_quota(const AqFleet *fleet, const char *team, const json_t *job,
             AqError *error)
@@ -97,25 +99,26 @@
     const json_t *quota = AqFleet_Get(fleet, AQ_REC_TEAM, team);
     if (quota == NULL) {
         return AqError_Set(error, AQ_ERR_NOT_FOUND,
-                           "there is no team \"%s\"; set its quota with team "
-                           "set first",
+                           "there is no team \"%s\"; set its quota with "
+                           "\"team set\" first",
                            team);
     }
     for (size_t i = 0; i < G_N_ELEMENTS(fields); i++) {
-        int64_t wanted = job_int(job, fields[i]);
+        int64_t requested = job_int(job, fields[i]);
         int64_t limit = job_int(quota, fields[i]);
-        if (wanted > limit) {
+        if (requested > limit) {
             return AqError_Set(error, AQ_ERR_REFUSED,
                                "%s is %lld and the quota of team \"%s\" is "
                                "%lld; ask for less or raise the quota",
-                               fields[i], (long long)wanted, team,
+                               fields[i], (long long)requested, team,
                                (long long)limit);
         }
     }
     return true;
 }
 
-/* Whether the operation has been applied: to a job or to one that ended. */
+/* Whether operation "op" has been applied: the team's unfinished job "id" or
+ * one of its kept results records it. */
 static bool
 is_applied(const Team *team, const char *id, const char *op)
 {
@@ -134,13 +137,14 @@
     return false;
 }
 
+/* Returns the team; if it isn't known, adds it with an empty document. */
 static Team *
-get_team(AqJobs *jobs, const char *name)
+get_or_create_team(AqJobs *jobs, const char *name)
 {
     static const char empty[] = "{\"jobs\":{},\"results\":[],\"samples\":{}}";
     Team *team = jobs_find_team(jobs, name);
     if (team == NULL) {
-        /* Index 0: the key is absent, and the first write creates it. */
+        /* Index 0 means that the key is absent; the first write creates it. */
         AqJobs_Load(jobs, name, empty, sizeof(empty) - 1, 0, NULL);
         team = jobs_find_team(jobs, name);
     }
@@ -151,13 +155,13 @@
 submit(AqJobs *jobs, const AqFleet *fleet, const char *op, const json_t *args,
        int64_t wall_ms, AqError *error)
 {
-    json_t *job = read_job(args, error);
+    json_t *job = parse_job(args, error);
     if (job == NULL) {
         return false;
     }
     const char *id = json_string_value(json_object_get(args, "id"));
     const char *name = json_string_value(json_object_get(args, "team"));
-    Team *team = get_team(jobs, name);
+    Team *team = get_or_create_team(jobs, name);
     bool ok = false;
     if (is_applied(team, id, op)) {
         ok = true;
@@ -172,7 +176,7 @@
     if (json_object_size(team_jobs(team)) >= JOBS_MAX_PER_TEAM) {
         AqError_Set(error, AQ_ERR_REFUSED,
                     "team \"%s\" has %d unfinished jobs, the most allowed; "
-                    "submit it when some have finished",
+                    "submit the job after some have finished",
                     name, JOBS_MAX_PER_TEAM);
         goto done;
     }
@@ -191,9 +195,10 @@
     return ok;
 }
 
-/* The team that has the job, when the intent does not name it. */
+/* Returns a team that has an unfinished job "id", or NULL; for intents that
+ * don't name the team. */
 static Team *
-find_team_of(const AqJobs *jobs, const char *id)
+find_team_of_job(const AqJobs *jobs, const char *id)
 {
     GHashTableIter iter;
     gpointer value;
@@ -218,7 +223,7 @@
         return false;
     }
     Team *team =
-        name != NULL ? jobs_find_team(jobs, name) : find_team_of(jobs, id);
+        name != NULL ? jobs_find_team(jobs, name) : find_team_of_job(jobs, id);
     json_t *job = team != NULL ? json_object_get(team_jobs(team), id) : NULL;
     if (job == NULL) {
         return AqError_Set(error, AQ_ERR_NOT_FOUND,
--- a/packages/jobs/jobs.c
+++ b/packages/jobs/jobs.c
@@ -19,11 +19,11 @@
 }
 
 static void
-free_worker(gpointer data)
+free_worker_health(gpointer data)
 {
-    WorkerHealth *worker = data;
-    g_free(worker->last_job);
-    g_free(worker);
+    WorkerHealth *health = data;
+    g_free(health->last_failed_task);
+    g_free(health);
 }
 
 AqJobs *
@@ -34,8 +34,8 @@
         g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_team);
     jobs->tasks =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    jobs->workers =
-        g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_worker);
+    jobs->workers = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
+                                          free_worker_health);
     return jobs;
 }
 
@@ -67,7 +67,7 @@
 }
 
 static json_t *
-empty_document(void)
+new_empty_document(void)
 {
     return json_pack("{s:{},s:[],s:{}}", "jobs", "results", "samples");
 }
@@ -77,14 +77,16 @@
 {
     Team *team = g_new0(Team, 1);
     team->name = g_strdup(name);
-    team->stored = empty_document();
-    team->working = empty_document();
+    team->stored = new_empty_document();
+    team->working = new_empty_document();
     g_hash_table_insert(jobs->teams, team->name, team);
     return team;
 }
 
+/* Whether the parts that all other functions rely on are present with the
+ * right types. */
 static bool
-is_document(const json_t *root)
+is_valid_document(const json_t *root)
 {
     const char *id;
     json_t *job;
@@ -111,7 +113,7 @@
         return true;
     }
     json_t *root = AqJson_Parse(text, size, error);
-    if (root == NULL || !is_document(root)) {
+    if (root == NULL || !is_valid_document(root)) {
         json_decref(root);
         return AqError_Set(error, AQ_ERR_INVALID,
                            "the document of team \"%s\" is damaged; restore "
@@ -126,8 +128,8 @@
     team->stored = root;
     team->working = json_deep_copy(root);
     team->index = index;
-    /* Decided changes were based on an older document; their write would be
-     * refused. */
+    /* The dropped changes were based on an older document, so the store would
+     * refuse their write. */
     team->dirty = false;
     return true;
 }
@@ -252,26 +254,26 @@
 TaskRuntime *
 jobs_task_runtime(AqJobs *jobs, const char *task)
 {
-    TaskRuntime *memory = g_hash_table_lookup(jobs->tasks, task);
-    if (memory == NULL) {
-        memory = g_new0(TaskRuntime, 1);
-        g_hash_table_insert(jobs->tasks, g_strdup(task), memory);
+    TaskRuntime *runtime = g_hash_table_lookup(jobs->tasks, task);
+    if (runtime == NULL) {
+        runtime = g_new0(TaskRuntime, 1);
+        g_hash_table_insert(jobs->tasks, g_strdup(task), runtime);
     }
-    return memory;
+    return runtime;
 }
 
 WorkerHealth *
 jobs_worker_health(AqJobs *jobs, const char *worker)
 {
-    WorkerHealth *memory = g_hash_table_lookup(jobs->workers, worker);
-    if (memory == NULL) {
-        memory = g_new0(WorkerHealth, 1);
-        g_hash_table_insert(jobs->workers, g_strdup(worker), memory);
+    WorkerHealth *health = g_hash_table_lookup(jobs->workers, worker);
+    if (health == NULL) {
+        health = g_new0(WorkerHealth, 1);
+        g_hash_table_insert(jobs->workers, g_strdup(worker), health);
     }
-    return memory;
+    return health;
 }
 
-/* ---- Reading -------------------------------------------------------------
+/* ---- Inspection ---------------------------------------------------------
  */
 
 json_t *
@@ -302,9 +304,11 @@
     return result;
 }
 
-/* Whether a record has what its state needs. */
+/* Whether a record has a known state, a worker unless it is queued, and no
+ * negative numbers. */
 static bool
-check_job(const Team *team, const char *id, const json_t *job, AqError *error)
+check_record(const Team *team, const char *id, const json_t *job,
+             AqError *error)
 {
     static const char *const states[] = {
         "queued", "starting", "running", "checkpointing", "stopping", NULL};
@@ -336,12 +340,13 @@
         json_t *job;
         if (!team->dirty && !json_equal(team->stored, team->working)) {
             return AqError_Set(error, AQ_ERR_INVALID,
-                               "team \"%s\" has changes but is not marked",
+                               "team \"%s\" has changes but is not marked "
+                               "dirty",
                                team->name);
         }
         json_object_foreach(team_jobs(team), id, job)
         {
-            if (!check_job(team, id, job, error)) {
+            if (!check_record(team, id, job, error)) {
                 return false;
             }
         }
--- a/packages/jobs/placement.c
+++ b/packages/jobs/placement.c
@@ -4,15 +4,16 @@
 #include <string.h>
 
 typedef struct {
-    const char *id; /* borrowed from the fleet */
+    const char *id; /* borrowed from the fleet, as are the labels */
     const json_t *labels;
-    Size free;
-    bool takes_tasks;
+    Size free; /* negative while tasks reserve more than the worker has */
+    bool accepts_tasks;
 } Worker;
 
+/* Quota of one team. */
 typedef struct {
-    Size used;
-    Size quota;
+    Size used; /* reserved by its tasks */
+    Size limit;
 } Quota;
 
 struct Placement {
@@ -20,10 +21,11 @@
     const AqFleet *fleet;
     int64_t wall_ms;
     GArray *workers;    /* of Worker */
-    GHashTable *by_id;  /* id -> index + 1 */
+    GHashTable *by_id;  /* worker id -> index in "workers" + 1 */
     GHashTable *quotas; /* team -> Quota, owned */
 };
 
+/* Returns the resources in the record of a VM or a team. */
 static Size
 capacity(const json_t *record)
 {
@@ -36,7 +38,7 @@
 }
 
 static void
-take(Size *from, const Size *size)
+subtract_size(Size *from, const Size *size)
 {
     from->cores_milli -= size->cores_milli;
     from->memory_mb -= size->memory_mb;
@@ -44,7 +46,7 @@
 }
 
 static void
-give(Size *to, const Size *size)
+add_size(Size *to, const Size *size)
 {
     to->cores_milli += size->cores_milli;
     to->memory_mb += size->memory_mb;
@@ -55,10 +57,10 @@
 labels_match(const json_t *selector, const json_t *labels)
 {
     const char *key;
-    json_t *wanted;
-    json_object_foreach((json_t *)selector, key, wanted)
+    json_t *required;
+    json_object_foreach((json_t *)selector, key, required)
     {
-        if (!json_equal(wanted, json_object_get(labels, key))) {
+        if (!json_equal(required, json_object_get(labels, key))) {
             return false;
         }
     }
@@ -72,30 +74,33 @@
     return at == 0 ? NULL : &g_array_index(p->workers, Worker, at - 1);
 }
 
+/* Returns the quota of a team, which is read from the fleet on first use.
+ * Owned by the placement. */
 static Quota *
-quota_of(const Placement *p, const char *team)
+get_quota(const Placement *p, const char *team)
 {
     Quota *quota = g_hash_table_lookup(p->quotas, team);
     if (quota == NULL) {
         quota = g_new0(Quota, 1);
-        quota->quota = capacity(AqFleet_Get(p->fleet, AQ_REC_TEAM, team));
+        quota->limit = capacity(AqFleet_Get(p->fleet, AQ_REC_TEAM, team));
         g_hash_table_insert(p->quotas, g_strdup(team), quota);
     }
     return quota;
 }
 
-/* ---- Filling -------------------------------------------------------------
+/* ---- Construction -------------------------------------------------------
  */
 
+/* Whether a worker gets no new tasks because tasks failed there repeatedly. */
 static bool
-is_bad(AqJobs *jobs, const char *id, int64_t wall_ms)
+is_bad_worker(AqJobs *jobs, const char *id, int64_t wall_ms)
 {
-    const WorkerHealth *memory = g_hash_table_lookup(jobs->workers, id);
-    if (memory == NULL || (jobs->disabled & AQ_JOBS_DISABLE_BAD_WORKER)) {
+    const WorkerHealth *health = g_hash_table_lookup(jobs->workers, id);
+    if (health == NULL || (jobs->disabled & AQ_JOBS_DISABLE_BAD_WORKER)) {
         return false;
     }
-    return memory->failures >= JOBS_BAD_WORKER_FAILURES &&
-           (memory->bad_until > wall_ms || memory->trial);
+    return health->consecutive_failures >= JOBS_BAD_WORKER_FAILURES &&
+           (health->bad_until_ms > wall_ms || health->is_on_trial);
 }
 
 static bool
@@ -107,8 +112,8 @@
         .id = view->id,
         .labels = json_object_get(record, "labels"),
         .free = capacity(record),
-        .takes_tasks = view->state == AQ_VM_SERVING &&
-                       !is_bad(p->jobs, view->id, p->wall_ms),
+        .accepts_tasks = view->state == AQ_VM_SERVING &&
+                         !is_bad_worker(p->jobs, view->id, p->wall_ms),
     };
     g_array_append_val(p->workers, worker);
     g_hash_table_insert(p->by_id, (gpointer)worker.id,
@@ -116,6 +121,8 @@
     return true;
 }
 
+/* Subtracts the reservations of a team's tasks from their workers, and adds
+ * them to the team's used quota. */
 static void
 add_tasks(Placement *p, const Team *team)
 {
@@ -129,9 +136,9 @@
         Size size = size_reserved(job);
         Worker *worker = find_worker(p, job_text(job, "worker"));
         if (worker != NULL) {
-            take(&worker->free, &size);
+            subtract_size(&worker->free, &size);
         }
-        give(&quota_of(p, team->name)->used, &size);
+        add_size(&get_quota(p, team->name)->used, &size);
     }
 }
 
@@ -164,16 +171,19 @@
     g_free(p);
 }
 
-/* ---- Choosing ------------------------------------------------------------
+/* ---- Selection ----------------------------------------------------------
  */
 
+/* Records that a task was placed on a worker that was marked as bad.  Until it
+ * has failed or finished, the worker gets no other task. */
 static void
-note_trial(Placement *p, const char *id)
+start_trial(Placement *p, const char *id)
 {
-    WorkerHealth *memory = g_hash_table_lookup(p->jobs->workers, id);
-    if (memory != NULL && memory->failures >= JOBS_BAD_WORKER_FAILURES) {
-        memory->trial = true;
-        find_worker(p, id)->takes_tasks =
+    WorkerHealth *health = g_hash_table_lookup(p->jobs->workers, id);
+    if (health != NULL &&
+        health->consecutive_failures >= JOBS_BAD_WORKER_FAILURES) {
+        health->is_on_trial = true;
+        find_worker(p, id)->accepts_tasks =
             (p->jobs->disabled & AQ_JOBS_DISABLE_BAD_WORKER) != 0;
     }
 }
@@ -184,7 +194,7 @@
     Worker *best = NULL;
     for (guint i = 0; i < p->workers->len; i++) {
         Worker *worker = &g_array_index(p->workers, Worker, i);
-        if (worker->takes_tasks && size_fits(size, &worker->free) &&
+        if (worker->accepts_tasks && size_fits(size, &worker->free) &&
             labels_match(selector, worker->labels) &&
             (best == NULL ||
              worker->free.cores_milli < best->free.cores_milli)) {
@@ -194,45 +204,46 @@
     if (best == NULL) {
         return NULL;
     }
-    take(&best->free, size);
-    note_trial(p, best->id);
+    subtract_size(&best->free, size);
+    start_trial(p, best->id);
     return best->id;
 }
 
 bool
-placement_take_quota(Placement *p, const char *team, const Size *size)
+placement_reserve_quota(Placement *p, const char *team, const Size *size)
 {
-    Quota *quota = quota_of(p, team);
-    Size room = quota->quota;
-    take(&room, &quota->used);
+    Quota *quota = get_quota(p, team);
+    Size room = quota->limit;
+    subtract_size(&room, &quota->used);
     if (!size_fits(size, &room)) {
         return false;
     }
-    give(&quota->used, size);
+    add_size(&quota->used, size);
     return true;
 }
 
 void
-placement_return_quota(Placement *p, const char *team, const Size *size)
+placement_release_quota(Placement *p, const char *team, const Size *size)
 {
-    take(&quota_of(p, team)->used, size);
+    subtract_size(&get_quota(p, team)->used, size);
 }
 
 double
-placement_share(const Placement *p, const char *team)
+placement_quota_share(const Placement *p, const char *team)
 {
-    const Quota *quota = quota_of(p, team);
+    const Quota *quota = get_quota(p, team);
     return (double)quota->used.cores_milli /
-           (double)(quota->quota.cores_milli + 1);
+           (double)(quota->limit.cores_milli + 1);
 }
 
 /* ---- Preemption ----------------------------------------------------------
  */
 
+/* A task that may be stopped to make room for an urgent job. */
 typedef struct {
     Team *team;
     json_t *job;
-    Size size;
+    Size size; /* reserved for the task */
 } Victim;
 
 static int
@@ -243,9 +254,10 @@
     return (x < y) - (x > y);
 }
 
-/* The ordinary idempotent tasks that run on a worker, youngest first. */
+/* Returns the non-urgent idempotent tasks that run on a worker, youngest
+ * first, as a new array of Victim. */
 static GArray *
-victims_on(const Placement *p, const char *worker)
+collect_victims(const Placement *p, const char *worker)
 {
     GArray *victims = g_array_new(FALSE, TRUE, sizeof(Victim));
     GHashTableIter iter;
@@ -269,14 +281,15 @@
     return victims;
 }
 
-/* How many victims must stop until the size fits; 0 when all do not suffice
- * or none is needed. */
+/* Returns how many victims must stop, in the order of the array, to make room
+ * for "size"; 0 if stopping all of them doesn't suffice or there are none. */
 static guint
-victims_needed(const Worker *worker, const GArray *victims, const Size *size)
+count_victims_needed(const Worker *worker, const GArray *victims,
+                     const Size *size)
 {
     Size room = worker->free;
     for (guint i = 0; i < victims->len; i++) {
-        give(&room, &g_array_index(victims, Victim, i).size);
+        add_size(&room, &g_array_index(victims, Victim, i).size);
         if (size_fits(size, &room)) {
             return i + 1;
         }
@@ -292,11 +305,12 @@
     guint best_count = 0;
     for (guint i = 0; i < p->workers->len; i++) {
         Worker *worker = &g_array_index(p->workers, Worker, i);
-        if (!worker->takes_tasks || !labels_match(selector, worker->labels)) {
+        if (!worker->accepts_tasks ||
+            !labels_match(selector, worker->labels)) {
             continue;
         }
-        GArray *victims = victims_on(p, worker->id);
-        guint count = victims_needed(worker, victims, size);
+        GArray *victims = collect_victims(p, worker->id);
+        guint count = count_victims_needed(worker, victims, size);
         if (count == 0 || (best != NULL && count >= best_count)) {
             g_array_free(victims, TRUE);
             continue;
@@ -315,27 +329,31 @@
         Victim *victim = &g_array_index(best_victims, Victim, i);
         job_set_state(victim->team, victim->job, "checkpointing");
     }
-    /* The room is not given to another job of this step. */
-    take(&best->free, size);
+    /* Reserves the room, so that this step neither places another job in it
+     * nor counts it for another preemption. */
+    subtract_size(&best->free, size);
     g_array_free(best_victims, TRUE);
     return true;
 }
 
-/* ---- Jobs that can never run ---------------------------------------------
+/* ---- Feasibility --------------------------------------------------------
  */
 
+/* Search for a worker that could hold a job when idle. */
 typedef struct {
     const AqFleet *fleet;
     const json_t *job;
-    bool any_match; /* of the selector */
-    bool any_fit;
-    Size largest; /* of the matching workers */
-} Possible;
+    bool any_match; /* a worker matches the selector */
+    bool any_fit;   /* a matching worker is large enough */
+    Size largest;   /* maximum of each resource over the matching workers */
+} FitSearch;
 
+/* Adds a VM to the search.  Returns false, which ends the search, if the job
+ * fits. */
 static bool
-visit_possible(void *context, const AqVmView *view)
+check_vm_fit(void *context, const AqVmView *view)
 {
-    Possible *state = context;
+    FitSearch *state = context;
     const json_t *record = AqFleet_Get(state->fleet, AQ_REC_VM, view->id);
     if (!labels_match(json_object_get(state->job, "selector"),
                       json_object_get(record, "labels"))) {
@@ -353,15 +371,16 @@
     return !state->any_fit;
 }
 
-/* Names the first selector label that no VM has. */
+/* Sets an error that names the first selector label that no VM has, or says
+ * that no VM has all of them; returns false. */
 static bool
-refuse_selector(const Possible *state, AqError *error)
+set_selector_error(const FitSearch *state, AqError *error)
 {
     const json_t *selector = json_object_get(state->job, "selector");
     const json_t *vms = AqFleet_All(state->fleet, AQ_REC_VM);
     const char *key;
-    json_t *wanted;
-    json_object_foreach((json_t *)selector, key, wanted)
+    json_t *required;
+    json_object_foreach((json_t *)selector, key, required)
     {
         bool found = false;
         const char *id;
@@ -370,14 +389,14 @@
         {
             found = found ||
                     json_equal(
-                        wanted,
+                        required,
                         json_object_get(json_object_get(vm, "labels"), key));
         }
         if (!found) {
             return AqError_Set(error, AQ_ERR_REFUSED,
                                "no worker has the label %s=%s of the "
                                "selector; change the selector or label a VM",
-                               key, json_string_value(wanted));
+                               key, json_string_value(required));
         }
     }
     return AqError_Set(error, AQ_ERR_REFUSED,
@@ -388,18 +407,18 @@
 bool
 placement_is_possible(const AqFleet *fleet, const json_t *job, AqError *error)
 {
-    Possible state = {.fleet = fleet, .job = job};
+    FitSearch state = {.fleet = fleet, .job = job};
     Size size = size_declared(job);
-    AqFleet_EachVm(fleet, visit_possible, &state);
+    AqFleet_EachVm(fleet, check_vm_fit, &state);
     if (state.any_fit) {
         return true;
     }
     if (!state.any_match) {
-        return refuse_selector(&state, error);
+        return set_selector_error(&state, error);
     }
     const struct {
         const char *field;
-        int64_t wanted;
+        int64_t required;
         int64_t largest;
     } sizes[] = {
         {"cores", size.cores_milli / 1000, state.largest.cores_milli / 1000},
@@ -407,11 +426,11 @@
         {"accelerators", size.accelerators, state.largest.accelerators},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(sizes); i++) {
-        if (sizes[i].wanted > sizes[i].largest) {
+        if (sizes[i].required > sizes[i].largest) {
             return AqError_Set(error, AQ_ERR_REFUSED,
                                "%s is %lld and the largest matching worker "
                                "has %lld; ask for less or widen the selector",
-                               sizes[i].field, (long long)sizes[i].wanted,
+                               sizes[i].field, (long long)sizes[i].required,
                                (long long)sizes[i].largest);
         }
     }
--- a/packages/jobs/steps.c
+++ b/packages/jobs/steps.c
@@ -2,16 +2,18 @@
 
 #include <string.h>
 
+/* Arguments of one AqJobs_Step() call. */
 typedef struct {
     AqJobs *jobs;
     const AqFleet *fleet;
-    int64_t wall_ms;
+    int64_t wall_ms; /* current Unix time */
     void (*order)(void *context, const AqTaskOrder *order);
     void *context;
 } Step;
 
+/* Whether a mechanism is enabled; "mechanism" is its AQ_JOBS_DISABLE_* bit. */
 static bool
-has(const AqJobs *jobs, uint32_t mechanism)
+is_enabled(const AqJobs *jobs, uint32_t mechanism)
 {
     return (jobs->disabled & mechanism) == 0;
 }
@@ -19,8 +21,9 @@
 /* ---- Reports -------------------------------------------------------------
  */
 
+/* Releases the job's worker and reservation, and queues it again. */
 static void
-back_to_queue(Team *team, json_t *job)
+requeue_job(Team *team, json_t *job)
 {
     json_object_del(job, "worker");
     json_object_del(job, "started");
@@ -28,36 +31,43 @@
     job_set_state(team, job, "queued");
 }
 
-/* The next start is the same try: it keeps the name of the task. */
+/* Queues a job again such that the next start has the number of this try, and
+ * thus the name of this task. */
 static void
-same_try_again(Team *team, json_t *job)
+requeue_same_try(Team *team, json_t *job)
 {
     json_object_set_new(job, "tries", json_integer(job_int(job, "tries") - 1));
-    back_to_queue(team, job);
+    requeue_job(team, job);
 }
 
+/* Counts a failed task against its worker, once for each task name, and stops
+ * placing tasks there after JOBS_BAD_WORKER_FAILURES consecutive ones. */
 static void
-note_failure(AqJobs *jobs, const char *worker, const char *task,
-             int64_t wall_ms)
+record_failure(AqJobs *jobs, const char *worker, const char *task,
+               int64_t wall_ms)
 {
-    WorkerHealth *memory = jobs_worker_health(jobs, worker);
-    memory->trial = false;
-    if (memory->last_job == NULL || strcmp(memory->last_job, task) != 0) {
-        memory->failures++;
-        g_free(memory->last_job);
-        memory->last_job = g_strdup(task);
+    WorkerHealth *health = jobs_worker_health(jobs, worker);
+    health->is_on_trial = false;
+    if (health->last_failed_task == NULL ||
+        strcmp(health->last_failed_task, task) != 0) {
+        health->consecutive_failures++;
+        g_free(health->last_failed_task);
+        health->last_failed_task = g_strdup(task);
     }
-    if (memory->failures >= JOBS_BAD_WORKER_FAILURES) {
-        memory->bad_until = wall_ms + JOBS_BAD_WORKER_MS;
+    if (health->consecutive_failures >= JOBS_BAD_WORKER_FAILURES) {
+        health->bad_until_ms = wall_ms + JOBS_BAD_WORKER_PAUSE_MS;
     }
 }
 
+/* Clears the failures of a worker on which a task finished. */
 static void
-note_success(AqJobs *jobs, const char *worker)
+record_success(AqJobs *jobs, const char *worker)
 {
     g_hash_table_remove(jobs->workers, worker);
 }
 
+/* Queues a job again after an unsuccessful try.  Ends it with "reason" if it
+ * is cancelled or has used all its tries. */
 static void
 retry_or_fail(Team *team, const char *id, json_t *job, const char *reason)
 {
@@ -69,15 +79,15 @@
         job_end(team, id, "failed", reason);
     }
     else {
-        back_to_queue(team, job);
+        requeue_job(team, job);
     }
 }
 
 static void
-take_failed(AqJobs *jobs, Team *team, const char *id, json_t *job,
-            const char *task, int64_t wall_ms)
+handle_task_failed(AqJobs *jobs, Team *team, const char *id, json_t *job,
+                   const char *task, int64_t wall_ms)
 {
-    note_failure(jobs, job_text(job, "worker"), task, wall_ms);
+    record_failure(jobs, job_text(job, "worker"), task, wall_ms);
     if (job_flag(job, "idempotent")) {
         retry_or_fail(team, id, job, "the task failed");
     }
@@ -88,12 +98,14 @@
     }
 }
 
+/* Handles a task whose lease expired.  A non-idempotent one that may have run
+ * isn't started again: its job ends in state unknown. */
 static void
-take_lapsed(AqJobs *jobs, Team *team, const char *id, json_t *job,
-            bool started)
+handle_task_lapsed(AqJobs *jobs, Team *team, const char *id, json_t *job,
+                   bool started)
 {
     if (started && !job_flag(job, "idempotent") &&
-        has(jobs, AQ_JOBS_DISABLE_UNKNOWN)) {
+        is_enabled(jobs, AQ_JOBS_DISABLE_UNKNOWN)) {
         job_end(team, id, "unknown",
                 "the lease lapsed; the task is non-idempotent and may have "
                 "run");
@@ -103,13 +115,13 @@
 }
 
 static void
-take_stopped(Team *team, const char *id, json_t *job, bool started)
+handle_task_stopped(Team *team, const char *id, json_t *job, bool started)
 {
     if (job_flag(job, "cancel")) {
         job_end(team, id, "cancelled", "cancelled by an operator");
     }
     else if (!started || job_flag(job, "idempotent")) {
-        back_to_queue(team, job);
+        requeue_job(team, job);
     }
     else {
         job_end(team, id, "unknown",
@@ -119,32 +131,32 @@
 }
 
 static void
-take_state(AqJobs *jobs, Team *team, const char *id, json_t *job,
-           const AqTaskReport *report, int64_t wall_ms)
+apply_report(AqJobs *jobs, Team *team, const char *id, json_t *job,
+             const AqTaskReport *report, int64_t wall_ms)
 {
     const char *state = report->state;
     if (strcmp(state, "finished") == 0) {
-        note_success(jobs, report->worker);
+        record_success(jobs, report->worker);
         size_add_sample(team, job, jobs_task_runtime(jobs, report->id));
         job_end(team, id, "done", "");
     }
     else if (strcmp(state, "failed") == 0) {
-        take_failed(jobs, team, id, job, report->id, wall_ms);
+        handle_task_failed(jobs, team, id, job, report->id, wall_ms);
     }
     else if (strcmp(state, "lapsed") == 0) {
-        take_lapsed(jobs, team, id, job, report->started);
+        handle_task_lapsed(jobs, team, id, job, report->started);
     }
     else if (strcmp(state, "stopped") == 0) {
-        take_stopped(team, id, job, report->started);
+        handle_task_stopped(team, id, job, report->started);
     }
     else if (strcmp(state, "checkpointed") == 0) {
-        /* What it did is kept: it goes on elsewhere, also when it is
-         * non-idempotent. */
+        /* The checkpoint keeps the work done, and the next task resumes from
+         * it: nothing runs twice, so non-idempotent jobs are queued too. */
         if (job_flag(job, "cancel")) {
             job_end(team, id, "cancelled", "cancelled by an operator");
         }
         else {
-            same_try_again(team, job);
+            requeue_same_try(team, job);
         }
     }
     else if (job_is(job, "starting")) {
@@ -153,15 +165,17 @@
     }
 }
 
-/* Finds the job that a task name belongs to; NULL when the name is of an
- * earlier try. */
+/* Returns the unfinished job that a task name belongs to, borrowed, or NULL if
+ * there is none or the name is that of another try.  *team and *id receive the
+ * job's team and id; the caller frees *id with g_free, also after NULL. */
 static json_t *
 find_job(const AqJobs *jobs, const char *task, Team **team, char **id)
 {
     const char *last = strrchr(task, '.');
     json_t *job = NULL;
     *id = NULL;
-    /* Names may contain dots: try each place. */
+    /* Names of teams and jobs may contain dots: each dot before the number of
+     * the try may be the one that separates them. */
     for (const char *dot = strchr(task, '.'); dot != NULL && dot < last;
          dot = strchr(dot + 1, '.')) {
         char *name = g_strndup(task, (gsize)(dot - task));
@@ -184,14 +198,16 @@
     Team *team = NULL;
     char *id;
     json_t *job = find_job(jobs, report->id, &team, &id);
-    /* A report about another worker is from before a checkpoint. */
+    /* A report from another worker was made before a checkpoint moved the
+     * task. */
     if (job != NULL && !job_is(job, "queued") &&
         strcmp(job_text(job, "worker"), report->worker) == 0) {
-        TaskRuntime *memory = jobs_task_runtime(jobs, report->id);
-        memory->cores_milli =
-            MAX(memory->cores_milli, report->cores_used_milli);
-        memory->memory_mb = MAX(memory->memory_mb, report->memory_used_mb);
-        take_state(jobs, team, id, job, report, wall_ms);
+        TaskRuntime *runtime = jobs_task_runtime(jobs, report->id);
+        runtime->peak_cores_milli =
+            MAX(runtime->peak_cores_milli, report->cores_used_milli);
+        runtime->peak_memory_mb =
+            MAX(runtime->peak_memory_mb, report->memory_used_mb);
+        apply_report(jobs, team, id, job, report, wall_ms);
     }
     g_free(id);
 }
@@ -212,8 +228,9 @@
         json_object_set_new(job, "started", json_integer(wall_ms));
     }
     else if (refused) {
-        /* No room there although the books show some; not a failed try. */
-        same_try_again(team, job);
+        /* The worker has less room than the documents show.  That doesn't
+         * count as a try. */
+        requeue_same_try(team, job);
     }
 }
 
@@ -237,44 +254,49 @@
     step->order(step->context, &order);
 }
 
-/* Repeats an order until it shows its effect. */
+/* Sends an order unless one was sent within JOBS_ORDER_RETRY_INTERVAL_MS.  It
+ * is called in each step until the job's state shows the effect. */
 static void
-send_repeated(const Step *step, AqTaskAction action, const char *task,
-              const json_t *job)
+send_order_with_retry(const Step *step, AqTaskAction action, const char *task,
+                      const json_t *job)
 {
-    TaskRuntime *memory = jobs_task_runtime(step->jobs, task);
-    if (step->wall_ms - memory->last_order >= JOBS_ORDER_RETRY_MS) {
-        memory->last_order = step->wall_ms;
+    TaskRuntime *runtime = jobs_task_runtime(step->jobs, task);
+    if (step->wall_ms - runtime->last_order_ms >=
+        JOBS_ORDER_RETRY_INTERVAL_MS) {
+        runtime->last_order_ms = step->wall_ms;
         send_order(step, action, task, job);
     }
 }
 
+/* Sends the orders that are due in the job's state, and renews the lease of a
+ * task that may run. */
 static void
-order_for(const Step *step, const char *task, const json_t *job)
+send_state_orders(const Step *step, const char *task, const json_t *job)
 {
-    TaskRuntime *memory = jobs_task_runtime(step->jobs, task);
+    TaskRuntime *runtime = jobs_task_runtime(step->jobs, task);
     if (job_is(job, "starting")) {
-        send_repeated(step, AQ_TASK_START, task, job);
+        send_order_with_retry(step, AQ_TASK_START, task, job);
         return;
     }
     if (job_is(job, "checkpointing")) {
-        send_repeated(step, AQ_TASK_CHECKPOINT, task, job);
+        send_order_with_retry(step, AQ_TASK_CHECKPOINT, task, job);
     }
     else if (job_is(job, "stopping")) {
-        send_repeated(step, AQ_TASK_STOP, task, job);
+        send_order_with_retry(step, AQ_TASK_STOP, task, job);
     }
-    if (step->wall_ms - memory->last_renewal >= JOBS_RENEW_MS) {
-        memory->last_renewal = step->wall_ms;
+    if (step->wall_ms - runtime->last_renewal_ms >= JOBS_RENEW_INTERVAL_MS) {
+        runtime->last_renewal_ms = step->wall_ms;
         send_order(step, AQ_TASK_RENEW, task, job);
     }
 }
 
-/* Orders follow the stored document, so that a planner that takes over knows
- * of every task that may run. */
+/* Sends the orders that are due for a team's tasks.  They are based on the
+ * stored document, which therefore lists every task that may run; a planner
+ * that takes over finds them there. */
 static void
 send_orders(const Step *step, const Team *team)
 {
-    const json_t *source = has(step->jobs, AQ_JOBS_DISABLE_STORED_FIRST)
+    const json_t *source = is_enabled(step->jobs, AQ_JOBS_DISABLE_STORED_FIRST)
                                ? team->stored
                                : team->working;
     const char *id;
@@ -283,7 +305,7 @@
     {
         if (!job_is(job, "queued")) {
             char *task = task_name(team->name, id, job);
-            order_for(step, task, job);
+            send_state_orders(step, task, job);
             g_free(task);
         }
     }
@@ -292,21 +314,24 @@
 /* ---- Starts --------------------------------------------------------------
  */
 
+/* Decides the start of a queued job: reserves quota and room, and changes the
+ * record.  Returns false if the job stays queued; for an urgent one that found
+ * no room, tasks are preempted, and a later step starts it. */
 static bool
 start_job(const Step *step, Placement *placement, Team *team, json_t *job)
 {
-    Size size = has(step->jobs, AQ_JOBS_DISABLE_ESTIMATES)
+    Size size = is_enabled(step->jobs, AQ_JOBS_DISABLE_ESTIMATES)
                     ? size_estimate(team, job)
                     : size_declared(job);
     const json_t *selector = json_object_get(job, "selector");
-    if (!placement_take_quota(placement, team->name, &size)) {
+    if (!placement_reserve_quota(placement, team->name, &size)) {
         return false;
     }
     const char *worker = placement_place(placement, &size, selector);
     if (worker == NULL) {
-        placement_return_quota(placement, team->name, &size);
+        placement_release_quota(placement, team->name, &size);
         if (job_flag(job, "urgent") &&
-            has(step->jobs, AQ_JOBS_DISABLE_URGENT)) {
+            is_enabled(step->jobs, AQ_JOBS_DISABLE_URGENT)) {
             placement_preempt(placement, &size, selector);
         }
         return false;
@@ -322,15 +347,17 @@
     Team *team;
     json_t *job;
     bool urgent;
-    double share; /* of the team's quota in use */
-    int64_t submitted;
-} Waiting;
+    double share;      /* used fraction of the team's core quota */
+    int64_t submitted; /* Unix ms */
+} QueuedJob;
 
+/* Orders urgent jobs first, then those of teams that use the smallest fraction
+ * of their quota, then the oldest. */
 static int
-compare_waiting(gconstpointer a, gconstpointer b)
+compare_queued_jobs(gconstpointer a, gconstpointer b)
 {
-    const Waiting *x = a;
-    const Waiting *y = b;
+    const QueuedJob *x = a;
+    const QueuedJob *y = b;
     if (x->urgent != y->urgent) {
         return x->urgent ? -1 : 1;
     }
@@ -340,66 +367,70 @@
     return (x->submitted > y->submitted) - (x->submitted < y->submitted);
 }
 
+/* Returns the queued jobs that aren't cancelled, in starting order, as a new
+ * array of QueuedJob. */
 static GArray *
-collect_waiting(const Step *step, const Placement *placement)
+collect_queued_jobs(const Step *step, const Placement *placement)
 {
-    GArray *waiting = g_array_new(FALSE, TRUE, sizeof(Waiting));
+    GArray *queued = g_array_new(FALSE, TRUE, sizeof(QueuedJob));
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, step->jobs->teams);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         Team *team = value;
-        double share = placement_share(placement, team->name);
+        double share = placement_quota_share(placement, team->name);
         const char *id;
         json_t *job;
         json_object_foreach(team_jobs(team), id, job)
         {
             if (job_is(job, "queued") && !job_flag(job, "cancel")) {
-                Waiting entry = {team, job,
-                                 job_flag(job, "urgent") &&
-                                     has(step->jobs, AQ_JOBS_DISABLE_URGENT),
-                                 share, job_int(job, "submitted")};
-                g_array_append_val(waiting, entry);
+                QueuedJob entry = {
+                    team, job,
+                    job_flag(job, "urgent") &&
+                        is_enabled(step->jobs, AQ_JOBS_DISABLE_URGENT),
+                    share, job_int(job, "submitted")};
+                g_array_append_val(queued, entry);
             }
         }
     }
-    g_array_sort(waiting, compare_waiting);
-    return waiting;
+    g_array_sort(queued, compare_queued_jobs);
+    return queued;
 }
 
 static void
-start_waiting(const Step *step)
+start_queued_jobs(const Step *step)
 {
     Placement *placement =
         placement_create(step->jobs, step->fleet, step->wall_ms);
-    GArray *waiting = collect_waiting(step, placement);
-    for (guint i = 0; i < waiting->len; i++) {
-        Waiting *entry = &g_array_index(waiting, Waiting, i);
+    GArray *queued = collect_queued_jobs(step, placement);
+    for (guint i = 0; i < queued->len; i++) {
+        QueuedJob *entry = &g_array_index(queued, QueuedJob, i);
         start_job(step, placement, entry->team, entry->job);
     }
-    g_array_free(waiting, TRUE);
+    g_array_free(queued, TRUE);
     placement_destroy(placement);
 }
 
 /* ---- Cancellations and drains --------------------------------------------
  */
 
-/* Handles up to *left cancellations of a team. */
+/* Applies up to *remaining cancellations of a team and lowers *remaining by
+ * their number. */
 static void
-cancel_jobs(Team *team, int *left)
+cancel_jobs(Team *team, int *remaining)
 {
     const char *id;
     json_t *job;
     void *next;
     json_object_foreach_safe(team_jobs(team), next, id, job)
     {
-        if (*left == 0) {
+        if (*remaining == 0) {
             return;
         }
         if (!job_flag(job, "cancel") || job_is(job, "stopping")) {
             continue;
         }
-        (*left)--;
+        (*remaining)--;
         if (job_is(job, "queued")) {
             job_end(team, id, "cancelled", "cancelled by an operator");
         }
@@ -410,21 +441,23 @@
 }
 
 static void
-cancel_all(const Step *step)
+cancel_all_teams(const Step *step)
 {
-    int left =
-        has(step->jobs, AQ_JOBS_DISABLE_BATCHES) ? JOBS_CANCEL_BATCH : INT_MAX;
+    int remaining = is_enabled(step->jobs, AQ_JOBS_DISABLE_BATCHES)
+                        ? JOBS_CANCEL_BATCH_SIZE
+                        : INT_MAX;
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, step->jobs->teams);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        cancel_jobs(value, &left);
+        cancel_jobs(value, &remaining);
     }
 }
 
-/* Tasks on workers that drain are checkpointed and go on elsewhere. */
+/* Sets the jobs that run on draining workers to checkpointing, so that their
+ * tasks resume on other workers. */
 static void
-leave_draining(const Step *step, Team *team)
+checkpoint_draining(const Step *step, Team *team)
 {
     const char *id;
     json_t *job;
@@ -447,16 +480,16 @@
     Step step = {jobs, fleet, wall_ms, order, context};
     GHashTableIter iter;
     gpointer value;
-    if (!has(jobs, AQ_JOBS_DISABLE_BATCHES)) {
-        cancel_all(&step);
+    if (!is_enabled(jobs, AQ_JOBS_DISABLE_BATCHES)) {
+        cancel_all_teams(&step);
     }
-    start_waiting(&step);
-    if (has(jobs, AQ_JOBS_DISABLE_BATCHES)) {
-        cancel_all(&step);
+    start_queued_jobs(&step);
+    if (is_enabled(jobs, AQ_JOBS_DISABLE_BATCHES)) {
+        cancel_all_teams(&step);
     }
     g_hash_table_iter_init(&iter, jobs->teams);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        leave_draining(&step, value);
+        checkpoint_draining(&step, value);
         send_orders(&step, value);
     }
 }
--- a/packages/jobs/tests/fake.c
+++ b/packages/jobs/tests/fake.c
@@ -32,12 +32,14 @@
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_value);
     fake->tasks =
         g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_task);
-    fake->runs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    fake->bad = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    fake->run_counts =
+        g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    fake->bad_workers =
+        g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     fake->fleet = AqFleet_Create();
-    fake->now = 1000000;
+    fake->now_ms = 1000000;
     fake->run_ms = 5000;
-    fake->use_percent = 100;
+    fake->cpu_use_percent = 100;
     AqRandom_Seed(&fake->random, seed);
 }
 
@@ -46,14 +48,15 @@
 {
     g_hash_table_destroy(fake->values);
     g_hash_table_destroy(fake->tasks);
-    g_hash_table_destroy(fake->runs);
-    g_hash_table_destroy(fake->bad);
+    g_hash_table_destroy(fake->run_counts);
+    g_hash_table_destroy(fake->bad_workers);
     AqFleet_Destroy(fake->fleet);
 }
 
 /* ---- Fleet ----------------------------------------------------------------
  */
 
+/* Sets a fleet record.  Takes over "record". */
 static void
 upsert(Fake *fake, const char *kind, const char *name, json_t *record)
 {
@@ -107,9 +110,10 @@
 }
 
 static bool
-is_lost(Fake *fake)
+is_reply_lost(Fake *fake)
 {
-    return AqRandom_Below(&fake->random, 100) < (uint64_t)fake->lose_percent;
+    return AqRandom_Below(&fake->random, 100) <
+           (uint64_t)fake->reply_loss_percent;
 }
 
 void
@@ -128,7 +132,7 @@
             value->index = ++fake->index;
             g_hash_table_replace(fake->values, g_strdup(name), value);
         }
-        if (ok && !is_lost(fake)) {
+        if (ok && !is_reply_lost(fake)) {
             AqJobs_Stored(jobs, name, fake->index);
         }
         else {
@@ -149,13 +153,14 @@
     json_t *intent = json_pack("{s:s,s:s,s:o}", "op", op, "kind", kind, "args",
                                AqJson_Parse(args, strlen(args), NULL));
     bool ok;
-    /* As the daemon does: until the operation is found in the document. */
+    /* Like the daemon, evaluates the intent on the stored documents until that
+     * changes nothing: the operation has then been found in the store. */
     do {
         fake_load(fake, jobs);
-        ok = AqJobs_Evaluate(jobs, fake->fleet, intent, fake->now, error);
-        bool stored = AqJobs_NextDirty(jobs) == NULL;
+        ok = AqJobs_Evaluate(jobs, fake->fleet, intent, fake->now_ms, error);
+        bool is_unchanged = AqJobs_NextDirty(jobs) == NULL;
         fake_store(fake, jobs);
-        if (stored) {
+        if (is_unchanged) {
             break;
         }
     } while (ok);
@@ -166,6 +171,7 @@
 /* ---- Platform -------------------------------------------------------------
  */
 
+/* Returns the cores of a worker that no running task has reserved. */
 static int64_t
 free_cores(const Fake *fake, const char *worker)
 {
@@ -187,14 +193,15 @@
 static void
 count_run(Fake *fake, const char *job)
 {
-    int runs = GPOINTER_TO_INT(g_hash_table_lookup(fake->runs, job));
-    g_hash_table_replace(fake->runs, g_strdup(job), GINT_TO_POINTER(runs + 1));
+    int runs = GPOINTER_TO_INT(g_hash_table_lookup(fake->run_counts, job));
+    g_hash_table_replace(fake->run_counts, g_strdup(job),
+                         GINT_TO_POINTER(runs + 1));
 }
 
 int
 fake_runs(const Fake *fake, const char *job)
 {
-    return GPOINTER_TO_INT(g_hash_table_lookup(fake->runs, job));
+    return GPOINTER_TO_INT(g_hash_table_lookup(fake->run_counts, job));
 }
 
 typedef struct {
@@ -202,6 +209,9 @@
     AqJobs *jobs;
 } OrderContext;
 
+/* Starts a task, or resumes one from its checkpoint on the ordered worker.  A
+ * duplicate of the order succeeds for the same worker and is refused for
+ * another one. */
 static void
 start_task(Fake *fake, AqJobs *jobs, const AqTaskOrder *order)
 {
@@ -209,11 +219,11 @@
     bool resumes = task != NULL && strcmp(task->state, "checkpointed") == 0;
     if (task != NULL && !resumes) {
         bool same = strcmp(task->worker, order->worker) == 0;
-        AqJobs_Started(jobs, fake->now, order->task, same, !same);
+        AqJobs_Started(jobs, fake->now_ms, order->task, same, !same);
         return;
     }
     if (free_cores(fake, order->worker) < order->cores) {
-        AqJobs_Started(jobs, fake->now, order->task, false, true);
+        AqJobs_Started(jobs, fake->now_ms, order->task, false, true);
         return;
     }
     if (task == NULL) {
@@ -224,26 +234,26 @@
         g_hash_table_replace(fake->tasks, task->id, task);
         count_run(fake, task->job);
     }
-    bool is_bad = g_hash_table_contains(fake->bad, order->worker);
+    bool is_bad = g_hash_table_contains(fake->bad_workers, order->worker);
     g_free(task->worker);
     task->worker = g_strdup(order->worker);
     task->state = is_bad ? "failed" : "running";
     fake->starts_on_bad += is_bad;
     task->started = true;
-    task->lease_until = fake->now + 10000;
-    task->finish_at = fake->now + fake->run_ms;
+    task->lease_until_ms = fake->now_ms + 10000;
+    task->finish_at_ms = fake->now_ms + fake->run_ms;
     task->cores = order->cores;
     task->memory_mb = order->memory_mb;
     task->cores_used_milli =
         json_integer_value(json_object_get(order->job, "cores")) * 10 *
-        fake->use_percent;
-    if (!is_lost(fake)) {
-        AqJobs_Started(jobs, fake->now, order->task, true, false);
+        fake->cpu_use_percent;
+    if (!is_reply_lost(fake)) {
+        AqJobs_Started(jobs, fake->now_ms, order->task, true, false);
     }
 }
 
 static void
-on_order(void *context, const AqTaskOrder *order)
+execute_order(void *context, const AqTaskOrder *order)
 {
     OrderContext *c = context;
     FakeTask *task = g_hash_table_lookup(c->fake->tasks, order->task);
@@ -254,7 +264,7 @@
         break;
     case AQ_TASK_RENEW:
         if (is_active) {
-            task->lease_until = c->fake->now + 10000;
+            task->lease_until_ms = c->fake->now_ms + 10000;
         }
         break;
     case AQ_TASK_CHECKPOINT:
@@ -277,18 +287,18 @@
 {
     GHashTableIter iter;
     gpointer data;
-    fake->now += ms;
+    fake->now_ms += ms;
     g_hash_table_iter_init(&iter, fake->tasks);
     while (g_hash_table_iter_next(&iter, NULL, &data)) {
         FakeTask *task = data;
         if (strcmp(task->state, "running") != 0) {
             continue;
         }
-        if (task->finish_at <= fake->now &&
-            task->finish_at <= task->lease_until) {
+        if (task->finish_at_ms <= fake->now_ms &&
+            task->finish_at_ms <= task->lease_until_ms) {
             task->state = "finished";
         }
-        else if (task->lease_until < fake->now) {
+        else if (task->lease_until_ms < fake->now_ms) {
             task->state = "lapsed";
         }
     }
@@ -310,7 +320,7 @@
             .cores_used_milli = task->cores_used_milli,
             .memory_used_mb = 64,
         };
-        AqJobs_Report(jobs, fake->now, &report);
+        AqJobs_Report(jobs, fake->now_ms, &report);
     }
 }
 
@@ -320,7 +330,7 @@
     OrderContext context = {fake, jobs};
     fake_load(fake, jobs);
     report_all(fake, jobs);
-    AqJobs_Step(jobs, fake->fleet, fake->now, on_order, &context);
+    AqJobs_Step(jobs, fake->fleet, fake->now_ms, execute_order, &context);
     fake_store(fake, jobs);
 }
 
--- a/packages/jobs/tests/test_jobs.c
+++ b/packages/jobs/tests/test_jobs.c
@@ -6,15 +6,16 @@
 #include "fake.h"
 
 enum {
-    ROUND_MS = 500,
-    SEEDS = 200
+    ROUND_MS = 500, /* virtual time between two rounds of a planner */
+    SEEDS = 200     /* random runs */
 };
 
 /* ---- Intents --------------------------------------------------------------
  */
 
-/* Guards against a job that waits for ever because no worker can hold it, and
- * against errors that do not name what stands in the way. */
+/* Guards against accepting a job that no worker can hold, which would stay
+ * queued for ever, and against errors that don't name the label, size or quota
+ * that prevents it. */
 static void
 test_submit_cases(void)
 {
@@ -72,22 +73,29 @@
 /* ---- Mechanisms -----------------------------------------------------------
  */
 
+/* A property that one mechanism ensures. */
 typedef struct {
     const char *name;
-    uint32_t mechanism;
+    uint32_t mechanism; /* AQ_JOBS_DISABLE_* bit */
+    /* Runs a scenario with the given mechanisms disabled; returns whether the
+     * property held. */
     bool (*holds)(uint32_t disabled);
 } Property;
 
+/* Submits a job of team t; "extra_args" is "" or ",FIELD:VALUE...". */
 static void
-submit(Fake *fake, AqJobs *jobs, const char *id, const char *more)
+submit_job(Fake *fake, AqJobs *jobs, const char *id, const char *extra_args)
 {
     char args[200];
-    snprintf(args, sizeof(args), "{\"id\":\"%s\",\"team\":\"t\"%s}", id, more);
+    snprintf(args, sizeof(args), "{\"id\":\"%s\",\"team\":\"t\"%s}", id,
+             extra_args);
     CU_ASSERT_TRUE(fake_submit(fake, jobs, "job.submit", args, NULL));
 }
 
+/* Initializes "fake" with team t and returns new jobs; the caller destroys
+ * both. */
 static AqJobs *
-start(Fake *fake, uint32_t disabled)
+create_jobs(Fake *fake, uint32_t disabled)
 {
     AqJobs *jobs = AqJobs_Create();
     fake_init(fake, 7);
@@ -97,7 +105,7 @@
 }
 
 static void
-rounds(Fake *fake, AqJobs *jobs, int count)
+run_rounds(Fake *fake, AqJobs *jobs, int count)
 {
     for (int i = 0; i < count; i++) {
         AqError error;
@@ -107,18 +115,19 @@
     }
 }
 
-/* A planner that pauses past the lease of a non-idempotent task. */
+/* Whether a non-idempotent task runs only once although its planner pauses
+ * until after its lease has expired. */
 static bool
 holds_at_most_once(uint32_t disabled)
 {
     Fake fake;
-    AqJobs *jobs = start(&fake, disabled);
+    AqJobs *jobs = create_jobs(&fake, disabled);
     fake_add_worker(&fake, "w", "{}", 8);
     fake.run_ms = 60000;
-    submit(&fake, jobs, "pay", "");
-    rounds(&fake, jobs, 4);
+    submit_job(&fake, jobs, "pay", "");
+    run_rounds(&fake, jobs, 4);
     fake_advance(&fake, 60000);
-    rounds(&fake, jobs, 8);
+    run_rounds(&fake, jobs, 8);
     bool ok =
         fake_runs(&fake, "t.pay") == 1 && fake_count(jobs, "unknown") == 1;
     AqJobs_Destroy(jobs);
@@ -126,105 +135,109 @@
     return ok;
 }
 
-/* Declared sizes ten times too large must not leave workers idle. */
+/* Whether the cores that jobs actually use are what is reserved for them: when
+ * jobs declare ten times as many, the worker must not be left idle. */
 static bool
 holds_estimates(uint32_t disabled)
 {
     Fake fake;
     char id[16];
-    AqJobs *jobs = start(&fake, disabled);
+    AqJobs *jobs = create_jobs(&fake, disabled);
     fake_add_worker(&fake, "w", "{}", 32);
-    fake.use_percent = 10;
+    fake.cpu_use_percent = 10;
     fake.run_ms = 2000;
     for (int i = 0; i < 24; i++) {
         snprintf(id, sizeof(id), "j%d", i);
-        submit(&fake, jobs, id, ",\"cores\":16,\"idempotent\":true");
+        submit_job(&fake, jobs, id, ",\"cores\":16,\"idempotent\":true");
     }
-    rounds(&fake, jobs, 30);
+    run_rounds(&fake, jobs, 30);
     bool ok = fake_count(jobs, "done") == 24;
     AqJobs_Destroy(jobs);
     fake_clear(&fake);
     return ok;
 }
 
-/* Urgent work starts within 3.5 s on a full fleet. */
+/* Whether an urgent job starts within 3.5 s when all workers are full. */
 static bool
 holds_urgent(uint32_t disabled)
 {
     Fake fake;
     char id[16];
-    AqJobs *jobs = start(&fake, disabled);
+    AqJobs *jobs = create_jobs(&fake, disabled);
     fake_add_worker(&fake, "w", "{}", 4);
     fake.run_ms = 600000;
     for (int i = 0; i < 8; i++) {
         snprintf(id, sizeof(id), "j%d", i);
-        submit(&fake, jobs, id, ",\"idempotent\":true");
+        submit_job(&fake, jobs, id, ",\"idempotent\":true");
     }
-    rounds(&fake, jobs, 4);
-    submit(&fake, jobs, "now", ",\"urgent\":true");
-    int64_t began = fake.now;
-    while (fake_runs(&fake, "t.now") == 0 && fake.now - began < 20000) {
-        rounds(&fake, jobs, 1);
+    run_rounds(&fake, jobs, 4);
+    submit_job(&fake, jobs, "now", ",\"urgent\":true");
+    int64_t submitted_ms = fake.now_ms;
+    while (fake_runs(&fake, "t.now") == 0 &&
+           fake.now_ms - submitted_ms < 20000) {
+        run_rounds(&fake, jobs, 1);
     }
-    bool ok = fake.now - began <= 3500;
+    bool ok = fake.now_ms - submitted_ms <= 3500;
     AqJobs_Destroy(jobs);
     fake_clear(&fake);
     return ok;
 }
 
-/* A worker that fails everything gets few tasks. */
+/* Whether a worker on which every task fails gets at most 4 tasks, and all 30
+ * jobs finish on the other worker. */
 static bool
 holds_bad_worker(uint32_t disabled)
 {
     Fake fake;
     char id[16];
-    AqJobs *jobs = start(&fake, disabled);
+    AqJobs *jobs = create_jobs(&fake, disabled);
     fake_add_worker(&fake, "bad", "{}", 2);
     fake_add_worker(&fake, "good", "{}", 4);
-    g_hash_table_add(fake.bad, g_strdup("bad"));
+    g_hash_table_add(fake.bad_workers, g_strdup("bad"));
     for (int i = 0; i < 30; i++) {
         snprintf(id, sizeof(id), "j%d", i);
-        submit(&fake, jobs, id, ",\"idempotent\":true");
+        submit_job(&fake, jobs, id, ",\"idempotent\":true");
     }
-    rounds(&fake, jobs, 200);
+    run_rounds(&fake, jobs, 200);
     bool ok = fake.starts_on_bad <= 4 && fake_count(jobs, "done") == 30;
     AqJobs_Destroy(jobs);
     fake_clear(&fake);
     return ok;
 }
 
-/* Evaluates an intent without storing it. */
+/* Evaluates an intent for a job of team t without storing the change. */
 static void
-evaluate(Fake *fake, AqJobs *jobs, const char *kind, const char *id)
+evaluate_intent(Fake *fake, AqJobs *jobs, const char *kind, const char *id)
 {
     json_t *intent = json_pack("{s:s+,s:s,s:{s:s,s:s}}", "op", kind, id,
                                "kind", kind, "args", "id", id, "team", "t");
     CU_ASSERT_TRUE(
-        AqJobs_Evaluate(jobs, fake->fleet, intent, fake->now, NULL));
+        AqJobs_Evaluate(jobs, fake->fleet, intent, fake->now_ms, NULL));
     json_decref(intent);
 }
 
-/* A thousand cancellations do not change more than a batch in a step. */
+/* Whether one step applies at most one batch (256) of 999 cancellations and
+ * still starts the job that isn't cancelled; later steps apply the rest. */
 static bool
 holds_batches(uint32_t disabled)
 {
     Fake fake;
     char id[32];
-    AqJobs *jobs = start(&fake, disabled);
+    AqJobs *jobs = create_jobs(&fake, disabled);
     fake_add_worker(&fake, "w", "{}", 1);
     for (int i = 0; i < 1000; i++) {
         snprintf(id, sizeof(id), "j%d", i);
-        evaluate(&fake, jobs, "job.submit", id);
+        evaluate_intent(&fake, jobs, "job.submit", id);
     }
     for (int i = 1; i < 1000; i++) {
         snprintf(id, sizeof(id), "j%d", i);
-        evaluate(&fake, jobs, "job.cancel", id);
+        evaluate_intent(&fake, jobs, "job.cancel", id);
     }
     fake_store(&fake, jobs);
     fake_round(&fake, jobs);
     int left = fake_count(jobs, "queued");
     bool ok = left >= 1000 - 256 - 1 && fake_count(jobs, "starting") == 1;
-    rounds(&fake, jobs, 8);
+    run_rounds(&fake, jobs, 8);
     ok = ok && fake_count(jobs, "queued") == 0;
     AqJobs_Destroy(jobs);
     fake_clear(&fake);
@@ -232,23 +245,23 @@
 }
 
 static void
-do_nothing(void *context, const AqTaskOrder *order)
+count_starts(void *context, const AqTaskOrder *order)
 {
     int *starts = context;
     *starts += order->action == AQ_TASK_START;
 }
 
-/* No task is started that the store does not know of: a planner that takes
- * over would start it again. */
+/* Whether a start is ordered only after it has been stored.  Otherwise a
+ * planner that takes over finds the job queued and starts it again. */
 static bool
 holds_stored_first(uint32_t disabled)
 {
     Fake fake;
     int starts = 0;
-    AqJobs *jobs = start(&fake, disabled);
+    AqJobs *jobs = create_jobs(&fake, disabled);
     fake_add_worker(&fake, "w", "{}", 1);
-    submit(&fake, jobs, "pay", "");
-    AqJobs_Step(jobs, fake.fleet, fake.now, do_nothing, &starts);
+    submit_job(&fake, jobs, "pay", "");
+    AqJobs_Step(jobs, fake.fleet, fake.now_ms, count_starts, &starts);
     bool ok = starts == 0;
     AqJobs_Destroy(jobs);
     fake_clear(&fake);
@@ -264,40 +277,43 @@
     {"stored first", AQ_JOBS_DISABLE_STORED_FIRST, holds_stored_first},
 };
 
-/* Guards against a mechanism that does nothing: each property must hold with
- * it and fail without it. */
+/* Guards against a mechanism without effect and against a scenario that
+ * doesn't need it: each property must hold while its mechanism is enabled and
+ * fail while it is disabled. */
 static void
 test_mechanisms(void)
 {
     for (size_t i = 0; i < sizeof(properties) / sizeof(properties[0]); i++) {
-        bool with = properties[i].holds(0);
-        bool without = properties[i].holds(properties[i].mechanism);
-        if (!with || without) {
-            printf("%s: with %d, without %d\n", properties[i].name, with,
-                   without);
+        bool holds_enabled = properties[i].holds(0);
+        bool holds_disabled = properties[i].holds(properties[i].mechanism);
+        if (!holds_enabled || holds_disabled) {
+            printf("%s: enabled %d, disabled %d\n", properties[i].name,
+                   holds_enabled, holds_disabled);
         }
-        CU_ASSERT_TRUE(with);
-        CU_ASSERT_FALSE(without);
+        CU_ASSERT_TRUE(holds_enabled);
+        CU_ASSERT_FALSE(holds_disabled);
     }
 }
 
-/* Guards against a drain that kills tasks: they move by checkpoint. */
+/* Guards against a drain that ends or restarts the tasks of a worker: they
+ * must resume from a checkpoint on another worker. */
 static void
 test_drain_moves_tasks(void)
 {
     Fake fake;
-    AqJobs *jobs = start(&fake, 0);
+    AqJobs *jobs = create_jobs(&fake, 0);
     fake_add_worker(&fake, "w1", "{}", 2);
     fake.run_ms = 3000;
-    submit(&fake, jobs, "pay", "");
-    rounds(&fake, jobs, 3);
+    submit_job(&fake, jobs, "pay", "");
+    run_rounds(&fake, jobs, 3);
     json_t *set = json_array();
     json_t *intent = json_pack("{s:s,s:s,s:{s:s}}", "op", "d", "kind",
                                "vm.drain", "args", "id", "w1");
-    CU_ASSERT_TRUE(AqFleet_Evaluate(fake.fleet, intent, fake.now, set, NULL));
+    CU_ASSERT_TRUE(
+        AqFleet_Evaluate(fake.fleet, intent, fake.now_ms, set, NULL));
     CU_ASSERT_TRUE(AqFleet_Apply(fake.fleet, "d", set, NULL));
     fake_add_worker(&fake, "w2", "{}", 2);
-    rounds(&fake, jobs, 20);
+    run_rounds(&fake, jobs, 20);
     CU_ASSERT_EQUAL(fake_count(jobs, "done"), 1);
     CU_ASSERT_EQUAL(fake_runs(&fake, "t.pay"), 1);
     json_decref(set);
@@ -325,13 +341,14 @@
     fake_submit(fake, jobs, "job.submit", args, NULL);
 }
 
+/* Fails if a non-idempotent job, whose id starts with "n", ran repeatedly. */
 static void
-check_runs(const Fake *fake, uint64_t seed)
+check_run_counts(const Fake *fake, uint64_t seed)
 {
     GHashTableIter iter;
     gpointer key;
     gpointer value;
-    g_hash_table_iter_init(&iter, fake->runs);
+    g_hash_table_iter_init(&iter, fake->run_counts);
     while (g_hash_table_iter_next(&iter, &key, &value)) {
         const char *job = strchr(key, '.') + 1;
         if (job[0] == 'n' && GPOINTER_TO_INT(value) > 1) {
@@ -342,14 +359,16 @@
     }
 }
 
-/* Two planners with stale documents, lost replies, pauses and bad workers. */
+/* Runs 150 random steps, each by one of two planners, which then have stale
+ * documents.  One reply in five is lost, pauses outlast the leases, and tasks
+ * fail on one of three workers. */
 static void
-run_seed(uint64_t seed)
+run_random_steps(uint64_t seed)
 {
     Fake fake;
     AqJobs *planners[2] = {AqJobs_Create(), AqJobs_Create()};
     fake_init(&fake, seed);
-    fake.lose_percent = 20;
+    fake.reply_loss_percent = 20;
     for (int i = 0; i < 3; i++) {
         char name[8];
         snprintf(name, sizeof(name), "t%d", i);
@@ -357,7 +376,7 @@
         snprintf(name, sizeof(name), "w%d", i);
         fake_add_worker(&fake, name, "{}", 4);
     }
-    g_hash_table_add(fake.bad, g_strdup("w0"));
+    g_hash_table_add(fake.bad_workers, g_strdup("w0"));
     for (int step = 0; step < 150; step++) {
         AqJobs *jobs = planners[AqRandom_Below(&fake.random, 2)];
         AqError error;
@@ -379,19 +398,19 @@
             CU_FAIL("consistency");
         }
     }
-    check_runs(&fake, seed);
+    check_run_counts(&fake, seed);
     AqJobs_Destroy(planners[0]);
     AqJobs_Destroy(planners[1]);
     fake_clear(&fake);
 }
 
 /* Guards against a second run of a non-idempotent task when planners race,
- * replies are lost and leases lapse. */
+ * replies are lost and leases expire. */
 static void
 test_random_interleavings(void)
 {
     for (uint64_t seed = 1; seed <= SEEDS; seed++) {
-        run_seed(seed);
+        run_random_steps(seed);
     }
 }
 
