--- a/packages/daemon/endpoints.c
+++ b/packages/daemon/endpoints.c
@@ -412,7 +412,7 @@
     const ServiceFill *fill = context;
     AqMsgHeartbeat *beat = fill->beat;
     int queued = AqRouter_Queued(fill->router, service);
-    int idle = AqRouter_Idle(fill->router, service);
+    int idle = AqRouter_FreeSlots(fill->router, service);
     if (queued > 0 || idle == 0) {
         AqWireService *s = &beat->services[beat->service_count++];
         strncpy(s->name, service, sizeof(s->name) - 1);
--- a/packages/daemon/slot_leasing.c
+++ b/packages/daemon/slot_leasing.c
@@ -103,7 +103,7 @@
         return;
     }
     /* Half of the idle slots stay for requests that arrive here. */
-    int idle = AqRouter_Idle(daemon->router, msg->name) / 2;
+    int idle = AqRouter_FreeSlots(daemon->router, msg->name) / 2;
     LessorState state = {
         .daemon = daemon,
         .lessee = from,
--- a/packages/router/Include/aq_router.h
+++ b/packages/router/Include/aq_router.h
@@ -8,9 +8,11 @@
 #include "aq_clock.h"
 #include "aq_error.h"
 
-/* Decides for each request when and where it is tried, and what its caller is
- * told.  Pure: attempts, claims and answers go out through AqRouterOps, their
- * results come back as calls.  Design page, section 5.3. */
+/* Schedules requests to endpoints: decides when and where each attempt runs,
+ * whether it is retried, and which outcome the caller gets.  Performs no I/O:
+ * attempts, claims and outcomes go out through AqRouterOps, and their results
+ * come back as function calls.  All times are milliseconds of the caller's
+ * monotonic clock, passed as "now".  Design page, section 5.3. */
 
 typedef struct AqRouter AqRouter;
 
@@ -20,153 +22,173 @@
 } AqPriority;
 
 typedef struct {
-    const char *service; /* copied */
+    const char *service; /* name; read during the call only */
     bool idempotent;
     AqPriority priority;
-    AqTime deadline; /* when the caller stops waiting */
+    AqTime deadline; /* absolute time at which the caller stops waiting */
 } AqRequestSpec;
 
 typedef enum {
-    AQ_OUTCOME_COMPLETED, /* the answer of the last attempt */
-    AQ_OUTCOME_NOT_RUN,
-    AQ_OUTCOME_UNKNOWN
+    AQ_OUTCOME_COMPLETED, /* the caller gets the last attempt's response */
+    AQ_OUTCOME_NOT_RUN,   /* certain that no endpoint executed it */
+    AQ_OUTCOME_UNKNOWN    /* an endpoint may have executed it */
 } AqOutcomeKind;
 
 typedef enum {
     AQ_REASON_NONE,
     AQ_REASON_QUEUE_FULL,
-    AQ_REASON_DEADLINE, /* cannot be met, or passed */
-    AQ_REASON_NO_ENDPOINT,
-    AQ_REASON_NO_SERVICE,
-    AQ_REASON_NOT_FRESH,
-    AQ_REASON_CLAIM_STORE,
-    AQ_REASON_DUPLICATE,
-    AQ_REASON_CUT,     /* the connection closed after sending */
-    AQ_REASON_SILENT,  /* the attempt timed out after sending */
-    AQ_REASON_REFUSED, /* every endpoint tried refused it */
-    AQ_REASON_TOO_LARGE,
-    AQ_REASON_STOPPING
+    AQ_REASON_DEADLINE,    /* it has passed, or the expected wait exceeds it */
+    AQ_REASON_NO_ENDPOINT, /* none with slots, or no connection was made */
+    AQ_REASON_NO_SERVICE,  /* the service name is unknown */
+    AQ_REASON_NOT_FRESH,   /* see AqRouter_SetFresh */
+    AQ_REASON_CLAIM_STORE, /* the claim could not be written */
+    AQ_REASON_DUPLICATE,   /* the request id was claimed before */
+    AQ_REASON_CUT,         /* the connection closed after sending */
+    AQ_REASON_SILENT,      /* the attempt timed out after sending */
+    AQ_REASON_REFUSED,     /* the last endpoint tried refused to run it */
+    AQ_REASON_TOO_LARGE,   /* the response is over the size limit */
+    AQ_REASON_STOPPING     /* submitted after AqRouter_Stop */
 } AqReason;
 
 typedef struct {
     AqOutcomeKind kind;
     AqReason reason;
-    AqTime retry_after_ms; /* not-run: when to come back */
+    AqTime retry_after_ms; /* suggested delay; set for AQ_OUTCOME_NOT_RUN */
 } AqOutcome;
 
 typedef enum {
-    AQ_ATTEMPT_ANSWERED, /* a whole answer, status below 500 */
-    AQ_ATTEMPT_FAILED,   /* a whole answer, status 500 or above */
-    AQ_ATTEMPT_REFUSED,  /* whole answer with Aq-Not-Run: did not run */
-    AQ_ATTEMPT_NOT_SENT, /* no connection; no byte of the request left */
-    AQ_ATTEMPT_CUT,      /* closed, partial or wrong answer after sending */
-    AQ_ATTEMPT_TOO_LARGE /* the answer is over the size limit */
+    AQ_ATTEMPT_ANSWERED, /* complete response, status below 500 */
+    AQ_ATTEMPT_FAILED,   /* complete response, status 500 or above */
+    AQ_ATTEMPT_REFUSED,  /* complete response with Aq-Not-Run: did not run */
+    AQ_ATTEMPT_NOT_SENT, /* no connection; no byte of the request was sent */
+    AQ_ATTEMPT_CUT,      /* closed or malformed response after sending */
+    AQ_ATTEMPT_TOO_LARGE /* the response is over the size limit */
 } AqAttemptResult;
 
 typedef struct {
-    uint64_t request;
-    uint64_t attempt;     /* unique in this daemon */
-    const char *endpoint; /* borrowed */
-    bool fresh_connection;
-    AqTime timeout_at; /* the router cancels the attempt by itself then */
+    uint64_t request;      /* number returned by AqRouter_Submit */
+    uint64_t attempt;      /* number, unique within the router */
+    const char *endpoint;  /* name, owned by the router */
+    bool fresh_connection; /* must not reuse an idle connection */
+    AqTime timeout_at;     /* when the router calls cancel_attempt by itself */
+
 } AqAttempt;
 
-/* start_attempt and claim are called from AqRouter_Tick only; the others from
- * any call but AqRouter_Submit. */
+/* Operations that the caller implements.  start_attempt and claim are called
+ * from AqRouter_Tick only, the others from any function but
+ * AqRouter_Submit. */
 typedef struct {
     /* Starts an attempt; exactly one AqRouter_AttemptDone follows, unless
      * cancel_attempt comes before. */
     void (*start_attempt)(void *context, const AqAttempt *attempt);
-    /* Stops an attempt and closes its connection; it reports nothing more.
-     * Returns true when it is certain that no byte of the request left. */
+    /* Aborts an attempt and closes its connection; no AqRouter_AttemptDone
+     * follows.  Returns true if certainly no byte of the request was sent. */
     bool (*cancel_attempt)(void *context, uint64_t attempt);
-    /* Closes all idle connections to an endpoint. */
+    /* Closes all idle connections to the endpoint. */
     void (*close_idle)(void *context, const char *endpoint);
-    /* Asks for a claim; AqRouter_ClaimDone follows, unless forget_claim comes
+    /* Requests a claim on the request's id, which prevents a second
+     * execution.  AqRouter_ClaimDone follows, unless forget_claim comes
      * before. */
     void (*claim)(void *context, uint64_t request);
+    /* Cancels the pending claim; no AqRouter_ClaimDone follows. */
     void (*forget_claim)(void *context, uint64_t request);
-    /* The claimed request certainly did not run. */
+    /* Releases a granted claim, because the request certainly did not run. */
     void (*release_claim)(void *context, uint64_t request);
-    /* The request's final outcome; the request is gone afterwards.  For
-     * AQ_OUTCOME_COMPLETED the answer is that of "attempt". */
+    /* Reports the final outcome, once per request; its number is not used
+     * afterwards.  For AQ_OUTCOME_COMPLETED the response is that of
+     * "attempt", which is 0 otherwise. */
     void (*finish)(void *context, uint64_t request, uint64_t attempt,
                    const AqOutcome *outcome);
 } AqRouterOps;
 
-/* Mechanisms that AqRouterConfig.disabled leaves out, one bit each.  For
- * measurements and tests only: without them the rules of the design page,
- * section 5.3, do not hold. */
+/* Bits of AqRouterConfig.disabled, one per mechanism; each comment says what
+ * happens when the bit is set.  For measurements and tests only: with any of
+ * them set, the rules of the design page, section 5.3, do not hold. */
 enum {
     AQ_ROUTER_DISABLE_QUEUE_LIMIT = 1 << 0, /* queues are unbounded */
-    AQ_ROUTER_DISABLE_ADMISSION = 1 << 1,   /* no refusal by expected wait */
+    AQ_ROUTER_DISABLE_ADMISSION = 1 << 1,   /* expected wait is ignored */
     AQ_ROUTER_DISABLE_PRIORITY = 1 << 2,    /* one queue in order of arrival */
-    AQ_ROUTER_DISABLE_LOAD_CHOICE = 1 << 3, /* one random endpoint */
+    AQ_ROUTER_DISABLE_LOAD_CHOICE = 1 << 3, /* endpoint chosen at random */
     AQ_ROUTER_DISABLE_CLAIM = 1 << 4,       /* starts without a claim */
     AQ_ROUTER_DISABLE_RETRY = 1 << 5,       /* one attempt only */
-    AQ_ROUTER_DISABLE_RETRY_RULE = 1 << 6,  /* retries whatever may have run */
-    AQ_ROUTER_DISABLE_RETRY_BUDGET = 1 << 7, /* retries without tokens */
-    AQ_ROUTER_DISABLE_JITTER = 1 << 8,       /* backoff at its upper bound */
-    AQ_ROUTER_DISABLE_EJECTION = 1 << 9,     /* no endpoint is set aside */
-    AQ_ROUTER_DISABLE_EJECTION_SHARE = 1 << 10, /* eject_percent is ignored */
-    AQ_ROUTER_DISABLE_TRIAL =
-        1 << 11, /* set aside: back with all slots at once */
-    AQ_ROUTER_DISABLE_SILENT = 1 << 12,    /* attempts last until the deadline,
-                                       reuse    connections, close no idle ones */
-    AQ_ROUTER_DISABLE_LEAVING = 1 << 13,   /* leaving endpoints get new work */
+    AQ_ROUTER_DISABLE_RETRY_RULE = 1 << 6, /* retries even what may have run */
+    AQ_ROUTER_DISABLE_RETRY_BUDGET = 1 << 7, /* retries need no token */
+    AQ_ROUTER_DISABLE_JITTER = 1 << 8,       /* backoff is its upper bound */
+    AQ_ROUTER_DISABLE_EJECTION = 1 << 9,     /* no endpoint is ejected */
+    AQ_ROUTER_DISABLE_EJECTION_SHARE = 1 << 10, /* all may be ejected */
+    AQ_ROUTER_DISABLE_TRIAL = 1 << 11, /* ejections end without a trial */
+    /* Attempts time out at the deadline only, may always reuse an idle
+     * connection, and a timeout leaves idle connections open. */
+    AQ_ROUTER_DISABLE_SILENT = 1 << 12,
+    AQ_ROUTER_DISABLE_LEAVING = 1 << 13,   /* leaving endpoints get requests */
     AQ_ROUTER_DISABLE_FRESHNESS = 1 << 14, /* serves while not fresh */
-    AQ_ROUTER_DISABLE_STOP = 1 << 15, /* takes requests after AqRouter_Stop */
-    AQ_ROUTER_DISABLE_RUN_MARK = 1 << 16 /* what was given up was not run */
+    AQ_ROUTER_DISABLE_STOP = 1 << 15,      /* AqRouter_Stop has no effect */
+    /* Requests that may have run are reported as not run when they fail. */
+    AQ_ROUTER_DISABLE_RUN_MARK = 1 << 16
 };
 
 typedef struct {
-    int queue_limit;        /* requests waiting per service */
-    int max_attempts;       /* per request */
-    double retry_ratio;     /* retry tokens earned per request */
-    double retry_burst;     /* most retry tokens of a service */
-    AqTime backoff_low_ms;  /* first backoff */
-    AqTime backoff_high_ms; /* longest backoff */
-    int archive_share;      /* one in so many starts when both wait */
-    int eject_percent;      /* most endpoints of a service set aside */
-    AqTime eject_ms;        /* first time set aside */
+    int queue_limit;    /* queued and claiming requests per service */
+    int max_attempts;   /* per request, retries included */
+    double retry_ratio; /* retry tokens earned per request */
+    double retry_burst; /* maximum of retry tokens per service */
+    /* The random backoff before a retry has an upper bound, which starts at
+     * the first value and doubles with each retry up to the second. */
+    AqTime backoff_initial_ms;
+    AqTime backoff_max_ms;
+    /* While both priorities wait, one start in this many goes to the archive.
+     */
+    int archive_start_interval;
+    /* Percentage of a service's endpoints that may be ejected at a time. */
+    int max_ejected_percent;
+    /* Length of an endpoint's first ejection, which doubles with each further
+     * one up to the maximum. */
+    AqTime eject_initial_ms;
     AqTime eject_max_ms;
-    AqTime slot_wait_ms; /* longest wait while a service has no slot at all */
-    unsigned
-        disabled; /* AQ_ROUTER_DISABLE_*, for measurements; 0 by default */
+    /* After a service has had no slot for this long, its requests fail. */
+    AqTime slot_wait_ms;
+    /* AQ_ROUTER_DISABLE_* bits, for measurements and tests; 0 by default. */
+    unsigned disabled;
 } AqRouterConfig;
 
-/* The defaults of the design page. */
+/* Sets the defaults of the design page. */
 void AqRouterConfig_Init(AqRouterConfig *config);
 
-/* "config" and "ops" are copied; "context" is passed to the operations. */
+/* Creates a router without endpoints, which the caller destroys.  "config" and
+ * "ops" are copied; "context" is passed to the operations. */
 AqRouter *AqRouter_Create(const AqRouterConfig *config, const AqRouterOps *ops,
                           void *context, uint64_t seed);
 void AqRouter_Destroy(AqRouter *router);
 
-/* Adds an endpoint or moves it to another service.  Strings are copied. */
+/* Adds an endpoint, without slots, or moves it to another service.  The names
+ * are copied. */
 void AqRouter_SetEndpoint(AqRouter *router, AqTime now, const char *endpoint,
                           const char *service);
-/* Removes it once its requests in flight have ended; nothing new starts. */
+/* Removes an endpoint: no new attempt starts on it, those in flight finish. */
 void AqRouter_RemoveEndpoint(AqRouter *router, AqTime now,
                              const char *endpoint);
-/* Slots that this daemon may use on the endpoint now. */
+/* Sets the number of concurrent attempts that this daemon may run on the
+ * endpoint.  Attempts in flight above it finish. */
 void AqRouter_SetSlots(AqRouter *router, AqTime now, const char *endpoint,
                        int slots);
-/* Leaving endpoints get nothing new; requests in flight finish. */
+/* Sets whether the endpoint is leaving: then no new attempt starts on it, and
+ * those in flight finish. */
 void AqRouter_SetLeaving(AqRouter *router, AqTime now, const char *endpoint,
                          bool leaving);
-/* A daemon that is not fresh refuses new requests and starts nothing; what
- * waits is given up on at once.  A router starts not fresh. */
+/* Sets whether the daemon's configuration is fresh, i.e. certainly still in
+ * force.  While it is not, new requests are refused and no attempt starts;
+ * waiting requests fail as soon as it ceases to be.  Initially not fresh. */
 void AqRouter_SetFresh(AqRouter *router, AqTime now, bool fresh);
-/* New requests are refused; those taken finish. */
+/* Refuses new requests from now on; those already accepted finish. */
 void AqRouter_Stop(AqRouter *router, AqTime now);
 
-/* Takes a request; finish comes later (never from inside this call) with the
- * number that is returned. */
+/* Submits a request and returns its number.  AqRouterOps.finish follows for
+ * it, also when it is refused, but never from inside this call. */
 uint64_t AqRouter_Submit(AqRouter *router, AqTime now,
                          const AqRequestSpec *spec);
-/* The caller is gone.  finish is called as for an unknown outcome or not-run
- * so that counters stay right. */
+/* Cancels a request whose caller has disconnected.  AqRouterOps.finish is
+ * called with AQ_OUTCOME_UNKNOWN or AQ_OUTCOME_NOT_RUN, so that every request
+ * is counted under an outcome.  Unknown numbers are ignored. */
 void AqRouter_Cancel(AqRouter *router, AqTime now, uint64_t request);
 
 typedef enum {
@@ -175,43 +197,53 @@
     AQ_ROUTER_CLAIM_UNAVAILABLE
 } AqRouterClaim;
 
+/* Reports the result of AqRouterOps.claim. */
 void AqRouter_ClaimDone(AqRouter *router, AqTime now, uint64_t request,
                         AqRouterClaim result);
+/* Reports the result of AqRouterOps.start_attempt. */
 void AqRouter_AttemptDone(AqRouter *router, AqTime now, uint64_t attempt,
                           AqAttemptResult result);
+/* Reports the result of a health check of the endpoint. */
 void AqRouter_HealthDone(AqRouter *router, AqTime now, const char *endpoint,
                          bool healthy);
 
-/* Carries out what is due: starts, retries, timeouts, answers. */
+/* Performs what is due: timeouts, retries, refusals, starts. */
 void AqRouter_Tick(AqRouter *router, AqTime now);
-/* When AqRouter_Tick is due next: "now" or earlier when work waits already. */
+/* Returns when AqRouter_Tick must be called next: the time of the last call if
+ * an attempt may be able to start already, AQ_TIME_NEVER if nothing is due. */
 AqTime AqRouter_NextTick(const AqRouter *router);
 
+/* Attempts in flight on one endpoint (0 for an unknown one), and on all. */
 int AqRouter_InFlight(const AqRouter *router, const char *endpoint);
 int AqRouter_TotalInFlight(const AqRouter *router);
-/* Requests waiting and free slots of a service; 0 for an unknown one. */
+/* Queued requests and free slots of a service; 0 for an unknown one. */
 int AqRouter_Queued(const AqRouter *router, const char *service);
-int AqRouter_Idle(const AqRouter *router, const char *service);
+int AqRouter_FreeSlots(const AqRouter *router, const char *service);
 /* Calls "visit" for each service that has endpoints. */
 void AqRouter_EachService(const AqRouter *router,
                           void (*visit)(void *context, const char *service),
                           void *context);
+/* Whether the endpoint is ejected: its requests or health checks have failed,
+ * and it gets no request but a trial when the ejection is over. */
 bool AqRouter_IsEjected(const AqRouter *router, const char *endpoint);
 
+/* Counters since AqRouter_Create. */
 typedef struct {
-    uint64_t submitted;
-    uint64_t attempts;
+    uint64_t submitted; /* requests, refused ones included */
+    uint64_t attempts;  /* started, retries included */
     uint64_t retries;
     uint64_t retries_denied; /* by the retry budget */
-    uint64_t completed;
-    uint64_t not_run;
-    uint64_t unknown;
-    uint64_t ejections;
-    uint64_t silent; /* attempts timed out on an open connection */
+    uint64_t completed;      /* requests with AQ_OUTCOME_COMPLETED */
+    uint64_t not_run;        /* requests with AQ_OUTCOME_NOT_RUN */
+    uint64_t unknown;        /* requests with AQ_OUTCOME_UNKNOWN */
+    uint64_t ejections;      /* failed trials included */
+    uint64_t silent;         /* attempts timed out after sending */
 } AqRouterStats;
 
 void AqRouter_GetStats(const AqRouter *router, AqRouterStats *stats);
 
+/* Checks the invariants of all internal tables, for tests.  Returns false and
+ * sets "error" (may be NULL) if one is violated. */
 bool AqRouter_CheckConsistency(const AqRouter *router, AqError *error);
 
 #endif
--- a/packages/router/attempt.c
+++ b/packages/router/attempt.c
@@ -3,10 +3,10 @@
 /* Longest time that an attempt on an open connection may take before the
  * connection counts as silent (design page, section 5.3). */
 static AqTime
-silent_limit(const AqService *service)
+max_silence_ms(const AqService *service)
 {
-    AqTime ms = 4 * service->p95;
-    return ms > AQ_SILENT_MIN_MS ? ms : AQ_SILENT_MIN_MS;
+    AqTime ms = 4 * service->p95_ms;
+    return ms > AQ_ATTEMPT_TIMEOUT_MIN_MS ? ms : AQ_ATTEMPT_TIMEOUT_MIN_MS;
 }
 
 static AqTime
@@ -17,7 +17,7 @@
         return r->deadline;
     }
     AqTime ms = (r->deadline - now) / 2;
-    AqTime limit = silent_limit(r->service);
+    AqTime limit = max_silence_ms(r->service);
     ms = ms < limit ? ms : limit;
     return now + (ms > 1 ? ms : 1);
 }
@@ -26,12 +26,12 @@
 AqRouterAttempt_Start(AqRouter *router, AqTime now, AqRouterRequest *r,
                       AqEndpoint *ep)
 {
-    AqRouterQueue_NoteStart(r->service);
+    AqRouterQueue_CountStart(r->service);
     AqRouterQueue_Remove(router, r);
     r->state = AQ_REQUEST_RUNNING;
     r->attempt = ++router->last_attempt;
     r->endpoint = ep;
-    r->started = now;
+    r->started_at = now;
     r->tried[r->attempts % AQ_TRIED_MAX] = ep->number;
     /* A retry does not rely on idle connections either: the one before may
      * have failed because of them. */
@@ -43,7 +43,7 @@
     ep->in_use++;
     router->in_flight++;
     if (ep->ejected) {
-        ep->trial = r->attempt;
+        ep->trial_attempt = r->attempt;
     }
     g_hash_table_insert(router->by_attempt, &r->attempt, r);
     AqTime end = timeout_at(router, now, r);
@@ -59,15 +59,15 @@
 end_attempt(AqRouter *router, AqRouterRequest *r)
 {
     AqEndpoint *ep = r->endpoint;
-    if (ep->trial == r->attempt) {
-        ep->trial = 0;
+    if (ep->trial_attempt == r->attempt) {
+        ep->trial_attempt = 0;
     }
     AqRouterTimers_Remove(router, r);
     g_hash_table_remove(router->by_attempt, &r->attempt);
     r->attempt = 0;
     r->endpoint = NULL;
     r->state = AQ_REQUEST_BACKOFF;
-    AqRouterEndpoint_FreeSlot(router, ep);
+    AqRouterEndpoint_ReleaseSlot(router, ep);
 }
 
 bool
@@ -91,8 +91,8 @@
 }
 
 static void
-record_endpoint(AqRouter *router, AqTime now, const AqRouterRequest *r,
-                bool failed)
+record_endpoint_outcome(AqRouter *router, AqTime now, const AqRouterRequest *r,
+                        bool failed)
 {
     if (is_same_endpoint(r)) {
         AqRouterEject_Record(router, now, r->endpoint, r->attempt, failed);
@@ -131,35 +131,35 @@
 void
 AqRouterAttempt_Timeout(AqRouter *router, AqTime now, AqRouterRequest *r)
 {
-    AqTime elapsed = now - r->started;
+    AqTime elapsed = now - r->started_at;
     /* Short deadlines prove nothing about the endpoint, so a timeout counts
      * as its failure only after most requests would have been answered. */
-    bool failed = elapsed >= r->service->p95;
-    bool quiet =
+    bool failed = elapsed >= r->service->p95_ms;
+    bool detects_silence =
         r->idempotent && AqRouter_IsEnabled(router, AQ_ROUTER_DISABLE_SILENT);
-    if (quiet) {
+    if (detects_silence) {
         router->ops.close_idle(router->context, r->endpoint->name);
     }
     if (failed) {
-        record_endpoint(router, now, r, true);
+        record_endpoint_outcome(router, now, r, true);
     }
     bool not_sent = AqRouterAttempt_Cancel(router, r);
     if (!not_sent) {
         router->stats.silent++;
-        r->run_reason = AQ_REASON_SILENT;
-        AqRouterMean_Add(&r->service->hold, elapsed);
+        r->unknown_reason = AQ_REASON_SILENT;
+        AqRouterMean_Add(&r->service->slot_time, elapsed);
         /* Silent idle connections must not raise the p95, which bounds how
          * long they go unnoticed; a service that has become slower must, or
          * every attempt would time out from then on. */
         if (r->fresh_connection) {
-            AqRouterService_AddTime(r->service, elapsed);
+            AqRouterService_AddLatency(r->service, elapsed);
         }
     }
     if (now >= r->deadline) {
-        AqRouterRequest_GiveUp(router, r, AQ_REASON_DEADLINE);
+        AqRouterRequest_Fail(router, r, AQ_REASON_DEADLINE);
     }
     else if (!schedule_retry(router, now, r)) {
-        AqRouterRequest_GiveUp(
+        AqRouterRequest_Fail(
             router, r, not_sent ? AQ_REASON_NO_ENDPOINT : AQ_REASON_SILENT);
     }
 }
@@ -172,23 +172,23 @@
     if (ran) {
         /* Only answers count as service times, so that an endpoint that
          * fails fast does not look fast. */
-        AqTime elapsed = now - r->started;
-        AqRouterMean_Add(&r->service->hold, elapsed);
-        AqRouterService_AddTime(r->service, elapsed);
+        AqTime elapsed = now - r->started_at;
+        AqRouterMean_Add(&r->service->slot_time, elapsed);
+        AqRouterService_AddLatency(r->service, elapsed);
         if (is_same_endpoint(r)) {
-            if (now - r->endpoint->latency_at >= AQ_MEAN_AGE_MS) {
+            if (now - r->endpoint->last_latency_at >= AQ_LATENCY_MAX_AGE_MS) {
                 r->endpoint->latency = (AqRouterMean){0};
             }
             AqRouterMean_Add(&r->endpoint->latency, elapsed);
-            r->endpoint->latency_at = now;
+            r->endpoint->last_latency_at = now;
         }
     }
-    record_endpoint(router, now, r, !ran);
+    record_endpoint_outcome(router, now, r, !ran);
 }
 
 static void
-settle(AqRouter *router, AqTime now, AqRouterRequest *r, uint64_t attempt,
-       AqAttemptResult result)
+finish_or_retry(AqRouter *router, AqTime now, AqRouterRequest *r,
+                uint64_t attempt, AqAttemptResult result)
 {
     AqOutcome done = {AQ_OUTCOME_COMPLETED, AQ_REASON_NONE, 0};
     switch (result) {
@@ -204,23 +204,23 @@
     case AQ_ATTEMPT_TOO_LARGE:
         /* It ran, and its answer would be as large again. */
         r->may_have_run = true;
-        r->run_reason = AQ_REASON_TOO_LARGE;
-        AqRouterRequest_GiveUp(router, r, AQ_REASON_TOO_LARGE);
+        r->unknown_reason = AQ_REASON_TOO_LARGE;
+        AqRouterRequest_Fail(router, r, AQ_REASON_TOO_LARGE);
         break;
     case AQ_ATTEMPT_CUT:
         r->may_have_run = true;
-        r->run_reason = AQ_REASON_CUT;
+        r->unknown_reason = AQ_REASON_CUT;
         if (!schedule_retry(router, now, r)) {
-            AqRouterRequest_GiveUp(router, r, AQ_REASON_CUT);
+            AqRouterRequest_Fail(router, r, AQ_REASON_CUT);
         }
         break;
     case AQ_ATTEMPT_REFUSED:
     case AQ_ATTEMPT_NOT_SENT:
         if (!schedule_retry(router, now, r)) {
-            AqRouterRequest_GiveUp(router, r,
-                                   result == AQ_ATTEMPT_REFUSED
-                                       ? AQ_REASON_REFUSED
-                                       : AQ_REASON_NO_ENDPOINT);
+            AqRouterRequest_Fail(router, r,
+                                 result == AQ_ATTEMPT_REFUSED
+                                     ? AQ_REASON_REFUSED
+                                     : AQ_REASON_NO_ENDPOINT);
         }
         break;
     }
@@ -237,5 +237,5 @@
     }
     record_result(router, now, r, result);
     end_attempt(router, r);
-    settle(router, now, r, attempt, result);
+    finish_or_retry(router, now, r, attempt, result);
 }
--- a/packages/router/bench/bench_router.c
+++ b/packages/router/bench/bench_router.c
@@ -15,19 +15,19 @@
 
 typedef struct {
     double sum;
-    double least;
-    double most;
+    double min;
+    double max;
     int count;
 } Summary;
 
 static void
 add(Summary *summary, double value)
 {
-    if (summary->count == 0 || value < summary->least) {
-        summary->least = value;
+    if (summary->count == 0 || value < summary->min) {
+        summary->min = value;
     }
-    if (summary->count == 0 || value > summary->most) {
-        summary->most = value;
+    if (summary->count == 0 || value > summary->max) {
+        summary->max = value;
     }
     summary->sum += value;
     summary->count++;
@@ -36,8 +36,8 @@
 static void
 print_summary(const Summary *summary)
 {
-    printf("  %8.3f [%.3f, %.3f]", summary->sum / summary->count,
-           summary->least, summary->most);
+    printf("  %8.3f [%.3f, %.3f]", summary->sum / summary->count, summary->min,
+           summary->max);
 }
 
 /* Poisson arrivals of "per_ms" requests per ms for "ms". */
--- a/packages/router/budget.c
+++ b/packages/router/budget.c
@@ -26,13 +26,13 @@
 AqTime
 AqRouterBudget_Backoff(AqRouter *router, int attempts)
 {
-    AqTime bound = router->config.backoff_low_ms;
-    for (int i = 1; i < attempts && bound < router->config.backoff_high_ms;
+    AqTime bound = router->config.backoff_initial_ms;
+    for (int i = 1; i < attempts && bound < router->config.backoff_max_ms;
          i++) {
         bound *= 2;
     }
-    if (bound > router->config.backoff_high_ms) {
-        bound = router->config.backoff_high_ms;
+    if (bound > router->config.backoff_max_ms) {
+        bound = router->config.backoff_max_ms;
     }
     if (!AqRouter_IsEnabled(router, AQ_ROUTER_DISABLE_JITTER)) {
         return bound;
--- a/packages/router/check.c
+++ b/packages/router/check.c
@@ -28,8 +28,8 @@
                            "request %" G_GUINT64_FORMAT " has no timer",
                            r->id);
     }
-    if (r->wake > r->deadline && r->state != AQ_REQUEST_REFUSED &&
-        r->deadline > r->started) {
+    if (r->timer_at > r->deadline && r->state != AQ_REQUEST_REFUSED &&
+        r->deadline > r->started_at) {
         return AqError_Set(error, AQ_ERR_SYSTEM,
                            "request %" G_GUINT64_FORMAT
                            ": timer is after the deadline",
@@ -82,7 +82,7 @@
         const AqRouterRequest *r = g_ptr_array_index(router->timers, i);
         const AqRouterRequest *parent =
             g_ptr_array_index(router->timers, (i - 1) / 2);
-        if (parent->wake > r->wake) {
+        if (parent->timer_at > r->timer_at) {
             return AqError_Set(error, AQ_ERR_SYSTEM,
                                "timer %u is out of order", i);
         }
@@ -94,18 +94,19 @@
 check_endpoint(const AqRouter *router, const AqEndpoint *ep, AqError *error)
 {
     int running = 0;
-    bool trial = ep->trial == 0;
+    bool trial = ep->trial_attempt == 0;
     AqList_ForEach(at, &router->requests)
     {
         const AqRouterRequest *r = AqList_Entry(at, AqRouterRequest, link);
         running += r->endpoint == ep;
-        trial = trial || (r->endpoint == ep && r->attempt == ep->trial);
+        trial =
+            trial || (r->endpoint == ep && r->attempt == ep->trial_attempt);
     }
     if (running != ep->in_use || !trial || (ep->removed && running == 0)) {
         return AqError_Set(error, AQ_ERR_SYSTEM,
                            "endpoint %s: %d slots in use but %d attempts, "
                            "trial %" G_GUINT64_FORMAT,
-                           ep->name, ep->in_use, running, ep->trial);
+                           ep->name, ep->in_use, running, ep->trial_attempt);
     }
     if (!ep->removed && !g_ptr_array_find(ep->service->endpoints, ep, NULL)) {
         return AqError_Set(error, AQ_ERR_SYSTEM,
--- a/packages/router/eject.c
+++ b/packages/router/eject.c
@@ -6,7 +6,7 @@
     /* An endpoint is not preferred for 1 s per consecutive failure.  Failed
      * requests end early, so its slots would look idle otherwise; the bound
      * in time lets it show at low load that it works again. */
-    SUSPECT_MS = 1000
+    SUSPECT_MS_PER_FAILURE = 1000
 };
 
 int
@@ -14,13 +14,13 @@
 {
     int n = 0;
     for (guint i = 0; i < service->endpoints->len; i++) {
-        n += AqRouterEndpoint_TakesWork(
+        n += AqRouterEndpoint_AcceptsRequests(
             router, g_ptr_array_index(service->endpoints, i));
     }
     if (!AqRouter_IsEnabled(router, AQ_ROUTER_DISABLE_EJECTION_SHARE)) {
         return n;
     }
-    return n * router->config.eject_percent / 100;
+    return n * router->config.max_ejected_percent / 100;
 }
 
 int
@@ -29,18 +29,18 @@
     int n = 0;
     for (guint i = 0; i < service->endpoints->len; i++) {
         const AqEndpoint *ep = g_ptr_array_index(service->endpoints, i);
-        n += ep->ejected && AqRouterEndpoint_TakesWork(router, ep);
+        n += ep->ejected && AqRouterEndpoint_AcceptsRequests(router, ep);
     }
     return n;
 }
 
 static AqEndpoint *
-first_to_return(const AqRouter *router, const AqService *service)
+next_ejection_to_end(const AqRouter *router, const AqService *service)
 {
     AqEndpoint *first = NULL;
     for (guint i = 0; i < service->endpoints->len; i++) {
         AqEndpoint *ep = g_ptr_array_index(service->endpoints, i);
-        if (ep->ejected && AqRouterEndpoint_TakesWork(router, ep) &&
+        if (ep->ejected && AqRouterEndpoint_AcceptsRequests(router, ep) &&
             (first == NULL || ep->eject_until < first->eject_until)) {
             first = ep;
         }
@@ -49,13 +49,13 @@
 }
 
 void
-AqRouterEject_KeepShare(AqRouter *router, const AqService *service)
+AqRouterEject_EnforceLimit(AqRouter *router, const AqService *service)
 {
     int limit = AqRouterEject_Limit(router, service);
     for (int n = AqRouterEject_Count(router, service); n > limit; n--) {
-        AqEndpoint *ep = first_to_return(router, service);
+        AqEndpoint *ep = next_ejection_to_end(router, service);
         ep->ejected = false;
-        ep->trial = 0;
+        ep->trial_attempt = 0;
     }
 }
 
@@ -73,8 +73,8 @@
 clear_recent(AqEndpoint *ep)
 {
     ep->recent_count = 0;
-    ep->recent_at = 0;
-    ep->consecutive = 0;
+    ep->recent_next = 0;
+    ep->consecutive_failures = 0;
 }
 
 void
@@ -86,16 +86,16 @@
     ep->ejected = false;
     ep->healthy_since_eject = false;
     ep->eject_last_ms = 0;
-    ep->trial = 0;
+    ep->trial_attempt = 0;
 }
 
 /* Sets the endpoint aside, twice as long as the last time. */
 static void
-set_aside(AqRouter *router, AqTime now, AqEndpoint *ep)
+eject_endpoint(AqRouter *router, AqTime now, AqEndpoint *ep)
 {
     const AqRouterConfig *config = &router->config;
-    AqTime ms =
-        ep->eject_last_ms == 0 ? config->eject_ms : 2 * ep->eject_last_ms;
+    AqTime ms = ep->eject_last_ms == 0 ? config->eject_initial_ms
+                                       : 2 * ep->eject_last_ms;
     ep->eject_last_ms = ms < config->eject_max_ms ? ms : config->eject_max_ms;
     ep->eject_until = now + ep->eject_last_ms;
     ep->ejected = true;
@@ -107,24 +107,24 @@
 static void
 eject_if_due(AqRouter *router, AqTime now, AqEndpoint *ep)
 {
-    bool due = ep->consecutive >= AQ_EJECT_CONSECUTIVE ||
-               ep->health_failures >= AQ_EJECT_CONSECUTIVE ||
+    bool due = ep->consecutive_failures >= AQ_EJECT_CONSECUTIVE_FAILURES ||
+               ep->health_failures >= AQ_EJECT_CONSECUTIVE_FAILURES ||
                (ep->recent_count == AQ_EJECT_WINDOW_COUNT &&
                 2 * recent_failures(ep) > AQ_EJECT_WINDOW_COUNT);
     if (due && !ep->ejected &&
         AqRouter_IsEnabled(router, AQ_ROUTER_DISABLE_EJECTION) &&
-        AqRouterEndpoint_TakesWork(router, ep) &&
+        AqRouterEndpoint_AcceptsRequests(router, ep) &&
         AqRouterEject_Count(router, ep->service) <
             AqRouterEject_Limit(router, ep->service)) {
-        set_aside(router, now, ep);
+        eject_endpoint(router, now, ep);
     }
 }
 
 static void
 record_outcome(AqEndpoint *ep, bool failed)
 {
-    ep->recent_failed[ep->recent_at] = failed;
-    ep->recent_at = (ep->recent_at + 1) % AQ_EJECT_WINDOW_COUNT;
+    ep->recent_failed[ep->recent_next] = failed;
+    ep->recent_next = (ep->recent_next + 1) % AQ_EJECT_WINDOW_COUNT;
     if (ep->recent_count < AQ_EJECT_WINDOW_COUNT) {
         ep->recent_count++;
     }
@@ -142,10 +142,10 @@
 {
     if (ep->ejected) {
         /* Requests that started before the ejection prove nothing. */
-        if (ep->trial == attempt) {
-            ep->trial = 0;
+        if (ep->trial_attempt == attempt) {
+            ep->trial_attempt = 0;
             if (failed) {
-                set_aside(router, now, ep);
+                eject_endpoint(router, now, ep);
             }
             else {
                 ep->ejected = false;
@@ -156,14 +156,15 @@
     }
     record_outcome(ep, failed);
     if (!failed) {
-        ep->consecutive = 0;
+        ep->consecutive_failures = 0;
         ep->suspect_until = 0;
         return;
     }
-    ep->consecutive++;
-    int n = ep->consecutive < AQ_EJECT_CONSECUTIVE ? ep->consecutive
-                                                   : AQ_EJECT_CONSECUTIVE;
-    ep->suspect_until = now + (AqTime)n * SUSPECT_MS;
+    ep->consecutive_failures++;
+    int n = ep->consecutive_failures < AQ_EJECT_CONSECUTIVE_FAILURES
+                ? ep->consecutive_failures
+                : AQ_EJECT_CONSECUTIVE_FAILURES;
+    ep->suspect_until = now + (AqTime)n * SUSPECT_MS_PER_FAILURE;
     eject_if_due(router, now, ep);
 }
 
@@ -173,10 +174,10 @@
 {
     /* A trial is a caller's request: one that can still be retried, and a
      * non-idempotent one only when a health check has passed. */
-    return ep->ejected && ep->trial == 0 && now >= ep->eject_until &&
+    return ep->ejected && ep->trial_attempt == 0 && now >= ep->eject_until &&
            ep->health_failures == 0 && ep->in_use < ep->slots &&
            r->attempts == 0 && (r->idempotent || ep->healthy_since_eject) &&
-           AqRouterEndpoint_TakesWork(router, ep);
+           AqRouterEndpoint_AcceptsRequests(router, ep);
 }
 
 void
--- a/packages/router/endpoint.c
+++ b/packages/router/endpoint.c
@@ -3,7 +3,7 @@
 #include "router_private.h"
 
 bool
-AqRouterEndpoint_TakesWork(const AqRouter *router, const AqEndpoint *ep)
+AqRouterEndpoint_AcceptsRequests(const AqRouter *router, const AqEndpoint *ep)
 {
     return !ep->removed &&
            (!ep->leaving ||
@@ -26,51 +26,53 @@
  * not relied on: an endpoint that was the slowest would get nothing at low
  * load and never show that it has become faster. */
 static double
-load(AqTime now, const AqEndpoint *ep)
+expected_completion_ms(AqTime now, const AqEndpoint *ep)
 {
-    bool known =
-        ep->latency.count > 0 && now - ep->latency_at < AQ_MEAN_AGE_MS;
+    bool known = ep->latency.count > 0 &&
+                 now - ep->last_latency_at < AQ_LATENCY_MAX_AGE_MS;
     double mean = known ? ep->latency.ms : AqRouterService_MeanMs(ep->service);
     return (ep->in_use + 1) * (mean < 1.0 ? 1.0 : mean) / ep->slots;
 }
 
 static AqEndpoint *
-better(AqTime now, AqEndpoint *a, AqEndpoint *b)
+preferred_endpoint(AqTime now, AqEndpoint *a, AqEndpoint *b)
 {
     bool suspect_a = a->suspect_until > now;
     bool suspect_b = b->suspect_until > now;
     if (suspect_a != suspect_b) {
         return suspect_a ? b : a;
     }
-    return load(now, b) < load(now, a) ? b : a;
+    return expected_completion_ms(now, b) < expected_completion_ms(now, a) ? b
+                                                                           : a;
 }
 
-/* Draws one endpoint, other than "not_this", uniformly from those with a free
+/* Draws one endpoint, other than "excluded", uniformly from those with a free
  * slot.  With "untried", from those that the request has not tried. */
 static AqEndpoint *
-draw(AqRouter *router, const AqRouterRequest *r, const AqEndpoint *not_this,
-     bool untried)
+sample_endpoint(AqRouter *router, const AqRouterRequest *r,
+                const AqEndpoint *excluded, bool untried)
 {
     const GPtrArray *all = r->service->endpoints;
-    AqEndpoint *drawn = NULL;
+    AqEndpoint *sampled = NULL;
     uint64_t n = 0;
     for (guint i = 0; i < all->len; i++) {
         AqEndpoint *ep = g_ptr_array_index(all, i);
-        if (ep == not_this || ep->ejected || ep->in_use >= ep->slots ||
-            !AqRouterEndpoint_TakesWork(router, ep) ||
+        if (ep == excluded || ep->ejected || ep->in_use >= ep->slots ||
+            !AqRouterEndpoint_AcceptsRequests(router, ep) ||
             (untried && was_tried(r, ep))) {
             continue;
         }
         n++;
         if (AqRandom_Below(&router->random, n) == 0) {
-            drawn = ep;
+            sampled = ep;
         }
     }
-    return drawn;
+    return sampled;
 }
 
 static AqEndpoint *
-find_trial(const AqRouter *router, AqTime now, const AqRouterRequest *r)
+find_trial_endpoint(const AqRouter *router, AqTime now,
+                    const AqRouterRequest *r)
 {
     const GPtrArray *all = r->service->endpoints;
     for (guint i = 0; i < all->len; i++) {
@@ -84,7 +86,7 @@
 
 /* Without trials, ejections simply end. */
 static void
-end_ejections(AqTime now, const AqService *service)
+end_expired_ejections(AqTime now, const AqService *service)
 {
     for (guint i = 0; i < service->endpoints->len; i++) {
         AqEndpoint *ep = g_ptr_array_index(service->endpoints, i);
@@ -98,24 +100,24 @@
 AqRouterEndpoint_Choose(AqRouter *router, AqTime now, const AqRouterRequest *r)
 {
     if (!AqRouter_IsEnabled(router, AQ_ROUTER_DISABLE_TRIAL)) {
-        end_ejections(now, r->service);
+        end_expired_ejections(now, r->service);
     }
-    AqEndpoint *trial = find_trial(router, now, r);
+    AqEndpoint *trial = find_trial_endpoint(router, now, r);
     if (trial != NULL) {
         return trial;
     }
     bool untried = r->attempts > 0;
-    AqEndpoint *first = draw(router, r, NULL, untried);
+    AqEndpoint *first = sample_endpoint(router, r, NULL, untried);
     if (first == NULL && untried) {
         untried = false;
-        first = draw(router, r, NULL, false);
+        first = sample_endpoint(router, r, NULL, false);
     }
     if (first == NULL ||
         !AqRouter_IsEnabled(router, AQ_ROUTER_DISABLE_LOAD_CHOICE)) {
         return first;
     }
-    AqEndpoint *second = draw(router, r, first, untried);
-    return second == NULL ? first : better(now, first, second);
+    AqEndpoint *second = sample_endpoint(router, r, first, untried);
+    return second == NULL ? first : preferred_endpoint(now, first, second);
 }
 
 void
@@ -127,13 +129,13 @@
 }
 
 static void
-detach(AqEndpoint *ep)
+remove_from_service(AqEndpoint *ep)
 {
     g_ptr_array_remove(ep->service->endpoints, ep);
 }
 
 void
-AqRouterEndpoint_FreeSlot(AqRouter *router, AqEndpoint *ep)
+AqRouterEndpoint_ReleaseSlot(AqRouter *router, AqEndpoint *ep)
 {
     ep->in_use--;
     router->in_flight--;
@@ -144,7 +146,7 @@
 }
 
 static AqEndpoint *
-find(AqRouter *router, const char *name)
+find_endpoint(AqRouter *router, const char *name)
 {
     AqEndpoint *ep = g_hash_table_lookup(router->endpoints, name);
     return ep == NULL || ep->removed ? NULL : ep;
@@ -154,12 +156,12 @@
 static void
 slots_changed(AqRouter *router, AqTime now, AqService *service)
 {
-    AqRouterService_NoteSlots(router, service, now);
-    AqRouterEject_KeepShare(router, service);
-    service->next_sweep = now;
+    AqRouterService_UpdateNoSlots(router, service, now);
+    AqRouterEject_EnforceLimit(router, service);
+    service->next_sweep_at = now;
     router->work_due = true;
     if (!AqRouterService_HasEndpoint(router, service)) {
-        AqRouterRequest_GiveUpWaiting(router, service, AQ_REASON_NO_ENDPOINT);
+        AqRouterRequest_FailWaiting(router, service, AQ_REASON_NO_ENDPOINT);
     }
 }
 
@@ -187,7 +189,7 @@
     }
     else {
         AqService *from = ep->service;
-        detach(ep);
+        remove_from_service(ep);
         slots_changed(router, now, from);
     }
     ep->number = ++router->last_endpoint;
@@ -201,14 +203,14 @@
 void
 AqRouter_RemoveEndpoint(AqRouter *router, AqTime now, const char *endpoint)
 {
-    AqEndpoint *ep = find(router, endpoint);
+    AqEndpoint *ep = find_endpoint(router, endpoint);
     router->now = now;
     if (ep == NULL) {
         return;
     }
     AqService *service = ep->service;
     ep->removed = true;
-    detach(ep);
+    remove_from_service(ep);
     if (ep->in_use == 0) {
         g_hash_table_remove(router->endpoints, endpoint);
     }
@@ -219,7 +221,7 @@
 AqRouter_SetSlots(AqRouter *router, AqTime now, const char *endpoint,
                   int slots)
 {
-    AqEndpoint *ep = find(router, endpoint);
+    AqEndpoint *ep = find_endpoint(router, endpoint);
     router->now = now;
     if (ep == NULL || ep->slots == slots) {
         return;
@@ -232,7 +234,7 @@
 AqRouter_SetLeaving(AqRouter *router, AqTime now, const char *endpoint,
                     bool leaving)
 {
-    AqEndpoint *ep = find(router, endpoint);
+    AqEndpoint *ep = find_endpoint(router, endpoint);
     router->now = now;
     if (ep == NULL || ep->leaving == leaving) {
         return;
--- a/packages/router/queue.c
+++ b/packages/router/queue.c
@@ -14,7 +14,8 @@
     AqService *service = r->service;
     bool live = r->priority == AQ_PRIORITY_LIVE;
     AqLink *queue = live ? &service->live : &service->archive;
-    r->waits = AqRouterQueue_ExpectedWait(router, service, r->priority) > 0;
+    r->queued_without_slot =
+        AqRouterQueue_ExpectedWait(router, service, r->priority) > 0;
     if (first) {
         AqList_Prepend(queue, &r->queue_link);
     }
@@ -43,7 +44,7 @@
 {
     bool archive = service->live_count == 0;
     if (service->live_count > 0 && service->archive_count > 0) {
-        unsigned share = (unsigned)router->config.archive_share;
+        unsigned share = (unsigned)router->config.archive_start_interval;
         archive = service->contended_starts % share == share - 1;
     }
     const AqLink *queue =
@@ -54,7 +55,7 @@
 }
 
 void
-AqRouterQueue_NoteStart(AqService *service)
+AqRouterQueue_CountStart(AqService *service)
 {
     if (service->live_count > 0 && service->archive_count > 0) {
         service->contended_starts++;
@@ -66,19 +67,20 @@
                            AqPriority priority)
 {
     int ahead = service->claiming + service->live_count;
-    int overtaken = service->live_count / (router->config.archive_share - 1);
+    int archive_ahead =
+        service->live_count / (router->config.archive_start_interval - 1);
     if (priority == AQ_PRIORITY_ARCHIVE ||
-        service->archive_count < overtaken) {
+        service->archive_count < archive_ahead) {
         ahead += service->archive_count;
     }
     else {
-        ahead += overtaken;
+        ahead += archive_ahead;
     }
     int slots = AqRouterService_Slots(router, service);
     if (slots == 0) {
-        return AQ_RETRY_AFTER_MS;
+        return AQ_DEFAULT_RETRY_AFTER_MS;
     }
-    int idle = AqRouterService_Free(router, service);
+    int idle = AqRouterService_FreeSlots(router, service);
     if (ahead < idle) {
         return 0;
     }
@@ -91,7 +93,7 @@
  * below, and for an idempotent one double that, since its attempt gets half
  * of the remaining time. */
 static AqTime
-own_time(const AqService *service, bool idempotent)
+required_service_ms(const AqService *service, bool idempotent)
 {
     return (AqTime)(AqRouterService_MeanMs(service) * (idempotent ? 4 : 2));
 }
@@ -120,7 +122,8 @@
     AqTime wait = AqRouterQueue_ExpectedWait(router, service, spec->priority);
     /* Half more than the expected wait, so that later estimates, which vary,
      * do not make the sweep refuse what was admitted. */
-    AqTime needed = wait + wait / 2 + own_time(service, spec->idempotent);
+    AqTime needed =
+        wait + wait / 2 + required_service_ms(service, spec->idempotent);
     if (wait > 0 && needed > spec->deadline - now) {
         return AQ_REASON_DEADLINE;
     }
@@ -132,8 +135,9 @@
                       const AqRouterRequest *r)
 {
     return AqRouter_IsEnabled(router, AQ_ROUTER_DISABLE_ADMISSION) &&
-           r->waits &&
-           now + own_time(r->service, r->idempotent) / 2 > r->deadline;
+           r->queued_without_slot &&
+           now + required_service_ms(r->service, r->idempotent) / 2 >
+               r->deadline;
 }
 
 static void
@@ -144,9 +148,9 @@
     {
         AqRouterRequest *r = AqList_Entry(at, AqRouterRequest, queue_link);
         AqTime wait = position < 0 ? 0 : (AqTime)(position * ms_per_start);
-        AqTime own = own_time(r->service, r->idempotent);
+        AqTime own = required_service_ms(r->service, r->idempotent);
         if (wait > 0 && now + wait + own > r->deadline) {
-            AqRouterRequest_GiveUp(router, r, AQ_REASON_DEADLINE);
+            AqRouterRequest_Fail(router, r, AQ_REASON_DEADLINE);
         }
         else {
             position++;
@@ -157,11 +161,11 @@
 void
 AqRouterQueue_Sweep(AqRouter *router, AqTime now, AqService *service)
 {
-    service->next_sweep = now + AQ_SWEEP_MS;
+    service->next_sweep_at = now + AQ_SWEEP_INTERVAL_MS;
     if (service->no_slots_since != AQ_TIME_NEVER) {
         if (now - service->no_slots_since >= router->config.slot_wait_ms) {
-            AqRouterRequest_GiveUpWaiting(router, service,
-                                          AQ_REASON_NO_ENDPOINT);
+            AqRouterRequest_FailWaiting(router, service,
+                                        AQ_REASON_NO_ENDPOINT);
         }
         return;
     }
@@ -171,7 +175,7 @@
         return;
     }
     double ms_per_start = AqRouterService_MeanMs(service) / slots;
-    int idle = AqRouterService_Free(router, service);
+    int idle = AqRouterService_FreeSlots(router, service);
     sweep_queue(router, now, &service->live, -idle, ms_per_start);
     sweep_queue(router, now, &service->archive, service->live_count - idle,
                 ms_per_start);
--- a/packages/router/request.c
+++ b/packages/router/request.c
@@ -56,20 +56,21 @@
 {
     if (r->service == NULL ||
         (reason != AQ_REASON_DEADLINE && reason != AQ_REASON_QUEUE_FULL)) {
-        return AQ_RETRY_AFTER_MS;
+        return AQ_DEFAULT_RETRY_AFTER_MS;
     }
     AqTime wait = AqRouterQueue_ExpectedWait(router, r->service, r->priority);
     return wait > 0 ? wait : 1;
 }
 
 void
-AqRouterRequest_GiveUp(AqRouter *router, AqRouterRequest *r, AqReason reason)
+AqRouterRequest_Fail(AqRouter *router, AqRouterRequest *r, AqReason reason)
 {
     AqOutcome outcome = {AQ_OUTCOME_UNKNOWN, reason, 0};
     if (r->may_have_run &&
         AqRouter_IsEnabled(router, AQ_ROUTER_DISABLE_RUN_MARK)) {
-        if (r->run_reason != AQ_REASON_NONE && reason != AQ_REASON_DEADLINE) {
-            outcome.reason = r->run_reason;
+        if (r->unknown_reason != AQ_REASON_NONE &&
+            reason != AQ_REASON_DEADLINE) {
+            outcome.reason = r->unknown_reason;
         }
     }
     else if (reason != AQ_REASON_DUPLICATE) {
@@ -82,22 +83,22 @@
 }
 
 void
-AqRouterRequest_GiveUpWaiting(AqRouter *router, const AqService *service,
-                              AqReason reason)
+AqRouterRequest_FailWaiting(AqRouter *router, const AqService *service,
+                            AqReason reason)
 {
     AqList_ForEachSafe(at, after, &router->requests)
     {
         AqRouterRequest *r = AqList_Entry(at, AqRouterRequest, link);
         if (r->state != AQ_REQUEST_RUNNING && r->state != AQ_REQUEST_REFUSED &&
             (service == NULL || r->service == service)) {
-            AqRouterRequest_GiveUp(router, r, reason);
+            AqRouterRequest_Fail(router, r, reason);
         }
     }
 }
 
 static AqReason
-check_new(const AqRouter *router, AqTime now, const AqService *service,
-          const AqRequestSpec *spec)
+check_admission(const AqRouter *router, AqTime now, const AqService *service,
+                const AqRequestSpec *spec)
 {
     if (router->stopping &&
         AqRouter_IsEnabled(router, AQ_ROUTER_DISABLE_STOP)) {
@@ -130,10 +131,10 @@
     AqList_Append(&router->requests, &r->link);
     g_hash_table_insert(router->by_id, &r->id, r);
     router->stats.submitted++;
-    AqReason refusal = check_new(router, now, r->service, spec);
+    AqReason refusal = check_admission(router, now, r->service, spec);
     if (refusal != AQ_REASON_NONE) {
         r->state = AQ_REQUEST_REFUSED;
-        r->refusal = refusal;
+        r->refusal_reason = refusal;
         r->retry_after_ms = retry_after(router, r, refusal);
         AqRouterTimers_Set(router, r, now);
         return r->id;
@@ -164,9 +165,9 @@
     if (r->state == AQ_REQUEST_RUNNING) {
         AqRouterAttempt_Cancel(router, r);
     }
-    AqRouterRequest_GiveUp(router, r,
-                           r->state == AQ_REQUEST_REFUSED ? r->refusal
-                                                          : AQ_REASON_NONE);
+    AqRouterRequest_Fail(router, r,
+                         r->state == AQ_REQUEST_REFUSED ? r->refusal_reason
+                                                        : AQ_REASON_NONE);
 }
 
 void
@@ -185,24 +186,24 @@
         AqRouterQueue_Push(router, r, false);
     }
     else {
-        AqRouterRequest_GiveUp(router, r,
-                               result == AQ_ROUTER_CLAIM_DUPLICATE
-                                   ? AQ_REASON_DUPLICATE
-                                   : AQ_REASON_CLAIM_STORE);
+        AqRouterRequest_Fail(router, r,
+                             result == AQ_ROUTER_CLAIM_DUPLICATE
+                                 ? AQ_REASON_DUPLICATE
+                                 : AQ_REASON_CLAIM_STORE);
     }
 }
 
 void
-AqRouterRequest_Wake(AqRouter *router, AqTime now, AqRouterRequest *r)
+AqRouterRequest_OnTimer(AqRouter *router, AqTime now, AqRouterRequest *r)
 {
     if (r->state == AQ_REQUEST_RUNNING) {
         AqRouterAttempt_Timeout(router, now, r);
     }
     else if (r->state == AQ_REQUEST_REFUSED) {
-        AqRouterRequest_GiveUp(router, r, r->refusal);
+        AqRouterRequest_Fail(router, r, r->refusal_reason);
     }
     else if (now >= r->deadline) {
-        AqRouterRequest_GiveUp(router, r, AQ_REASON_DEADLINE);
+        AqRouterRequest_Fail(router, r, AQ_REASON_DEADLINE);
     }
     else if (r->state == AQ_REQUEST_BACKOFF) {
         /* It has waited before, so it goes first. */
--- a/packages/router/router.c
+++ b/packages/router/router.c
@@ -8,11 +8,11 @@
         .max_attempts = 3,
         .retry_ratio = 0.1,
         .retry_burst = 10,
-        .backoff_low_ms = 25,
-        .backoff_high_ms = 1000,
-        .archive_share = 8,
-        .eject_percent = 30,
-        .eject_ms = 5000,
+        .backoff_initial_ms = 25,
+        .backoff_max_ms = 1000,
+        .archive_start_interval = 8,
+        .max_ejected_percent = 30,
+        .eject_initial_ms = 5000,
         .eject_max_ms = 60000,
         .slot_wait_ms = 500,
     };
@@ -24,8 +24,8 @@
 {
     AqRouter *router = g_new0(AqRouter, 1);
     router->config = *config;
-    if (router->config.archive_share < 2) {
-        router->config.archive_share = 2;
+    if (router->config.archive_start_interval < 2) {
+        router->config.archive_start_interval = 2;
     }
     router->ops = *ops;
     router->context = context;
@@ -68,7 +68,7 @@
     router->fresh = fresh;
     router->work_due = true;
     if (!fresh && AqRouter_IsEnabled(router, AQ_ROUTER_DISABLE_FRESHNESS)) {
-        AqRouterRequest_GiveUpWaiting(router, NULL, AQ_REASON_NOT_FRESH);
+        AqRouterRequest_FailWaiting(router, NULL, AQ_REASON_NOT_FRESH);
     }
 }
 
@@ -87,7 +87,7 @@
     for (int other = 0; other < 2; other++) {
         AqRouterRequest *r = AqRouterQueue_Next(router, service, other);
         while (r != NULL && AqRouterQueue_TooLate(router, now, r)) {
-            AqRouterRequest_GiveUp(router, r, AQ_REASON_DEADLINE);
+            AqRouterRequest_Fail(router, r, AQ_REASON_DEADLINE);
             r = AqRouterQueue_Next(router, service, other);
         }
         if (r != NULL) {
@@ -101,7 +101,7 @@
 }
 
 static void
-start_waiting(AqRouter *router, AqTime now, const AqService *service)
+start_queued_requests(AqRouter *router, AqTime now, const AqService *service)
 {
     AqEndpoint *ep = NULL;
     AqRouterRequest *r = next_start(router, now, service, &ep);
@@ -116,16 +116,17 @@
 {
     router->now = now;
     for (AqRouterRequest *r = AqRouterTimers_First(router);
-         r != NULL && r->wake <= now; r = AqRouterTimers_First(router)) {
-        AqRouterRequest_Wake(router, now, r);
+         r != NULL && r->timer_at <= now; r = AqRouterTimers_First(router)) {
+        AqRouterRequest_OnTimer(router, now, r);
     }
     AqList_ForEach(at, &router->services)
     {
         AqService *service = AqList_Entry(at, AqService, link);
-        if (AqRouterQueue_Count(service) > 0 && now >= service->next_sweep) {
+        if (AqRouterQueue_Count(service) > 0 &&
+            now >= service->next_sweep_at) {
             AqRouterQueue_Sweep(router, now, service);
         }
-        start_waiting(router, now, service);
+        start_queued_requests(router, now, service);
     }
     router->work_due = false;
 }
@@ -137,12 +138,13 @@
         return router->now;
     }
     const AqRouterRequest *first = AqRouterTimers_First(router);
-    AqTime next = first == NULL ? AQ_TIME_NEVER : first->wake;
+    AqTime next = first == NULL ? AQ_TIME_NEVER : first->timer_at;
     AqList_ForEach(at, &router->services)
     {
         const AqService *service = AqList_Entry(at, AqService, link);
-        if (AqRouterQueue_Count(service) > 0 && service->next_sweep < next) {
-            next = service->next_sweep;
+        if (AqRouterQueue_Count(service) > 0 &&
+            service->next_sweep_at < next) {
+            next = service->next_sweep_at;
         }
     }
     return next;
@@ -162,10 +164,10 @@
 }
 
 int
-AqRouter_Idle(const AqRouter *router, const char *service)
+AqRouter_FreeSlots(const AqRouter *router, const char *service)
 {
     const AqService *found = AqRouterService_Find(router, service);
-    return found == NULL ? 0 : AqRouterService_Free(router, found);
+    return found == NULL ? 0 : AqRouterService_FreeSlots(router, found);
 }
 
 void
--- a/packages/router/service.c
+++ b/packages/router/service.c
@@ -6,8 +6,8 @@
 enum {
     /* Weight 1/64 of a new sample.  Smaller weights make the expected wait
      * steadier and follow a change of the service time more slowly. */
-    MEAN_SAMPLES = 64,
-    P95_EVERY = 8 /* samples between two computations of the p95 */
+    MEAN_WINDOW_SAMPLES = 64,
+    P95_INTERVAL_SAMPLES = 8 /* samples between two computations of the p95 */
 };
 
 AqService *
@@ -34,7 +34,7 @@
     service->name = g_strdup(name);
     service->endpoints = g_ptr_array_new();
     service->retry_tokens = router->config.retry_burst;
-    service->p95 = AQ_DEFAULT_P95_MS;
+    service->p95_ms = AQ_DEFAULT_P95_MS;
     service->no_slots_since = router->now;
     AqList_Init(&service->live);
     AqList_Init(&service->archive);
@@ -54,12 +54,13 @@
 AqRouterMean_Add(AqRouterMean *mean, AqTime ms)
 {
     mean->count++;
-    double n = mean->count < MEAN_SAMPLES ? (double)mean->count : MEAN_SAMPLES;
+    double n = mean->count < MEAN_WINDOW_SAMPLES ? (double)mean->count
+                                                 : MEAN_WINDOW_SAMPLES;
     mean->ms += ((double)ms - mean->ms) / n;
 }
 
 static int
-compare_times(const void *a, const void *b)
+compare_latencies(const void *a, const void *b)
 {
     AqTime x = *(const AqTime *)a;
     AqTime y = *(const AqTime *)b;
@@ -67,24 +68,27 @@
 }
 
 void
-AqRouterService_AddTime(AqService *service, AqTime ms)
+AqRouterService_AddLatency(AqService *service, AqTime ms)
 {
     AqTime sorted[AQ_LATENCY_SAMPLES];
-    service->times[service->times_count++ % AQ_LATENCY_SAMPLES] = ms;
-    size_t n = service->times_count < AQ_LATENCY_SAMPLES ? service->times_count
-                                                         : AQ_LATENCY_SAMPLES;
-    if (n == AQ_LATENCY_SAMPLES && service->times_count % P95_EVERY != 0) {
+    service->latencies[service->latency_count++ % AQ_LATENCY_SAMPLES] = ms;
+    size_t n = service->latency_count < AQ_LATENCY_SAMPLES
+                   ? service->latency_count
+                   : AQ_LATENCY_SAMPLES;
+    if (n == AQ_LATENCY_SAMPLES &&
+        service->latency_count % P95_INTERVAL_SAMPLES != 0) {
         return;
     }
-    memcpy(sorted, service->times, n * sizeof(sorted[0]));
-    qsort(sorted, n, sizeof(sorted[0]), compare_times);
-    service->p95 = sorted[(n - 1) * 95 / 100];
+    memcpy(sorted, service->latencies, n * sizeof(sorted[0]));
+    qsort(sorted, n, sizeof(sorted[0]), compare_latencies);
+    service->p95_ms = sorted[(n - 1) * 95 / 100];
 }
 
 double
 AqRouterService_MeanMs(const AqService *service)
 {
-    return service->hold.count == 0 ? AQ_DEFAULT_MEAN_MS : service->hold.ms;
+    return service->slot_time.count == 0 ? AQ_DEFAULT_MEAN_MS
+                                         : service->slot_time.ms;
 }
 
 int
@@ -93,7 +97,7 @@
     int slots = 0;
     for (guint i = 0; i < service->endpoints->len; i++) {
         const AqEndpoint *ep = g_ptr_array_index(service->endpoints, i);
-        if (AqRouterEndpoint_TakesWork(router, ep) && !ep->ejected) {
+        if (AqRouterEndpoint_AcceptsRequests(router, ep) && !ep->ejected) {
             slots += ep->slots;
         }
     }
@@ -101,12 +105,12 @@
 }
 
 int
-AqRouterService_Free(const AqRouter *router, const AqService *service)
+AqRouterService_FreeSlots(const AqRouter *router, const AqService *service)
 {
     int n = 0;
     for (guint i = 0; i < service->endpoints->len; i++) {
         const AqEndpoint *ep = g_ptr_array_index(service->endpoints, i);
-        if (AqRouterEndpoint_TakesWork(router, ep) && !ep->ejected &&
+        if (AqRouterEndpoint_AcceptsRequests(router, ep) && !ep->ejected &&
             ep->in_use < ep->slots) {
             n += ep->slots - ep->in_use;
         }
@@ -118,7 +122,7 @@
 AqRouterService_HasEndpoint(const AqRouter *router, const AqService *service)
 {
     for (guint i = 0; i < service->endpoints->len; i++) {
-        if (AqRouterEndpoint_TakesWork(
+        if (AqRouterEndpoint_AcceptsRequests(
                 router, g_ptr_array_index(service->endpoints, i))) {
             return true;
         }
@@ -127,13 +131,13 @@
 }
 
 void
-AqRouterService_NoteSlots(AqRouter *router, AqService *service, AqTime now)
+AqRouterService_UpdateNoSlots(AqRouter *router, AqService *service, AqTime now)
 {
     /* An ejected endpoint is no reason to wait here: it comes back by a
      * trial, which needs a waiting request. */
     for (guint i = 0; i < service->endpoints->len; i++) {
         const AqEndpoint *ep = g_ptr_array_index(service->endpoints, i);
-        if (AqRouterEndpoint_TakesWork(router, ep) && ep->slots > 0) {
+        if (AqRouterEndpoint_AcceptsRequests(router, ep) && ep->slots > 0) {
             service->no_slots_since = AQ_TIME_NEVER;
             return;
         }
--- a/packages/router/tests/sim.c
+++ b/packages/router/tests/sim.c
@@ -29,7 +29,7 @@
 /* Takes an idle connection, if there is any; each of them with the same
  * probability. */
 static void
-take_idle(Sim *sim, SimEndpoint *ep, bool *silent)
+use_idle_connection(Sim *sim, SimEndpoint *ep, bool *silent)
 {
     int n = ep->idle + ep->idle_silent;
     if (n == 0) {
@@ -40,7 +40,7 @@
 }
 
 static void
-plan(Sim *sim, SimEndpoint *ep, SimAttempt *attempt, bool fresh)
+plan_result(Sim *sim, SimEndpoint *ep, SimAttempt *attempt, bool fresh)
 {
     static const AqAttemptResult results[] = {
         AQ_ATTEMPT_ANSWERED, AQ_ATTEMPT_FAILED, AQ_ATTEMPT_REFUSED,
@@ -49,7 +49,7 @@
     bool silent = false;
     attempt->fresh = fresh;
     if (!fresh) {
-        take_idle(sim, ep, &silent);
+        use_idle_connection(sim, ep, &silent);
     }
     attempt->sent = ep->fault != SIM_NO_CONNECT;
     attempt->result = results[ep->fault];
@@ -73,7 +73,7 @@
 check_start(Sim *sim, const SimRequest *r, const SimEndpoint *ep)
 {
     sim->violations[SIM_SLOTS_EXCEEDED] += ep->in_use >= ep->slots;
-    sim->violations[SIM_STARTED_ON_LEAVING] += ep->out;
+    sim->violations[SIM_STARTED_ON_LEAVING] += ep->unavailable;
     sim->violations[SIM_STARTED_NOT_FRESH] += !sim->fresh;
     sim->violations[SIM_STARTED_UNCLAIMED] += !r->idempotent && !r->claimed;
     sim->violations[SIM_STARTED_AGAIN] += !r->idempotent && r->runs > 0;
@@ -88,29 +88,29 @@
     SimRequest *r = Sim_Request(sim, started->request);
     SimAttempt attempt = {.request = started->request,
                           .endpoint = at,
-                          .open = true,
+                          .in_flight = true,
                           .started = sim->now,
                           .timeout_at = started->timeout_at};
     check_start(sim, r, ep);
-    plan(sim, ep, &attempt, started->fresh_connection);
+    plan_result(sim, ep, &attempt, started->fresh_connection);
     ep->in_use++;
     ep->starts++;
-    if (ep->in_use > ep->most_in_use) {
-        ep->most_in_use = ep->in_use;
+    if (ep->in_use > ep->max_in_use) {
+        ep->max_in_use = ep->in_use;
     }
     r->starts++;
     g_array_append_val(sim->attempts, attempt);
-    g_array_append_val(sim->open, started->attempt);
+    g_array_append_val(sim->open_attempts, started->attempt);
 }
 
 static void
 close_attempt(Sim *sim, uint64_t number, bool ran)
 {
     SimAttempt *attempt = Sim_Attempt(sim, number);
-    attempt->open = false;
+    attempt->in_flight = false;
     sim->endpoints[attempt->endpoint].in_use--;
     Sim_Request(sim, attempt->request)->runs += ran;
-    remove_value(sim->open, number);
+    remove_value(sim->open_attempts, number);
 }
 
 static bool
@@ -127,7 +127,7 @@
 {
     Sim *sim = context;
     SimEndpoint *ep = &sim->endpoints[atoi(endpoint + 1)];
-    sim->closed_idle += ep->idle + ep->idle_silent;
+    sim->closed_idle_count += ep->idle + ep->idle_silent;
     ep->idle = 0;
     ep->idle_silent = 0;
 }
@@ -137,17 +137,17 @@
 {
     Sim *sim = context;
     SimRequest *r = Sim_Request(sim, request);
-    r->claim_open = true;
+    r->claim_pending = true;
     r->claim_due = sim->manual ? AQ_TIME_NEVER : sim->now + sim->claim_ms;
-    g_array_append_val(sim->claims, request);
+    g_array_append_val(sim->pending_claims, request);
 }
 
 static void
 forget_claim(void *context, uint64_t request)
 {
     Sim *sim = context;
-    Sim_Request(sim, request)->claim_open = false;
-    remove_value(sim->claims, request);
+    Sim_Request(sim, request)->claim_pending = false;
+    remove_value(sim->pending_claims, request);
 }
 
 static void
@@ -157,7 +157,7 @@
     SimRequest *r = Sim_Request(sim, request);
     sim->violations[SIM_FALSE_NOT_RUN] += r->runs > 0;
     r->claimed = false;
-    g_hash_table_remove(sim->keys, &r->key);
+    g_hash_table_remove(sim->claimed_keys, &r->key);
 }
 
 static void
@@ -193,9 +193,9 @@
     sim->config.disabled = disabled;
     sim->requests = g_array_new(FALSE, TRUE, sizeof(SimRequest));
     sim->attempts = g_array_new(FALSE, TRUE, sizeof(SimAttempt));
-    sim->open = g_array_new(FALSE, TRUE, sizeof(uint64_t));
-    sim->claims = g_array_new(FALSE, TRUE, sizeof(uint64_t));
-    sim->keys =
+    sim->open_attempts = g_array_new(FALSE, TRUE, sizeof(uint64_t));
+    sim->pending_claims = g_array_new(FALSE, TRUE, sizeof(uint64_t));
+    sim->claimed_keys =
         g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
 }
 
@@ -220,9 +220,9 @@
     AqRouter_Destroy(sim->router);
     g_array_free(sim->requests, TRUE);
     g_array_free(sim->attempts, TRUE);
-    g_array_free(sim->open, TRUE);
-    g_array_free(sim->claims, TRUE);
-    g_hash_table_destroy(sim->keys);
+    g_array_free(sim->open_attempts, TRUE);
+    g_array_free(sim->pending_claims, TRUE);
+    g_hash_table_destroy(sim->claimed_keys);
 }
 
 uint64_t
@@ -250,7 +250,7 @@
 Sim_SetLeaving(Sim *sim, int endpoint, bool leaving)
 {
     SimEndpoint *ep = &sim->endpoints[endpoint];
-    ep->out = leaving;
+    ep->unavailable = leaving;
     AqRouter_SetLeaving(sim->router, sim->now, ep->name, leaving);
 }
 
@@ -267,9 +267,9 @@
     SimEndpoint *ep = &sim->endpoints[endpoint];
     ep->idle_silent += ep->idle;
     ep->idle = 0;
-    for (guint i = 0; i < sim->open->len; i++) {
+    for (guint i = 0; i < sim->open_attempts->len; i++) {
         SimAttempt *attempt =
-            Sim_Attempt(sim, g_array_index(sim->open, uint64_t, i));
+            Sim_Attempt(sim, g_array_index(sim->open_attempts, uint64_t, i));
         if (attempt->endpoint == endpoint) {
             attempt->due = AQ_TIME_NEVER;
         }
@@ -293,13 +293,13 @@
 Sim_ReportClaim(Sim *sim, uint64_t request, AqRouterClaim result)
 {
     SimRequest *r = Sim_Request(sim, request);
-    r->claim_open = false;
-    remove_value(sim->claims, request);
+    r->claim_pending = false;
+    remove_value(sim->pending_claims, request);
     r->claimed = result == AQ_ROUTER_CLAIM_GRANTED;
     if (r->claimed) {
         uint64_t *key = g_new(uint64_t, 1);
         *key = r->key;
-        g_hash_table_add(sim->keys, key);
+        g_hash_table_add(sim->claimed_keys, key);
     }
     AqRouter_ClaimDone(sim->router, sim->now, request, result);
 }
@@ -311,15 +311,15 @@
     AqTime next = AQ_TIME_NEVER;
     *attempt = 0;
     *request = 0;
-    for (guint i = 0; i < sim->open->len; i++) {
-        uint64_t number = g_array_index(sim->open, uint64_t, i);
+    for (guint i = 0; i < sim->open_attempts->len; i++) {
+        uint64_t number = g_array_index(sim->open_attempts, uint64_t, i);
         if (Sim_Attempt(sim, number)->due < next) {
             next = Sim_Attempt(sim, number)->due;
             *attempt = number;
         }
     }
-    for (guint i = 0; i < sim->claims->len; i++) {
-        uint64_t number = g_array_index(sim->claims, uint64_t, i);
+    for (guint i = 0; i < sim->pending_claims->len; i++) {
+        uint64_t number = g_array_index(sim->pending_claims, uint64_t, i);
         if (Sim_Request(sim, number)->claim_due < next) {
             next = Sim_Request(sim, number)->claim_due;
             *request = number;
@@ -348,11 +348,11 @@
             Sim_Report(sim, attempt, Sim_Attempt(sim, attempt)->result);
         }
         else if (request != 0 && event <= sim->now) {
-            bool taken = g_hash_table_contains(
-                sim->keys, &Sim_Request(sim, request)->key);
+            bool is_claimed = g_hash_table_contains(
+                sim->claimed_keys, &Sim_Request(sim, request)->key);
             Sim_ReportClaim(sim, request,
-                            taken ? AQ_ROUTER_CLAIM_DUPLICATE
-                                  : AQ_ROUTER_CLAIM_GRANTED);
+                            is_claimed ? AQ_ROUTER_CLAIM_DUPLICATE
+                                       : AQ_ROUTER_CLAIM_GRANTED);
         }
         AqRouter_Tick(sim->router, sim->now);
     }
@@ -362,7 +362,7 @@
 Sim_Violations(const Sim *sim)
 {
     int n = 0;
-    for (int i = 0; i < SIM_RULES; i++) {
+    for (int i = 0; i < SIM_RULE_COUNT; i++) {
         n += sim->violations[i];
     }
     return n;
--- a/packages/router/tests/sim.h
+++ b/packages/router/tests/sim.h
@@ -11,7 +11,7 @@
  * what really ran, and counts violations of the router's rules. */
 
 enum {
-    SIM_ENDPOINTS = 12
+    SIM_MAX_ENDPOINTS = 12
 };
 
 typedef enum {
@@ -31,18 +31,18 @@
     SIM_STARTED_UNCLAIMED, /* non-idempotent, without a granted claim */
     SIM_STARTED_AGAIN,     /* non-idempotent, may have run before */
     SIM_FALSE_NOT_RUN,     /* told or released after bytes may have left */
-    SIM_RULES
+    SIM_RULE_COUNT
 } SimRule;
 
 typedef struct {
     char name[16];
     SimFault fault;
     double mean_ms;
-    bool fixed_time; /* every request takes mean_ms; else exponential */
-    bool out;        /* leaving or removed */
+    bool fixed_time;  /* every request takes mean_ms; else exponential */
+    bool unavailable; /* leaving or removed */
     int slots;
     int in_use;
-    int most_in_use;
+    int max_in_use;
     int starts;
     int idle;        /* idle connections that work */
     int idle_silent; /* idle connections that have gone silent */
@@ -51,7 +51,7 @@
 typedef struct {
     uint64_t request;
     int endpoint;
-    bool open;
+    bool in_flight;
     bool fresh; /* was asked to use a fresh connection */
     bool sent;  /* bytes of the request may have left */
     AqTime started;
@@ -71,7 +71,7 @@
     int starts;
     int runs; /* attempts that may have run */
     bool claimed;
-    bool claim_open;
+    bool claim_pending;
     AqTime claim_due;
 } SimRequest;
 
@@ -83,14 +83,14 @@
     bool manual; /* the test reports results and claims itself */
     bool fresh;
     AqTime claim_ms;
-    SimEndpoint endpoints[SIM_ENDPOINTS];
-    GArray *requests; /* SimRequest; number n is at n - 1 */
-    GArray *attempts; /* SimAttempt; likewise */
-    GArray *open;     /* uint64_t: attempts in flight */
-    GArray *claims;   /* uint64_t: requests that wait for a claim */
-    GHashTable *keys; /* claimed keys */
-    int closed_idle;
-    int violations[SIM_RULES];
+    SimEndpoint endpoints[SIM_MAX_ENDPOINTS];
+    GArray *requests;         /* SimRequest; number n is at n - 1 */
+    GArray *attempts;         /* SimAttempt; likewise */
+    GArray *open_attempts;    /* uint64_t: attempts in flight */
+    GArray *pending_claims;   /* uint64_t: requests that wait for a claim */
+    GHashTable *claimed_keys; /* claimed keys */
+    int closed_idle_count;
+    int violations[SIM_RULE_COUNT];
 } Sim;
 
 /* Creates the router with sim->config and "endpoints" working endpoints "e0",
--- a/packages/router/tests/test_ejection.c
+++ b/packages/router/tests/test_ejection.c
@@ -5,7 +5,7 @@
 
 /* Four endpoints, so that one may be ejected, of which only e0 has slots. */
 static void
-start_with_one(Sim *sim, unsigned disabled)
+start_with_one_usable(Sim *sim, unsigned disabled)
 {
     Sim_Init(sim, 1, disabled);
     Sim_Start(sim, 4, 0, 5);
@@ -14,9 +14,9 @@
 
 /* Sends one request to e0 for each letter: F fails, others succeed. */
 static void
-send_letters(Sim *sim, const char *letters)
+send_outcomes(Sim *sim, const char *outcomes)
 {
-    for (const char *at = letters; *at != '\0'; at++) {
+    for (const char *at = outcomes; *at != '\0'; at++) {
         sim->endpoints[0].fault = *at == 'F' ? SIM_FAIL : SIM_OK;
         Sim_Submit(sim, true, AQ_PRIORITY_LIVE, 10000, 0);
         Sim_Run(sim, 100);
@@ -29,7 +29,7 @@
 test_ejection_thresholds(void)
 {
     static const struct {
-        const char *letters;
+        const char *outcomes;
         bool ejected;
     } rows[] = {
         {"FFFF", false},
@@ -41,8 +41,8 @@
     };
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
         Sim sim;
-        start_with_one(&sim, AQ_ROUTER_DISABLE_RETRY);
-        send_letters(&sim, rows[i].letters);
+        start_with_one_usable(&sim, AQ_ROUTER_DISABLE_RETRY);
+        send_outcomes(&sim, rows[i].outcomes);
         CU_ASSERT_EQUAL(AqRouter_IsEjected(sim.router, "e0"), rows[i].ejected);
         Sim_Clear(&sim);
     }
@@ -50,7 +50,7 @@
 
 /* Runs until the next start on e0 and returns when it was. */
 static AqTime
-next_start_on_first(Sim *sim)
+run_until_next_start(Sim *sim)
 {
     int starts = sim->endpoints[0].starts;
     for (int i = 0; i < 10000 && sim->endpoints[0].starts == starts; i++) {
@@ -64,7 +64,7 @@
 run_until_ejected(Sim *sim)
 {
     for (int i = 0; i < 20 && !AqRouter_IsEjected(sim->router, "e0"); i++) {
-        next_start_on_first(sim);
+        run_until_next_start(sim);
     }
     CU_ASSERT_TRUE_FATAL(AqRouter_IsEjected(sim->router, "e0"));
 }
@@ -83,19 +83,19 @@
     run_until_ejected(&sim);
     AqTime last = sim.now;
     for (size_t i = 0; i < G_N_ELEMENTS(expected_ms); i++) {
-        AqTime next = next_start_on_first(&sim);
+        AqTime next = run_until_next_start(&sim);
         CU_ASSERT_TRUE(next - last >= expected_ms[i] - 20);
         CU_ASSERT_TRUE(next - last <= expected_ms[i] + 20);
         last = next;
     }
     sim.endpoints[0].fault = SIM_OK;
     for (int i = 0; i < 30; i++) {
-        next_start_on_first(&sim);
+        run_until_next_start(&sim);
     }
     sim.endpoints[0].fault = SIM_FAIL;
     run_until_ejected(&sim);
     last = sim.now;
-    CU_ASSERT_TRUE(next_start_on_first(&sim) - last <= 5020);
+    CU_ASSERT_TRUE(run_until_next_start(&sim) - last <= 5020);
     Sim_Clear(&sim);
 }
 
@@ -130,11 +130,11 @@
 /* Guards against failures in one service that count in another, to which the
  * VM was moved meanwhile. */
 void
-test_move_forgets_failures(void)
+test_move_resets_failures(void)
 {
     for (int moved = 0; moved <= 1; moved++) {
         Sim sim;
-        start_with_one(&sim, AQ_ROUTER_DISABLE_RETRY);
+        start_with_one_usable(&sim, AQ_ROUTER_DISABLE_RETRY);
         sim.manual = true;
         for (int i = 0; i < 5; i++) {
             Sim_Submit(&sim, true, AQ_PRIORITY_LIVE, 10000, 0);
@@ -205,10 +205,10 @@
 test_short_deadlines_eject_nothing(void)
 {
     Sim sim;
-    start_with_one(&sim, 0);
+    start_with_one_usable(&sim, 0);
     sim.endpoints[0].mean_ms = 200;
     sim.endpoints[0].fixed_time = true;
-    send_letters(&sim, "SSSSSSSSSS");
+    send_outcomes(&sim, "SSSSSSSSSS");
     Sim_Run(&sim, 1000);
     for (int i = 0; i < 10; i++) {
         Sim_Submit(&sim, true, AQ_PRIORITY_LIVE, 20, 0);
@@ -221,7 +221,7 @@
 /* Guards against an endpoint that was slow once and gets nothing at low load
  * from then on. */
 void
-test_old_mean_is_not_relied_on(void)
+test_old_mean_expires(void)
 {
     Sim sim;
     Sim_Init(&sim, 1, AQ_ROUTER_DISABLE_EJECTION);
--- a/packages/router/tests/test_mechanisms.c
+++ b/packages/router/tests/test_mechanisms.c
@@ -25,7 +25,7 @@
 /* Guards against holding a request back until near its deadline when it
  * could have been refused at once with the expected wait. */
 static bool
-hopeless_is_refused_at_once(Sim *sim)
+unmeetable_deadline_is_refused_at_once(Sim *sim)
 {
     Sim_Start(sim, 1, 1, 100);
     sim->endpoints[0].fixed_time = true;
@@ -46,7 +46,7 @@
 /* Guards against live requests that wait behind the archive, and against an
  * archive that starves. */
 static bool
-live_goes_first(Sim *sim)
+live_starts_first(Sim *sim)
 {
     Sim_Start(sim, 1, 1, 10);
     for (int i = 0; i < 80; i++) {
@@ -80,7 +80,7 @@
 
 /* Guards against a second run of one request id. */
 static bool
-repeat_is_not_run(Sim *sim)
+duplicate_is_not_run(Sim *sim)
 {
     Sim_Start(sim, 2, 8, 20);
     for (int i = 0; i < 2; i++) {
@@ -95,7 +95,7 @@
 
 /* Guards against idempotent requests that are lost with one endpoint. */
 static bool
-cut_is_retried(Sim *sim)
+closed_connection_is_retried(Sim *sim)
 {
     Sim_Start(sim, 4, 8, 20);
     sim->endpoints[0].fault = SIM_CUT;
@@ -122,7 +122,7 @@
 
 /* Guards against "not run" for a request whose bytes may have left. */
 static bool
-not_run_is_true(Sim *sim)
+not_run_is_never_false(Sim *sim)
 {
     Sim_Start(sim, 1, 8, 20);
     sim->endpoints[0].fault = SIM_CUT;
@@ -177,7 +177,7 @@
 
 /* Guards against an endpoint that fails fast and thereby attracts load. */
 static bool
-failing_endpoint_is_set_aside(Sim *sim)
+failing_endpoint_is_ejected(Sim *sim)
 {
     Sim_Start(sim, 10, 1, 20);
     sim->endpoints[0].fault = SIM_FAIL;
@@ -192,7 +192,7 @@
 /* Guards against work for an endpoint whose health check fails, and against a
  * trial before the check passes again. */
 static bool
-unhealthy_endpoint_is_set_aside(Sim *sim)
+unhealthy_endpoint_is_ejected(Sim *sim)
 {
     Sim_Start(sim, 4, 8, 20);
     for (int i = 0; i < 5; i++) {
@@ -234,7 +234,7 @@
 /* Guards against an endpoint that comes back with all its slots although it
  * is still dead. */
 static bool
-return_is_by_one_trial(Sim *sim)
+ejected_endpoint_returns_by_one_trial(Sim *sim)
 {
     Sim_Start(sim, 4, 4, 50);
     sim->endpoints[0].fault = SIM_DEAD;
@@ -243,19 +243,19 @@
         Sim_Run(sim, 4);
     }
     Sim_Run(sim, 3000);
-    sim->endpoints[0].most_in_use = 0;
+    sim->endpoints[0].max_in_use = 0;
     int starts = sim->endpoints[0].starts;
     for (int i = 0; i < 2000; i++) {
         Sim_Submit(sim, true, AQ_PRIORITY_LIVE, 4000, 0);
         Sim_Run(sim, 4);
     }
     return sim->endpoints[0].starts > starts &&
-           sim->endpoints[0].most_in_use == 1;
+           sim->endpoints[0].max_in_use == 1;
 }
 
 /* Guards against requests that wait on a connection that has gone silent. */
 static bool
-silent_connections_are_found(Sim *sim)
+silent_connections_are_detected(Sim *sim)
 {
     Sim_Start(sim, 4, 8, 20);
     for (int i = 0; i < 1000; i++) {
@@ -272,7 +272,7 @@
 /* Guards against new work on a VM that drains, and against cutting off the
  * work that it has. */
 static bool
-leaving_gets_nothing_new(Sim *sim)
+leaving_endpoint_gets_no_new_requests(Sim *sim)
 {
     Sim_Start(sim, 2, 8, 50);
     for (int i = 0; i < 300; i++) {
@@ -307,7 +307,7 @@
 /* Guards against taking requests while the daemon stops, and against losing
  * those that it took. */
 static bool
-stop_finishes_what_was_taken(Sim *sim)
+stop_finishes_accepted_requests(Sim *sim)
 {
     Sim_Start(sim, 1, 1, 20);
     for (int i = 0; i < 10; i++) {
@@ -327,26 +327,29 @@
     bool (*holds)(Sim *sim);
 } scenarios[] = {
     {"queue limit", AQ_ROUTER_DISABLE_QUEUE_LIMIT, 0, queue_is_bounded},
-    {"admission", AQ_ROUTER_DISABLE_ADMISSION, 0, hopeless_is_refused_at_once},
-    {"priority", AQ_ROUTER_DISABLE_PRIORITY, 0, live_goes_first},
+    {"admission", AQ_ROUTER_DISABLE_ADMISSION, 0,
+     unmeetable_deadline_is_refused_at_once},
+    {"priority", AQ_ROUTER_DISABLE_PRIORITY, 0, live_starts_first},
     {"load choice", AQ_ROUTER_DISABLE_LOAD_CHOICE, AQ_ROUTER_DISABLE_EJECTION,
      slow_endpoint_gets_less},
-    {"claim", AQ_ROUTER_DISABLE_CLAIM, 0, repeat_is_not_run},
-    {"retry", AQ_ROUTER_DISABLE_RETRY, 0, cut_is_retried},
+    {"claim", AQ_ROUTER_DISABLE_CLAIM, 0, duplicate_is_not_run},
+    {"retry", AQ_ROUTER_DISABLE_RETRY, 0, closed_connection_is_retried},
     {"retry rule", AQ_ROUTER_DISABLE_RETRY_RULE, 0,
      non_idempotent_is_not_retried},
-    {"run mark", AQ_ROUTER_DISABLE_RUN_MARK, 0, not_run_is_true},
+    {"run mark", AQ_ROUTER_DISABLE_RUN_MARK, 0, not_run_is_never_false},
     {"retry budget", AQ_ROUTER_DISABLE_RETRY_BUDGET, 0, retries_are_bounded},
     {"jitter", AQ_ROUTER_DISABLE_JITTER, 0, retries_are_spread},
-    {"ejection", AQ_ROUTER_DISABLE_EJECTION, 0, failing_endpoint_is_set_aside},
-    {"health", AQ_ROUTER_DISABLE_EJECTION, 0, unhealthy_endpoint_is_set_aside},
+    {"ejection", AQ_ROUTER_DISABLE_EJECTION, 0, failing_endpoint_is_ejected},
+    {"health", AQ_ROUTER_DISABLE_EJECTION, 0, unhealthy_endpoint_is_ejected},
     {"share", AQ_ROUTER_DISABLE_EJECTION_SHARE, 0, ejected_share_is_bounded},
-    {"trial", AQ_ROUTER_DISABLE_TRIAL, 0, return_is_by_one_trial},
+    {"trial", AQ_ROUTER_DISABLE_TRIAL, 0,
+     ejected_endpoint_returns_by_one_trial},
     {"silent", AQ_ROUTER_DISABLE_SILENT, AQ_ROUTER_DISABLE_EJECTION,
-     silent_connections_are_found},
-    {"leaving", AQ_ROUTER_DISABLE_LEAVING, 0, leaving_gets_nothing_new},
+     silent_connections_are_detected},
+    {"leaving", AQ_ROUTER_DISABLE_LEAVING, 0,
+     leaving_endpoint_gets_no_new_requests},
     {"freshness", AQ_ROUTER_DISABLE_FRESHNESS, 0, not_fresh_starts_nothing},
-    {"stop", AQ_ROUTER_DISABLE_STOP, 0, stop_finishes_what_was_taken},
+    {"stop", AQ_ROUTER_DISABLE_STOP, 0, stop_finishes_accepted_requests},
 };
 
 static bool
--- a/packages/router/tests/test_outcomes.c
+++ b/packages/router/tests/test_outcomes.c
@@ -11,7 +11,7 @@
     SENT,       /* an attempt runs, bytes may have left */
     BACKOFF,    /* after an attempt that did not run */
     BACKOFF_CUT /* after an attempt that may have run */
-} Moment;
+} RequestStage;
 
 typedef enum {
     NOT_SENT = AQ_ATTEMPT_NOT_SENT, /* reported by the attempt */
@@ -25,8 +25,8 @@
     LEAVING, /* all endpoints */
     REMOVED, /* all endpoints */
     STOPPED,
-    CLAIM_TAKEN,
-    CLAIM_DOWN
+    CLAIM_DUPLICATE,
+    CLAIM_UNAVAILABLE
 } Fault;
 
 enum {
@@ -34,11 +34,11 @@
     NOT_RUN = AQ_OUTCOME_NOT_RUN,
     UNKNOWN = AQ_OUTCOME_UNKNOWN,
     IDEMPOTENT = 1,
-    ONCE = 0 /* non-idempotent */
+    NON_IDEMPOTENT = 0 /* non-idempotent */
 };
 
 static const struct {
-    Moment moment;
+    RequestStage stage;
     Fault fault;
     int idempotent;
     int kind;
@@ -46,56 +46,58 @@
     int starts;
     int runs; /* attempts that may have run */
 } cases[] = {
-    {CLAIMING, CLAIM_TAKEN, ONCE, UNKNOWN, AQ_REASON_DUPLICATE, 0, 0},
-    {CLAIMING, CLAIM_DOWN, ONCE, NOT_RUN, AQ_REASON_CLAIM_STORE, 0, 0},
-    {CLAIMING, NO_REPLY, ONCE, NOT_RUN, AQ_REASON_DEADLINE, 0, 0},
-    {CLAIMING, CANCELLED, ONCE, NOT_RUN, AQ_REASON_NONE, 0, 0},
-    {CLAIMING, NOT_FRESH, ONCE, NOT_RUN, AQ_REASON_NOT_FRESH, 0, 0},
-    {CLAIMING, LEAVING, ONCE, NOT_RUN, AQ_REASON_NO_ENDPOINT, 0, 0},
-    {CLAIMING, REMOVED, ONCE, NOT_RUN, AQ_REASON_NO_ENDPOINT, 0, 0},
-    {CLAIMING, STOPPED, ONCE, COMPLETED, AQ_REASON_NONE, 1, 1},
+    {CLAIMING, CLAIM_DUPLICATE, NON_IDEMPOTENT, UNKNOWN, AQ_REASON_DUPLICATE,
+     0, 0},
+    {CLAIMING, CLAIM_UNAVAILABLE, NON_IDEMPOTENT, NOT_RUN,
+     AQ_REASON_CLAIM_STORE, 0, 0},
+    {CLAIMING, NO_REPLY, NON_IDEMPOTENT, NOT_RUN, AQ_REASON_DEADLINE, 0, 0},
+    {CLAIMING, CANCELLED, NON_IDEMPOTENT, NOT_RUN, AQ_REASON_NONE, 0, 0},
+    {CLAIMING, NOT_FRESH, NON_IDEMPOTENT, NOT_RUN, AQ_REASON_NOT_FRESH, 0, 0},
+    {CLAIMING, LEAVING, NON_IDEMPOTENT, NOT_RUN, AQ_REASON_NO_ENDPOINT, 0, 0},
+    {CLAIMING, REMOVED, NON_IDEMPOTENT, NOT_RUN, AQ_REASON_NO_ENDPOINT, 0, 0},
+    {CLAIMING, STOPPED, NON_IDEMPOTENT, COMPLETED, AQ_REASON_NONE, 1, 1},
 
     {QUEUED, NO_REPLY, IDEMPOTENT, NOT_RUN, AQ_REASON_NO_ENDPOINT, 0, 0},
-    {QUEUED, NO_REPLY, ONCE, NOT_RUN, AQ_REASON_NO_ENDPOINT, 0, 0},
+    {QUEUED, NO_REPLY, NON_IDEMPOTENT, NOT_RUN, AQ_REASON_NO_ENDPOINT, 0, 0},
     {QUEUED, CANCELLED, IDEMPOTENT, NOT_RUN, AQ_REASON_NONE, 0, 0},
-    {QUEUED, CANCELLED, ONCE, NOT_RUN, AQ_REASON_NONE, 0, 0},
+    {QUEUED, CANCELLED, NON_IDEMPOTENT, NOT_RUN, AQ_REASON_NONE, 0, 0},
     {QUEUED, NOT_FRESH, IDEMPOTENT, NOT_RUN, AQ_REASON_NOT_FRESH, 0, 0},
-    {QUEUED, NOT_FRESH, ONCE, NOT_RUN, AQ_REASON_NOT_FRESH, 0, 0},
+    {QUEUED, NOT_FRESH, NON_IDEMPOTENT, NOT_RUN, AQ_REASON_NOT_FRESH, 0, 0},
     {QUEUED, LEAVING, IDEMPOTENT, NOT_RUN, AQ_REASON_NO_ENDPOINT, 0, 0},
-    {QUEUED, REMOVED, ONCE, NOT_RUN, AQ_REASON_NO_ENDPOINT, 0, 0},
+    {QUEUED, REMOVED, NON_IDEMPOTENT, NOT_RUN, AQ_REASON_NO_ENDPOINT, 0, 0},
 
     {CONNECTING, NOT_SENT, IDEMPOTENT, COMPLETED, AQ_REASON_NONE, 2, 1},
-    {CONNECTING, NOT_SENT, ONCE, COMPLETED, AQ_REASON_NONE, 2, 1},
+    {CONNECTING, NOT_SENT, NON_IDEMPOTENT, COMPLETED, AQ_REASON_NONE, 2, 1},
     {CONNECTING, NO_REPLY, IDEMPOTENT, COMPLETED, AQ_REASON_NONE, 2, 1},
-    {CONNECTING, NO_REPLY, ONCE, NOT_RUN, AQ_REASON_DEADLINE, 1, 0},
+    {CONNECTING, NO_REPLY, NON_IDEMPOTENT, NOT_RUN, AQ_REASON_DEADLINE, 1, 0},
     {CONNECTING, CANCELLED, IDEMPOTENT, NOT_RUN, AQ_REASON_NONE, 1, 0},
-    {CONNECTING, CANCELLED, ONCE, NOT_RUN, AQ_REASON_NONE, 1, 0},
-    {CONNECTING, NOT_FRESH, ONCE, COMPLETED, AQ_REASON_NONE, 1, 1},
-    {CONNECTING, LEAVING, ONCE, COMPLETED, AQ_REASON_NONE, 1, 1},
+    {CONNECTING, CANCELLED, NON_IDEMPOTENT, NOT_RUN, AQ_REASON_NONE, 1, 0},
+    {CONNECTING, NOT_FRESH, NON_IDEMPOTENT, COMPLETED, AQ_REASON_NONE, 1, 1},
+    {CONNECTING, LEAVING, NON_IDEMPOTENT, COMPLETED, AQ_REASON_NONE, 1, 1},
 
     {SENT, REFUSED, IDEMPOTENT, COMPLETED, AQ_REASON_NONE, 2, 1},
-    {SENT, REFUSED, ONCE, COMPLETED, AQ_REASON_NONE, 2, 1},
+    {SENT, REFUSED, NON_IDEMPOTENT, COMPLETED, AQ_REASON_NONE, 2, 1},
     {SENT, FAILED, IDEMPOTENT, COMPLETED, AQ_REASON_NONE, 2, 2},
-    {SENT, FAILED, ONCE, COMPLETED, AQ_REASON_NONE, 1, 1},
+    {SENT, FAILED, NON_IDEMPOTENT, COMPLETED, AQ_REASON_NONE, 1, 1},
     {SENT, CUT, IDEMPOTENT, COMPLETED, AQ_REASON_NONE, 2, 2},
-    {SENT, CUT, ONCE, UNKNOWN, AQ_REASON_CUT, 1, 1},
+    {SENT, CUT, NON_IDEMPOTENT, UNKNOWN, AQ_REASON_CUT, 1, 1},
     {SENT, TOO_LARGE, IDEMPOTENT, UNKNOWN, AQ_REASON_TOO_LARGE, 1, 1},
-    {SENT, TOO_LARGE, ONCE, UNKNOWN, AQ_REASON_TOO_LARGE, 1, 1},
+    {SENT, TOO_LARGE, NON_IDEMPOTENT, UNKNOWN, AQ_REASON_TOO_LARGE, 1, 1},
     {SENT, NO_REPLY, IDEMPOTENT, COMPLETED, AQ_REASON_NONE, 2, 2},
-    {SENT, NO_REPLY, ONCE, UNKNOWN, AQ_REASON_DEADLINE, 1, 1},
+    {SENT, NO_REPLY, NON_IDEMPOTENT, UNKNOWN, AQ_REASON_DEADLINE, 1, 1},
     {SENT, CANCELLED, IDEMPOTENT, UNKNOWN, AQ_REASON_NONE, 1, 1},
-    {SENT, CANCELLED, ONCE, UNKNOWN, AQ_REASON_NONE, 1, 1},
+    {SENT, CANCELLED, NON_IDEMPOTENT, UNKNOWN, AQ_REASON_NONE, 1, 1},
     {SENT, NOT_FRESH, IDEMPOTENT, COMPLETED, AQ_REASON_NONE, 1, 1},
-    {SENT, NOT_FRESH, ONCE, COMPLETED, AQ_REASON_NONE, 1, 1},
+    {SENT, NOT_FRESH, NON_IDEMPOTENT, COMPLETED, AQ_REASON_NONE, 1, 1},
     {SENT, LEAVING, IDEMPOTENT, COMPLETED, AQ_REASON_NONE, 1, 1},
-    {SENT, REMOVED, ONCE, COMPLETED, AQ_REASON_NONE, 1, 1},
-    {SENT, STOPPED, ONCE, COMPLETED, AQ_REASON_NONE, 1, 1},
+    {SENT, REMOVED, NON_IDEMPOTENT, COMPLETED, AQ_REASON_NONE, 1, 1},
+    {SENT, STOPPED, NON_IDEMPOTENT, COMPLETED, AQ_REASON_NONE, 1, 1},
 
     {BACKOFF, CANCELLED, IDEMPOTENT, NOT_RUN, AQ_REASON_NONE, 1, 0},
-    {BACKOFF, CANCELLED, ONCE, NOT_RUN, AQ_REASON_NONE, 1, 0},
-    {BACKOFF, NOT_FRESH, ONCE, NOT_RUN, AQ_REASON_NOT_FRESH, 1, 0},
-    {BACKOFF, LEAVING, ONCE, NOT_RUN, AQ_REASON_NO_ENDPOINT, 1, 0},
-    {BACKOFF, STOPPED, ONCE, COMPLETED, AQ_REASON_NONE, 2, 1},
+    {BACKOFF, CANCELLED, NON_IDEMPOTENT, NOT_RUN, AQ_REASON_NONE, 1, 0},
+    {BACKOFF, NOT_FRESH, NON_IDEMPOTENT, NOT_RUN, AQ_REASON_NOT_FRESH, 1, 0},
+    {BACKOFF, LEAVING, NON_IDEMPOTENT, NOT_RUN, AQ_REASON_NO_ENDPOINT, 1, 0},
+    {BACKOFF, STOPPED, NON_IDEMPOTENT, COMPLETED, AQ_REASON_NONE, 2, 1},
     {BACKOFF_CUT, CANCELLED, IDEMPOTENT, UNKNOWN, AQ_REASON_CUT, 1, 1},
     {BACKOFF_CUT, NOT_FRESH, IDEMPOTENT, UNKNOWN, AQ_REASON_CUT, 1, 1},
     {BACKOFF_CUT, LEAVING, IDEMPOTENT, UNKNOWN, AQ_REASON_CUT, 1, 1},
@@ -103,31 +105,31 @@
 };
 
 static void
-reach(Sim *sim, Moment moment, bool idempotent)
+advance_to_stage(Sim *sim, RequestStage stage, bool idempotent)
 {
-    Sim_Start(sim, 2, moment == QUEUED ? 0 : 1, 20);
+    Sim_Start(sim, 2, stage == QUEUED ? 0 : 1, 20);
     Sim_Submit(sim, idempotent, AQ_PRIORITY_LIVE, 2000, 1);
     Sim_Run(sim, 1);
-    if (moment == CLAIMING) {
+    if (stage == CLAIMING) {
         return;
     }
     if (!idempotent) {
         Sim_ReportClaim(sim, 1, AQ_ROUTER_CLAIM_GRANTED);
         Sim_Run(sim, 1);
     }
-    if (moment == QUEUED) {
+    if (stage == QUEUED) {
         return;
     }
-    Sim_Attempt(sim, 1)->sent = moment == SENT || moment == BACKOFF_CUT;
-    if (moment == BACKOFF || moment == BACKOFF_CUT) {
+    Sim_Attempt(sim, 1)->sent = stage == SENT || stage == BACKOFF_CUT;
+    if (stage == BACKOFF || stage == BACKOFF_CUT) {
         Sim_Report(sim, 1,
-                   moment == BACKOFF ? AQ_ATTEMPT_NOT_SENT : AQ_ATTEMPT_CUT);
+                   stage == BACKOFF ? AQ_ATTEMPT_NOT_SENT : AQ_ATTEMPT_CUT);
         Sim_Run(sim, 1);
     }
 }
 
 static void
-apply(Sim *sim, Fault fault)
+inject_fault(Sim *sim, Fault fault)
 {
     switch (fault) {
     case NO_REPLY:
@@ -149,10 +151,10 @@
     case STOPPED:
         AqRouter_Stop(sim->router, sim->now);
         break;
-    case CLAIM_TAKEN:
+    case CLAIM_DUPLICATE:
         Sim_ReportClaim(sim, 1, AQ_ROUTER_CLAIM_DUPLICATE);
         break;
-    case CLAIM_DOWN:
+    case CLAIM_UNAVAILABLE:
         Sim_ReportClaim(sim, 1, AQ_ROUTER_CLAIM_UNAVAILABLE);
         break;
     default:
@@ -162,15 +164,15 @@
 
 /* Answers everything from here on, other than what the fault keeps back. */
 static void
-run_to_the_end(Sim *sim, Fault fault)
+run_to_completion(Sim *sim, Fault fault)
 {
     for (int i = 0; i < 200; i++) {
         Sim_Run(sim, 25);
-        if (sim->claims->len > 0 && fault != NO_REPLY) {
+        if (sim->pending_claims->len > 0 && fault != NO_REPLY) {
             Sim_ReportClaim(sim, 1, AQ_ROUTER_CLAIM_GRANTED);
         }
-        if (sim->open->len > 0) {
-            uint64_t attempt = g_array_index(sim->open, uint64_t, 0);
+        if (sim->open_attempts->len > 0) {
+            uint64_t attempt = g_array_index(sim->open_attempts, uint64_t, 0);
             if (attempt > 1 || fault != NO_REPLY) {
                 Sim_Report(sim, attempt, AQ_ATTEMPT_ANSWERED);
             }
@@ -179,7 +181,7 @@
 }
 
 /* Guards against a false answer to the caller, and against a second run, for
- * each fault in each moment of a request's life. */
+ * each fault in each stage of a request's life. */
 void
 test_outcomes(void)
 {
@@ -187,9 +189,9 @@
         Sim sim;
         Sim_Init(&sim, i, AQ_ROUTER_DISABLE_JITTER);
         sim.manual = true;
-        reach(&sim, cases[i].moment, cases[i].idempotent);
-        apply(&sim, cases[i].fault);
-        run_to_the_end(&sim, cases[i].fault);
+        advance_to_stage(&sim, cases[i].stage, cases[i].idempotent);
+        inject_fault(&sim, cases[i].fault);
+        run_to_completion(&sim, cases[i].fault);
         const SimRequest *r = Sim_Request(&sim, 1);
         bool ok = r->finishes == 1 && (int)r->outcome.kind == cases[i].kind &&
                   (int)r->outcome.reason == cases[i].reason &&
@@ -198,11 +200,11 @@
                   r->claimed == (!cases[i].idempotent && r->runs > 0);
         CU_ASSERT_TRUE(ok);
         if (!ok) {
-            printf("\ncase %d (moment %d, fault %d, idempotent %d): "
+            printf("\ncase %d (stage %d, fault %d, idempotent %d): "
                    "finishes %d, kind %d, reason %d, starts %d, runs %d",
-                   (int)i, cases[i].moment, cases[i].fault,
-                   cases[i].idempotent, r->finishes, r->outcome.kind,
-                   r->outcome.reason, r->starts, r->runs);
+                   (int)i, cases[i].stage, cases[i].fault, cases[i].idempotent,
+                   r->finishes, r->outcome.kind, r->outcome.reason, r->starts,
+                   r->runs);
         }
         Sim_Clear(&sim);
     }
@@ -291,7 +293,7 @@
 /* Guards against requests that wait for slots which were taken away, until
  * near their deadline. */
 void
-test_lost_slots_refuse_at_once(void)
+test_lost_slots_fail_queued_requests(void)
 {
     Sim sim;
     Sim_Init(&sim, 1, 0);
@@ -367,8 +369,8 @@
     Sim sim;
     Sim_Init(&sim, 1, 0);
     sim.manual = true;
-    reach(&sim, SENT, true);
-    apply(&sim, LEAVING);
+    advance_to_stage(&sim, SENT, true);
+    inject_fault(&sim, LEAVING);
     AqTime now = sim.now;
     Sim_Report(&sim, 1, AQ_ATTEMPT_CUT);
     Sim_Run(&sim, 1000);
--- a/packages/router/tests/test_random.c
+++ b/packages/router/tests/test_random.c
@@ -42,7 +42,7 @@
     SimEndpoint *ep = &sim->endpoints[e];
     switch (below(sim, 5)) {
     case 0:
-        ep->out = true;
+        ep->unavailable = true;
         AqRouter_RemoveEndpoint(sim->router, sim->now, ep->name);
         break;
     case 1:
@@ -82,12 +82,12 @@
                    below(sim, 2) ? AQ_PRIORITY_LIVE : AQ_PRIORITY_ARCHIVE,
                    timeout, below(sim, 1000));
     }
-    else if (action < 55 && sim->open->len > 0) {
-        uint64_t attempt = any_of(sim, sim->open);
+    else if (action < 55 && sim->open_attempts->len > 0) {
+        uint64_t attempt = any_of(sim, sim->open_attempts);
         Sim_Report(sim, attempt, any_result(sim, attempt));
     }
-    else if (action < 70 && sim->claims->len > 0) {
-        Sim_ReportClaim(sim, any_of(sim, sim->claims),
+    else if (action < 70 && sim->pending_claims->len > 0) {
+        Sim_ReportClaim(sim, any_of(sim, sim->pending_claims),
                         below(sim, 3) > 0 ? AQ_ROUTER_CLAIM_GRANTED
                                           : (AqRouterClaim)below(sim, 3));
     }
@@ -121,12 +121,13 @@
 {
     for (int i = 0; i < 100; i++) {
         Sim_Run(sim, 100);
-        while (sim->claims->len > 0) {
-            Sim_ReportClaim(sim, any_of(sim, sim->claims),
+        while (sim->pending_claims->len > 0) {
+            Sim_ReportClaim(sim, any_of(sim, sim->pending_claims),
                             AQ_ROUTER_CLAIM_UNAVAILABLE);
         }
-        while (sim->open->len > 0) {
-            Sim_Report(sim, any_of(sim, sim->open), AQ_ATTEMPT_ANSWERED);
+        while (sim->open_attempts->len > 0) {
+            Sim_Report(sim, any_of(sim, sim->open_attempts),
+                       AQ_ATTEMPT_ANSWERED);
         }
     }
     int n = 0;
@@ -147,7 +148,7 @@
     /* More retries and trials than with the defaults. */
     sim.config.queue_limit = 20;
     sim.config.retry_burst = 40;
-    sim.config.eject_ms = 500;
+    sim.config.eject_initial_ms = 500;
     Sim_Start(&sim, ENDPOINTS, 2, 20);
     bool ok = true;
     for (int i = 0; i < STEPS && ok; i++) {
@@ -161,7 +162,7 @@
     if (!ok && disabled == 0) {
         printf("\nseed %d: %s; %d unfinished; violations", (int)seed,
                error.message, unfinished);
-        for (int i = 0; i < SIM_RULES; i++) {
+        for (int i = 0; i < SIM_RULE_COUNT; i++) {
             printf(" %d", sim.violations[i]);
         }
     }
--- a/packages/router/tests/test_router.c
+++ b/packages/router/tests/test_router.c
@@ -15,14 +15,14 @@
     CU_ADD_TEST(suite, test_ejection_thresholds);
     CU_ADD_TEST(suite, test_ejection_time_doubles);
     CU_ADD_TEST(suite, test_trial_of_non_idempotent);
-    CU_ADD_TEST(suite, test_move_forgets_failures);
+    CU_ADD_TEST(suite, test_move_resets_failures);
     CU_ADD_TEST(suite, test_failing_is_not_preferred);
     CU_ADD_TEST(suite, test_backoff);
-    CU_ADD_TEST(suite, test_lost_slots_refuse_at_once);
+    CU_ADD_TEST(suite, test_lost_slots_fail_queued_requests);
     CU_ADD_TEST(suite, test_admission_margin);
     CU_ADD_TEST(suite, test_timeout_closes_idle);
     CU_ADD_TEST(suite, test_short_deadlines_eject_nothing);
-    CU_ADD_TEST(suite, test_old_mean_is_not_relied_on);
+    CU_ADD_TEST(suite, test_old_mean_expires);
     CU_ADD_TEST(suite, test_no_retry_without_endpoint);
     CU_ADD_TEST(suite, test_archive_does_not_delay_live);
     CU_ADD_TEST(suite, test_random_calls);
--- a/packages/router/timers.c
+++ b/packages/router/timers.c
@@ -20,7 +20,7 @@
 sift_up(AqRouter *router, AqRouterRequest *r)
 {
     size_t i = r->timer_index;
-    while (i > 0 && at(router, (i - 1) / 2)->wake > r->wake) {
+    while (i > 0 && at(router, (i - 1) / 2)->timer_at > r->timer_at) {
         place(router, at(router, (i - 1) / 2), i);
         i = (i - 1) / 2;
     }
@@ -34,10 +34,10 @@
     size_t i = r->timer_index;
     for (size_t child = 2 * i + 1; child < n; child = 2 * i + 1) {
         if (child + 1 < n &&
-            at(router, child + 1)->wake < at(router, child)->wake) {
+            at(router, child + 1)->timer_at < at(router, child)->timer_at) {
             child++;
         }
-        if (at(router, child)->wake >= r->wake) {
+        if (at(router, child)->timer_at >= r->timer_at) {
             break;
         }
         place(router, at(router, child), i);
@@ -47,9 +47,9 @@
 }
 
 void
-AqRouterTimers_Set(AqRouter *router, AqRouterRequest *r, AqTime wake)
+AqRouterTimers_Set(AqRouter *router, AqRouterRequest *r, AqTime timer_at)
 {
-    r->wake = wake;
+    r->timer_at = timer_at;
     if (r->timer_index == SIZE_MAX) {
         r->timer_index = router->timers->len;
         g_ptr_array_add(router->timers, r);
