--- a/packages/router/Include/aq_router.h
+++ b/packages/router/Include/aq_router.h
@@ -40,7 +40,7 @@
     AQ_REASON_DEADLINE,    /* it has passed, or the expected wait exceeds it */
     AQ_REASON_NO_ENDPOINT, /* none with slots, or no connection was made */
     AQ_REASON_NO_SERVICE,  /* the service name is unknown */
-    AQ_REASON_NOT_FRESH,   /* see AqRouter_SetFresh */
+    AQ_REASON_NOT_FRESH,   /* the configuration may be out of date */
     AQ_REASON_CLAIM_STORE, /* the claim could not be written */
     AQ_REASON_DUPLICATE,   /* the request id was claimed before */
     AQ_REASON_CUT,         /* the connection closed after sending */
@@ -136,8 +136,7 @@
      * the first value and doubles with each retry up to the second. */
     AqTime backoff_initial_ms;
     AqTime backoff_max_ms;
-    /* While both priorities wait, one start in this many goes to the archive.
-     */
+    /* While both priorities wait, one start in this many is of the archive. */
     int archive_start_interval;
     /* Percentage of a service's endpoints that may be ejected at a time. */
     int max_ejected_percent;
--- a/packages/router/attempt.c
+++ b/packages/router/attempt.c
@@ -1,7 +1,7 @@
 #include "router_private.h"
 
-/* Longest time that an attempt on an open connection may take before the
- * connection counts as silent (design page, section 5.3). */
+/* Returns how long, in ms, an attempt may go without a response before its
+ * connection is assumed to be dead (design page, section 5.3). */
 static AqTime
 max_silence_ms(const AqService *service)
 {
@@ -9,6 +9,9 @@
     return ms > AQ_ATTEMPT_TIMEOUT_MIN_MS ? ms : AQ_ATTEMPT_TIMEOUT_MIN_MS;
 }
 
+/* Returns when an attempt that starts now times out.  Only idempotent requests
+ * time out before their deadline, since they can be retried: after half of the
+ * remaining time at the latest. */
 static AqTime
 timeout_at(const AqRouter *router, AqTime now, const AqRouterRequest *r)
 {
@@ -33,8 +36,8 @@
     r->endpoint = ep;
     r->started_at = now;
     r->tried[r->attempts % AQ_TRIED_MAX] = ep->number;
-    /* A retry does not rely on idle connections either: the one before may
-     * have failed because of them. */
+    /* A non-idempotent request cannot be retried after a dead connection, and
+     * the attempt before a retry may have failed because of one. */
     r->fresh_connection = (!r->idempotent || r->attempts > 0) &&
                           AqRouter_IsEnabled(router, AQ_ROUTER_DISABLE_SILENT);
     router->stats.attempts++;
@@ -53,8 +56,7 @@
     router->ops.start_attempt(router->context, &attempt);
 }
 
-/* Ends the attempt in flight and frees its slot; the request has none then.
- */
+/* Removes the attempt in flight from the request and releases its slot. */
 static void
 end_attempt(AqRouter *router, AqRouterRequest *r)
 {
@@ -81,8 +83,8 @@
     return not_sent;
 }
 
-/* Whether the endpoint is still the one that the attempt started on: neither
- * removed nor moved to another service since. */
+/* Whether the attempt's endpoint has neither been removed nor been moved to
+ * another service since the attempt started. */
 static bool
 is_same_endpoint(const AqRouterRequest *r)
 {
@@ -90,6 +92,7 @@
            r->tried[(r->attempts - 1) % AQ_TRIED_MAX] == r->endpoint->number;
 }
 
+/* Records the outcome of the attempt in flight for its endpoint. */
 static void
 record_endpoint_outcome(AqRouter *router, AqTime now, const AqRouterRequest *r,
                         bool failed)
@@ -112,7 +115,7 @@
            AqRouterService_HasEndpoint(router, r->service);
 }
 
-/* Schedules a retry, or returns false when the request must be answered. */
+/* Schedules a retry; returns false if the request must be finished instead. */
 static bool
 schedule_retry(AqRouter *router, AqTime now, AqRouterRequest *r)
 {
@@ -132,8 +135,9 @@
 AqRouterAttempt_Timeout(AqRouter *router, AqTime now, AqRouterRequest *r)
 {
     AqTime elapsed = now - r->started_at;
-    /* Short deadlines prove nothing about the endpoint, so a timeout counts
-     * as its failure only after most requests would have been answered. */
+    /* A short deadline does not show that the endpoint has failed: a timeout
+     * counts as a failure only after the time in which 95% of the requests
+     * get a response. */
     bool failed = elapsed >= r->service->p95_ms;
     bool detects_silence =
         r->idempotent && AqRouter_IsEnabled(router, AQ_ROUTER_DISABLE_SILENT);
@@ -148,9 +152,10 @@
         router->stats.silent++;
         r->unknown_reason = AQ_REASON_SILENT;
         AqRouterMean_Add(&r->service->slot_time, elapsed);
-        /* Silent idle connections must not raise the p95, which bounds how
-         * long they go unnoticed; a service that has become slower must, or
-         * every attempt would time out from then on. */
+        /* Timeouts on dead idle connections must not raise the p95, which
+         * limits how long such connections stay undetected.  Timeouts of a
+         * service that has become slower must raise it, or every attempt
+         * would time out from then on; fresh connections tell them apart. */
         if (r->fresh_connection) {
             AqRouterService_AddLatency(r->service, elapsed);
         }
@@ -164,14 +169,15 @@
     }
 }
 
+/* Adds the time and the outcome of the attempt to the statistics. */
 static void
 record_result(AqRouter *router, AqTime now, const AqRouterRequest *r,
               AqAttemptResult result)
 {
     bool ran = result == AQ_ATTEMPT_ANSWERED || result == AQ_ATTEMPT_TOO_LARGE;
     if (ran) {
-        /* Only answers count as service times, so that an endpoint that
-         * fails fast does not look fast. */
+        /* Failures do not count as samples, so that an endpoint that fails
+         * immediately does not appear to be fast. */
         AqTime elapsed = now - r->started_at;
         AqRouterMean_Add(&r->service->slot_time, elapsed);
         AqRouterService_AddLatency(r->service, elapsed);
@@ -186,6 +192,7 @@
     record_endpoint_outcome(router, now, r, !ran);
 }
 
+/* Finishes or retries the request, whose attempt ended with "result". */
 static void
 finish_or_retry(AqRouter *router, AqTime now, AqRouterRequest *r,
                 uint64_t attempt, AqAttemptResult result)
@@ -202,7 +209,7 @@
         }
         break;
     case AQ_ATTEMPT_TOO_LARGE:
-        /* It ran, and its answer would be as large again. */
+        /* Not retried: the next response would be as large. */
         r->may_have_run = true;
         r->unknown_reason = AQ_REASON_TOO_LARGE;
         AqRouterRequest_Fail(router, r, AQ_REASON_TOO_LARGE);
--- a/packages/router/bench/bench_router.c
+++ b/packages/router/bench/bench_router.c
@@ -2,15 +2,16 @@
 
 #include "tests/sim.h"
 
-/* Measures the router on virtual time with and without single mechanisms.
- * Prints the mean over the seeds, with the least and the most in brackets.
- * The figures depend on the simulation only, not on the machine. */
+/* Measures the router on virtual time, with all mechanisms and with some of
+ * them disabled.  Prints the mean over the seeds, with the minimum and the
+ * maximum in brackets.  The figures depend on the simulation only, not on the
+ * machine. */
 
 enum {
     SEEDS = 20,
-    SLOTS = 8,
-    MEAN_MS = 100,
-    LOAD_MS = 20000 /* length of the arrivals */
+    SLOTS = 8,      /* per endpoint */
+    MEAN_MS = 100,  /* mean service time */
+    LOAD_MS = 20000 /* for how long requests arrive */
 };
 
 typedef struct {
@@ -40,9 +41,10 @@
            summary->max);
 }
 
-/* Poisson arrivals of "per_ms" requests per ms for "ms". */
+/* Submits requests for "ms" ms, as a Poisson process with a mean of "per_ms"
+ * requests per ms.  Each has a deadline after "timeout_ms" ms. */
 static void
-run_load(Sim *sim, double per_ms, AqTime ms, AqTime timeout)
+run_load(Sim *sim, double per_ms, AqTime ms, AqTime timeout_ms)
 {
     AqTime end = sim->now + ms;
     double at = (double)sim->now;
@@ -51,21 +53,23 @@
         if ((AqTime)at > sim->now) {
             Sim_Run(sim, (AqTime)at - sim->now);
         }
-        Sim_Submit(sim, true, AQ_PRIORITY_LIVE, timeout, 0);
+        Sim_Submit(sim, true, AQ_PRIORITY_LIVE, timeout_ms, 0);
     }
 }
 
+/* A configuration that is measured. */
 typedef struct {
     const char *name;
-    unsigned disabled;
+    unsigned disabled; /* AQ_ROUTER_DISABLE_* bits */
 } Variant;
 
-/* Goodput and waiting of the refused at a multiple of the capacity. */
+/* Measures the goodput, how long refused requests waited, and the attempts per
+ * completed request, at "load" times the capacity. */
 static void
 measure_overload(const Variant *variant, int load)
 {
     const int endpoints = 8;
-    const AqTime timeout = 1000;
+    const AqTime timeout_ms = 1000;
     Summary goodput = {0};
     Summary refused_ms = {0};
     Summary attempts = {0};
@@ -74,9 +78,9 @@
         Sim_Init(&sim, seed, variant->disabled);
         Sim_Start(&sim, endpoints, SLOTS, MEAN_MS);
         double capacity = (double)endpoints * SLOTS / MEAN_MS;
-        run_load(&sim, load * capacity, LOAD_MS, timeout);
-        Sim_Run(&sim, timeout);
-        double waited = 0;
+        run_load(&sim, load * capacity, LOAD_MS, timeout_ms);
+        Sim_Run(&sim, timeout_ms);
+        double waited_ms = 0;
         int refused = 0;
         int in_time = 0;
         for (guint i = 1; i <= sim.requests->len; i++) {
@@ -85,11 +89,11 @@
                        r->finished_at <= LOAD_MS;
             if (r->outcome.kind == AQ_OUTCOME_NOT_RUN) {
                 refused++;
-                waited += (double)(r->finished_at - r->submitted);
+                waited_ms += (double)(r->finished_at - r->submitted);
             }
         }
         add(&goodput, in_time / (capacity * LOAD_MS));
-        add(&refused_ms, refused == 0 ? 0 : waited / refused);
+        add(&refused_ms, refused == 0 ? 0 : waited_ms / refused);
         add(&attempts, (double)sim.attempts->len / Sim_Completed(&sim));
         Sim_Clear(&sim);
     }
@@ -100,8 +104,8 @@
     printf("\n");
 }
 
-/* Attempts per request, and share completed, in the 5 s after a third of the
- * endpoints was lost at 60% load. */
+/* Measures the attempts per request and the share of completed requests in the
+ * 5 s after a third of the endpoints fails at 60% load. */
 static void
 measure_loss(const Variant *variant, SimFault fault, const char *fault_name)
 {
@@ -135,8 +139,9 @@
     printf("\n");
 }
 
-/* Requests not completed, and completed after more than 1 s, when the open
- * connections of a third of the endpoints go silent at half load. */
+/* Measures how many requests are not completed, and how many after more than
+ * 1 s, when the open connections of a third of the endpoints get no responses
+ * any more at 50% load. */
 static void
 measure_silent(const Variant *variant)
 {
--- a/packages/router/check.c
+++ b/packages/router/check.c
@@ -1,9 +1,9 @@
 #include "router_private.h"
 
-/* What the requests add up to for one service. */
+/* Requests of one service by state, counted from AqRouter.requests. */
 typedef struct {
-    int live;
-    int archive;
+    int live;    /* queued with AQ_PRIORITY_LIVE */
+    int archive; /* queued with AQ_PRIORITY_ARCHIVE */
     int claiming;
 } Waiting;
 
@@ -14,13 +14,13 @@
     if (running != (r->endpoint != NULL) || running != (r->attempt != 0)) {
         return AqError_Set(error, AQ_ERR_SYSTEM,
                            "request %" G_GUINT64_FORMAT
-                           ": state %d does not agree with its attempt",
+                           ": state %d does not match its attempt",
                            r->id, (int)r->state);
     }
     if (running && g_hash_table_lookup(router->by_attempt, &r->attempt) != r) {
-        return AqError_Set(error, AQ_ERR_SYSTEM,
-                           "attempt %" G_GUINT64_FORMAT " is not registered",
-                           r->attempt);
+        return AqError_Set(
+            error, AQ_ERR_SYSTEM,
+            "attempt %" G_GUINT64_FORMAT " is not in by_attempt", r->attempt);
     }
     if (r->timer_index >= router->timers->len ||
         g_ptr_array_index(router->timers, r->timer_index) != r) {
@@ -32,7 +32,7 @@
         r->deadline > r->started_at) {
         return AqError_Set(error, AQ_ERR_SYSTEM,
                            "request %" G_GUINT64_FORMAT
-                           ": timer is after the deadline",
+                           ": its timer is due after its deadline",
                            r->id);
     }
     if (!r->idempotent &&
@@ -41,8 +41,8 @@
         ((running && !r->claimed) || (!running && r->may_have_run))) {
         return AqError_Set(error, AQ_ERR_SYSTEM,
                            "request %" G_GUINT64_FORMAT
-                           ": non-idempotent without a claim, or waiting "
-                           "after it may have run",
+                           ": non-idempotent and running without a claim, or "
+                           "not finished though it may have run",
                            r->id);
     }
     return true;
@@ -65,12 +65,13 @@
     if (n != g_hash_table_size(router->by_id) ||
         running != g_hash_table_size(router->by_attempt) ||
         running != (size_t)router->in_flight || n != router->timers->len) {
-        return AqError_Set(error, AQ_ERR_SYSTEM,
-                           "%zu requests, %zu running: tables hold %u and %u, "
-                           "%d in flight, %u timers",
-                           n, running, g_hash_table_size(router->by_id),
-                           g_hash_table_size(router->by_attempt),
-                           router->in_flight, router->timers->len);
+        return AqError_Set(
+            error, AQ_ERR_SYSTEM,
+            "%zu requests, %zu running: by_id has %u, by_attempt "
+            "%u; %d in flight, %u timers",
+            n, running, g_hash_table_size(router->by_id),
+            g_hash_table_size(router->by_attempt), router->in_flight,
+            router->timers->len);
     }
     return true;
 }
@@ -84,7 +85,7 @@
             g_ptr_array_index(router->timers, (i - 1) / 2);
         if (parent->timer_at > r->timer_at) {
             return AqError_Set(error, AQ_ERR_SYSTEM,
-                               "timer %u is out of order", i);
+                               "timer %u is due before its heap parent", i);
         }
     }
     return true;
@@ -103,14 +104,16 @@
             trial || (r->endpoint == ep && r->attempt == ep->trial_attempt);
     }
     if (running != ep->in_use || !trial || (ep->removed && running == 0)) {
-        return AqError_Set(error, AQ_ERR_SYSTEM,
-                           "endpoint %s: %d slots in use but %d attempts, "
-                           "trial %" G_GUINT64_FORMAT,
-                           ep->name, ep->in_use, running, ep->trial_attempt);
+        return AqError_Set(
+            error, AQ_ERR_SYSTEM,
+            "endpoint %s: %d slots in use, %d attempts in flight, "
+            "trial attempt %" G_GUINT64_FORMAT,
+            ep->name, ep->in_use, running, ep->trial_attempt);
     }
     if (!ep->removed && !g_ptr_array_find(ep->service->endpoints, ep, NULL)) {
         return AqError_Set(error, AQ_ERR_SYSTEM,
-                           "endpoint %s is not in its service", ep->name);
+                           "endpoint %s is not in the list of its service",
+                           ep->name);
     }
     return true;
 }
@@ -142,8 +145,8 @@
         AqList_Length(&service->live) != (size_t)n.live ||
         AqList_Length(&service->archive) != (size_t)n.archive) {
         return AqError_Set(error, AQ_ERR_SYSTEM,
-                           "service %s: queue counts %d/%d/%d, found "
-                           "%d/%d/%d",
+                           "service %s: live/archive/claiming counts are "
+                           "%d/%d/%d, but %d/%d/%d requests",
                            service->name, service->live_count,
                            service->archive_count, service->claiming, n.live,
                            n.archive, n.claiming);
--- a/packages/router/eject.c
+++ b/packages/router/eject.c
@@ -3,9 +3,10 @@
 #include "router_private.h"
 
 enum {
-    /* An endpoint is not preferred for 1 s per consecutive failure.  Failed
-     * requests end early, so its slots would look idle otherwise; the bound
-     * in time lets it show at low load that it works again. */
+    /* Other endpoints are preferred for 1 s per consecutive failure: failed
+     * requests end early, so the endpoint would appear to be the least loaded
+     * one.  The time limit lets it get requests again also at low load, so
+     * that its recovery is noticed. */
     SUSPECT_MS_PER_FAILURE = 1000
 };
 
@@ -34,6 +35,7 @@
     return n;
 }
 
+/* Returns the ejected endpoint whose ejection ends first, or NULL. */
 static AqEndpoint *
 next_ejection_to_end(const AqRouter *router, const AqService *service)
 {
@@ -89,7 +91,7 @@
     ep->trial_attempt = 0;
 }
 
-/* Sets the endpoint aside, twice as long as the last time. */
+/* Ejects the endpoint, for twice as long as the last time up to a maximum. */
 static void
 eject_endpoint(AqRouter *router, AqTime now, AqEndpoint *ep)
 {
@@ -104,6 +106,7 @@
     router->stats.ejections++;
 }
 
+/* Ejects the endpoint if it failed often enough and the limit allows it. */
 static void
 eject_if_due(AqRouter *router, AqTime now, AqEndpoint *ep)
 {
@@ -128,8 +131,8 @@
     if (ep->recent_count < AQ_EJECT_WINDOW_COUNT) {
         ep->recent_count++;
     }
-    /* A full window without an ejection: the endpoint works again, so the
-     * next ejection is a short one. */
+    /* The endpoint has recovered when less than half of a full window failed;
+     * its next ejection has the initial length again. */
     if (ep->recent_count == AQ_EJECT_WINDOW_COUNT &&
         2 * recent_failures(ep) < AQ_EJECT_WINDOW_COUNT) {
         ep->eject_last_ms = 0;
@@ -141,7 +144,7 @@
                      uint64_t attempt, bool failed)
 {
     if (ep->ejected) {
-        /* Requests that started before the ejection prove nothing. */
+        /* Attempts that started before the ejection do not count. */
         if (ep->trial_attempt == attempt) {
             ep->trial_attempt = 0;
             if (failed) {
@@ -172,8 +175,9 @@
 AqRouterEject_TrialDue(const AqRouter *router, AqTime now,
                        const AqEndpoint *ep, const AqRouterRequest *r)
 {
-    /* A trial is a caller's request: one that can still be retried, and a
-     * non-idempotent one only when a health check has passed. */
+    /* A trial is a caller's request, which it puts at risk: so it must be a
+     * first attempt, which can still be retried, and a non-idempotent request
+     * also needs a health check that has passed. */
     return ep->ejected && ep->trial_attempt == 0 && now >= ep->eject_until &&
            ep->health_failures == 0 && ep->in_use < ep->slots &&
            r->attempts == 0 && (r->idempotent || ep->healthy_since_eject) &&
@@ -190,7 +194,7 @@
         return;
     }
     /* A passed check does not end an ejection: an endpoint that fails every
-     * request may still answer its health check. */
+     * request may still pass its health check. */
     if (healthy) {
         ep->health_failures = 0;
         ep->healthy_since_eject = true;
--- a/packages/router/endpoint.c
+++ b/packages/router/endpoint.c
@@ -10,6 +10,7 @@
             !AqRouter_IsEnabled(router, AQ_ROUTER_DISABLE_LEAVING));
 }
 
+/* Whether one of the request's recorded attempts ran on the endpoint. */
 static bool
 was_tried(const AqRouterRequest *r, const AqEndpoint *ep)
 {
@@ -22,9 +23,11 @@
     return false;
 }
 
-/* Expected time until one more request is through, per slot.  An old mean is
- * not relied on: an endpoint that was the slowest would get nothing at low
- * load and never show that it has become faster. */
+/* Returns the expected time, in ms, until the endpoint has completed one more
+ * request beside those in flight.  The mean of the service replaces an expired
+ * mean of the endpoint: otherwise an endpoint that was the slowest would get
+ * no requests at low load, and it would never be seen that it has become
+ * faster. */
 static double
 expected_completion_ms(AqTime now, const AqEndpoint *ep)
 {
@@ -34,6 +37,8 @@
     return (ep->in_use + 1) * (mean < 1.0 ? 1.0 : mean) / ep->slots;
 }
 
+/* Returns the endpoint that is expected to complete one more request earlier;
+ * one without recent failures comes first. */
 static AqEndpoint *
 preferred_endpoint(AqTime now, AqEndpoint *a, AqEndpoint *b)
 {
@@ -46,8 +51,9 @@
                                                                            : a;
 }
 
-/* Draws one endpoint, other than "excluded", uniformly from those with a free
- * slot.  With "untried", from those that the request has not tried. */
+/* Returns an endpoint drawn uniformly from those with a free slot that are
+ * neither ejected nor "excluded" (may be NULL); with "untried", from those
+ * among them that the request has not tried.  NULL if there is none. */
 static AqEndpoint *
 sample_endpoint(AqRouter *router, const AqRouterRequest *r,
                 const AqEndpoint *excluded, bool untried)
@@ -70,6 +76,7 @@
     return sampled;
 }
 
+/* Returns an endpoint that the request may be the trial of, or NULL. */
 static AqEndpoint *
 find_trial_endpoint(const AqRouter *router, AqTime now,
                     const AqRouterRequest *r)
@@ -84,7 +91,7 @@
     return NULL;
 }
 
-/* Without trials, ejections simply end. */
+/* Ends ejections by time alone, if trials are disabled. */
 static void
 end_expired_ejections(AqTime now, const AqService *service)
 {
@@ -145,6 +152,7 @@
     }
 }
 
+/* Returns the endpoint of this name, or NULL if it is unknown or removed. */
 static AqEndpoint *
 find_endpoint(AqRouter *router, const char *name)
 {
@@ -152,7 +160,8 @@
     return ep == NULL || ep->removed ? NULL : ep;
 }
 
-/* Called after any change that may take slots from the service. */
+/* Updates the state that depends on the endpoints and slots of the service,
+ * and fails its waiting requests if no endpoint is left. */
 static void
 slots_changed(AqRouter *router, AqTime now, AqService *service)
 {
@@ -179,7 +188,7 @@
         ep->removed = true;
     }
     if (ep->removed) {
-        /* Added again while old requests are still in flight: as new. */
+        /* New, or added again while earlier requests are still in flight. */
         ep->removed = false;
         ep->leaving = false;
         ep->slots = 0;
--- a/packages/router/queue.c
+++ b/packages/router/queue.c
@@ -88,10 +88,10 @@
     return (AqTime)ceil(ms);
 }
 
-/* Time that a request which waited should have left when it is started:
- * twice the mean, which 86% of exponentially distributed service times stay
- * below, and for an idempotent one double that, since its attempt gets half
- * of the remaining time. */
+/* Returns the time, in ms, that a request which had to wait should have left
+ * when it starts: twice the mean, which 86% of exponentially distributed
+ * service times do not exceed, and twice that for an idempotent request, since
+ * its attempt may use only half of the remaining time. */
 static AqTime
 required_service_ms(const AqService *service, bool idempotent)
 {
@@ -120,8 +120,8 @@
         return AQ_REASON_NONE;
     }
     AqTime wait = AqRouterQueue_ExpectedWait(router, service, spec->priority);
-    /* Half more than the expected wait, so that later estimates, which vary,
-     * do not make the sweep refuse what was admitted. */
+    /* The expected wait is raised by half, so that later estimates, which
+     * vary, do not make the sweep fail requests that were admitted. */
     AqTime needed =
         wait + wait / 2 + required_service_ms(service, spec->idempotent);
     if (wait > 0 && needed > spec->deadline - now) {
@@ -140,6 +140,8 @@
                r->deadline;
 }
 
+/* Fails requests of the queue that cannot start in time.  "position" is the
+ * number of requests ahead of the first one, less the free slots. */
 static void
 sweep_queue(AqRouter *router, AqTime now, const AqLink *queue, int position,
             double ms_per_start)
--- a/packages/router/request.c
+++ b/packages/router/request.c
@@ -1,6 +1,6 @@
 #include "router_private.h"
 
-/* Forgets the request in whatever state it is, except RUNNING. */
+/* Removes the request from all tables; it must not be RUNNING. */
 static void
 unlink_request(AqRouter *router, AqRouterRequest *r)
 {
@@ -51,6 +51,8 @@
     g_free(r);
 }
 
+/* Returns the delay that is suggested to the caller, in ms: the expected wait
+ * if the service is overloaded, a fixed one otherwise. */
 static AqTime
 retry_after(const AqRouter *router, const AqRouterRequest *r, AqReason reason)
 {
@@ -96,6 +98,7 @@
     }
 }
 
+/* Returns why a new request is refused, or AQ_REASON_NONE. */
 static AqReason
 check_admission(const AqRouter *router, AqTime now, const AqService *service,
                 const AqRequestSpec *spec)
@@ -142,8 +145,8 @@
     AqRouterBudget_Earn(router, r->service);
     if (!r->idempotent &&
         AqRouter_IsEnabled(router, AQ_ROUTER_DISABLE_CLAIM)) {
-        /* Asked for by the next tick: the adapter does not know the number
-         * of the request before this call returns. */
+        /* The next tick requests the claim, since the caller has the
+         * request's number only after this call has returned. */
         r->state = AQ_REQUEST_CLAIMING;
         r->service->claiming++;
         AqRouterTimers_Set(router, r, now);
@@ -179,7 +182,7 @@
     if (r == NULL || r->state != AQ_REQUEST_CLAIMING || !r->claim_requested) {
         return;
     }
-    r->claim_requested = false; /* answered: nothing to forget */
+    r->claim_requested = false; /* forget_claim no longer applies */
     if (result == AQ_ROUTER_CLAIM_GRANTED) {
         r->claimed = true;
         r->service->claiming--;
@@ -206,7 +209,7 @@
         AqRouterRequest_Fail(router, r, AQ_REASON_DEADLINE);
     }
     else if (r->state == AQ_REQUEST_BACKOFF) {
-        /* It has waited before, so it goes first. */
+        /* It was queued before, so it goes to the front. */
         AqRouterQueue_Push(router, r, true);
     }
     else if (r->state == AQ_REQUEST_CLAIMING) {
--- a/packages/router/router.c
+++ b/packages/router/router.c
@@ -79,7 +79,9 @@
     router->stopping = true;
 }
 
-/* The next request that can be started now, with its endpoint. */
+/* Returns the next request of the service that can start now, and its endpoint
+ * in "ep"; NULL if there is none.  Fails requests on the way that have too
+ * little time left. */
 static AqRouterRequest *
 next_start(AqRouter *router, AqTime now, const AqService *service,
            AqEndpoint **ep)
@@ -100,6 +102,7 @@
     return NULL;
 }
 
+/* Starts queued requests until no request or no free slot is left. */
 static void
 start_queued_requests(AqRouter *router, AqTime now, const AqService *service)
 {
--- a/packages/router/router_private.h
+++ b/packages/router/router_private.h
@@ -124,10 +124,11 @@
     bool may_have_run;    /* an endpoint may have executed an attempt */
     AqReason unknown_reason; /* why the outcome would be unknown, or NONE */
     int attempts;            /* started so far */
-    uint64_t tried[AQ_TRIED_MAX]; /* ring buffer of AqEndpoint.number */
-    uint64_t attempt;             /* number of the attempt in flight, or 0 */
-    AqEndpoint *endpoint;         /* of the attempt in flight, or NULL */
-    AqTime started_at;            /* of the last attempt */
+    /* Ring buffer of AqEndpoint.number, one per attempt. */
+    uint64_t tried[AQ_TRIED_MAX];
+    uint64_t attempt;      /* number of the attempt in flight, or 0 */
+    AqEndpoint *endpoint;  /* of the attempt in flight, or NULL */
+    AqTime started_at;     /* of the last attempt */
     bool fresh_connection; /* the last attempt must not reuse a connection */
 } AqRouterRequest;
 
@@ -137,7 +138,7 @@
     void *context;
     AqRandom random;
     AqTime now;    /* argument of the last call */
-    bool fresh;    /* see AqRouter_SetFresh */
+    bool fresh;    /* the configuration is certainly in force */
     bool stopping; /* AqRouter_Stop was called */
     bool work_due; /* an attempt may be able to start since the last tick */
     uint64_t last_request;  /* highest request number used so far */
@@ -176,7 +177,7 @@
 /* Returns the service of this name, which is created if necessary. */
 AqService *AqRouterService_Ensure(AqRouter *router, const char *name);
 void AqRouterService_Destroy(AqService *service);
-/* Adds a sample. */
+/* Adds a sample of "ms" milliseconds to the moving average. */
 void AqRouterMean_Add(AqRouterMean *mean, AqTime ms);
 /* Adds a latency sample and updates the p95. */
 void AqRouterService_AddLatency(AqService *service, AqTime ms);
--- a/packages/router/service.c
+++ b/packages/router/service.c
@@ -4,10 +4,11 @@
 #include "router_private.h"
 
 enum {
-    /* Weight 1/64 of a new sample.  Smaller weights make the expected wait
-     * steadier and follow a change of the service time more slowly. */
+    /* A new sample has at least the weight 1/64.  A smaller weight would make
+     * the expected wait vary less, but follow a change of the service time
+     * more slowly. */
     MEAN_WINDOW_SAMPLES = 64,
-    P95_INTERVAL_SAMPLES = 8 /* samples between two computations of the p95 */
+    P95_INTERVAL_SAMPLES = 8 /* the p95 is computed after so many samples */
 };
 
 AqService *
@@ -133,8 +134,8 @@
 void
 AqRouterService_UpdateNoSlots(AqRouter *router, AqService *service, AqTime now)
 {
-    /* An ejected endpoint is no reason to wait here: it comes back by a
-     * trial, which needs a waiting request. */
+    /* The slots of an ejected endpoint count: it returns by a trial, for which
+     * requests must be admitted. */
     for (guint i = 0; i < service->endpoints->len; i++) {
         const AqEndpoint *ep = g_ptr_array_index(service->endpoints, i);
         if (AqRouterEndpoint_AcceptsRequests(router, ep) && ep->slots > 0) {
--- a/packages/router/tests/sim.c
+++ b/packages/router/tests/sim.c
@@ -26,8 +26,8 @@
     }
 }
 
-/* Takes an idle connection, if there is any; each of them with the same
- * probability. */
+/* Uses an idle connection if there is one, each with the same probability.
+ * Sets "silent" if it is one that gets no response. */
 static void
 use_idle_connection(Sim *sim, SimEndpoint *ep, bool *silent)
 {
@@ -39,6 +39,7 @@
     *(*silent ? &ep->idle_silent : &ep->idle) -= 1;
 }
 
+/* Decides the result of a starting attempt and when it is reported. */
 static void
 plan_result(Sim *sim, SimEndpoint *ep, SimAttempt *attempt, bool fresh)
 {
@@ -69,6 +70,7 @@
     }
 }
 
+/* Counts the rules that a start of the request on the endpoint violates. */
 static void
 check_start(Sim *sim, const SimRequest *r, const SimEndpoint *ep)
 {
@@ -103,6 +105,7 @@
     g_array_append_val(sim->open_attempts, started->attempt);
 }
 
+/* Ends an attempt, which the endpoint may have executed if "ran" is true. */
 static void
 close_attempt(Sim *sim, uint64_t number, bool ran)
 {
@@ -304,7 +307,9 @@
     AqRouter_ClaimDone(sim->router, sim->now, request, result);
 }
 
-/* The first event that is due, of claims or attempts; NEVER if none. */
+/* Returns when the next result of an attempt or claim is due, AQ_TIME_NEVER if
+ * none is.  Sets the number of the attempt or the request, and the other one
+ * to 0. */
 static AqTime
 next_event(const Sim *sim, uint64_t *attempt, uint64_t *request)
 {
--- a/packages/router/tests/test_ejection.c
+++ b/packages/router/tests/test_ejection.c
@@ -3,7 +3,7 @@
 #include "sim.h"
 #include "test_router.h"
 
-/* Four endpoints, so that one may be ejected, of which only e0 has slots. */
+/* Starts four endpoints, so that one may be ejected; only e0 has slots. */
 static void
 start_with_one_usable(Sim *sim, unsigned disabled)
 {
@@ -12,7 +12,7 @@
     Sim_SetSlots(sim, 0, 8);
 }
 
-/* Sends one request to e0 for each letter: F fails, others succeed. */
+/* Sends one request to e0 per letter: F makes it fail, any other succeed. */
 static void
 send_outcomes(Sim *sim, const char *outcomes)
 {
@@ -23,7 +23,7 @@
     }
 }
 
-/* Guards against ejection for scattered failures, and against missing an
+/* Guards against an ejection for scattered failures, and against none for an
  * endpoint that fails more than half of its requests. */
 void
 test_ejection_thresholds(void)
@@ -48,7 +48,7 @@
     }
 }
 
-/* Runs until the next start on e0 and returns when it was. */
+/* Submits requests until the next attempt starts on e0; returns the time. */
 static AqTime
 run_until_next_start(Sim *sim)
 {
@@ -60,6 +60,7 @@
     return sim->now;
 }
 
+/* Submits requests until e0 is ejected. */
 static void
 run_until_ejected(Sim *sim)
 {
@@ -69,8 +70,8 @@
     CU_ASSERT_TRUE_FATAL(AqRouter_IsEjected(sim->router, "e0"));
 }
 
-/* Guards against a dead endpoint that is tried too often, and against long
- * ejections of one that has worked since. */
+/* Guards against too frequent trials of an endpoint that keeps failing, and
+ * against a long ejection of one that has recovered in between. */
 void
 test_ejection_time_doubles(void)
 {
@@ -99,8 +100,8 @@
     Sim_Clear(&sim);
 }
 
-/* Guards against risking a non-idempotent request on an endpoint of which
- * nothing good is known. */
+/* Guards against a non-idempotent request as the trial of an endpoint that has
+ * not passed a health check since its ejection. */
 void
 test_trial_of_non_idempotent(void)
 {
@@ -113,8 +114,8 @@
     AqRouter_HealthDone(sim.router, sim.now, "e0", true);
     sim.endpoints[0].fault = SIM_FAIL;
     Sim_Run(&sim, 6000);
-    Sim_Submit(&sim, true, AQ_PRIORITY_LIVE, 1000,
-               0); /* fails: ejected again */
+    /* This trial fails, so that e0 is ejected again. */
+    Sim_Submit(&sim, true, AQ_PRIORITY_LIVE, 1000, 0);
     Sim_Run(&sim, 11000);
     CU_ASSERT_EQUAL(sim.endpoints[0].starts, 1);
     Sim_Submit(&sim, false, AQ_PRIORITY_LIVE, 1000, 1);
@@ -127,8 +128,8 @@
     Sim_Clear(&sim);
 }
 
-/* Guards against failures in one service that count in another, to which the
- * VM was moved meanwhile. */
+/* Guards against failures of attempts that an endpoint started in one service
+ * and that count in another, to which it was moved before they ended. */
 void
 test_move_resets_failures(void)
 {
@@ -153,8 +154,8 @@
     }
 }
 
-/* Guards against an endpoint that fails fast and looks idle therefore: it is
- * not preferred even when it is not ejected. */
+/* Guards against an endpoint that is preferred because it fails fast and so
+ * appears to be idle, while it is not ejected. */
 void
 test_failing_is_not_preferred(void)
 {
@@ -171,8 +172,8 @@
     Sim_Clear(&sim);
 }
 
-/* Guards against a backoff that does not grow or grows without bound, and
- * against a retry on the same endpoint while there are others. */
+/* Guards against a backoff that does not double or exceeds its maximum, and
+ * against a retry on an endpoint already tried while there are others. */
 void
 test_backoff(void)
 {
@@ -199,8 +200,8 @@
     Sim_Clear(&sim);
 }
 
-/* Guards against ejecting an endpoint because callers do not wait as long as
- * its service usually takes. */
+/* Guards against ejecting an endpoint because of requests whose deadlines are
+ * shorter than the usual latency of its service. */
 void
 test_short_deadlines_eject_nothing(void)
 {
@@ -218,8 +219,8 @@
     Sim_Clear(&sim);
 }
 
-/* Guards against an endpoint that was slow once and gets nothing at low load
- * from then on. */
+/* Guards against an endpoint that was slow and gets no requests at low load
+ * from then on, because its old mean latency never expires. */
 void
 test_old_mean_expires(void)
 {
--- a/packages/router/tests/test_mechanisms.c
+++ b/packages/router/tests/test_mechanisms.c
@@ -3,8 +3,9 @@
 #include "sim.h"
 #include "test_router.h"
 
-/* Each scenario returns whether the property holds.  It must hold with all
- * mechanisms and fail without the one that it is about. */
+/* Each scenario runs a simulation and returns whether its property holds.  It
+ * must hold with all mechanisms and must not hold with one of them disabled,
+ * which shows that the scenario detects a fault of that mechanism. */
 
 /* Guards against a queue that grows without bound. */
 static bool
@@ -22,8 +23,9 @@
     return most <= 16;
 }
 
-/* Guards against holding a request back until near its deadline when it
- * could have been refused at once with the expected wait. */
+/* Guards against a request that is kept until near its deadline, although the
+ * expected wait shows at submission that it cannot start in time, and against
+ * a refusal whose retry_after_ms is not that wait. */
 static bool
 unmeetable_deadline_is_refused_at_once(Sim *sim)
 {
@@ -43,8 +45,8 @@
     return wrong == 0;
 }
 
-/* Guards against live requests that wait behind the archive, and against an
- * archive that starves. */
+/* Guards against live requests that wait behind archive requests, and against
+ * starvation of the archive. */
 static bool
 live_starts_first(Sim *sim)
 {
@@ -64,8 +66,8 @@
     return archive == 40 / 8;
 }
 
-/* Guards against a choice that ignores how slow an endpoint is: uniform
- * choice gives the slow one a tenth of the starts. */
+/* Guards against a choice of endpoints that ignores their latency: a uniform
+ * choice gives the slow one of ten a tenth of the starts. */
 static bool
 slow_endpoint_gets_less(Sim *sim)
 {
@@ -78,7 +80,7 @@
     return sim->endpoints[0].starts < 2000 / 20;
 }
 
-/* Guards against a second run of one request id. */
+/* Guards against a second execution of the same request id. */
 static bool
 duplicate_is_not_run(Sim *sim)
 {
@@ -93,7 +95,8 @@
            second->outcome.reason == AQ_REASON_DUPLICATE;
 }
 
-/* Guards against idempotent requests that are lost with one endpoint. */
+/* Guards against idempotent requests that fail because one endpoint closes its
+ * connections. */
 static bool
 closed_connection_is_retried(Sim *sim)
 {
@@ -106,7 +109,8 @@
     return sim->endpoints[0].starts > 0 && Sim_Completed(sim) == 20;
 }
 
-/* Guards against a second run of a non-idempotent request that was cut. */
+/* Guards against a second execution of a non-idempotent request whose
+ * connection was closed after sending. */
 static bool
 non_idempotent_is_not_retried(Sim *sim)
 {
@@ -120,7 +124,7 @@
            sim->violations[SIM_STARTED_AGAIN] == 0;
 }
 
-/* Guards against "not run" for a request whose bytes may have left. */
+/* Guards against AQ_OUTCOME_NOT_RUN for a request that may have been sent. */
 static bool
 not_run_is_never_false(Sim *sim)
 {
@@ -150,7 +154,8 @@
     return sim->attempts->len <= 400 + 400 / 10 + 10;
 }
 
-/* Guards against requests that failed together and come back together. */
+/* Guards against simultaneous retries of requests that failed at the same
+ * time. */
 static bool
 retries_are_spread(Sim *sim)
 {
@@ -175,7 +180,8 @@
     return sim->attempts->len > 60 && most < 20;
 }
 
-/* Guards against an endpoint that fails fast and thereby attracts load. */
+/* Guards against an endpoint that attracts load because its requests fail
+ * fast. */
 static bool
 failing_endpoint_is_ejected(Sim *sim)
 {
@@ -189,8 +195,8 @@
            AqRouter_IsEjected(sim->router, "e0");
 }
 
-/* Guards against work for an endpoint whose health check fails, and against a
- * trial before the check passes again. */
+/* Guards against requests to an endpoint whose health checks fail, and against
+ * a trial before a check passes again. */
 static bool
 unhealthy_endpoint_is_ejected(Sim *sim)
 {
@@ -210,7 +216,8 @@
            !AqRouter_IsEjected(sim->router, "e0");
 }
 
-/* Guards against a service that loses all endpoints to a fault of its own. */
+/* Guards against ejecting all endpoints of a service whose requests fail on
+ * each of them. */
 static bool
 ejected_share_is_bounded(Sim *sim)
 {
@@ -231,8 +238,8 @@
     return most == 3;
 }
 
-/* Guards against an endpoint that comes back with all its slots although it
- * is still dead. */
+/* Guards against an endpoint that gets requests on all its slots after its
+ * ejection, although it is still dead. */
 static bool
 ejected_endpoint_returns_by_one_trial(Sim *sim)
 {
@@ -253,7 +260,7 @@
            sim->endpoints[0].max_in_use == 1;
 }
 
-/* Guards against requests that wait on a connection that has gone silent. */
+/* Guards against requests that wait for a response on a dead connection. */
 static bool
 silent_connections_are_detected(Sim *sim)
 {
@@ -269,8 +276,8 @@
     return Sim_Completed(sim) == 1000 && sim->endpoints[0].idle_silent == 0;
 }
 
-/* Guards against new work on a VM that drains, and against cutting off the
- * work that it has. */
+/* Guards against new requests to a VM that drains, and against aborting those
+ * in flight there. */
 static bool
 leaving_endpoint_gets_no_new_requests(Sim *sim)
 {
@@ -287,7 +294,7 @@
            Sim_Completed(sim) == 300;
 }
 
-/* Guards against serving on a configuration that is no longer in force. */
+/* Guards against serving with a configuration that may be out of date. */
 static bool
 not_fresh_starts_nothing(Sim *sim)
 {
@@ -304,8 +311,8 @@
            Sim_Request(sim, 20)->outcome.reason == AQ_REASON_NOT_FRESH;
 }
 
-/* Guards against taking requests while the daemon stops, and against losing
- * those that it took. */
+/* Guards against accepting requests while the daemon stops, and against losing
+ * those accepted before. */
 static bool
 stop_finishes_accepted_requests(Sim *sim)
 {
@@ -322,8 +329,8 @@
 
 static const struct {
     const char *name;
-    unsigned bit;
-    unsigned always; /* left out in both runs, to isolate the mechanism */
+    unsigned bit;    /* the mechanism that the scenario tests */
+    unsigned always; /* disabled in both runs, to isolate that mechanism */
     bool (*holds)(Sim *sim);
 } scenarios[] = {
     {"queue limit", AQ_ROUTER_DISABLE_QUEUE_LIMIT, 0, queue_is_bounded},
@@ -352,6 +359,7 @@
     {"stop", AQ_ROUTER_DISABLE_STOP, 0, stop_finishes_accepted_requests},
 };
 
+/* Runs a scenario with these mechanisms disabled; returns whether it holds. */
 static bool
 run_scenario(size_t i, unsigned disabled, uint64_t seed)
 {
@@ -364,18 +372,20 @@
     return holds;
 }
 
+/* Guards against mechanisms that have no effect: runs each scenario with all
+ * mechanisms enabled and with the one that it tests disabled. */
 void
 test_mechanisms(void)
 {
     for (size_t i = 0; i < G_N_ELEMENTS(scenarios); i++) {
         for (uint64_t seed = 1; seed <= 5; seed++) {
-            bool with = run_scenario(i, 0, seed);
-            bool without = run_scenario(i, scenarios[i].bit, seed);
-            CU_ASSERT_TRUE(with);
-            CU_ASSERT_FALSE(without);
-            if (!with || without) {
-                printf("\n%s, seed %d: with %d, without %d", scenarios[i].name,
-                       (int)seed, with, without);
+            bool enabled = run_scenario(i, 0, seed);
+            bool disabled = run_scenario(i, scenarios[i].bit, seed);
+            CU_ASSERT_TRUE(enabled);
+            CU_ASSERT_FALSE(disabled);
+            if (!enabled || disabled) {
+                printf("\n%s, seed %d: holds %d, holds when disabled %d",
+                       scenarios[i].name, (int)seed, enabled, disabled);
             }
         }
     }
--- a/packages/router/tests/test_outcomes.c
+++ b/packages/router/tests/test_outcomes.c
@@ -4,26 +4,30 @@
 #include "sim.h"
 #include "test_router.h"
 
+/* Stage of a request in which a fault is injected. */
 typedef enum {
     CLAIMING,
     QUEUED,
-    CONNECTING, /* an attempt runs, no byte has left */
-    SENT,       /* an attempt runs, bytes may have left */
+    CONNECTING, /* an attempt is in flight, nothing has been sent */
+    SENT,       /* an attempt is in flight, bytes may have been sent */
     BACKOFF,    /* after an attempt that did not run */
     BACKOFF_CUT /* after an attempt that may have run */
 } RequestStage;
 
+/* Fault that is injected. */
 typedef enum {
-    NOT_SENT = AQ_ATTEMPT_NOT_SENT, /* reported by the attempt */
+    /* Results that attempt 1 reports. */
+    NOT_SENT = AQ_ATTEMPT_NOT_SENT,
     REFUSED = AQ_ATTEMPT_REFUSED,
     FAILED = AQ_ATTEMPT_FAILED,
     CUT = AQ_ATTEMPT_CUT,
     TOO_LARGE = AQ_ATTEMPT_TOO_LARGE,
-    NO_REPLY = 100, /* neither claim, slot nor answer comes */
-    CANCELLED,
+    /* Faults outside the attempt. */
+    NO_REPLY = 100, /* no claim result, slot or response arrives */
+    CANCELLED,      /* by the caller */
     NOT_FRESH,
-    LEAVING, /* all endpoints */
-    REMOVED, /* all endpoints */
+    LEAVING, /* all endpoints leave */
+    REMOVED, /* all endpoints are removed */
     STOPPED,
     CLAIM_DUPLICATE,
     CLAIM_UNAVAILABLE
@@ -34,17 +38,17 @@
     NOT_RUN = AQ_OUTCOME_NOT_RUN,
     UNKNOWN = AQ_OUTCOME_UNKNOWN,
     IDEMPOTENT = 1,
-    NON_IDEMPOTENT = 0 /* non-idempotent */
+    NON_IDEMPOTENT = 0
 };
 
 static const struct {
     RequestStage stage;
     Fault fault;
     int idempotent;
-    int kind;
-    int reason;
-    int starts;
-    int runs; /* attempts that may have run */
+    int kind;   /* expected AqOutcomeKind */
+    int reason; /* expected AqReason */
+    int starts; /* expected number of attempts */
+    int runs;   /* expected number of attempts that may have run */
 } cases[] = {
     {CLAIMING, CLAIM_DUPLICATE, NON_IDEMPOTENT, UNKNOWN, AQ_REASON_DUPLICATE,
      0, 0},
@@ -104,6 +108,7 @@
     {BACKOFF_CUT, STOPPED, IDEMPOTENT, COMPLETED, AQ_REASON_NONE, 2, 2},
 };
 
+/* Submits request 1 and runs it to the stage. */
 static void
 advance_to_stage(Sim *sim, RequestStage stage, bool idempotent)
 {
@@ -128,6 +133,7 @@
     }
 }
 
+/* Injects the fault into request 1, or into its attempt 1. */
 static void
 inject_fault(Sim *sim, Fault fault)
 {
@@ -162,7 +168,8 @@
     }
 }
 
-/* Answers everything from here on, other than what the fault keeps back. */
+/* Runs for 5 s and lets all claims and attempts succeed, except those that get
+ * no reply because of NO_REPLY. */
 static void
 run_to_completion(Sim *sim, Fault fault)
 {
@@ -180,8 +187,8 @@
     }
 }
 
-/* Guards against a false answer to the caller, and against a second run, for
- * each fault in each stage of a request's life. */
+/* Guards against a wrong outcome and against a second execution of a
+ * non-idempotent request, for faults in each stage of a request. */
 void
 test_outcomes(void)
 {
@@ -210,14 +217,14 @@
     }
 }
 
-/* Guards against attempts that are given up too early or too late, and
- * against non-idempotent requests on connections that may be silent. */
+/* Guards against attempts that time out too early or too late, and against
+ * non-idempotent requests on idle connections, which may be dead. */
 void
 test_attempt_timeouts(void)
 {
     static const struct {
         bool idempotent;
-        int samples; /* requests of 10 ms answered before */
+        int samples; /* requests of 10 ms completed before */
         AqTime deadline_ms;
         AqTime expected_ms;
     } rows[] = {
@@ -225,7 +232,7 @@
         {true, 0, 600000, 4000}, /* four times the assumed p95 of 1 s */
         {true, 50, 600000, 250}, /* the lower bound */
         {true, 50, 300, 150},    /* half of the remaining time */
-        {false, 50, 2000, 2000}, /* once only: until the deadline */
+        {false, 50, 2000, 2000}, /* no retry: until the deadline */
     };
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
         Sim sim;
@@ -248,7 +255,7 @@
 }
 
 /* Guards against refusing a request with a short deadline although a slot is
- * free, only because the tick comes a little after the call. */
+ * free, because the tick runs a few milliseconds after the submission. */
 void
 test_short_deadline_starts(void)
 {
@@ -262,8 +269,9 @@
     Sim_Clear(&sim);
 }
 
-/* Guards against a service that has become slower than its attempt timeout
- * and never completes a request again, because no sample raises the p95. */
+/* Guards against a service that never completes a request again after it has
+ * become slower than its attempt timeout: no completed request raises the p95,
+ * from which the timeout is computed. */
 void
 test_slower_service_recovers(void)
 {
@@ -290,8 +298,8 @@
     }
 }
 
-/* Guards against requests that wait for slots which were taken away, until
- * near their deadline. */
+/* Guards against requests that are kept until near their deadline after most
+ * slots of the service were taken away. */
 void
 test_lost_slots_fail_queued_requests(void)
 {
@@ -306,15 +314,15 @@
     Sim_SetSlots(&sim, 0, 1);
     Sim_SetSlots(&sim, 1, 0);
     Sim_Run(&sim, 1);
-    /* One slot serves about 30 requests in the time that is left. */
+    /* One slot serves about 30 requests in the remaining 3 s. */
     CU_ASSERT_TRUE(AqRouter_Queued(sim.router, "s") <= 30);
     CU_ASSERT_TRUE(AqRouter_Queued(sim.router, "s") > 10);
     Sim_Clear(&sim);
 }
 
-/* Guards against an expected wait that is computed wrongly.  One slot and
- * 100 ms per request: 1.5 x 100 ms for each place in the queue plus 400 ms
- * must fit in the deadline. */
+/* Guards against a wrong expected wait.  With one slot and 100 ms per request,
+ * a request is admitted if its deadline leaves 1.5 x 100 ms for each place in
+ * the queue plus 400 ms. */
 void
 test_admission_margin(void)
 {
@@ -341,7 +349,8 @@
     }
 }
 
-/* Guards against leaving silent connections to be found one by one. */
+/* Guards against detecting dead connections one by one: the first timeout must
+ * close all idle connections to the endpoint. */
 void
 test_timeout_closes_idle(void)
 {
@@ -361,8 +370,8 @@
     Sim_Clear(&sim);
 }
 
-/* Guards against a retry that waits for an endpoint although all have left
- * meanwhile: the caller is told at once. */
+/* Guards against a retry that waits although all endpoints have started to
+ * leave since the attempt started: the request must finish at once. */
 void
 test_no_retry_without_endpoint(void)
 {
@@ -382,8 +391,8 @@
     Sim_Clear(&sim);
 }
 
-/* Guards against refusing live requests because of an archive that they
- * overtake: of 40 waiting, a live request waits for a few only. */
+/* Guards against refusing live requests because of queued archive requests: of
+ * the 40 of the archive, only a few start before a live request. */
 void
 test_archive_does_not_delay_live(void)
 {
@@ -394,12 +403,12 @@
         Sim_Submit(&sim, true, i < 40 ? AQ_PRIORITY_ARCHIVE : AQ_PRIORITY_LIVE,
                    i < 40 ? 60000 : 5000, 0);
     }
-    /* With the default mean of 100 ms, 20 live requests and 2 of the archive
-     * ahead need 1.5 x 2.2 s + 0.4 s; 60 ahead would need 9.4 s. */
+    /* With the default mean of 100 ms, 20 live and 2 archive requests ahead
+     * need 1.5 x 2.2 s + 0.4 s; 60 ahead would need 9.4 s. */
     CU_ASSERT_EQUAL(AqRouter_Queued(sim.router, "s"), 60);
     Sim_Submit(&sim, true, AQ_PRIORITY_ARCHIVE, 5000, 0);
     CU_ASSERT_EQUAL(AqRouter_Queued(sim.router, "s"), 60);
-    /* 5 s allow for 30 requests ahead.  With the archive's share of one in
+    /* A deadline of 5 s allows 30 requests ahead.  With one archive start per
      * 7 live starts, these are 27 live and 3 of the archive: the 29th live
      * request is refused. */
     for (int i = 0; i < 20; i++) {
--- a/packages/router/tests/test_random.c
+++ b/packages/router/tests/test_random.c
@@ -6,7 +6,7 @@
 
 enum {
     SEEDS = 300,
-    STEPS = 600,
+    STEPS = 600, /* random calls per seed */
     ENDPOINTS = 7
 };
 
@@ -16,13 +16,15 @@
     return AqRandom_Below(&sim->random, bound);
 }
 
+/* Returns a random element. */
 static uint64_t
 any_of(Sim *sim, const GArray *values)
 {
     return g_array_index(values, uint64_t, below(sim, values->len));
 }
 
-/* A result that agrees with whether bytes left. */
+/* Returns a random result that is possible for the attempt: NOT_SENT if and
+ * only if no byte was sent. */
 static AqAttemptResult
 any_result(Sim *sim, uint64_t attempt)
 {
@@ -35,6 +37,7 @@
                : AQ_ATTEMPT_NOT_SENT;
 }
 
+/* Changes a random endpoint. */
 static void
 change_endpoint(Sim *sim)
 {
@@ -46,7 +49,7 @@
         AqRouter_RemoveEndpoint(sim->router, sim->now, ep->name);
         break;
     case 1:
-        /* May move it to another service, or add it again. */
+        /* Moves it to another service, adds it again, or changes nothing. */
         AqRouter_SetEndpoint(sim->router, sim->now, ep->name,
                              below(sim, 4) == 0 ? "other" : "s");
         Sim_SetLeaving(sim, e, false);
@@ -60,6 +63,7 @@
     }
 }
 
+/* Changes the freshness of the daemon or, in the last quarter, stops it. */
 static void
 change_daemon(Sim *sim, int step)
 {
@@ -71,6 +75,7 @@
     }
 }
 
+/* Performs one random call. */
 static void
 step_once(Sim *sim, int step)
 {
@@ -115,7 +120,8 @@
     }
 }
 
-/* Lets everything end and counts requests without exactly one finish. */
+/* Ends all claims and attempts, runs for 10 s, and returns the number of
+ * requests that were not finished exactly once. */
 static int
 count_unfinished(Sim *sim)
 {
@@ -137,6 +143,7 @@
     return n;
 }
 
+/* Makes random calls; returns whether no rule was violated. */
 static bool
 run_seed(uint64_t seed, unsigned disabled)
 {
@@ -145,7 +152,7 @@
     AqError_Clear(&error);
     Sim_Init(&sim, seed, disabled);
     sim.manual = true;
-    /* More retries and trials than with the defaults. */
+    /* Settings that cause more refusals, retries and trials. */
     sim.config.queue_limit = 20;
     sim.config.retry_burst = 40;
     sim.config.eject_initial_ms = 500;
@@ -170,16 +177,16 @@
     return ok;
 }
 
-/* Guards against a broken rule in any order of calls: a request finished
- * twice or never, exceeded slots, a second run, a false not-run, a start on a
- * leaving endpoint, and inconsistent tables. */
+/* Guards against violated rules in any order of calls: a request finished
+ * twice or never, exceeded slots, a second execution, a wrong
+ * AQ_OUTCOME_NOT_RUN, a start on a leaving endpoint, inconsistent tables. */
 void
 test_random_calls(void)
 {
     for (uint64_t seed = 1; seed <= SEEDS; seed++) {
         CU_ASSERT_TRUE(run_seed(seed, 0));
     }
-    /* The same checks must notice when a rule is missing. */
+    /* The same checks must fail when a rule is disabled. */
     static const unsigned rules[] = {
         AQ_ROUTER_DISABLE_CLAIM,
         AQ_ROUTER_DISABLE_RETRY_RULE,
--- a/packages/router/timers.c
+++ b/packages/router/timers.c
@@ -1,7 +1,7 @@
 #include "router_private.h"
 
-/* Binary heap.  A request that is not in it has timer_index SIZE_MAX, set when
- * it is created. */
+/* A binary heap ordered by timer_at.  Requests are created with the
+ * timer_index SIZE_MAX, which marks a request that is not in the heap. */
 
 static AqRouterRequest *
 at(const AqRouter *router, size_t i)
@@ -9,6 +9,7 @@
     return g_ptr_array_index(router->timers, i);
 }
 
+/* Stores the request at index i of the heap. */
 static void
 place(AqRouter *router, AqRouterRequest *r, size_t i)
 {
@@ -16,6 +17,7 @@
     r->timer_index = i;
 }
 
+/* Moves the request towards the root until its parent is not later. */
 static void
 sift_up(AqRouter *router, AqRouterRequest *r)
 {
@@ -27,6 +29,7 @@
     place(router, r, i);
 }
 
+/* Moves the request away from the root until no child is earlier. */
 static void
 sift_down(AqRouter *router, AqRouterRequest *r)
 {
