--- a/packages/router/endpoint.c
+++ b/packages/router/endpoint.c
@@ -26,8 +26,8 @@
 /* Returns the expected time, in ms, until the endpoint has completed one more
  * request beside those in flight.  The mean of the service replaces an expired
  * mean of the endpoint: otherwise an endpoint that was the slowest would get
- * no requests at low load, and it would never be seen that it has become
- * faster. */
+ * no requests at low load, and no sample would show that it has become faster.
+ */
 static double
 expected_completion_ms(AqTime now, const AqEndpoint *ep)
 {
@@ -160,8 +160,8 @@
     return ep == NULL || ep->removed ? NULL : ep;
 }
 
-/* Updates the state that depends on the endpoints and slots of the service,
- * and fails its waiting requests if no endpoint is left. */
+/* Updates what depends on the endpoints and slots of the service after any of
+ * them changed, and fails its waiting requests if no endpoint is left. */
 static void
 slots_changed(AqRouter *router, AqTime now, AqService *service)
 {
--- a/packages/router/queue.c
+++ b/packages/router/queue.c
@@ -44,8 +44,8 @@
 {
     bool archive = service->live_count == 0;
     if (service->live_count > 0 && service->archive_count > 0) {
-        unsigned share = (unsigned)router->config.archive_start_interval;
-        archive = service->contended_starts % share == share - 1;
+        unsigned interval = (unsigned)router->config.archive_start_interval;
+        archive = service->contended_starts % interval == interval - 1;
     }
     const AqLink *queue =
         archive != other ? &service->archive : &service->live;
--- a/packages/router/router_private.h
+++ b/packages/router/router_private.h
@@ -25,7 +25,8 @@
     /* Lower bound of the limit that the p95 sets for the attempt timeout
      * (design page, section 5.3). */
     AQ_ATTEMPT_TIMEOUT_MIN_MS = 250,
-    /* Suggested to callers when no expected wait can be computed. */
+    /* Suggested to callers when the expected wait is not the reason of the
+     * refusal or cannot be computed. */
     AQ_DEFAULT_RETRY_AFTER_MS = 1000,
     /* An endpoint's mean latency expires at this age of its last sample.
      * Short enough to detect that an endpoint has become faster, and long
