--- a/packages/router/budget.c
+++ b/packages/router/budget.c
@@ -26,18 +26,18 @@
 AqTime
 AqRouterBudget_Backoff(AqRouter *router, int attempts)
 {
-    AqTime bound = router->config.backoff_low_ms;
-    for (int i = 1; i < attempts && bound < router->config.backoff_high_ms;
+    AqTime bound = router->config.backoff_initial_ms;
+    for (int i = 1; i < attempts && bound < router->config.backoff_max_ms;
          i++) {
         bound *= 2;
     }
-    if (bound > router->config.backoff_high_ms) {
-        bound = router->config.backoff_high_ms;
+    if (bound > router->config.backoff_max_ms) {
+        bound = router->config.backoff_max_ms;
     }
     if (!AqRouter_IsEnabled(router, AQ_ROUTER_DISABLE_JITTER)) {
         return bound;
     }
-    /* Full jitter: the whole range, so that requests that failed together do
-     * not come back together. */
+    /* Full jitter: any delay from 0 to the bound, so that requests which
+     * failed at the same time are not retried at the same time. */
     return (AqTime)AqRandom_Below(&router->random, (uint64_t)bound + 1);
 }
--- a/packages/router/tests/test_random.c
+++ b/packages/router/tests/test_random.c
@@ -6,7 +6,7 @@
 
 enum {
     SEEDS = 300,
-    STEPS = 600,
+    STEPS = 600, /* random calls per seed */
     ENDPOINTS = 7
 };
 
@@ -16,13 +16,15 @@
     return AqRandom_Below(&sim->random, bound);
 }
 
+/* Returns a random element. */
 static uint64_t
 any_of(Sim *sim, const GArray *values)
 {
     return g_array_index(values, uint64_t, below(sim, values->len));
 }
 
-/* A result that agrees with whether bytes left. */
+/* Returns a random result that is possible for the attempt: NOT_SENT if and
+ * only if no byte was sent. */
 static AqAttemptResult
 any_result(Sim *sim, uint64_t attempt)
 {
@@ -35,6 +37,7 @@
                : AQ_ATTEMPT_NOT_SENT;
 }
 
+/* Changes a random endpoint. */
 static void
 change_endpoint(Sim *sim)
 {
@@ -42,11 +45,11 @@
     SimEndpoint *ep = &sim->endpoints[e];
     switch (below(sim, 5)) {
     case 0:
-        ep->out = true;
+        ep->unavailable = true;
         AqRouter_RemoveEndpoint(sim->router, sim->now, ep->name);
         break;
     case 1:
-        /* May move it to another service, or add it again. */
+        /* Moves it to another service, adds it again, or changes nothing. */
         AqRouter_SetEndpoint(sim->router, sim->now, ep->name,
                              below(sim, 4) == 0 ? "other" : "s");
         Sim_SetLeaving(sim, e, false);
@@ -60,6 +63,7 @@
     }
 }
 
+/* Changes the freshness of the daemon or, in the last quarter, stops it. */
 static void
 change_daemon(Sim *sim, int step)
 {
@@ -71,6 +75,7 @@
     }
 }
 
+/* Performs one random call. */
 static void
 step_once(Sim *sim, int step)
 {
@@ -82,12 +87,12 @@
                    below(sim, 2) ? AQ_PRIORITY_LIVE : AQ_PRIORITY_ARCHIVE,
                    timeout, below(sim, 1000));
     }
-    else if (action < 55 && sim->open->len > 0) {
-        uint64_t attempt = any_of(sim, sim->open);
+    else if (action < 55 && sim->open_attempts->len > 0) {
+        uint64_t attempt = any_of(sim, sim->open_attempts);
         Sim_Report(sim, attempt, any_result(sim, attempt));
     }
-    else if (action < 70 && sim->claims->len > 0) {
-        Sim_ReportClaim(sim, any_of(sim, sim->claims),
+    else if (action < 70 && sim->pending_claims->len > 0) {
+        Sim_ReportClaim(sim, any_of(sim, sim->pending_claims),
                         below(sim, 3) > 0 ? AQ_ROUTER_CLAIM_GRANTED
                                           : (AqRouterClaim)below(sim, 3));
     }
@@ -115,18 +120,20 @@
     }
 }
 
-/* Lets everything end and counts requests without exactly one finish. */
+/* Ends all claims and attempts, runs for 10 s, and returns the number of
+ * requests that were not finished exactly once. */
 static int
 count_unfinished(Sim *sim)
 {
     for (int i = 0; i < 100; i++) {
         Sim_Run(sim, 100);
-        while (sim->claims->len > 0) {
-            Sim_ReportClaim(sim, any_of(sim, sim->claims),
+        while (sim->pending_claims->len > 0) {
+            Sim_ReportClaim(sim, any_of(sim, sim->pending_claims),
                             AQ_ROUTER_CLAIM_UNAVAILABLE);
         }
-        while (sim->open->len > 0) {
-            Sim_Report(sim, any_of(sim, sim->open), AQ_ATTEMPT_ANSWERED);
+        while (sim->open_attempts->len > 0) {
+            Sim_Report(sim, any_of(sim, sim->open_attempts),
+                       AQ_ATTEMPT_ANSWERED);
         }
     }
     int n = 0;
@@ -136,6 +143,7 @@
     return n;
 }
 
+/* Makes random calls; returns whether no rule was violated. */
 static bool
 run_seed(uint64_t seed, unsigned disabled)
 {
@@ -144,10 +152,10 @@
     AqError_Clear(&error);
     Sim_Init(&sim, seed, disabled);
     sim.manual = true;
-    /* More retries and trials than with the defaults. */
+    /* Settings that cause more refusals, retries and trials. */
     sim.config.queue_limit = 20;
     sim.config.retry_burst = 40;
-    sim.config.eject_ms = 500;
+    sim.config.eject_initial_ms = 500;
     Sim_Start(&sim, ENDPOINTS, 2, 20);
     bool ok = true;
     for (int i = 0; i < STEPS && ok; i++) {
@@ -161,7 +169,7 @@
     if (!ok && disabled == 0) {
         printf("\nseed %d: %s; %d unfinished; violations", (int)seed,
                error.message, unfinished);
-        for (int i = 0; i < SIM_RULES; i++) {
+        for (int i = 0; i < SIM_RULE_COUNT; i++) {
             printf(" %d", sim.violations[i]);
         }
     }
@@ -169,16 +177,16 @@
     return ok;
 }
 
-/* Guards against a broken rule in any order of calls: a request finished
- * twice or never, exceeded slots, a second run, a false not-run, a start on a
- * leaving endpoint, and inconsistent tables. */
+/* Guards against violated rules in any order of calls: a request finished
+ * twice or never, exceeded slots, a second execution, a wrong
+ * AQ_OUTCOME_NOT_RUN, a start on a leaving endpoint, inconsistent tables. */
 void
 test_random_calls(void)
 {
     for (uint64_t seed = 1; seed <= SEEDS; seed++) {
         CU_ASSERT_TRUE(run_seed(seed, 0));
     }
-    /* The same checks must notice when a rule is missing. */
+    /* The same checks must fail when a rule is disabled. */
     static const unsigned rules[] = {
         AQ_ROUTER_DISABLE_CLAIM,
         AQ_ROUTER_DISABLE_RETRY_RULE,
