--- a/packages/pool/caller_responses.h
+++ b/packages/pool/caller_responses.h
@@ -5,10 +5,11 @@
 
 #include "aq_http_server.h"
 
-/* HTTP responses to callers, from this node or passed on from a peer. */
+/* HTTP responses to callers, from this node or passed on from another. */
 
-/* JSON bodies for status 503, nothing was done, and status 504, the outcome
- * is unknown. */
+/* JSON bodies of error responses: response_unavailable for status 503 (nothing
+ * was done), response_unknown for status 504 (the outcome of the request is
+ * unknown). */
 extern const char response_unavailable[];
 extern const char response_unknown[];
 
--- a/packages/pool/fenced_order.c
+++ b/packages/pool/fenced_order.c
@@ -8,10 +8,11 @@
 #include "store_keys.h"
 
 enum {
-    /* Age of a claim up to which its order may be sent: so early that no later
-     * holder of the coordinator role can have sent one. */
+    /* Age of a VM's claim up to which the claimed order may be sent; an older
+     * claim ends it with FENCED_ORDER_RETRY.  Up to this age, no later machine
+     * coordinator can have sent an order for the VM. */
     CLAIM_MAX_AGE_MS = 800,
-    PAUSE_MARGIN_MS = 500 /* for the clock skew between nodes */
+    PAUSE_MARGIN_MS = 500 /* added to the pause for clock skew between nodes */
 };
 
 typedef struct {
@@ -22,8 +23,8 @@
     char machine[AQ_VM_ID_SIZE];
     char to_pool[64];
     int64_t wave;
-    uint64_t fence;    /* store index of the claim; 0: not claimed */
-    AqTime claimed_at; /* when the claim was sent; monotonic clock */
+    uint64_t fence;    /* store revision of the VM's claim; 0: not claimed */
+    AqTime claimed_at; /* when the VM's claim was sent; monotonic clock */
     FencedOrderDone done;
     void *context;
 } FencedOrderCall;
@@ -90,8 +91,9 @@
     }
 }
 
-/* Whether another node claimed the VM so recently that the pause after its
- * order has not ended.  "item" is the claim: node id and wall clock, ms. */
+/* Whether another node claimed the VM so recently that the pause after that
+ * node's order has not ended.  "item" is the VM's last claim: id of the
+ * claiming node, and time in ms of the wall clock. */
 static bool
 is_pause_active(const FencedOrderCall *call, const AqStoreItem *item)
 {
--- a/packages/pool/forwarder.c
+++ b/packages/pool/forwarder.c
@@ -11,13 +11,15 @@
     /* Time until the deadline below which a second node could not
      * respond, so the request is not forwarded. */
     MIN_REMAINING_MS = 300,
-    RESPONSE_RESERVE_MS = 150, /* for the response to reach the caller */
+    RESPONSE_RESERVE_MS = 150, /* kept for the response to reach the caller */
     CONNECT_TIMEOUT_MS = 250,
-    PEER_FAILURE_PAUSE_MS = 500, /* after a peer failed to serve a request */
+    /* Time without forwarding after a peer failed to serve a request. */
+    PEER_FAILURE_PAUSE_MS = 500,
     MAX_RESPONSE_BYTES = 65536
 };
 
-/* Header of forwarded requests, which are not forwarded again. */
+/* HTTP header that marks a forwarded request, so that the receiving node does
+ * not forward it again. */
 static const char forwarded_header[] = "Aq-Forwarded";
 
 struct Forwarder {
@@ -32,7 +34,7 @@
     ForwardOrder order;
     char peer[32];
     AqTime sent_at;
-    bool is_read; /* a GET, which is safe to repeat */
+    bool is_read; /* the request is a GET, which is safe to repeat */
 } Forward;
 
 static void
--- a/packages/pool/forwarder.h
+++ b/packages/pool/forwarder.h
@@ -4,15 +4,15 @@
 #include "aq_http_server.h"
 #include "node.h"
 
-/* Forwards callers' requests to another node when the store fails this
- * node's calls but may serve those of others.  The peer does not forward
- * them again. */
+/* Forwards callers' requests to another node, the peer, when the store fails
+ * this node's calls but may serve those of the peer.  The peer does not
+ * forward the requests again. */
 
 typedef struct Forwarder Forwarder;
 
 typedef struct {
-    /* Returns "IP:port" on which another node serves callers, or NULL.
-     * Borrowed. */
+    /* Returns the "IP:port" on which another node serves callers, borrowed;
+     * NULL if there is no other node. */
     const char *(*peer)(void *context);
 } ForwarderOps;
 
@@ -23,30 +23,31 @@
 typedef struct {
     AqExchange *exchange;
     AqTime deadline;
-    /* This node has sent a write of the request to the store without
-     * getting its outcome, so no later failure proves that nothing was
-     * done. */
+    /* This node has sent a write for the request to the store and got no
+     * reply, so no later failure proves that nothing was done. */
     bool may_have_effect;
-    /* Called once when the peer's response has arrived or the call has
-     * failed.  With "has_responded" false, the outcome is still unknown and
+    /* Called once when the peer's response has arrived or the call to the peer
+     * has failed.  With "has_responded" true, the exchange has got its
+     * response; with false, the outcome of the request is still unknown and
      * the caller of forwarder_send owns the exchange again.  NULL: no
      * callback; the exchange always gets a response. */
     void (*done)(void *context, bool has_responded);
     void *context;
 } ForwardOrder;
 
-/* Sends the request to a peer and responds to the exchange with the peer's
- * response.  Returns false, and does nothing, when there is no peer, the
- * request has been forwarded already, too little time is left, or a peer
- * failed to serve a request within the last 500 ms. */
+/* Sends the request to another node, the peer, and responds to the exchange
+ * with the peer's response.  Returns false and does nothing if there is no
+ * peer, another node has forwarded the request to this one, too little time is
+ * left until the deadline, or a peer failed to serve a request within the last
+ * 500 ms. */
 bool forwarder_send(Forwarder *forwarder, const ForwardOrder *order);
 
-/* Returns the HTTP status for the caller when the peer responded with
- * "status", or didn't respond (0), in which case "was_sent" says whether
- * the peer may have received the request.  "is_read": the request has no
- * effect.  A 429 or 503 tells the caller that nothing was done, so it is
- * returned only if no write can have taken effect; otherwise the status is
- * 504. */
+/* Returns the HTTP status for the caller of a forwarded request when the peer
+ * responded with "status", or didn't respond (0), in which case "was_sent"
+ * says whether the peer may have received the request.  "is_read": the request
+ * has no effect.  "may_have_effect": as in ForwardOrder.  A 429 or 503 tells
+ * the caller that nothing was done, so it is returned only if no write can
+ * have taken effect; otherwise the status is 504. */
 int forwarder_status(int status, bool was_sent, bool is_read,
                      bool may_have_effect);
 
--- a/packages/pool/job_api.c
+++ b/packages/pool/job_api.c
@@ -12,9 +12,10 @@
 
 enum {
     DEFAULT_DEADLINE_MS = 2500, /* of a request without the deadline header */
-    RESPONSE_RESERVE_MS = 150,  /* for the response to reach the caller */
+    RESPONSE_RESERVE_MS = 150,  /* kept for the response to reach the caller */
     STORE_RETRY_MS = 100,       /* between two attempts of a store call */
-    REPORT_MAX_AGE_MS = 400     /* of a cached report that is still used */
+    /* Age up to which a pool's cached report of waiting jobs is used. */
+    REPORT_MAX_AGE_MS = 400
 };
 
 static const char response_no_owner[] =
@@ -24,11 +25,11 @@
     NodeContext *node;
     JobApiOps ops;
     void *context;
-    GHashTable *reports; /* pool -> Report */
+    GHashTable *reports; /* pool name -> Report */
 };
 
-/* A cached copy of the counts of waiting jobs in a pool's queues, as its
- * owner wrote them. */
+/* A cached copy of the counts of waiting jobs in a pool's queues, as the
+ * pool's owner wrote them to the store. */
 typedef struct {
     char *text;
     AqTime read_at;
@@ -46,7 +47,8 @@
     void (*try)(void *request);
     AqBuffer encoded_job; /* the encoded job of a submission, else empty */
     unsigned attempts;
-    bool may_have_effect; /* an earlier write of this request got no reply */
+    /* a write to the store for this request got no reply */
+    bool may_have_effect;
 } Request;
 
 static AqTime
@@ -176,8 +178,8 @@
     request->try(request);
 }
 
-/* Schedules another attempt; returns false if too little time is left
- * before the deadline. */
+/* Schedules another attempt of the request; returns false if too little time
+ * is left before the request's deadline. */
 static bool
 schedule_retry(Request *request)
 {
@@ -197,9 +199,9 @@
     }
 }
 
-/* For reads, which have no effect, and for requests with a write that got
- * no reply, whose outcome only another attempt can show: forwards the
- * request, or schedules another attempt here. */
+/* For reads, which have no effect, and for requests with a write that got no
+ * reply, whose outcome only another attempt can show: forwards the request to
+ * another node or, if that is not possible, retries it on this one. */
 static void
 forward_or_retry(Request *request)
 {
@@ -208,8 +210,8 @@
     }
 }
 
-/* Called when forwarding has ended.  If the peer doesn't know the outcome
- * either, this node goes on trying. */
+/* Called when the forwarding of a request has ended.  If the other node could
+ * not determine the request's outcome either, this node retries it. */
 static void
 on_forwarded(void *context, bool has_responded)
 {
@@ -234,7 +236,8 @@
         finish_request(request, 200, "{}", "stored");
         break;
     case AQ_STORE_CONFLICT:
-        /* The job exists already, or was cancelled before it arrived. */
+        /* The job is in the store already, or was cancelled before its
+         * submission arrived. */
         finish_request(request, 200, "{}", "known");
         break;
     case AQ_STORE_UNKNOWN:
@@ -242,7 +245,8 @@
         forward_or_retry(request);
         break;
     default:
-        /* This write had no effect; an earlier one may still take effect. */
+        /* This write had no effect; an earlier write for the same request that
+         * got no reply may still take effect. */
         if (request->may_have_effect) {
             forward_or_retry(request);
         }
@@ -404,7 +408,7 @@
 }
 
 /* Writes the cancellation mark of a job that is in the store; requires that
- * the job still has the given modify index. */
+ * the job was last written at store revision "job_index". */
 static void
 mark_cancelled(Request *request, uint64_t job_index)
 {
@@ -424,8 +428,8 @@
     Request *request = context;
     record_store_status(request, reply);
     if (reply->status == AQ_STORE_OK) {
-        /* The mark stays: a submission that arrives later finds it, and the
-         * job never runs. */
+        /* The cancellation mark stays in the store: a submission of the job
+         * that arrives later finds the mark, and the job never runs. */
         finish_request(request, 410, "{\"error\":\"there is no such job\"}",
                        "cancelled_before");
     }
--- a/packages/pool/job_api.h
+++ b/packages/pool/job_api.h
@@ -6,9 +6,9 @@
 #include "node.h"
 
 /* HTTP API for callers: jobs are submitted, queried and cancelled at any
- * node.  A job is accepted once it is in the store.  A request that needs
- * the store gets an error response that says so when the store can't be
- * reached. */
+ * node.  A job is accepted once it is in the store.  While the store can't be
+ * reached, a request that needs the store gets an error response with this
+ * reason. */
 
 typedef struct JobApi JobApi;
 
@@ -16,7 +16,7 @@
     /* Returns whether the node's copy of the configuration is up to date
      * with the store. */
     bool (*is_current)(void *context);
-    /* Forwards a request to another node; false, and nothing is done, when
+    /* Forwards a request to another node.  Returns false and does nothing if
      * that is not possible. */
     bool (*forward)(void *context, const ForwardOrder *order);
 } JobApiOps;
--- a/packages/pool/machine_coordinator.c
+++ b/packages/pool/machine_coordinator.c
@@ -11,56 +11,65 @@
 #include "prefix_view.h"
 
 enum {
-    RETRY_MS = 250, /* after an order or a write that was not accepted */
-    /* How long a move counts against the demand of the pool that it goes to.
-     * After that the VM has arrived, and the pool requests one VM less. */
+    /* Wait after an order that was not accepted, or a write of responses that
+     * failed. */
+    RETRY_MS = 250,
+    /* How long a VM that was sent to a pool is subtracted from the VMs that
+     * the pool requests.  After that the VM has arrived, and the pool requests
+     * one VM less. */
     MOVE_IN_PROGRESS_MS = 2300,
-    /* Orders in progress at a time, with the write of responses; the platform
-     * accepts about 64 orders a second. */
+    /* Greatest number of orders and writes of responses in progress at a time;
+     * further orders wait.  The platform accepts about 64 orders a second. */
     MAX_CONCURRENT_CALLS = 12
 };
 
 typedef enum {
-    REQUEST_WAITING, /* for its order, or for the retry of it */
-    REQUEST_ORDERED, /* the order is in progress */
-    REQUEST_ENDED    /* done or refused */
+    REQUEST_WAITING, /* an order is to be sent, or sent again */
+    REQUEST_ORDERED, /* the request's order was sent; no result yet */
+    REQUEST_ENDED    /* the order was accepted, or the request refused */
 } MachineRequestState;
 
 typedef struct {
     AqMachineRequest request;
-    char pool[64];  /* pool whose owner sent the request */
-    uint64_t fence; /* of that ownership */
+    char pool[64]; /* pool whose owner sent the request */
+    /* Fence of the sending owner's ownership of "pool". */
+    uint64_t fence;
     MachineRequestState state;
-    bool is_refused;   /* REQUEST_ENDED only */
-    bool is_requested; /* the owner's list still contains the request */
-    AqTime retry_at;   /* earliest time of the next order */
-    char target[64];   /* destination of a move; "": not chosen, or no move */
+    bool is_refused;   /* the request was refused; valid in REQUEST_ENDED */
+    bool is_requested; /* the pool owner's list still contains the request */
+    AqTime retry_at;   /* earliest time of the next order for the request */
+    /* Pool to which the VM is to move; "": not chosen yet, or no move. */
+    char target[64];
 } RequestEntry;
 
-/* VMs that a pool requests without naming them. */
+/* VMs that a pool requests without naming them, and VMs sent to the pool. */
 typedef struct {
     size_t requested_vms;
-    GArray *sent_at; /* of AqTime: when VMs were sent there, oldest first */
+    /* of AqTime: when VMs were sent to the pool, oldest first */
+    GArray *sent_at;
 } Demand;
 
 /* Outcome of this coordinator's last orders for a VM. */
 typedef struct {
-    char moved_to_pool[64]; /* by the last move; "": none, or not known */
-    uint64_t claim_index;   /* store index of the last claim; 0: not known */
+    /* Pool to which the last order moved the VM; "": none, or not known. */
+    char moved_to_pool[64];
+    /* store revision of the VM's last claim; 0: not known */
+    uint64_t claim_index;
 } VmRecord;
 
 struct MachineCoordinator {
     NodeContext *node;
-    uint64_t fence;         /* of the ownership of the coordinator role */
-    PrefixView *view;       /* of the owners' requests */
-    OwnerWriter *writer;    /* for the responses */
-    GPtrArray *entries;     /* of RequestEntry; owned */
-    GHashTable *demands;    /* pool -> Demand */
+    uint64_t fence;      /* of this node's ownership of the coordinator role */
+    PrefixView *view;    /* of the requests of the pools' owners */
+    OwnerWriter *writer; /* writes the responses to the owners' requests */
+    GPtrArray *entries;  /* of RequestEntry; owned */
+    GHashTable *demands; /* pool name -> Demand */
     GHashTable *vm_records; /* VM id -> VmRecord */
-    GHashTable *responses; /* set of pools whose responses are to be written */
+    /* set of names of the pools whose responses are to be written */
+    GHashTable *responses;
     bool is_writing_responses;
     AqTime responses_due; /* earliest time of the next write of responses */
-    int calls;            /* orders and writes in progress */
+    int calls;            /* orders and writes of responses in progress */
     bool is_dropped;      /* freed as soon as "calls" is 0 */
 };
 
@@ -95,9 +104,10 @@
     return NULL;
 }
 
-/* Whether the owner of another pool has requested the same VM: the first
- * request has precedence.  A request that has ended counts only if it was for
- * a move to the requesting pool; a VM that was released is free for others. */
+/* Whether the owner of another pool has already requested an order for the VM
+ * of "entry": the first request for a VM has precedence.  A request that has
+ * ended counts only if it was for a move to the pool that made it; a VM that a
+ * pool has released is free for others. */
 static bool
 is_requested_elsewhere(const MachineCoordinator *coordinator,
                        const RequestEntry *entry)
@@ -115,9 +125,9 @@
     return false;
 }
 
-/* Whether this coordinator has moved the VM out of the pool where the owner
- * saw it: the list that the owner has read is older than the move, and the
- * order would end tasks of another pool. */
+/* Whether this coordinator has moved the VM out of the pool where the
+ * requesting owner saw it: the owner read the platform's list before the move,
+ * and the requested order would end tasks of another pool. */
 static bool
 is_moved_away(const MachineCoordinator *coordinator, const RequestEntry *entry)
 {
@@ -134,7 +144,8 @@
            strcmp(record->moved_to_pool, spare) != 0;
 }
 
-/* Returns why a new request is refused, as logged; NULL: it is not. */
+/* Returns the reason, as logged, for which a new request is refused; NULL: the
+ * request is not refused. */
 static const char *
 find_refusal_reason(const MachineCoordinator *coordinator,
                     const RequestEntry *entry)
@@ -212,9 +223,10 @@
                : 0;
 }
 
-/* Sets the destination of a move.  A VM that a pool releases goes straight to
- * the pool with the greatest unmet demand, which saves the move through the
- * spare pool; without such a pool it goes to the spare pool. */
+/* Sets the pool to which the VM of a requested move goes.  A VM that a pool
+ * releases goes straight to the pool with the greatest unmet demand, which
+ * saves the move through the spare pool; without such a pool it goes to the
+ * spare pool. */
 static void
 choose_target(MachineCoordinator *coordinator, RequestEntry *entry)
 {
@@ -226,7 +238,7 @@
     AqTime now = AqLoop_Now(coordinator->node->loop);
     g_strlcpy(entry->target, entry->request.to_pool, sizeof(entry->target));
     if (entry->target[0] == '\0' || strcmp(entry->target, entry->pool) == 0) {
-        return; /* maintenance, or a move to the requesting pool */
+        return; /* maintenance, or a move to the pool that requests it */
     }
     g_hash_table_iter_init(&iter, coordinator->demands);
     while (g_hash_table_iter_next(&iter, &key, &value)) {
@@ -299,7 +311,8 @@
     coordinator->is_writing_responses = false;
     coordinator->calls--;
     if (status != AQ_STORE_OK) {
-        /* Write the responses to all pools again. */
+        /* The write failed: write the responses to the owners of all pools
+         * with ended requests again. */
         for (guint i = 0; i < coordinator->entries->len; i++) {
             const RequestEntry *entry =
                 g_ptr_array_index(coordinator->entries, i);
@@ -391,7 +404,8 @@
                   sizeof(record->moved_to_pool));
     }
     else if (result == FENCED_ORDER_UNKNOWN) {
-        /* The move may have been carried out, or may still be. */
+        /* An order without a response may have moved the VM, or may still do
+         * so: the VM's pool is not known. */
         record->moved_to_pool[0] = '\0';
     }
     if (result == FENCED_ORDER_DONE || result == FENCED_ORDER_REFUSED) {
@@ -473,7 +487,8 @@
         return;
     }
     prefix_view_destroy(coordinator->view);
-    coordinator->calls++; /* owner_writer_drop() may end calls */
+    /* Keeps the coordinator allocated while owner_writer_drop() ends calls. */
+    coordinator->calls++;
     owner_writer_drop(coordinator->writer);
     coordinator->calls--;
     coordinator->is_dropped = true;
--- a/packages/pool/machine_coordinator.h
+++ b/packages/pool/machine_coordinator.h
@@ -5,17 +5,20 @@
 
 /* Sends the orders for VMs while this node is the machine coordinator: reads
  * the requests of the pools' owners and sends an order for each, repeated
- * until it is accepted or refused or the request is withdrawn. */
+ * until the platform accepts or refuses the order or the owner withdraws the
+ * request. */
 
 typedef struct MachineCoordinator MachineCoordinator;
 
 /* "fence" is that of this node's ownership of the coordinator role. */
 MachineCoordinator *machine_coordinator_create(NodeContext *node,
                                                uint64_t fence);
-/* Sends no further orders; frees the coordinator when its calls have ended. */
+/* Sends no further orders; frees the coordinator when its calls to the store
+ * and the platform have ended. */
 void machine_coordinator_drop(MachineCoordinator *coordinator);
-/* Sends the orders and writes the responses that are due.  "may_order":
- * whether this node is certain to be the coordinator. */
+/* Sends the orders and writes the responses to owners that are due.
+ * "may_order": whether this node is certain to be the machine coordinator;
+ * otherwise no order is sent. */
 void machine_coordinator_round(MachineCoordinator *coordinator,
                                bool may_order);
 
--- a/packages/pool/member.c
+++ b/packages/pool/member.c
@@ -10,24 +10,27 @@
 #include "prefix_view.h"
 
 enum {
-    RENEWAL_INTERVAL_MS = 450, /* between renewals of the lease */
+    RENEWAL_INTERVAL_MS = 450, /* between renewals of this node's lease */
     LEASE_RETRY_MS = 150,
-    ORDER_DELIVERY_MS = 300, /* for an order to be sent and carried out */
-    /* Subtracted from the lease's term, because the store's clock may run
-     * slightly faster than the local one. */
+    /* allowed for an order to be sent and carried out */
+    ORDER_DELIVERY_MS = 300,
+    /* Subtracted from the term of this node's lease, because the store's clock
+     * may run slightly faster than the local one. */
     LEASE_MARGIN_MS = 200,
-    /* Age of the last reply to a lease call from which the node reports not
-     * ready, so that it gets no requests. */
+    /* Once the store's last reply to a lease call is this old, this node
+     * reports not ready, so that callers send it no requests. */
     REPLY_MAX_AGE_MS = 1500,
-    /* Waits before a claim: after a start, so that the other members are
-     * seen; for each pool owned already; and the range of the wait that a
-     * hash of pool and node spreads. */
+    /* Wait between this node's joining and its first claim of a pool, so that
+     * it sees the other members first. */
     CLAIM_START_WAIT_MS = 300,
+    /* Extra wait before a claim for each pool that this node owns already. */
     CLAIM_WAIT_PER_POOL_MS = 120,
+    /* Range of the extra wait before a claim that depends on a hash of pool
+     * and node. */
     CLAIM_SPREAD_MS = 100,
-    /* Extra wait of a node with a CPU share of 0 beside a stronger member.
-     * Longer than the wait of a stronger node that owns all pools of a
-     * site. */
+    /* Extra wait before a claim of a pool by a node with a CPU share of 0, if
+     * another member has a greater one; less for shares in between.  Longer
+     * than the wait of a stronger node that owns all pools of a site. */
     CLAIM_LOW_CPU_WAIT_MS = 2000,
     CLAIM_RETRY_MS = 100
 };
@@ -36,31 +39,36 @@
     CLAIM_NONE,
     CLAIM_OWNED,
     CLAIM_WAITING,
-    CLAIM_READING, /* reading the term record */
+    CLAIM_READING, /* the pool's term record is being read */
     CLAIM_WRITING
 } ClaimState;
 
 typedef struct {
     Member *member;
     char pool[64];
-    /* Listed in the site's configuration; for the machine coordinator: a
-     * machine service is configured. */
+    /* The pool is listed in the site's configuration; for the role of the
+     * machine coordinator: a machine service is configured. */
     bool is_configured;
     ClaimState state;
     AqTimer timer;
     AqTime vacant_since;
-    /* The owner key as last seen; index 0: absent. */
+    /* The pool's owner key as last seen: store revision (0: the key is
+     * absent), id and incarnation of the owning node. */
     uint64_t owner_index;
     char owner_node[64];
     char owner_incarnation[40];
-    /* The term record as last read. */
+    /* The pool's term record as last read: store revision (0: there is no
+     * record), number of owners so far, whether the last owner released the
+     * pool, and that owner's node id and incarnation. */
     uint64_t term_index;
     int64_t generation;
     bool was_released;
     char term_node[64];
     char term_incarnation[40];
-    uint64_t fence;                    /* valid while owned */
-    bool previous_owner_may_be_active; /* see Ownership */
+    /* Store revision of the owner key that this node wrote; valid in
+     * CLAIM_OWNED. */
+    uint64_t fence;
+    bool previous_owner_may_be_active; /* as in Ownership */
 } PoolClaim;
 
 /* A member's entry in the store. */
@@ -75,16 +83,19 @@
     MemberOps ops;
     void *context;
     PrefixView *nodes;
-    /* node -> MemberEntry, of all members including this node */
+    /* node id -> MemberEntry, of all members including this node */
     GHashTable *peers;
     guint next_peer;
-    GHashTable *claims; /* pool -> PoolClaim */
+    GHashTable *claims; /* pool name -> PoolClaim */
     AqTimer renewal_timer;
     uint64_t lease;
     AqTime renewal_sent_at;
-    AqTime lease_valid_until; /* the lease holds for certain until then */
+    /* this node's lease is certain to hold until then */
+    AqTime lease_valid_until;
     AqTime last_reply_at;
-    AqTime joined_at; /* AQ_TIME_NEVER: no membership entry written yet */
+    /* When this node's membership entry was written; AQ_TIME_NEVER: it has
+     * none. */
+    AqTime joined_at;
     bool is_leaving;
 };
 
@@ -231,8 +242,8 @@
 bool
 member_may_order(const Member *member)
 {
-    /* Reads the clock, because the loop's time may be old on a machine that
-     * is short of CPU. */
+    /* Read the clock, because the loop's time may be behind it on a machine
+     * that is short of CPU. */
     return AqClock_ReadMonotonic() + ORDER_DELIVERY_MS <
            member->lease_valid_until;
 }
@@ -268,8 +279,8 @@
     return count;
 }
 
-/* Returns whether the node that ran the owner with the given incarnation
- * has registered another incarnation since, so that process has ended. */
+/* Returns whether a node has registered another incarnation than the given
+ * one, so that the process with the given one has ended. */
 static bool
 is_replaced(const Member *member, const char *node, const char *incarnation)
 {
@@ -281,8 +292,9 @@
 static bool
 is_vacant(const PoolClaim *claim)
 {
-    /* A claim of this process that took effect after it was given up leaves
-     * an owner key with its own incarnation. */
+    /* If this process gives up a claim of the pool that takes effect later,
+     * the owner key contains this process's incarnation although the pool has
+     * no owner. */
     bool is_ours = claim->state != CLAIM_OWNED &&
                    strcmp(claim->owner_incarnation,
                           claim->member->node->incarnation) == 0;
@@ -353,9 +365,9 @@
     }
     else if (reply->status == AQ_STORE_UNKNOWN ||
              reply->status == AQ_STORE_CONFLICT) {
-        /* The write may have taken effect: without a reply it may have been
-         * carried out, and a copy that the HTTP client resent conflicts
-         * with the first one. */
+        /* The claim may have taken effect: without a reply the store may have
+         * carried it out, and a copy of the call that the HTTP client resent
+         * conflicts with the first one.  The owner key shows it. */
         node->store->ops->get(node->store, key_of(KEY_OWNER, claim->pool),
                               on_claim_read, claim);
     }
@@ -438,9 +450,9 @@
     node->store->ops->commit(node->store, &commit, on_claimed, claim);
 }
 
-/* Returns the extra wait of a node with less CPU than the strongest member,
- * in ms.  A pool needs 1000 orders a second at the peak of a burst, so
- * stronger nodes claim first. */
+/* Returns the extra wait, in ms, before this node claims a pool if it has less
+ * CPU than the strongest member.  A pool's owner sends 1000 orders a second at
+ * the peak of a burst, so stronger nodes claim first. */
 static AqTime
 low_cpu_wait(const Member *member)
 {
@@ -493,7 +505,8 @@
     }
     AqTime due = claim_due(claim);
     if (due > AqLoop_Now(node->loop)) {
-        /* Pools gained since have lengthened the wait. */
+        /* Pools that this node gained while it waited have lengthened the wait
+         * before its claim. */
         AqTimer_Start(node->loop, &claim->timer, due);
         return;
     }
@@ -595,8 +608,8 @@
     GHashTableIter iter;
     gpointer value;
     g_hash_table_remove(member->peers, key + strlen(KEYS_MEMBERS));
-    /* The wait may have become shorter: the removed member may have been
-     * stronger than this node. */
+    /* The waits before this node's claims may have become shorter: the removed
+     * member may have been stronger than this node. */
     g_hash_table_iter_init(&iter, member->claims);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         PoolClaim *claim = value;
--- a/packages/pool/node.c
+++ b/packages/pool/node.c
@@ -18,17 +18,20 @@
 #include "vm_directory.h"
 
 enum {
-    STORE_TIMEOUT_MS = 800, /* slow replies take up to 0.3 s */
-    ORDER_TIMEOUT_MS = 600, /* usual replies take a few ms */
+    STORE_TIMEOUT_MS = 800, /* the store's slow replies take up to 0.3 s */
+    ORDER_TIMEOUT_MS = 600, /* VMs usually reply within a few ms */
     MACHINE_TIMEOUT_MS = 1500,
-    ADVICE_TIMEOUT_MS = 3000, /* the service handles calls serially */
+    ADVICE_TIMEOUT_MS = 3000, /* the advice service handles calls serially */
     MAX_JOB_BYTES = 262144,
     IDLE_TIMEOUT_S = 30,
-    CONFIG_MAX_AGE_MS = 4000, /* a watch returns at least every 2 s */
+    /* Age of the store's last reply to the watch of the configuration from
+     * which this node's copy counts as out of date; a watch returns at least
+     * every 2 s. */
+    CONFIG_MAX_AGE_MS = 4000,
     /* A graceful stop: the node reports not ready at once, so that callers
-     * switch to other nodes; after STOP_CLOSE_MS responses close their
-     * connections; from STOP_END_MS the node ends once no request is
-     * pending. */
+     * switch to other nodes; after STOP_CLOSE_MS the node closes each
+     * connection with the response; after STOP_END_MS the node ends once no
+     * request is pending. */
     STOP_CLOSE_MS = 3000,
     STOP_END_MS = 4000,
     /* The node ends at the latest this long before the platform sends
@@ -41,16 +44,16 @@
     NodeContext context;
     AqHttpServer *callers;
     AqHttpServer *readiness;
-    AqHttpServer *metrics; /* NULL: not configured */
+    AqHttpServer *metrics; /* NULL: no metrics address is configured */
     JobApi *job_api;
     Forwarder *forwarder;
     Member *member;
     PrefixView *operator_view;
     VmDirectory *vms; /* NULL until this node owns a pool */
     WaveTable *waves;
-    /* NULL unless this node is the coordinator */
+    /* NULL unless this node is the machine coordinator */
     MachineCoordinator *coordinator;
-    GHashTable *owners; /* pool -> OwnedPool */
+    GHashTable *owners; /* pool name -> OwnedPool */
     AqTimer stop_timer;
     AqTime stop_began;
     int unfinished_handover_count;
@@ -458,7 +461,8 @@
         at->data = g_strdup(at->data);
     }
     for (GList *at = pools; at != NULL; at = at->next) {
-        /* The round of a pool may lead to the loss of this or another pool. */
+        /* The round of a pool may lead to this node's loss of that pool or
+         * another, so each pool is looked up again. */
         const OwnedPool *pool = g_hash_table_lookup(node->owners, at->data);
         if (pool == NULL) {
             continue;
@@ -670,7 +674,8 @@
     machine_coordinator_drop(node->coordinator);
     drop_pools(node);
     if (context->http != NULL) {
-        /* Ends all calls in flight while their contexts still exist. */
+        /* Ends all HTTP calls in flight while the contexts of their callbacks
+         * still exist. */
         AqHttpClient_Close(context->http);
     }
     member_destroy(node->member);
--- a/packages/pool/node.h
+++ b/packages/pool/node.h
@@ -15,27 +15,33 @@
 #include "store_health.h"
 
 /* State that the components of a node share.  Each component gets its
- * dependencies from here and none includes another's internals. */
+ * dependencies from NodeContext and includes no other component's
+ * internals. */
 
 /* Metrics of a node; docs/OPERATIONS.md describes each.  Histograms are in
  * ms. */
 typedef struct {
     AqMetrics *all;
-    /* From the arrival of a submission to its response, if stored. */
+    /* Time from the arrival of a job's submission to its response, if that has
+     * status 200. */
     AqMetric *accept_ms;
-    /* From the arrival of a request for a job's state to its response. */
+    /* Time from the arrival of a request for a job's state to its response, if
+     * that has status 200. */
     AqMetric *state_ms;
-    /* Round trip of an order to start a task. */
+    /* Round-trip time of an order to a VM to start a task, if the VM
+     * replied. */
     AqMetric *start_ms;
-    /* Round trip of a pool owner's write of its jobs' progress. */
+    /* Time that a pool owner's write of job progress to the store takes, with
+     * repeated attempts. */
     AqMetric *save_ms;
-    /* From gaining a pool to having loaded its jobs. */
+    /* Time from this node's gaining a pool until the pool's jobs are
+     * loaded. */
     AqMetric *takeover_ms;
     /* Callers' submissions that were stored. */
     AqMetric *stored;
     AqMetric *refused; /* callers' requests with status 503: nothing done */
     AqMetric *unknown; /* callers' requests with status 504: outcome unknown */
-    /* Orders that got no response or were not sent. */
+    /* Pool owners' orders to VMs that got no reply or were not sent. */
     AqMetric *orders_failed;
     AqMetric *pools_gained;
     AqMetric *pools_lost;
@@ -51,8 +57,8 @@
     AqAdviceClient *advice;    /* NULL: no advice service is configured */
     NodeMetrics metrics;
     StoreHealth store_health;
-    AqSiteConfig site;    /* version 0: not read yet */
-    char incarnation[40]; /* random, of this process */
+    AqSiteConfig site;    /* configuration of the site; version 0: not read */
+    char incarnation[40]; /* random id of this process */
     bool is_stopping;
 } NodeContext;
 
--- a/packages/pool/owner_writer.c
+++ b/packages/pool/owner_writer.c
@@ -13,12 +13,12 @@
 };
 
 typedef struct {
-    GPtrArray *allocations; /* owns the keys and values of the entries */
+    GPtrArray *allocations; /* owns the keys and values of expects and puts */
     AqStoreExpect expects[AQ_STORE_COMMIT_ENTRIES];
     size_t expect_count;
     AqStorePut puts[AQ_STORE_COMMIT_ENTRIES];
     size_t put_count;
-    /* Value that the write gives to the write stamp; read back to see
+    /* Value that this write gives to the owner's write stamp; read back to see
      * whether the write took effect. */
     char stamp[80];
     OwnerWriteDone done;
@@ -29,15 +29,17 @@
     NodeContext *node;
     char pool[64];
     uint64_t fence;
-    GQueue *writes; /* queue of Write; the first is in progress */
-    /* Modify index of the write stamp as last read or written; 0: absent. */
+    GQueue *writes; /* of Write: not ended; the first is in progress */
+    /* Store revision of the owner's write stamp as last read or written; 0:
+     * there is no write stamp. */
     uint64_t write_stamp_index;
     bool is_write_stamp_known;
     uint64_t last_stamp_number;
     bool is_write_in_progress;
     bool is_dropped;
-    /* Inside a "done" callback, which may drop the writer: start_next
-     * returns without effect, so the writer isn't freed. */
+    /* A write's "done" callback, which may drop the writer, is being
+     * called: start_next returns without effect, so the writer isn't freed
+     * meanwhile. */
     bool is_in_callback;
     AqTimer retry_timer;
 };
@@ -59,8 +61,8 @@
     free(writer);
 }
 
-/* Removes the first write, calls its "done", and starts the next one.  May
- * free the writer. */
+/* Removes the first write of the queue, calls its "done", and starts the next
+ * write.  May free the writer. */
 static void
 finish_first(OwnerWriter *writer, AqStoreStatus status)
 {
@@ -116,7 +118,8 @@
         find_item(reply, key_of(KEY_OWNER, writer->pool));
     uint64_t write_stamp_index = write_stamp != NULL ? write_stamp->index : 0;
     if (is_stamped(write_stamp, write)) {
-        /* The HTTP client resent the call, and the first copy took effect. */
+        /* The HTTP client sent the write twice, and the first copy took
+         * effect. */
         writer->write_stamp_index = write_stamp_index;
         finish_first(writer, AQ_STORE_OK);
     }
@@ -124,8 +127,9 @@
         finish_first(writer, AQ_STORE_ABSENT);
     }
     else if (write_stamp_index != writer->write_stamp_index) {
-        /* An earlier write that had been given up took effect meanwhile;
-         * this one is sent again under the new stamp. */
+        /* An earlier write that had been given up took effect meanwhile and
+         * changed the write stamp.  The first write of the queue is sent
+         * again, with the changed stamp as its condition. */
         writer->write_stamp_index = write_stamp_index;
         writer->is_write_in_progress = false;
         start_next(writer);
@@ -180,8 +184,9 @@
         finish_first(writer, AQ_STORE_OK);
         return;
     }
-    /* The write has not taken effect, and can't any more once the stamp has
-     * changed, so it is sent again under a new stamp. */
+    /* The first write of the queue has not taken effect, and a copy sent
+     * before can't any more once the write stamp has changed, so the write is
+     * sent again with a new stamp. */
     writer->is_write_in_progress = false;
     start_next(writer);
 }
--- a/packages/pool/pool_machine_requests.c
+++ b/packages/pool/pool_machine_requests.c
@@ -14,8 +14,8 @@
     self->are_requests_changed = true;
 }
 
-/* Applies a response of the machine coordinator to the plan whose request it
- * ends; one to a withdrawn request is ignored. */
+/* Applies a response of the machine coordinator to the plan whose request the
+ * response ends; a response to a withdrawn request is ignored. */
 static void
 apply_response(PoolMachines *self, const AqMachineRequest *response)
 {
@@ -45,7 +45,9 @@
     PoolMachines *self = context;
     AqMachineRequestList list;
     if (strcmp(item->key, key_of(KEY_MACHINE_RESPONSES, self->pool)) != 0) {
-        return; /* to a pool whose name only begins like this one's */
+        /* The responses are for a pool whose name only begins with this pool's
+         * name. */
+        return;
     }
     if (!AqMachineRequestList_Decode(item->value, item->size, &list)) {
         AqLog_Event(AQ_LOG_ERROR, "answers_unreadable", "pool=%s index=%llu",
--- a/packages/pool/pool_machines.c
+++ b/packages/pool/pool_machines.c
@@ -7,9 +7,14 @@
 
 enum {
     ROUND_INTERVAL_MS = 100,
-    LIST_INITIAL_AGE_MS = 60000,   /* of a list that was never read */
-    SILENT_LIST_MAX_AGE_MS = 1000, /* of the list while a VM is silent */
-    PERPETUAL_TASK_WEIGHT = 100    /* in ordinary tasks, to sort VMs by load */
+    /* age of the platform's list if none was read */
+    LIST_INITIAL_AGE_MS = 60000,
+    /* Age from which the platform's list is requested again while a VM doesn't
+     * reply to orders. */
+    SILENT_LIST_MAX_AGE_MS = 1000,
+    /* Load of a perpetual task, in ordinary tasks, when VMs are sorted by
+     * load. */
+    PERPETUAL_TASK_WEIGHT = 100
 };
 
 AqTime
@@ -217,8 +222,9 @@
     return NULL;
 }
 
-/* Whether the platform has ended an incarnation of a VM because of an order:
- * the VM is being moved or maintained, or is up again under another id. */
+/* Whether the platform has ended the given incarnation of a VM because of an
+ * order: the VM is being moved or maintained, or is up again as another
+ * incarnation. */
 static bool
 is_replaced(const AqMachine *listed, const char *incarnation)
 {
@@ -228,9 +234,10 @@
             strcmp(listed->vm, incarnation) != 0);
 }
 
-/* A silent VM counts as running until its leases have expired.  The list shows
- * earlier whether an order has ended it, for instance one that an earlier
- * owner of the pool had requested. */
+/* A VM that doesn't reply counts as running until the leases of its tasks have
+ * expired.  The platform's list shows earlier whether an order has ended the
+ * VM's incarnation, for instance an order that an earlier owner of the pool
+ * had requested. */
 static void
 end_replaced_vms(PoolMachines *self, AqScheduler *s)
 {
@@ -239,8 +246,8 @@
         if (vm->silent_since == AQ_TIME_NEVER || vm->machine[0] == '\0') {
             continue;
         }
-        /* A list that was requested before the VM fell silent may show it
-         * before this incarnation began. */
+        /* A list that was requested before the VM stopped replying may show
+         * the VM as it was before this incarnation began. */
         if (self->list_requested_at <= vm->silent_since ||
             machines_now(self) - self->listed_at > SILENT_LIST_MAX_AGE_MS) {
             request_list(self);
--- a/packages/pool/pool_machines_private.h
+++ b/packages/pool/pool_machines_private.h
@@ -13,33 +13,47 @@
  * pool_sizing.c            VMs acquired from the spare pool and released */
 
 enum {
-    MACHINES_RETRY_MS = 150 /* after a write or a listing that failed */
+    /* Wait after a write to the store, or a request for the platform's list,
+     * that failed. */
+    MACHINES_RETRY_MS = 150
 };
 
 typedef enum {
-    VM_CORDONED,  /* gets no new tasks; waits until its tasks have ended */
-    VM_CLAIMING,  /* a slot is being claimed by a write of the wave's record */
-    VM_REQUESTED, /* the order is requested from the machine coordinator */
-    VM_RETURNED   /* serves again; the wave's record is to show it as done */
+    VM_CORDONED, /* the VM gets no new tasks; its tasks are to end */
+    /* A slot of the wave is being claimed for the VM by a write of the wave's
+     * record. */
+    VM_CLAIMING,
+    /* The plan's order is requested from the machine coordinator. */
+    VM_REQUESTED,
+    /* The VM serves again; the wave's record is to show its maintenance as
+     * done. */
+    VM_RETURNED
 } VmPhase;
 
 typedef enum {
     PLAN_MAINTENANCE,
-    PLAN_RELEASE, /* to the spare pool */
-    PLAN_ACQUIRE  /* from the spare pool */
+    /* Move from this pool to the spare pool, or to one that requests VMs. */
+    PLAN_RELEASE,
+    PLAN_ACQUIRE /* move from the spare pool to this one */
 } PlanKind;
 
-/* What this owner is doing with one VM, and how far it has come. */
+/* Planned maintenance or move of one VM by this pool's owner, with its
+ * progress. */
 typedef struct {
     char machine[AQ_VM_ID_SIZE]; /* VM id */
-    char vm[AQ_VM_ID_SIZE]; /* its incarnation when the plan began, or "" */
+    /* The VM's incarnation when the plan began; "": the pool's scheduler had
+     * none. */
+    char vm[AQ_VM_ID_SIZE];
     PlanKind kind;
     VmPhase phase;
-    int64_t wave;           /* number of the wave; PLAN_MAINTENANCE only */
-    int64_t request_number; /* 0: no order is requested */
-    bool is_ordered;        /* the response says that the order was accepted */
-    AqTime ordered_at;      /* when that response was received */
-    AqTime started_at;      /* when the plan began; later, its request */
+    int64_t wave;           /* number of the maintenance wave; 0 for moves */
+    int64_t request_number; /* number of the request for the order; 0: none */
+    /* The machine coordinator responded that the plan's order was accepted. */
+    bool is_ordered;
+    AqTime ordered_at; /* when the response that set is_ordered arrived */
+    /* When the plan began; once its order is requested, when that was
+     * requested. */
+    AqTime started_at;
     AqTime retry_at; /* earliest time of the next write of the wave's record */
 } Plan;
 
@@ -48,27 +62,35 @@
     WaveTable *waves;
     PoolOwner *owner;
     char pool[64];
-    uint64_t fence;  /* of the pool's ownership */
+    uint64_t fence;  /* of this node's ownership of the pool */
     bool is_dropped; /* freed as soon as "calls" is 0 */
-    int calls;       /* to the store or the platform, in progress */
+    int calls;       /* calls to the store or the platform in progress */
     AqTime next_round_at;
-    AqTime next_log_at;          /* of the pool_load event */
-    int64_t last_request_number; /* highest request number used so far */
-    bool are_requests_changed;   /* since the last write of the requests */
-    size_t requested_vms; /* VMs needed beyond those of the spare pool */
+    AqTime next_log_at; /* earliest time of the next pool_load log event */
+    /* Highest number given to a request for an order so far. */
+    int64_t last_request_number;
+    /* The requests for orders have changed since they were last written. */
+    bool are_requests_changed;
+    /* VMs that the pool needs beyond those that it acquires from the spare
+     * pool. */
+    size_t requested_vms;
     bool is_writing_requests;
-    AqTime requests_due;   /* earliest time of the next write of requests */
-    PrefixView *responses; /* of the machine coordinator to this pool */
+    AqTime requests_due; /* earliest time of the next write of the requests */
+    /* Of the machine coordinator's responses to this pool's requests. */
+    PrefixView *responses;
     bool is_writing_wave;
-    GArray *wave_changes; /* of WaveChange: of this round, not written yet */
+    GArray *wave_changes; /* of WaveChange: those of the current round */
     GHashTable *plans;    /* VM id -> Plan */
-    GArray *vms; /* of VmCopy: as of this round, in the order of their load */
-    /* The platform's list of VMs. */
-    GArray *list; /* of AqMachine */
-    /* When it was received; a failed attempt adds MACHINES_RETRY_MS. */
+    /* Of VmCopy: the pool's VMs as of the last round, in the order of their
+     * load, idle ones first. */
+    GArray *vms;
+    GArray *list; /* of AqMachine: the platform's list of VMs */
+    /* When "list" was received.  A failed request for a new list adds
+     * MACHINES_RETRY_MS, which delays the next request by as much. */
     AqTime listed_at;
-    AqTime list_requested_at; /* when this list was requested */
-    AqTime listing_since;     /* when the list in progress was requested */
+    AqTime list_requested_at; /* when "list" was requested */
+    /* When the list that is still to be received was requested. */
+    AqTime listing_since;
     bool is_listing;
 };
 
@@ -79,30 +101,36 @@
     bool is_usable;
     bool is_answering;
     size_t tasks;
-    size_t perpetual; /* of "tasks" */
+    size_t perpetual; /* number of perpetual tasks among "tasks" */
     int64_t cpu_millis;
     AqTime idle_since;
     AqTime silent_since;
 } VmCopy;
 
 AqTime machines_now(const PoolMachines *self);
-/* Ends a call.  Returns false if "self" was dropped; it may be freed then. */
+/* Counts a call to the store or the platform as ended.  Returns false if
+ * "self" was dropped, in which case it may have been freed. */
 bool machines_end_call(PoolMachines *self);
 
 /* ---- pool_machines.c */
-/* Returns the incarnation of a VM that answers, or else any; NULL when there
- * is none.  Valid until the next round. */
+/* Returns the incarnation of a VM that replies to orders, or else any of the
+ * VM's incarnations; NULL if the pool's scheduler has none.  The result is
+ * valid until the next round. */
 const VmCopy *machines_find_vm(const PoolMachines *self, const char *machine);
-/* Whether an incarnation doesn't answer, or the scheduler doesn't have it. */
+/* Whether an incarnation of a VM doesn't reply to orders, or the pool's
+ * scheduler doesn't have it. */
 bool machines_is_incarnation_over(const PoolMachines *self,
                                   const char *incarnation);
-/* Returns the plan for a VM, or NULL; "self" owns it. */
+/* Returns the plan for a VM, or NULL if there is none; "self" owns the
+ * plan. */
 Plan *machines_find_plan(const PoolMachines *self, const char *machine);
-/* Adds a plan in phase VM_CORDONED, instead of any other for the VM.  "vm" is
- * its incarnation, or "". */
+/* Adds a plan in phase VM_CORDONED for the VM with id "machine", and removes
+ * any other plan for the VM.  "vm" is the VM's incarnation; "": the pool's
+ * scheduler has none. */
 Plan *machines_add_plan(PoolMachines *self, const char *machine,
                         const char *vm, PlanKind kind);
-/* Frees the plan and withdraws its request; the VM is no longer cordoned. */
+/* Frees the plan and withdraws the request for its order; the plan's VM is no
+ * longer cordoned. */
 void machines_remove_plan(PoolMachines *self, const Plan *plan);
 /* Cordons the VM and adds a plan for it; "reason" is logged. */
 Plan *machines_cordon(PoolMachines *self, const VmCopy *vm, PlanKind kind,
@@ -110,19 +138,23 @@
 size_t machines_count_plans(const PoolMachines *self, PlanKind kind);
 /* Returns the name of the spare pool; NULL when the configuration has none. */
 const char *machines_spare_pool(const PoolMachines *self);
-/* Whether the platform's list is at most this old, ms; requests a new one if
- * not. */
+/* Returns whether the platform's list of VMs is at most "max_age_ms" old;
+ * requests a new list if not. */
 bool machines_ensure_list(PoolMachines *self, AqTime max_age_ms);
-/* Returns the list's entry of a VM, or NULL; valid until the next list. */
+/* Returns the entry of a VM in the platform's list, or NULL if it has none;
+ * valid until the next list is received. */
 const AqMachine *machines_find_listed(const PoolMachines *self,
                                       const char *machine);
 
 /* ---- pool_machine_requests.c */
-/* Requests the order of a plan, with the next write of requests. */
+/* Adds a request for the order of a plan, which the next
+ * machines_write_requests() writes to the store. */
 void machines_add_request(PoolMachines *self, Plan *plan);
-/* Writes the requests if they have changed and no write is in progress. */
+/* Writes this pool's requests for orders to the store if they have changed and
+ * no write of requests is in progress. */
 void machines_write_requests(PoolMachines *self);
-/* Starts to watch the responses of the machine coordinator. */
+/* Starts to watch the machine coordinator's responses to this pool's
+ * requests. */
 void machines_watch_responses(PoolMachines *self);
 
 /* ---- pool_maintenance.c */
--- a/packages/pool/pool_maintenance.c
+++ b/packages/pool/pool_maintenance.c
@@ -7,18 +7,20 @@
 #include "pool_machines_private.h"
 
 enum {
-    LIST_MAX_AGE_MS = 800, /* when VMs that no scheduler has are looked up */
-    /* A VM that answers this long after its order was accepted has returned,
-     * also with the same incarnation. */
+    /* Greatest age of the platform's list when VMs that no scheduler has are
+     * looked up in it; an older list is requested anew. */
+    LIST_MAX_AGE_MS = 800,
+    /* A VM that replies to orders this long after its maintenance order was
+     * accepted has returned to service, even with the same incarnation. */
     WAVE_RETURN_LIMIT_MS = 4000
 };
 
 /* ---- Record ------------------------------------------------------------- */
 
-/* A new state of one VM, for the next write of the wave's record. */
+/* A new state of one VM of a wave, for the next write of the wave's record. */
 typedef struct {
     size_t at;          /* position of the VM in the wave */
-    AqWaveState before; /* state in the record as read */
+    AqWaveState before; /* the VM's state in the wave's record as read */
 } WaveChange;
 
 static void
@@ -47,9 +49,9 @@
     }
 }
 
-/* Sets a new state of one VM, which is written at the end of the round with
- * the others.  Returns false and changes nothing while a write is in
- * progress. */
+/* Sets a new state of the VM at position "at" of a wave; all new states are
+ * written together at the end of the round.  Returns false and changes nothing
+ * while a write of a wave's record is in progress. */
 static bool
 stage_wave_state(PoolMachines *self, WaveEntry *entry, size_t at,
                  AqWaveState state)
@@ -97,8 +99,9 @@
     AqBuffer_Clear(&status);
 }
 
-/* Writes the changes of this round in one call and takes them back in the
- * table's copy, which changes only when the new record is received. */
+/* Writes this round's changes of VM states to the wave's record in one call
+ * and undoes them in the wave table's copy of the record, which is changed
+ * only when the written record is received from the store. */
 static void
 write_wave_changes(PoolMachines *self, const WaveEntry *entry)
 {
@@ -122,8 +125,8 @@
 
 /* ---- Rounds ------------------------------------------------------------- */
 
-/* Requests the maintenance of an idle VM.  Claims a slot of the wave first,
- * unless the record shows that the VM has one. */
+/* Requests the maintenance of an idle VM.  Claims a slot of the wave for the
+ * VM first, unless the wave's record shows that the VM has one. */
 static void
 request_maintenance(PoolMachines *self, WaveEntry *entry, size_t at,
                     Plan *plan)
@@ -157,11 +160,12 @@
 
 typedef struct {
     PoolMachines *self;
-    size_t waiting; /* VMs of the wave in this pool that have not begun */
+    size_t waiting; /* VMs of the wave in this pool not begun yet */
 } WaveRound;
 
-/* Returns a VM to service and writes to the record that it is done, again
- * until the record shows it. */
+/* Returns a VM to service after its maintenance and writes the VM to the
+ * wave's record as done.  Called in every round until the record shows the VM
+ * as done, so that a failed write is repeated. */
 static void
 record_maintenance_done(WaveRound *round, WaveEntry *entry, size_t at,
                         Plan *plan)
@@ -188,15 +192,15 @@
     Plan *plan = machines_find_plan(self, machine);
     if (plan == NULL) {
         if (vm != NULL && vm->is_usable) {
-            /* An earlier owner has begun the maintenance but may not have
-             * ordered it.  Request the order again; this has no effect if the
-             * maintenance was ordered before. */
+            /* An earlier owner has begun the VM's maintenance but may not have
+             * requested the order for it.  Request the order again; this has
+             * no effect if the maintenance was ordered before. */
             machines_cordon(self, vm, PLAN_MAINTENANCE, "wave_taken_over");
         }
         return;
     }
     if (plan->kind != PLAN_MAINTENANCE) {
-        return; /* the VM is moving; its maintenance follows the move */
+        return; /* the VM is moving; its maintenance is done after that */
     }
     if (plan->phase == VM_CORDONED) {
         bool is_empty =
@@ -214,8 +218,9 @@
     if (plan->phase != VM_REQUESTED || vm == NULL || !plan->is_ordered) {
         return;
     }
-    /* After an order by an earlier owner, the repeated order has no effect, so
-     * the VM keeps its incarnation and is recognized by the time limit. */
+    /* If an earlier owner's order was carried out, the repeated order has no
+     * effect and the VM keeps its incarnation, so its return to service is
+     * recognized by the time since the order. */
     bool is_new_incarnation = strcmp(vm->vm, plan->vm) != 0 && vm->is_usable;
     bool is_recovered =
         machines_now(self) - plan->ordered_at > WAVE_RETURN_LIMIT_MS &&
@@ -225,7 +230,8 @@
     }
 }
 
-/* Removes the plan for a VM that the record shows as done or gone. */
+/* Removes the maintenance plan for a VM that the wave's record shows as done
+ * or gone. */
 static void
 remove_ended_plan(PoolMachines *self, const WaveEntry *entry, size_t at)
 {
@@ -236,8 +242,8 @@
     }
 }
 
-/* Requests the maintenance of a cordoned VM once it is idle; stops its tasks
- * when too little time is left to wait for them. */
+/* Requests the maintenance of a cordoned VM once it is idle; stops the VM's
+ * tasks when the wave leaves too little time to wait for their end. */
 static void
 advance_cordoned_vm(WaveRound *round, WaveEntry *entry, size_t at, Plan *plan,
                     const VmCopy *vm)
@@ -245,7 +251,8 @@
     PoolMachines *self = round->self;
     AqScheduler *s = pool_owner_scheduler(self->owner);
     if (vm == NULL || strcmp(vm->vm, plan->vm) != 0) {
-        machines_remove_plan(self, plan); /* the incarnation has ended */
+        /* The incarnation that was cordoned has ended. */
+        machines_remove_plan(self, plan);
         return;
     }
     if (AqScheduler_IsIdle(s, plan->vm)) {
@@ -257,7 +264,7 @@
     }
 }
 
-/* Counts the VMs of this pool that wait for their maintenance. */
+/* Counts the VMs of this pool that wait for their maintenance in a wave. */
 static size_t
 count_waiting(const PoolMachines *self, const WaveEntry *entry)
 {
@@ -306,7 +313,8 @@
         return;
     }
     if (plan == NULL) {
-        /* A VM that an earlier owner has begun has a slot already. */
+        /* A VM whose maintenance an earlier owner has begun has a slot of the
+         * wave already. */
         bool is_begun = AqWave_State(entry->wave, at) == AQ_WAVE_BEGUN;
         if (is_begun ||
             (AqWave_HasSlot(entry->wave) && !self->is_writing_wave)) {
@@ -321,7 +329,8 @@
     }
     else if (plan->phase >= VM_REQUESTED && plan->is_ordered &&
              self->listed_at - plan->ordered_at > WAVE_RETURN_LIMIT_MS / 2) {
-        /* The VM is up in a list that was read after the maintenance. */
+        /* The platform's list, received after the maintenance, shows the VM as
+         * up. */
         record_maintenance_done(round, entry, at, plan);
     }
 }
--- a/packages/pool/pool_owner.c
+++ b/packages/pool/pool_owner.c
@@ -10,19 +10,23 @@
 #include "prefix_view.h"
 
 enum {
-    /* Interval of saves; the changes in between are stored in one write. */
+    /* Shortest time from the end of one write of job progress to the next; the
+     * changes in between are stored in one write. */
     SAVE_INTERVAL_MS = 60,
     SAVE_RETRY_MS = 150,
-    /* The writer adds three entries to each commit. */
+    /* Most jobs whose progress one write stores; the rest waits for the next
+     * write.  OwnerWriter adds three entries to each commit. */
     MAX_SAVES = AQ_STORE_COMMIT_ENTRIES - 3,
     REPORT_INTERVAL_MS = 800,
     LOAD_RETRY_MS = 150,
-    /* Longest time that a handover waits for unsaved progress to be stored. */
+    /* Longest time that the handover of a pool waits for the unsaved progress
+     * of its jobs to be stored. */
     FINISH_TIMEOUT_MS = 600,
     /* Lease of a task on its VM; limited by the setting
      * limits.longest_lease_ms. */
     TASK_LEASE_MS = 5000,
-    CANCEL_SUFFIX_LENGTH = 2 /* bytes of ".c" */
+    /* bytes of ".c", which ends the key of a cancellation mark */
+    CANCEL_SUFFIX_LENGTH = 2
 };
 
 typedef enum {
@@ -42,7 +46,8 @@
     Ownership ownership;
     AqScheduler *scheduler;
     AqTimer load_timer;
-    /* Job id -> GBytes: progress records, kept while loading. */
+    /* Job id -> GBytes: progress records of the pool's jobs, kept until the
+     * jobs are loaded. */
     GHashTable *progress_records;
     GHashTable *cancelled; /* ids of jobs with a cancellation mark */
     char *last_progress_key;
@@ -54,10 +59,10 @@
     uint64_t used_vms_written;
     uint64_t used_vms_sent_version;
     AqTime used_vms_due;
-    char *last_report; /* as written last; NULL: not written */
+    char *last_report; /* text of the report as last written; NULL: none */
     AqTime report_due;
-    /* Callback of pool_owner_finish and the time at which it is called at
-     * the latest; finish_done is NULL if none is due. */
+    /* Callback of pool_owner_finish, its argument, and the time at which it is
+     * called at the latest; finish_done is NULL if no callback is due. */
     void (*finish_done)(void *context);
     void *finish_context;
     AqTime finish_deadline;
@@ -83,8 +88,8 @@
     free(owner);
 }
 
-/* Counts a call in flight as ended.  Returns false when the owner was
- * dropped, in which case it may have been freed. */
+/* Counts a call in flight of the owner as ended.  Returns false if the owner
+ * was dropped, in which case it may have been freed. */
 static bool
 end_call(PoolOwner *owner)
 {
@@ -147,8 +152,8 @@
 {
     Order *order = context;
     PoolOwner *owner = order->owner;
-    /* Reads the clock: the loop's time may be before the arrival of the
-     * reply, which would make the VM's clock seem ahead and its leases
+    /* Read the clock: the loop's time may be before the arrival of the reply,
+     * which would make the VM's clock seem ahead and the leases on the VM
      * expire too early. */
     AqTime now = AqClock_ReadMonotonic();
     if (end_call(owner)) {
--- a/packages/pool/pool_owner.h
+++ b/packages/pool/pool_owner.h
@@ -12,15 +12,16 @@
 typedef struct PoolOwner PoolOwner;
 
 typedef struct {
-    /* A write conflicted, or a VM has received an order of a later owner.
-     * The callback may drop the owner. */
+    /* Another node may own the pool: a write of this owner conflicted, or a VM
+     * replied that it had received an order of a later owner.  The callback
+     * may drop the owner. */
     void (*superseded)(void *context, const char *pool, const char *reason);
 } PoolOwnerOps;
 
 PoolOwner *pool_owner_create(NodeContext *node, Member *member,
                              const Ownership *ownership,
                              const PoolOwnerOps *ops, void *context);
-/* Stops all orders at once.  The owner is freed when its calls in flight
+/* The owner sends no further orders, and is freed when its calls in flight
  * have ended. */
 void pool_owner_drop(PoolOwner *owner);
 
@@ -28,28 +29,27 @@
 /* Returns the pool's scheduler, borrowed; NULL until the jobs are loaded. */
 AqScheduler *pool_owner_scheduler(PoolOwner *owner);
 uint64_t pool_owner_fence(const PoolOwner *owner);
-/* The writer that carries all writes of this ownership.  Borrowed. */
+/* Returns the writer for all of this owner's writes to the store, borrowed. */
 OwnerWriter *pool_owner_writer(PoolOwner *owner);
 
-/* Returns whether this node is certain to be the owner for long enough that
- * an order given now is carried out within its lease, and the owner is not
- * finishing. */
+/* Returns whether an order sent now is certain to be carried out while this
+ * node owns the pool, and the owner is not finishing (pool_owner_finish). */
 bool pool_owner_may_order(const PoolOwner *owner);
 
 void pool_owner_site_changed(PoolOwner *owner);
-/* Adds or updates a VM from its entry in the store; VMs of other pools are
- * ignored. */
+/* Adds or updates a VM in the pool's scheduler from the VM's entry in the
+ * store; VMs of other pools are ignored. */
 void pool_owner_set_vm(PoolOwner *owner, const AqVmReport *report);
 void pool_owner_vm_unlisted(PoolOwner *owner, const char *vm);
 
-/* Stops giving orders and stores unsaved progress, for a graceful
- * handover.  "done" is called from a later round, when all is stored or
- * after 600 ms at the latest. */
+/* Stops sending orders and stores the unsaved progress of the pool's jobs, for
+ * a graceful handover.  "done" is called from a later pool_owner_round(), when
+ * all progress is stored or after 600 ms at the latest. */
 void pool_owner_finish(PoolOwner *owner, void (*done)(void *context),
                        void *context);
 
-/* Runs the scheduler and the writes that are due; returns when to call
- * again at the latest, on the loop's clock. */
+/* Runs the pool's scheduler and starts the writes to the store that are due;
+ * returns the loop time at which to call it again at the latest. */
 AqTime pool_owner_round(PoolOwner *owner);
 
 #endif
--- a/packages/pool/pool_sizing.c
+++ b/packages/pool/pool_sizing.c
@@ -7,8 +7,11 @@
 
 enum {
     LOG_INTERVAL_MS = 1000,
-    LIST_MAX_AGE_MS = 400, /* of a list from which spare VMs are chosen */
-    MOVE_TIMEOUT_MS = 6000 /* of a requested move; the VM then stays */
+    /* Greatest age of the platform's list when spare VMs are chosen from it;
+     * an older list is requested anew. */
+    LIST_MAX_AGE_MS = 400,
+    /* After which the request for a move is withdrawn; the VM then stays. */
+    MOVE_TIMEOUT_MS = 6000
 };
 
 /* Whether this owner has no plan for the VM, and no wave has begun its
@@ -39,8 +42,8 @@
 }
 
 /* Requests the moves of VMs that were cordoned for release and are idle now.
- * While tasks wait to start, all that are still cordoned return to service
- * instead. */
+ * While tasks wait to start, all VMs that are still cordoned for release
+ * return to service instead. */
 static void
 advance_releases(PoolMachines *self, bool has_waiting_tasks)
 {
@@ -73,7 +76,7 @@
 }
 
 /* Whether the VM is in the spare pool, neither moving nor in maintenance, and
- * available. */
+ * is_available(). */
 static bool
 is_acquirable(const PoolMachines *self, const AqMachine *machine,
               const char *spare)
@@ -119,8 +122,8 @@
     if (!machines_ensure_list(self, LIST_MAX_AGE_MS)) {
         return;
     }
-    /* VMs whose maintenance is due are acquired last: it is better done while
-     * they are off in the spare pool. */
+    /* VMs whose maintenance is due are acquired last: maintenance is better
+     * done while the VMs are off in the spare pool. */
     size_t left =
         acquire_listed_vms(self, spare, false, decision->acquire_vms);
     left = acquire_listed_vms(self, spare, true, left);
@@ -128,8 +131,8 @@
                       decision->needed_vms - (decision->acquire_vms - left));
 }
 
-/* Whether a move has ended: the VM has arrived, left, or gone to a third pool,
- * or the move has timed out. */
+/* Whether a planned move of a VM has ended: the VM has arrived in this pool,
+ * left this pool, or gone to a third one, or the move has timed out. */
 static bool
 is_move_ended(const PoolMachines *self, const Plan *plan, const char *spare)
 {
--- a/packages/pool/prefix_view.c
+++ b/packages/pool/prefix_view.c
@@ -11,9 +11,11 @@
      * changes, or whose connection is dead, is detected after this plus the
      * store's call timeout. */
     WATCH_WAIT_MS = 2000,
-    /* For views with is_prompt: the same time, and how much later than that
-     * the reply may arrive before another watch is started in parallel. */
+    /* Longest time that the store holds a watch of a view with is_prompt
+     * open. */
     PROMPT_WAIT_MS = 500,
+    /* How much later than PROMPT_WAIT_MS a reply to a watch may arrive before
+     * another watch is started in parallel. */
     PROMPT_REPLY_MARGIN_MS = 500,
     FIRST_RETRY_MS = 120,
     MAX_RETRY_MS = 500
@@ -27,15 +29,15 @@
     void *context;
     AqTimer retry_timer;
     AqTimer silence_timer;
-    /* Number of the last watch started.  Replies to earlier ones are
+    /* Number of the last watch started.  Replies to earlier watches are
      * applied, but start no further call. */
     uint64_t last_watch;
-    /* key -> modify index of the key's last write, as uint64_t* */
+    /* key -> store revision of the key's last write, as uint64_t* */
     GHashTable *indexes;
-    GHashTable *listing; /* keys of the listing in progress, or NULL */
+    GHashTable *listing; /* keys of the listing in progress; NULL: none */
     /* Last key of the listing's pages so far; "" before the first page. */
     char *last_listed_key;
-    /* Modify index after which the next watch returns changes. */
+    /* Store revision after which the next watch returns changes. */
     uint64_t index;
     bool is_listed;
     bool is_destroyed;
@@ -113,8 +115,8 @@
     }
 }
 
-/* Applies the changes of a watch; skips those that another watch of the
- * same view has reported already. */
+/* Reports the changes that a watch has returned; skips those that another
+ * watch of the same view has returned already. */
 static void
 apply_changes(PrefixView *view, const AqStoreReply *reply)
 {
@@ -136,7 +138,8 @@
     }
 }
 
-/* Reports keys as removed that the completed listing did not contain. */
+/* Reports the keys as removed that were known before the completed listing but
+ * are not in it. */
 static void
 remove_unlisted(PrefixView *view)
 {
@@ -157,8 +160,8 @@
 
 /* ---- Calls -------------------------------------------------------------- */
 
-/* Ends the handling of a reply.  Returns false when the view was destroyed,
- * in which case it may have been freed. */
+/* Counts a store call of the view as ended.  Returns false if the view was
+ * destroyed, in which case it may have been freed. */
 static bool
 end_call(PrefixView *view)
 {
@@ -308,8 +311,8 @@
     start_call(context);
 }
 
-/* The watch may have been dropped silently, so another one is started.  If
- * the reply is only late, it is still applied. */
+/* The store may have dropped the last watch silently, so another one is
+ * started.  If the reply to that watch is only late, it is still applied. */
 static void
 on_silence(void *context)
 {
--- a/packages/pool/prefix_view.h
+++ b/packages/pool/prefix_view.h
@@ -4,9 +4,9 @@
 #include "aq_loop.h"
 #include "aq_store.h"
 
-/* Follows the keys under a prefix of the store: lists them once, then
- * watches for changes with long polls, and lists them again when the store
- * has discarded the history since the last change seen. */
+/* Follows the keys under a prefix of the store: lists the keys once, then
+ * watches them for changes with long polls, and lists them again when the
+ * store has discarded the history since the last change seen. */
 
 typedef struct PrefixView PrefixView;
 
@@ -15,10 +15,11 @@
      * for the same write. */
     void (*put)(void *context, const AqStoreItem *item);
     void (*removed)(void *context, const char *key); /* may be NULL */
-    /* A listing is complete: all keys have been reported.  May be NULL. */
+    /* A listing is complete: all keys under the prefix have been reported.
+     * May be NULL. */
     void (*listed)(void *context);
-    /* Delay in ms from a change to the next watch, which then returns
-     * several changes at once.  0: each change is reported at once. */
+    /* Delay in ms from the report of a change to the next watch, which then
+     * returns several changes at once.  0: each change is reported at once. */
     AqTime coalesce_ms;
     /* Detects after 1 s instead of 3 s that the store has dropped a watch
      * silently; costs two calls a second while the prefix is unchanged. */
@@ -30,13 +31,14 @@
 PrefixView *prefix_view_create(AqLoop *loop, AqStore *store,
                                const char *prefix, const PrefixViewOps *ops,
                                void *context);
-/* Safe to call from a callback of the view.  NULL is allowed. */
+/* May be called from a callback of the view.  NULL is allowed. */
 void prefix_view_destroy(PrefixView *view);
 
-/* Returns the loop time of the last successful reply; AQ_TIME_NEVER if
- * there was none. */
+/* Returns the loop time of the store's last successful reply to the view;
+ * AQ_TIME_NEVER if there was none. */
 AqTime prefix_view_last_reply_at(const PrefixView *view);
-/* Returns whether the last listing is complete and still being followed. */
+/* Returns whether all keys under the prefix have been listed and all changes
+ * since can still be watched. */
 bool prefix_view_is_listed(const PrefixView *view);
 
 #endif
--- a/packages/pool/store_health.h
+++ b/packages/pool/store_health.h
@@ -5,18 +5,18 @@
 
 #include "aq_store.h"
 
-/* Tracks whether the store serves this node, from the results of its
- * calls.  A write that is not sent to a failing store is certain to have no
- * effect, unlike a write that got no reply. */
+/* Tracks whether the store serves this node, from the results of this node's
+ * calls to the store.  A write that is not sent to a failing store is certain
+ * to have no effect, unlike a write that got no reply. */
 
 typedef struct {
-    unsigned failures; /* consecutive calls that failed */
+    unsigned failures; /* number of the last store calls that all failed */
 } StoreHealth;
 
-/* Records the result of any call except a watch, which may be cut off
- * although the store is serving. */
+/* Records the result of a store call.  Not for watches, whose connection may
+ * be cut although the store is serving. */
 void store_health_note(StoreHealth *health, AqStoreStatus status);
-/* Returns whether two or more consecutive calls have failed. */
+/* Returns whether two or more consecutive store calls have failed. */
 bool store_health_is_lost(const StoreHealth *health);
 
 #endif
--- a/packages/pool/store_keys.c
+++ b/packages/pool/store_keys.c
@@ -5,7 +5,7 @@
 
 enum {
     BUFFER_COUNT = 8,
-    KEY_SIZE = 256 /* bytes; the store accepts 200 */
+    KEY_SIZE = 256 /* bytes; the store accepts keys of up to 200 bytes */
 };
 
 static char buffers[BUFFER_COUNT][KEY_SIZE];
--- a/packages/pool/store_keys.h
+++ b/packages/pool/store_keys.h
@@ -5,28 +5,32 @@
 
 #include "aq_store.h"
 
-/* Keys in the platform's store, one line each: key, writer, contents.
+/* Keys in the platform's store, one entry each: key, writer, contents.  "The
+ * owner" is the node that owns POOL; "under its lease": the store removes the
+ * key when the writing node's lease ends.
  *
- * aq/node/member/NODE  the node, under its lease: its incarnation, its
- *                      address for callers, its CPU share
- * aq/node/owner/POOL   the owner, under its lease: node and incarnation; the
- *                      key's modify index is the fence of the pool's orders
- * aq/term/POOL         the owner: generation, node, incarnation, whether the
- *                      pool was released
- * aq/lane/POOL         the owner: write stamp of its last write
+ * aq/node/member/NODE  the node, under its lease: the node's incarnation,
+ *                      address for callers and CPU share
+ * aq/node/owner/POOL   the owner, under its lease: the owner's node id and
+ *                      incarnation; the store revision (modify index) of
+ *                      the key is the fence of the pool's orders
+ * aq/term/POOL         the owner: number of owners so far, the owner's node
+ *                      id and incarnation, whether it released the pool
+ * aq/lane/POOL         the owner: write stamp of the owner's last write
  *                      (owner_writer.h)
- * aq/roster/POOL       the owner: used VMs, to which orders may have gone
+ * aq/roster/POOL       the owner: used VMs, those that may have got orders
  * aq/job/POOL/ID       the node that accepted it: the job (AqJobSpec)
  * aq/job/POOL/ID.c     any node: mark that the job is cancelled, possibly
  *                      written before the job
- * aq/progress/POOL/ID  the owner: stage, done tasks, failures
+ * aq/progress/POOL/ID  the owner: the job's stage, done tasks and failures
  * aq/report/POOL       the owner, under its lease: waiting jobs of each queue
- * aq/ask/POOL          the owner: its machine requests
- * aq/answer/POOL       the machine coordinator: machine requests that ended
- * aq/machine/MACHINE   the machine coordinator: time of the VM's last order
- *                      and who gave it
- * aq/wave/N            an owner: the wave's VMs that are in progress and
- *                      done */
+ * aq/ask/POOL          the owner: machine requests of the pool
+ * aq/answer/POOL       the machine coordinator: machine requests of the pool
+ *                      that ended
+ * aq/machine/MACHINE   the machine coordinator: its last claim of the VM
+ *                      (fenced_order.h): node id and wall clock in ms
+ * aq/wave/N            the owner of any pool: VMs of wave N whose
+ *                      maintenance is in progress or done */
 
 #define KEYS_NODES "aq/node/"
 #define KEYS_MEMBERS "aq/node/member/"
@@ -49,11 +53,12 @@
     KEY_PROGRESS /* prefix of a pool's progress keys */
 } KeyKind;
 
-/* Returns the key of one object.  The result points into one of eight
- * static buffers, which are reused in turn. */
+/* Returns a store key of the given kind; "name" is the name of the pool, the
+ * id of the node or VM, or the number of the wave.  The result points into one
+ * of eight static buffers, which are reused in turn. */
 const char *key_of(KeyKind kind, const char *name);
-/* Return the key of a job, of its cancellation mark and of its progress
- * record, in the same buffers. */
+/* Return the store key of a job, of its cancellation mark and of its progress
+ * record, in the same buffers as key_of(). */
 const char *key_of_job(const char *pool, const char *id);
 const char *key_of_cancel(const char *pool, const char *id);
 const char *key_of_progress(const char *pool, const char *id);
--- a/packages/pool/tests/fake_store.c
+++ b/packages/pool/tests/fake_store.c
@@ -17,34 +17,37 @@
     char *key;
     char *value;
     size_t size;
-    uint64_t index; /* of its last write or removal */
-    uint64_t lease; /* 0: none */
+    uint64_t index; /* store revision of the key's last write or removal */
+    uint64_t lease; /* lease under which the key was written; 0: none */
     bool removed;
 } Record;
 
 typedef struct {
     CallKind kind;
-    char *key;          /* or prefix */
-    char *after;        /* CALL_LIST: the last key of the page before */
-    uint64_t index;     /* CALL_CHANGES; of CALL_KEEP: the lease */
-    GPtrArray *expects; /* of Record: key and index */
-    GPtrArray *puts;    /* of Record */
-    GPtrArray *deletes; /* of Record: key */
+    char *key;   /* key; for CALL_LIST and CALL_CHANGES: prefix of keys */
+    char *after; /* CALL_LIST: last key of the page before this one */
+    /* CALL_CHANGES: store revision after which changes are returned;
+     * CALL_KEEP: id of the lease. */
+    uint64_t index;
+    GPtrArray *expects; /* of Record: keys with the revisions required */
+    GPtrArray *puts;    /* of Record: keys with the values to be written */
+    GPtrArray *deletes; /* of Record: keys to be removed */
     AqStoreDone done;
     void *context;
 } Call;
 
 struct FakeStore {
-    AqStore store;      /* first */
-    GPtrArray *records; /* of Record; a removed one stays as such */
+    AqStore store; /* first, so that AqStore * can be cast to FakeStore * */
+    GPtrArray *records; /* of Record; removed keys stay, marked as removed */
     GQueue *calls;      /* of Call: queued, oldest first */
     GQueue *lost;       /* of Call: lost and not executed, oldest first */
-    uint64_t index;     /* of the last write */
-    uint64_t compacted_index; /* history up to this index is gone */
+    uint64_t index;     /* store revision: increased by 1 with each write */
+    /* Store revision up to which the history of changes is dropped. */
+    uint64_t compacted_index;
     int64_t max_wait_ms;
     unsigned get_count;
-    uint64_t lease;       /* the last one granted; 0: it has ended */
-    uint64_t lease_count; /* granted so far */
+    uint64_t lease;       /* id of the last lease granted; 0: it has ended */
+    uint64_t lease_count; /* number of leases granted so far */
 };
 
 static void
@@ -318,9 +321,11 @@
 fake_store_reply_all(FakeStore *fake)
 {
     enum {
-        MAX_STEPS = 100
-    }; /* each reply to a watch causes another watch */
-    for (int i = 0; i < MAX_STEPS && fake_store_pending_count(fake) > 0; i++) {
+        MAX_CALLS = 100
+        /* the loop could go on for ever: each reply to a watch causes another
+         * watch */
+    };
+    for (int i = 0; i < MAX_CALLS && fake_store_pending_count(fake) > 0; i++) {
         Call *call = g_queue_peek_head(fake->calls);
         if (call->kind == CALL_CHANGES && call->index >= fake->index) {
             g_queue_push_tail(fake->calls, g_queue_pop_head(fake->calls));
--- a/packages/pool/tests/fake_store.h
+++ b/packages/pool/tests/fake_store.h
@@ -17,30 +17,36 @@
 /* Executes the oldest queued call and replies to it. */
 void fake_store_reply(FakeStore *fake);
 /* Executes all queued calls and those that their replies cause, but for
- * watches without a change, which stay queued; at most 100 steps. */
+ * watches without a change, which stay queued.  Stops after 100 calls, of
+ * which each watch left queued counts as one; the others stay queued. */
 void fake_store_reply_all(FakeStore *fake);
-/* Ends the oldest queued call without a reply: a commit with
- * AQ_STORE_UNKNOWN, others with AQ_STORE_UNAVAILABLE.  It is not executed. */
+/* Ends the oldest queued call without a reply: a commit with AQ_STORE_UNKNOWN,
+ * other calls with AQ_STORE_UNAVAILABLE.  The call is not executed. */
 void fake_store_lose_call(FakeStore *fake);
 /* Executes the oldest lost call, if its conditions still hold. */
 void fake_store_execute_lost(FakeStore *fake);
-/* Ends the oldest queued call with AQ_STORE_UNAVAILABLE; it is never
+/* Ends the oldest queued call with AQ_STORE_UNAVAILABLE; the call is never
  * executed. */
 void fake_store_refuse_call(FakeStore *fake);
-/* Drops the history, so that the next watch ends with AQ_STORE_COMPACTED. */
+/* Drops the history of changes, so that the next watch ends with
+ * AQ_STORE_COMPACTED. */
 void fake_store_compact(FakeStore *fake);
 
-/* Writes a key at once, as another process would; returns its index. */
+/* Writes a key at once, as another process would; returns the store revision
+ * of this write. */
 uint64_t fake_store_put(FakeStore *fake, const char *key, const char *value);
 void fake_store_remove(FakeStore *fake, const char *key);
-/* Ends the lease that was granted last, and removes its keys. */
+/* Ends the lease that was granted last, and removes the keys that were written
+ * under this lease. */
 void fake_store_end_lease(FakeStore *fake);
-/* Returns the value of a key, or NULL; valid until the key's next write. */
+/* Returns the value of a key, which is text, or NULL if there is no such key;
+ * valid until the key's next write. */
 const char *fake_store_value(const FakeStore *fake, const char *key);
-/* The same for a value that is not text. */
+/* Returns the value of a key, which may be any bytes, and its size; NULL and 0
+ * if there is no such key.  Valid until the key's next write. */
 const char *fake_store_bytes(const FakeStore *fake, const char *key,
                              size_t *size);
-/* Returns the number of get calls so far. */
+/* Returns the number of get calls that the store has received so far. */
 unsigned fake_store_get_count(const FakeStore *fake);
 /* Returns the longest wait that a watch has requested, ms. */
 int64_t fake_store_max_wait_ms(const FakeStore *fake);
--- a/packages/pool/tests/test_job_api.c
+++ b/packages/pool/tests/test_job_api.c
@@ -28,11 +28,12 @@
     JobApi *job_api;
     AqQueueConfig queue;
     bool has_peer;
-    bool is_first_returned;  /* the peer returns the first request unserved */
+    /* The peer returns the first forwarded request unserved. */
+    bool is_first_returned;
     unsigned forward_count;  /* requests forwarded so far */
-    bool may_have_effect;    /* of the last forwarded request */
+    bool may_have_effect;    /* as given with the last forwarded request */
     unsigned response_count; /* responses received so far */
-    int status;              /* of the last response; 0: none was received */
+    int status; /* HTTP status of the last response; 0: none received */
 } Fixture;
 
 static bool
@@ -161,8 +162,9 @@
     }
 }
 
-/* Guards against a write that waits until the caller's deadline because only
- * this node gets no reply from the store, although a peer could serve it. */
+/* Guards against a request that waits until the caller's deadline because only
+ * this node gets no reply to its write from the store, although a peer could
+ * serve the request. */
 static void
 test_silent_store_hands_on(void)
 {
@@ -183,7 +185,8 @@
 }
 
 /* Guards against a request being forwarded as one that may have had an effect
- * after the store has refused it, which means that nothing was done. */
+ * after the store has refused the request's write, which means that nothing
+ * was done. */
 static void
 test_refusing_store_hands_on(void)
 {
@@ -199,8 +202,9 @@
     tear_down(&fixture);
 }
 
-/* Guards against a response that says that nothing was done, sent after a
- * write without a reply, which may still take effect. */
+/* Guards against a response to the caller that says that nothing was done,
+ * sent after a write to the store without a reply, which may still take
+ * effect. */
 static void
 test_refusal_after_silence(void)
 {
@@ -266,8 +270,9 @@
     }
 }
 
-/* Guards against a job that is stored twice, or a response that is lost, when
- * the first write takes effect but its reply is lost. */
+/* Guards against a job that is stored twice, or a caller that gets no
+ * response, when the first write of the job takes effect but the store's reply
+ * is lost. */
 static void
 test_effect_without_reply(void)
 {
@@ -284,9 +289,9 @@
     tear_down(&fixture);
 }
 
-/* Guards against a count of waiting jobs that is invented, or older than its
- * bound, while a pool has no owner: the report it is read from is removed when
- * the owner's lease ends. */
+/* Guards against a response with a count of waiting jobs that is made up, or
+ * older than allowed, while a pool has no owner: the owner's report, from
+ * which the count is read, is removed when the owner's lease ends. */
 static void
 test_waiting_count_needs_owner(void)
 {
@@ -314,7 +319,7 @@
 test_status_after_forwarding(void)
 {
     static const struct {
-        int status; /* of the peer; 0: no response */
+        int status; /* of the peer's response; 0: no response */
         bool was_sent;
         bool is_read;
         bool may_have_effect;
--- a/packages/pool/tests/test_pool.c
+++ b/packages/pool/tests/test_pool.c
@@ -18,7 +18,7 @@
 typedef struct {
     FakeStore *fake;
     NodeContext node;
-    AqClock clock; /* of the loop */
+    AqClock clock; /* clock that the loop reads */
 } Fixture;
 
 static void
@@ -28,7 +28,8 @@
     fixture->fake = fake_store_create();
     fixture->node.store = fake_store_interface(fixture->fake);
     fixture->node.loop = AqLoop_Create(NULL);
-    /* Close to the monotonic clock, which fenced_order.c reads directly. */
+    /* The loop's time starts close to the monotonic clock, which
+     * fenced_order.c reads directly. */
     fixture->clock.now = AqClock_ReadMonotonic();
     AqLoop_SetClock(fixture->node.loop, &fixture->clock);
     strcpy(fixture->node.incarnation, "this-process");
@@ -46,7 +47,7 @@
 typedef struct {
     int count;
     AqStoreStatus last;
-    OwnerWriter *drop; /* to be dropped inside the callback, or NULL */
+    OwnerWriter *drop; /* writer that the callback drops; NULL: none */
 } Outcome;
 
 static void
@@ -99,12 +100,13 @@
     set_up(&fixture);
     OwnerWriter *writer = make_writer(&fixture);
     write_value(writer, "old", &first);
-    fake_store_reply(fixture.fake); /* the write stamp is read */
+    fake_store_reply(fixture.fake); /* reply to the read of the write stamp */
     fake_store_lose_call(fixture.fake);
     run_until_call(&fixture);
-    fake_store_reply(
-        fixture.fake); /* the write stamp shows that it had no effect */
-    fake_store_reply(fixture.fake); /* sent again */
+    /* The write stamp shows that the lost write had no effect. */
+    fake_store_reply(fixture.fake);
+    /* reply to the write, which was sent again */
+    fake_store_reply(fixture.fake);
     CU_ASSERT_EQUAL(first.last, AQ_STORE_OK);
     write_value(writer, "new", &second);
     fake_store_reply_all(fixture.fake);
@@ -116,7 +118,7 @@
 }
 
 /* Guards against a write that took effect but got no reply being reported as
- * lost, or written a second time. */
+ * failed, or sent a second time. */
 static void
 test_effect_without_reply(void)
 {
@@ -155,8 +157,8 @@
     tear_down(&fixture);
 }
 
-/* Guards against a failed condition of the caller's own being reported as the
- * loss of the ownership. */
+/* Guards against an OwnerWriter that reports the failure of a condition that
+ * the caller gave with a write as the loss of the ownership. */
 static void
 test_own_condition(void)
 {
@@ -173,8 +175,9 @@
     tear_down(&fixture);
 }
 
-/* Guards against use after free when a write's callback drops the writer, as
- * at the end of an ownership, while other writes are queued. */
+/* Guards against use after free when the callback of a write drops the
+ * OwnerWriter, as at the end of an ownership, while other writes are
+ * queued. */
 static void
 test_drop_from_callback(void)
 {
@@ -228,7 +231,8 @@
 static const PrefixViewOps view_ops = {on_put, on_removed, on_listed, 0,
                                        false};
 
-/* Guards against changes that are missed or reported twice. */
+/* Guards against a PrefixView that misses changes of keys or reports them
+ * twice. */
 static void
 test_view_follows(void)
 {
@@ -253,8 +257,8 @@
     tear_down(&fixture);
 }
 
-/* Guards against a removal that is missed when the store has dropped the
- * history that contained it. */
+/* Guards against a PrefixView that misses the removal of a key when the store
+ * has dropped the history that contained the removal. */
 static void
 test_view_survives_compaction(void)
 {
@@ -279,7 +283,8 @@
     tear_down(&fixture);
 }
 
-/* Guards against every node sending one watch for each of many changes. */
+/* Guards against every node sending one watch for each of many changes under a
+ * prefix. */
 static void
 test_view_coalesces_changes(void)
 {
@@ -305,9 +310,9 @@
     tear_down(&fixture);
 }
 
-/* Guards against a watch without replies that delays cancellations and
- * configurations for longer than their bounds (3 s and 2 s after 3 s of
- * contact with the store). */
+/* Guards against a watch without a reply that delays cancellations and
+ * configurations for longer than their bounds: 3 s for a cancellation, and 2 s
+ * for a configuration after 3 s of contact with the store. */
 static void
 test_view_limits_watch_wait(void)
 {
@@ -384,8 +389,9 @@
     ++*(unsigned *)context;
 }
 
-/* Guards against orders to a VM whose entry can no longer be decoded, and
- * against such an entry removing other VMs from the list. */
+/* Guards against orders to a VM whose entry in the store can no longer be
+ * decoded, and against such an entry removing other VMs from the
+ * VmDirectory. */
 static void
 test_unreadable_vm_is_unlisted(void)
 {
@@ -454,7 +460,8 @@
     self->owner = NULL;
 }
 
-/* Replies to every order as if its VM did not answer. */
+/* Ends every hold call (lease renewal of a VM) as if the VM had not
+ * replied. */
 static void
 hold_silently(AqWorkerClient *calls, const AqOrderTarget *target,
               const AqHoldOrder *order, AqOrderDone done, void *context)
@@ -466,8 +473,8 @@
     done(context, &reply);
 }
 
-/* Creates the node's member.  The fixture's store may contain what earlier
- * owners have written. */
+/* Creates the node's Member.  The fixture's store may already contain what
+ * earlier owners of the pool have written. */
 static void
 set_up_member(OwnerFixture *self, Fixture *fixture)
 {
@@ -529,8 +536,9 @@
     tear_down(self->fixture);
 }
 
-/* Guards against an outdated report that stays in the store after its owner's
- * lease has ended: callers would get too low a count of waiting jobs. */
+/* Guards against a pool's outdated report that stays in the store after the
+ * lease of the pool's owner has ended: callers would get too low a count of
+ * waiting jobs. */
 static void
 test_report_ends_with_lease(void)
 {
@@ -544,8 +552,8 @@
     tear_down_owner(&self);
 }
 
-/* The same for a pool that its owner releases while the node keeps its lease.
- */
+/* Guards against a pool's outdated report that stays in the store after the
+ * pool's owner has released the pool and kept its lease. */
 static void
 test_report_ends_with_release(void)
 {
@@ -567,8 +575,10 @@
 test_weak_node_defers_claim(void)
 {
     enum {
-        DEFER_MS = 1300,     /* time left to the stronger node for its claim */
-        CLAIM_LIMIT_MS = 400 /* of the weaker node once it is alone */
+        /* Time left to the stronger node for its claim of the pool. */
+        DEFER_MS = 1300,
+        /* Time in which the weaker node claims the pool once it is alone. */
+        CLAIM_LIMIT_MS = 400
     };
     Fixture fixture;
     OwnerFixture self;
@@ -593,10 +603,10 @@
 /* ---- New incarnations of VMs -------------------------------------------- */
 
 enum {
-    WAVE_VMS = 6, /* of the platform's list; m-0 to m-5 */
+    WAVE_VMS = 6, /* number of VMs in the platform's list; m-0 to m-5 */
     WAVE_CAP = 4,
     VM_NOT_DUE = 4,          /* number of the VM that is in no wave */
-    RECOVERY_LIMIT_MS = 2000 /* well below the lease of an order */
+    RECOVERY_LIMIT_MS = 2000 /* well below the 5000 ms of a task's lease */
 };
 
 /* Replies with the platform's list: WAVE_VMS VMs, all up in one pool. */
@@ -648,8 +658,8 @@
     fake_store_reply_all(fixture->fake);
 }
 
-/* Stores the used VMs of an earlier owner of the pool: one incarnation of VM
- * m-0. */
+/* Stores the used VMs that an earlier owner of the pool recorded: one
+ * incarnation of VM m-0. */
 static void
 store_used_vms(Fixture *fixture)
 {
@@ -666,9 +676,10 @@
     AqScheduler_Destroy(earlier);
 }
 
-/* Guards against an owner that starts no tasks for the length of a lease: it
- * waits for an incarnation that was moved or rebooted under the previous
- * owner, although the VM is up again under another id. */
+/* Guards against an owner that starts no tasks for the length of a task's
+ * lease, because it waits for a VM's incarnation that was moved or rebooted
+ * under the previous owner, although the VM is up again as another
+ * incarnation. */
 static void
 test_replaced_vm_has_ended(void)
 {
@@ -702,8 +713,8 @@
 
 /* ---- Maintenance -------------------------------------------------------- */
 
-/* Fills in a wave of all VMs of the list except number "left_out"; -1: of
- * all. */
+/* Fills in a wave of all VMs of the platform's list except number "left_out";
+ * -1: of all VMs. */
 static void
 init_wave_spec(AqWaveSpec *spec, int left_out)
 {
@@ -736,9 +747,9 @@
     }
 }
 
-/* Guards against a wave that is late because its states are written one by one
- * although many of its VMs are idle, and against one write that begins more
- * VMs than the wave's cap. */
+/* Guards against a wave that is late because the new states of its VMs are
+ * written one by one although many of the VMs are idle, and against one write
+ * that begins the maintenance of more VMs than the wave's cap. */
 static void
 test_wave_states_in_one_write(void)
 {
@@ -767,8 +778,8 @@
     tear_down_owner(&self);
 }
 
-/* Stores the record of the wave as an earlier owner left it: all slots are
- * claimed, but no order was requested. */
+/* Stores the wave's record as an earlier owner of the pool left it: all slots
+ * of the wave are claimed, but no order was requested. */
 static void
 store_begun_wave(Fixture *fixture)
 {
@@ -787,8 +798,9 @@
     AqWaveSpec_Clear(&spec);
 }
 
-/* Guards against a wave that stops because the owner that had claimed all its
- * slots handed the pool over before it requested any order. */
+/* Guards against a wave that stops because the owner that had claimed all
+ * slots of the wave handed the pool over before it requested any maintenance
+ * order. */
 static void
 test_begun_maintenance_is_requested_again(void)
 {
@@ -890,8 +902,8 @@
     Fixture fixture;
     CountedMachines machines;
     MachineCoordinator *coordinator;
-    uint64_t pool_fence;  /* of the ownership of pool "a" */
-    uint64_t spare_fence; /* of the ownership of pool "spare" */
+    uint64_t pool_fence;  /* fence of the ownership of pool "a" */
+    uint64_t spare_fence; /* fence of the ownership of pool "spare" */
 } CoordinatorFixture;
 
 static void
@@ -929,8 +941,8 @@
 }
 
 /* Guards against the maintenance of a VM that already runs tasks of another
- * pool: the owner of the spare pool requests it by a list that it read before
- * the VM was moved. */
+ * pool: the owner of the spare pool requests the maintenance because it read
+ * the platform's list before the VM was moved. */
 static void
 test_moved_vm_is_not_maintained(void)
 {
@@ -939,7 +951,8 @@
     store_machine_request(&self.fixture, "a", self.pool_fence, 1, "a");
     run_coordinator(&self.fixture, self.coordinator);
     CU_ASSERT_EQUAL(self.machines.moves, 1);
-    /* The VM has arrived, so its pool's owner withdraws the request. */
+    /* The VM has arrived in pool "a", so that pool's owner withdraws the
+     * request. */
     fake_store_remove(self.fixture.fake, key_of(KEY_MACHINE_REQUESTS, "a"));
     store_machine_request(&self.fixture, "spare", self.spare_fence, 1, "");
     run_coordinator(&self.fixture, self.coordinator);
@@ -950,8 +963,9 @@
     tear_down_coordinator(&self);
 }
 
-/* Guards against a VM whose orders are all refused after a move of it got no
- * response, was withdrawn, and was carried out all the same. */
+/* Guards against a VM whose orders are all refused after a move of the VM got
+ * no response, its request was withdrawn, and the move was carried out all the
+ * same. */
 static void
 test_unknown_move_blocks_no_order(void)
 {
@@ -985,8 +999,9 @@
     tear_down_coordinator(&self);
 }
 
-/* Guards against reading a VM's claim before every order, and against an order
- * during the pause after another node's claim, which only that read shows. */
+/* Guards against reading a VM's claim from the store before every order for
+ * the VM, and against an order during the pause after another node's claim,
+ * which only this read shows. */
 static void
 test_known_claim_is_not_read(void)
 {
@@ -994,7 +1009,8 @@
     set_up_coordinator(&self);
     store_machine_request(&self.fixture, "a", self.pool_fence, 1, "a");
     run_coordinator(&self.fixture, self.coordinator);
-    run_coordinator(&self.fixture, self.coordinator); /* writes the response */
+    /* the coordinator writes its response */
+    run_coordinator(&self.fixture, self.coordinator);
     unsigned reads = fake_store_get_count(self.fixture.fake);
     store_machine_request(&self.fixture, "a", self.pool_fence, 2, "");
     run_coordinator(&self.fixture, self.coordinator);
@@ -1011,8 +1027,8 @@
 
 /* ---- Acquiring VMs ------------------------------------------------------ */
 
-/* Guards against acquiring a VM whose maintenance is due while there is one
- * whose maintenance is not. */
+/* Guards against a pool's owner acquiring a VM whose maintenance is due while
+ * the spare pool has a VM whose maintenance is not due. */
 static void
 test_due_vm_is_acquired_last(void)
 {
@@ -1051,7 +1067,7 @@
 }
 
 /* Guards against every node sending a store call for each change of a wave's
- * record, which only owners of pools need. */
+ * record; only owners of pools need the record. */
 static void
 test_only_owners_follow_waves(void)
 {
--- a/packages/pool/vm_directory.c
+++ b/packages/pool/vm_directory.c
@@ -9,16 +9,17 @@
 #include "prefix_view.h"
 
 enum {
-    /* Delay before the next watch.  Each VM writes its entry about once a
-     * second, and each write is a reply to every node that owns a pool; the
-     * delay combines them.  A new VM is listed this much later; of listed
-     * VMs, replies to orders bring news sooner. */
+    /* Delay from a change of VMs' entries to the next watch of the entries.
+     * Each VM writes its entry about once a second, and each write would cause
+     * a reply of the store to every node that owns a pool; the delay combines
+     * these replies.  A new VM is listed this much later; the state of listed
+     * VMs is known sooner from their replies to orders. */
     COALESCE_MS = 150
 };
 
 struct VmDirectory {
     PrefixView *view;
-    GHashTable *vms; /* key -> AqVmReport */
+    GHashTable *vms; /* store key -> AqVmReport */
     VmDirectoryOps ops;
     void *context;
 };
@@ -37,9 +38,9 @@
     g_hash_table_remove(directory->vms, key);
 }
 
-/* Returns whether an entry differs from the last one in a field that
- * decisions depend on; other writes, which are most of them, are not
- * logged. */
+/* Returns whether a VM's entry, as written again, is to be logged: there was
+ * none, or it differs from the last one in a field that decisions depend on.
+ * Most writes of entries are not logged. */
 static bool
 is_changed(const AqVmReport *known, const AqVmReport *report)
 {
--- a/packages/pool/vm_directory.h
+++ b/packages/pool/vm_directory.h
@@ -6,14 +6,14 @@
 #include "aq_store.h"
 
 /* The VMs that are listed in the platform's store.  A VM whose entry is
- * missing or can't be decoded counts as unlisted; other VMs are not
- * affected. */
+ * missing or can't be decoded counts as unlisted; this doesn't affect other
+ * VMs. */
 
 typedef struct VmDirectory VmDirectory;
 
 typedef struct {
-    /* A VM was listed or its entry has changed; "report" is borrowed for
-     * the call. */
+    /* A VM was listed, or its entry in the store was written again; "report"
+     * is borrowed for the call. */
     void (*listed)(void *context, const AqVmReport *report);
     void (*unlisted)(void *context, const char *vm);
 } VmDirectoryOps;
--- a/packages/pool/wave_table.c
+++ b/packages/pool/wave_table.c
@@ -12,7 +12,7 @@
     NodeContext *node;
     GHashTable *entries; /* wave number in decimal -> WaveEntry */
     bool is_watching;
-    PrefixView *records; /* NULL until watched and a wave was added */
+    PrefixView *records; /* NULL until is_watching and a wave was added */
 };
 
 static void
@@ -63,8 +63,8 @@
 static const PrefixViewOps record_ops = {on_put, on_removed, on_listed, 0,
                                          false};
 
-/* Lists the records anew, because a listing skips records of waves that were
- * not in the table at that time. */
+/* Lists the waves' records anew, because a listing skips records of waves that
+ * were not in the table at that time. */
 static void
 read_records(WaveTable *table)
 {
--- a/packages/pool/wave_table.h
+++ b/packages/pool/wave_table.h
@@ -12,24 +12,28 @@
 
 typedef struct {
     AqWave *wave;          /* owned by the table */
-    uint64_t record_index; /* its store index; 0: no record is known */
-    bool is_record_read;   /* the record was read, or a listing showed none */
+    uint64_t record_index; /* store revision of the record; 0: none is known */
+    /* The wave's record was read, or a listing of the store showed that there
+     * is none. */
+    bool is_record_read;
 } WaveEntry;
 
 WaveTable *wave_table_create(NodeContext *node);
 void wave_table_destroy(WaveTable *table);
 
-/* Lists and watches the records from now on.  Only nodes that own a pool need
- * this; each change of a record costs a store call of every watching node. */
+/* Starts to list and watch the waves' records in the store.  Only nodes that
+ * own a pool need this; each change of a record costs a store call of every
+ * watching node. */
 void wave_table_follow(WaveTable *table);
-/* Adds a wave, unless one with its number is there; clears "spec". */
+/* Adds a wave, unless the table has one with the same number; clears
+ * "spec". */
 void wave_table_add(WaveTable *table, AqWaveSpec *spec);
-/* Calls "visit" for each wave whose record was read, or is known not to
- * exist. */
+/* Calls "visit" for each wave whose record was read from the store, or is
+ * known not to exist. */
 void wave_table_each(WaveTable *table,
                      void (*visit)(void *context, WaveEntry *entry),
                      void *context);
-/* Returns whether any wave has the VM in this state. */
+/* Returns whether the VM with id "machine" is in this state in any wave. */
 bool wave_table_has(WaveTable *table, const char *machine, AqWaveState state);
 
 #endif
