--- a/packages/pool/fenced_order.c
+++ b/packages/pool/fenced_order.c
@@ -8,11 +8,12 @@
 #include "store_keys.h"
 
 enum {
-    /* Age of a VM's claim up to which the claimed order may be sent; an older
-     * claim ends it with FENCED_ORDER_RETRY.  Up to this age, no later machine
-     * coordinator can have sent an order for the VM. */
+    /* Age of a VM's claim up to which the order for the VM may be sent; with
+     * an older claim the order ends with FENCED_ORDER_RETRY.  Up to this age,
+     * no later machine coordinator can have sent an order for the VM. */
     CLAIM_MAX_AGE_MS = 800,
-    PAUSE_MARGIN_MS = 500 /* added to the pause for clock skew between nodes */
+    /* Added to limits.machine_pause_ms for the clock skew between nodes. */
+    PAUSE_MARGIN_MS = 500
 };
 
 typedef struct {
--- a/packages/pool/fenced_order.h
+++ b/packages/pool/fenced_order.h
@@ -18,8 +18,8 @@
  * limits.machine_pause_ms. */
 
 typedef enum {
-    FENCED_ORDER_DONE, /* the platform accepted the order, or did before */
-    /* the order was not sent, or not accepted at present */
+    FENCED_ORDER_DONE, /* the order was accepted, or carried out before */
+    /* The order was not sent, or not accepted at present. */
     FENCED_ORDER_RETRY,
     FENCED_ORDER_REFUSED, /* the platform has no such VM, pool or wave */
     FENCED_ORDER_UNKNOWN  /* no response; the order may be carried out */
@@ -47,8 +47,8 @@
     uint64_t last_claim_index;
 } FencedOrder;
 
-/* Claims the VM and sends the order, which is copied.  "done" is called once,
- * from the loop. */
+/* Claims the VM and sends the order; "order" is copied.  "done" is called once
+ * with the order's result, from the loop. */
 void fenced_order_send(NodeContext *node, const FencedOrder *order,
                        FencedOrderDone done, void *context);
 
--- a/packages/pool/forwarder.c
+++ b/packages/pool/forwarder.c
@@ -8,10 +8,11 @@
 #include "aq_log.h"
 
 enum {
-    /* Time until the deadline below which a second node could not
+    /* Time until a request's deadline below which another node could not
      * respond, so the request is not forwarded. */
     MIN_REMAINING_MS = 300,
-    RESPONSE_RESERVE_MS = 150, /* kept for the response to reach the caller */
+    /* Time kept for the response to reach the caller. */
+    RESPONSE_RESERVE_MS = 150,
     CONNECT_TIMEOUT_MS = 250,
     /* Time without forwarding after a peer failed to serve a request. */
     PEER_FAILURE_PAUSE_MS = 500,
--- a/packages/pool/job_api.c
+++ b/packages/pool/job_api.c
@@ -12,8 +12,9 @@
 
 enum {
     DEFAULT_DEADLINE_MS = 2500, /* of a request without the deadline header */
-    RESPONSE_RESERVE_MS = 150,  /* kept for the response to reach the caller */
-    STORE_RETRY_MS = 100,       /* between two attempts of a store call */
+    /* Time kept for the response to reach the caller. */
+    RESPONSE_RESERVE_MS = 150,
+    STORE_RETRY_MS = 100, /* wait between two attempts of a store call */
     /* Age up to which a pool's cached report of waiting jobs is used. */
     REPORT_MAX_AGE_MS = 400
 };
@@ -47,7 +48,7 @@
     void (*try)(void *request);
     AqBuffer encoded_job; /* the encoded job of a submission, else empty */
     unsigned attempts;
-    /* a write to the store for this request got no reply */
+    /* A write to the store for this request got no reply. */
     bool may_have_effect;
 } Request;
 
--- a/packages/pool/job_api.h
+++ b/packages/pool/job_api.h
@@ -13,8 +13,8 @@
 typedef struct JobApi JobApi;
 
 typedef struct {
-    /* Returns whether the node's copy of the configuration is up to date
-     * with the store. */
+    /* Returns whether the node's copy of the site's configuration is up to
+     * date with the store. */
     bool (*is_current)(void *context);
     /* Forwards a request to another node.  Returns false and does nothing if
      * that is not possible. */
--- a/packages/pool/machine_coordinator.c
+++ b/packages/pool/machine_coordinator.c
@@ -24,7 +24,7 @@
 };
 
 typedef enum {
-    REQUEST_WAITING, /* an order is to be sent, or sent again */
+    REQUEST_WAITING, /* the request's order is to be sent, or sent again */
     REQUEST_ORDERED, /* the request's order was sent; no result yet */
     REQUEST_ENDED    /* the order was accepted, or the request refused */
 } MachineRequestState;
@@ -45,7 +45,7 @@
 /* VMs that a pool requests without naming them, and VMs sent to the pool. */
 typedef struct {
     size_t requested_vms;
-    /* of AqTime: when VMs were sent to the pool, oldest first */
+    /* Of AqTime: when VMs were sent to the pool, oldest first. */
     GArray *sent_at;
 } Demand;
 
@@ -53,7 +53,7 @@
 typedef struct {
     /* Pool to which the last order moved the VM; "": none, or not known. */
     char moved_to_pool[64];
-    /* store revision of the VM's last claim; 0: not known */
+    /* Store revision of the VM's last claim; 0: not known. */
     uint64_t claim_index;
 } VmRecord;
 
@@ -62,15 +62,15 @@
     uint64_t fence;      /* of this node's ownership of the coordinator role */
     PrefixView *view;    /* of the requests of the pools' owners */
     OwnerWriter *writer; /* writes the responses to the owners' requests */
-    GPtrArray *entries;  /* of RequestEntry; owned */
+    GPtrArray *entries;  /* of RequestEntry, which the array owns */
     GHashTable *demands; /* pool name -> Demand */
     GHashTable *vm_records; /* VM id -> VmRecord */
-    /* set of names of the pools whose responses are to be written */
+    /* Set of names of the pools whose responses are to be written. */
     GHashTable *responses;
     bool is_writing_responses;
     AqTime responses_due; /* earliest time of the next write of responses */
     int calls;            /* orders and writes of responses in progress */
-    bool is_dropped;      /* freed as soon as "calls" is 0 */
+    bool is_dropped;      /* the coordinator is freed once "calls" is 0 */
 };
 
 typedef struct {
@@ -238,7 +238,9 @@
     AqTime now = AqLoop_Now(coordinator->node->loop);
     g_strlcpy(entry->target, entry->request.to_pool, sizeof(entry->target));
     if (entry->target[0] == '\0' || strcmp(entry->target, entry->pool) == 0) {
-        return; /* maintenance, or a move to the pool that requests it */
+        /* Maintenance, or a move to the pool that requests the move: there is
+         * no pool to choose. */
+        return;
     }
     g_hash_table_iter_init(&iter, coordinator->demands);
     while (g_hash_table_iter_next(&iter, &key, &value)) {
--- a/packages/pool/member.c
+++ b/packages/pool/member.c
@@ -12,7 +12,7 @@
 enum {
     RENEWAL_INTERVAL_MS = 450, /* between renewals of this node's lease */
     LEASE_RETRY_MS = 150,
-    /* allowed for an order to be sent and carried out */
+    /* Time allowed for an order to a VM to be sent and carried out. */
     ORDER_DELIVERY_MS = 300,
     /* Subtracted from the term of this node's lease, because the store's clock
      * may run slightly faster than the local one. */
@@ -83,14 +83,14 @@
     MemberOps ops;
     void *context;
     PrefixView *nodes;
-    /* node id -> MemberEntry, of all members including this node */
+    /* Node id -> MemberEntry, of all members including this node. */
     GHashTable *peers;
     guint next_peer;
     GHashTable *claims; /* pool name -> PoolClaim */
     AqTimer renewal_timer;
     uint64_t lease;
     AqTime renewal_sent_at;
-    /* this node's lease is certain to hold until then */
+    /* This node's lease is certain to hold until this time. */
     AqTime lease_valid_until;
     AqTime last_reply_at;
     /* When this node's membership entry was written; AQ_TIME_NEVER: it has
@@ -367,7 +367,7 @@
              reply->status == AQ_STORE_CONFLICT) {
         /* The claim may have taken effect: without a reply the store may have
          * carried it out, and a copy of the call that the HTTP client resent
-         * conflicts with the first one.  The owner key shows it. */
+         * conflicts with the first one.  Read the owner key to find out. */
         node->store->ops->get(node->store, key_of(KEY_OWNER, claim->pool),
                               on_claim_read, claim);
     }
@@ -506,7 +506,7 @@
     AqTime due = claim_due(claim);
     if (due > AqLoop_Now(node->loop)) {
         /* Pools that this node gained while it waited have lengthened the wait
-         * before its claim. */
+         * before this claim. */
         AqTimer_Start(node->loop, &claim->timer, due);
         return;
     }
--- a/packages/pool/member.h
+++ b/packages/pool/member.h
@@ -61,8 +61,8 @@
  * store or a write of this node as the pool's owner conflicted; "reason" is
  * logged. */
 void member_superseded(Member *member, const char *pool, const char *reason);
-/* Releases a pool that this node owns, so that another node can claim it. The
- * node must have stopped sending orders for the pool. */
+/* Releases a pool that this node owns, so that another node can claim the
+ * pool.  This node must have stopped sending orders for the pool. */
 void member_release(Member *member, const char *pool);
 /* Ends this node's lease, which removes its membership entry and all its owner
  * keys from the store. */
--- a/packages/pool/node.c
+++ b/packages/pool/node.c
@@ -51,7 +51,7 @@
     PrefixView *operator_view;
     VmDirectory *vms; /* NULL until this node owns a pool */
     WaveTable *waves;
-    /* NULL unless this node is the machine coordinator */
+    /* NULL unless this node is the machine coordinator. */
     MachineCoordinator *coordinator;
     GHashTable *owners; /* pool name -> OwnedPool */
     AqTimer stop_timer;
--- a/packages/pool/pool_machines.c
+++ b/packages/pool/pool_machines.c
@@ -7,7 +7,7 @@
 
 enum {
     ROUND_INTERVAL_MS = 100,
-    /* age of the platform's list if none was read */
+    /* Age of the platform's list before the first one is received. */
     LIST_INITIAL_AGE_MS = 60000,
     /* Age from which the platform's list is requested again while a VM doesn't
      * reply to orders. */
@@ -234,10 +234,11 @@
             strcmp(listed->vm, incarnation) != 0);
 }
 
-/* A VM that doesn't reply counts as running until the leases of its tasks have
- * expired.  The platform's list shows earlier whether an order has ended the
- * VM's incarnation, for instance an order that an earlier owner of the pool
- * had requested. */
+/* Reports VMs to the scheduler as ended whose incarnation the platform has
+ * ended.  A VM that doesn't reply counts as running until the leases of its
+ * tasks have expired; the platform's list shows earlier whether an order has
+ * ended the VM's incarnation, for instance an order that an earlier owner of
+ * the pool had requested. */
 static void
 end_replaced_vms(PoolMachines *self, AqScheduler *s)
 {
--- a/packages/pool/pool_machines_private.h
+++ b/packages/pool/pool_machines_private.h
@@ -19,7 +19,9 @@
 };
 
 typedef enum {
-    VM_CORDONED, /* the VM gets no new tasks; its tasks are to end */
+    /* The VM gets no new tasks; the plan's order is requested when the VM's
+     * tasks have ended. */
+    VM_CORDONED,
     /* A slot of the wave is being claimed for the VM by a write of the wave's
      * record. */
     VM_CLAIMING,
@@ -51,8 +53,8 @@
     /* The machine coordinator responded that the plan's order was accepted. */
     bool is_ordered;
     AqTime ordered_at; /* when the response that set is_ordered arrived */
-    /* When the plan began; once its order is requested, when that was
-     * requested. */
+    /* When the plan began or, once the plan's order is requested, when that
+     * request was made. */
     AqTime started_at;
     AqTime retry_at; /* earliest time of the next write of the wave's record */
 } Plan;
@@ -63,7 +65,7 @@
     PoolOwner *owner;
     char pool[64];
     uint64_t fence;  /* of this node's ownership of the pool */
-    bool is_dropped; /* freed as soon as "calls" is 0 */
+    bool is_dropped; /* the PoolMachines is freed once "calls" is 0 */
     int calls;       /* calls to the store or the platform in progress */
     AqTime next_round_at;
     AqTime next_log_at; /* earliest time of the next pool_load log event */
@@ -76,11 +78,12 @@
     size_t requested_vms;
     bool is_writing_requests;
     AqTime requests_due; /* earliest time of the next write of the requests */
-    /* Of the machine coordinator's responses to this pool's requests. */
+    /* View of the machine coordinator's responses to this pool's requests. */
     PrefixView *responses;
     bool is_writing_wave;
-    GArray *wave_changes; /* of WaveChange: those of the current round */
-    GHashTable *plans;    /* VM id -> Plan */
+    /* Of WaveChange: changes of the current round, written at its end. */
+    GArray *wave_changes;
+    GHashTable *plans; /* VM id -> Plan */
     /* Of VmCopy: the pool's VMs as of the last round, in the order of their
      * load, idle ones first. */
     GArray *vms;
@@ -96,7 +99,7 @@
 
 /* Copy of an AqScheduledVm, whose fields aq_scheduler.h describes. */
 typedef struct {
-    char vm[AQ_VM_ID_SIZE];      /* id of the incarnation */
+    char vm[AQ_VM_ID_SIZE];      /* id of the VM's incarnation */
     char machine[AQ_VM_ID_SIZE]; /* VM id */
     bool is_usable;
     bool is_answering;
@@ -129,8 +132,8 @@
  * scheduler has none. */
 Plan *machines_add_plan(PoolMachines *self, const char *machine,
                         const char *vm, PlanKind kind);
-/* Frees the plan and withdraws the request for its order; the plan's VM is no
- * longer cordoned. */
+/* Frees the plan and withdraws the request for the plan's order; the plan's VM
+ * is no longer cordoned. */
 void machines_remove_plan(PoolMachines *self, const Plan *plan);
 /* Cordons the VM and adds a plan for it; "reason" is logged. */
 Plan *machines_cordon(PoolMachines *self, const VmCopy *vm, PlanKind kind,
--- a/packages/pool/pool_maintenance.c
+++ b/packages/pool/pool_maintenance.c
@@ -144,9 +144,10 @@
     }
 }
 
-/* Whether this pool's owner maintains the VMs that no scheduler has: those
- * that are off, and those that no longer exist.  This is the owner of the
- * spare pool or, without one, of the first pool in the configuration. */
+/* Whether this pool's owner maintains the VMs that no scheduler has: VMs
+ * that are off, and VMs that no longer exist.  That is the task of the
+ * owner of the spare pool or, without a spare pool, of the first pool in
+ * the configuration. */
 static bool
 maintains_unscheduled_vms(const PoolMachines *self)
 {
@@ -160,7 +161,8 @@
 
 typedef struct {
     PoolMachines *self;
-    size_t waiting; /* VMs of the wave in this pool not begun yet */
+    /* VMs of the wave in this pool whose maintenance has not begun. */
+    size_t waiting;
 } WaveRound;
 
 /* Returns a VM to service after its maintenance and writes the VM to the
@@ -182,7 +184,8 @@
     }
 }
 
-/* Advances a VM whose maintenance this owner or an earlier one has begun. */
+/* Advances the maintenance of a VM that this owner of the pool or an earlier
+ * one has begun. */
 static void
 advance_begun_vm(WaveRound *round, WaveEntry *entry, size_t at)
 {
@@ -277,8 +280,8 @@
     return count;
 }
 
-/* Cordons VMs for their maintenance: as many as the pool can do without at a
- * time, and up to two more that are idle. */
+/* Cordons VMs of the wave for their maintenance: as many as the pool can do
+ * without at a time, and up to two more VMs that are idle. */
 static void
 cordon_for_wave(WaveRound *round, const WaveEntry *entry)
 {
@@ -329,14 +332,14 @@
     }
     else if (plan->phase >= VM_REQUESTED && plan->is_ordered &&
              self->listed_at - plan->ordered_at > WAVE_RETURN_LIMIT_MS / 2) {
-        /* The platform's list, received after the maintenance, shows the VM as
-         * up. */
+        /* The platform's list, received after the VM's maintenance, shows the
+         * VM as up. */
         record_maintenance_done(round, entry, at, plan);
     }
 }
 
-/* Advances the VMs of the wave that no scheduler has: those that are off in
- * this pool, and those that no longer exist. */
+/* Advances the maintenance of the wave's VMs that no scheduler has: VMs that
+ * are off in this pool, and VMs that no longer exist. */
 static void
 advance_unscheduled_vms(WaveRound *round, WaveEntry *entry)
 {
--- a/packages/pool/pool_owner.c
+++ b/packages/pool/pool_owner.c
@@ -25,7 +25,7 @@
     /* Lease of a task on its VM; limited by the setting
      * limits.longest_lease_ms. */
     TASK_LEASE_MS = 5000,
-    /* bytes of ".c", which ends the key of a cancellation mark */
+    /* Bytes of ".c", which ends the key of a cancellation mark. */
     CANCEL_SUFFIX_LENGTH = 2
 };
 
@@ -67,7 +67,7 @@
     void *finish_context;
     AqTime finish_deadline;
     LoadState load_state;
-    int calls_in_flight; /* each holds a pointer to this owner */
+    int calls_in_flight; /* calls of this owner, each with a pointer to it */
     bool is_dropped;
     bool is_finishing;
     bool is_saving;
--- a/packages/pool/pool_sizing.c
+++ b/packages/pool/pool_sizing.c
@@ -10,12 +10,13 @@
     /* Greatest age of the platform's list when spare VMs are chosen from it;
      * an older list is requested anew. */
     LIST_MAX_AGE_MS = 400,
-    /* After which the request for a move is withdrawn; the VM then stays. */
+    /* Time after which the request for a move of a VM is withdrawn; the VM
+     * then stays in its pool. */
     MOVE_TIMEOUT_MS = 6000
 };
 
-/* Whether this owner has no plan for the VM, and no wave has begun its
- * maintenance. */
+/* Whether this pool's owner has no plan for the VM, and no wave has begun the
+ * VM's maintenance. */
 static bool
 is_available(const PoolMachines *self, const char *machine)
 {
@@ -86,9 +87,9 @@
            is_available(self, machine->machine);
 }
 
-/* Requests up to "count" VMs of the spare pool: those whose maintenance is
- * due when "is_due" is set, otherwise those whose maintenance is not.  Returns
- * how many of "count" were not found. */
+/* Requests the moves of up to "count" VMs of the spare pool to this pool: of
+ * VMs whose maintenance is due if "is_due" is set, otherwise of VMs whose
+ * maintenance is not due.  Returns how many of "count" were not found. */
 static size_t
 acquire_listed_vms(PoolMachines *self, const char *spare, bool is_due,
                    size_t count)
--- a/packages/pool/prefix_view.c
+++ b/packages/pool/prefix_view.c
@@ -8,8 +8,8 @@
 
 enum {
     /* Longest time that the store holds a watch open.  A watch that misses
-     * changes, or whose connection is dead, is detected after this plus the
-     * store's call timeout. */
+     * changes, or whose connection is dead, is detected after this time plus
+     * the timeout of store calls. */
     WATCH_WAIT_MS = 2000,
     /* Longest time that the store holds a watch of a view with is_prompt
      * open. */
@@ -32,10 +32,11 @@
     /* Number of the last watch started.  Replies to earlier watches are
      * applied, but start no further call. */
     uint64_t last_watch;
-    /* key -> store revision of the key's last write, as uint64_t* */
+    /* Key -> store revision of the key's last write, as uint64_t*. */
     GHashTable *indexes;
     GHashTable *listing; /* keys of the listing in progress; NULL: none */
-    /* Last key of the listing's pages so far; "" before the first page. */
+    /* Last key of the pages received in the listing in progress; "" before the
+     * first page. */
     char *last_listed_key;
     /* Store revision after which the next watch returns changes. */
     uint64_t index;
--- a/packages/pool/store_health.h
+++ b/packages/pool/store_health.h
@@ -10,13 +10,14 @@
  * to have no effect, unlike a write that got no reply. */
 
 typedef struct {
-    unsigned failures; /* number of the last store calls that all failed */
+    unsigned failures; /* failed store calls since the last served one */
 } StoreHealth;
 
 /* Records the result of a store call.  Not for watches, whose connection may
  * be cut although the store is serving. */
 void store_health_note(StoreHealth *health, AqStoreStatus status);
-/* Returns whether two or more consecutive store calls have failed. */
+/* Returns whether the last two or more store calls of this node have
+ * failed. */
 bool store_health_is_lost(const StoreHealth *health);
 
 #endif
--- a/packages/pool/store_keys.h
+++ b/packages/pool/store_keys.h
@@ -14,17 +14,19 @@
  * aq/node/owner/POOL   the owner, under its lease: the owner's node id and
  *                      incarnation; the store revision (modify index) of
  *                      the key is the fence of the pool's orders
- * aq/term/POOL         the owner: number of owners so far, the owner's node
- *                      id and incarnation, whether it released the pool
+ * aq/term/POOL         the owner: number of owners so far, the last owner's
+ *                      node id and incarnation, whether that owner released
+ *                      the pool
  * aq/lane/POOL         the owner: write stamp of the owner's last write
  *                      (owner_writer.h)
  * aq/roster/POOL       the owner: used VMs, those that may have got orders
- * aq/job/POOL/ID       the node that accepted it: the job (AqJobSpec)
+ * aq/job/POOL/ID       the node that accepted the job: the job (AqJobSpec)
  * aq/job/POOL/ID.c     any node: mark that the job is cancelled, possibly
  *                      written before the job
  * aq/progress/POOL/ID  the owner: the job's stage, done tasks and failures
  * aq/report/POOL       the owner, under its lease: waiting jobs of each queue
- * aq/ask/POOL          the owner: machine requests of the pool
+ * aq/ask/POOL          the owner: machine requests of the pool, which are
+ *                      requests for orders for VMs
  * aq/answer/POOL       the machine coordinator: machine requests of the pool
  *                      that ended
  * aq/machine/MACHINE   the machine coordinator: its last claim of the VM
--- a/packages/pool/tests/fake_store.c
+++ b/packages/pool/tests/fake_store.c
@@ -29,7 +29,7 @@
     /* CALL_CHANGES: store revision after which changes are returned;
      * CALL_KEEP: id of the lease. */
     uint64_t index;
-    GPtrArray *expects; /* of Record: keys with the revisions required */
+    GPtrArray *expects; /* of Record: keys with required store revisions */
     GPtrArray *puts;    /* of Record: keys with the values to be written */
     GPtrArray *deletes; /* of Record: keys to be removed */
     AqStoreDone done;
@@ -321,9 +321,8 @@
 fake_store_reply_all(FakeStore *fake)
 {
     enum {
+        /* Ends the loop: each reply to a watch causes another watch. */
         MAX_CALLS = 100
-        /* the loop could go on for ever: each reply to a watch causes another
-         * watch */
     };
     for (int i = 0; i < MAX_CALLS && fake_store_pending_count(fake) > 0; i++) {
         Call *call = g_queue_peek_head(fake->calls);
--- a/packages/pool/tests/test_job_api.c
+++ b/packages/pool/tests/test_job_api.c
@@ -319,11 +319,11 @@
 test_status_after_forwarding(void)
 {
     static const struct {
-        int status; /* of the peer's response; 0: no response */
+        int status; /* HTTP status of the peer's response; 0: no response */
         bool was_sent;
         bool is_read;
         bool may_have_effect;
-        int expected_status; /* of the response to the caller */
+        int expected_status; /* HTTP status of the response to the caller */
     } cases[] = {
         {200, true, false, true, 200}, {503, true, false, false, 503},
         {503, true, false, true, 504}, {429, true, false, true, 504},
--- a/packages/pool/tests/test_pool.c
+++ b/packages/pool/tests/test_pool.c
@@ -77,8 +77,8 @@
     return owner_writer_create(&fixture->node, "pool", fence);
 }
 
-/* Runs the loop until the store gets a call, for instance from the writer's
- * retry timer, which reads the write stamp. */
+/* Runs the loop until the store gets a call, for instance from the retry timer
+ * of an OwnerWriter, which reads the write stamp. */
 static void
 run_until_call(Fixture *fixture)
 {
@@ -105,7 +105,7 @@
     run_until_call(&fixture);
     /* The write stamp shows that the lost write had no effect. */
     fake_store_reply(fixture.fake);
-    /* reply to the write, which was sent again */
+    /* The reply is to the write, which was sent again. */
     fake_store_reply(fixture.fake);
     CU_ASSERT_EQUAL(first.last, AQ_STORE_OK);
     write_value(writer, "new", &second);
@@ -327,9 +327,9 @@
     tear_down(&fixture);
 }
 
-/* Guards against changes that are received seconds late because the store has
- * lost a watch without an error, and against changes that are reported twice
- * when it replies to that watch after all. */
+/* Guards against changes of keys that are received seconds late because the
+ * store has lost a watch without an error, and against changes that are
+ * reported twice when the store replies to that watch after all. */
 static void
 test_silent_watch_is_replaced(void)
 {
@@ -605,7 +605,7 @@
 enum {
     WAVE_VMS = 6, /* number of VMs in the platform's list; m-0 to m-5 */
     WAVE_CAP = 4,
-    VM_NOT_DUE = 4,          /* number of the VM that is in no wave */
+    VM_NOT_DUE = 4, /* number of the VM in the list that is in no wave */
     RECOVERY_LIMIT_MS = 2000 /* well below the 5000 ms of a task's lease */
 };
 
@@ -1009,7 +1009,7 @@
     set_up_coordinator(&self);
     store_machine_request(&self.fixture, "a", self.pool_fence, 1, "a");
     run_coordinator(&self.fixture, self.coordinator);
-    /* the coordinator writes its response */
+    /* The coordinator writes its response. */
     run_coordinator(&self.fixture, self.coordinator);
     unsigned reads = fake_store_get_count(self.fixture.fake);
     store_machine_request(&self.fixture, "a", self.pool_fence, 2, "");
--- a/packages/pool/wave_table.c
+++ b/packages/pool/wave_table.c
@@ -12,7 +12,8 @@
     NodeContext *node;
     GHashTable *entries; /* wave number in decimal -> WaveEntry */
     bool is_watching;
-    PrefixView *records; /* NULL until is_watching and a wave was added */
+    /* NULL until is_watching is set and a wave is added */
+    PrefixView *records;
 };
 
 static void
--- a/packages/pool/wave_table.h
+++ b/packages/pool/wave_table.h
@@ -4,9 +4,9 @@
 #include "aq_waves.h"
 #include "node.h"
 
-/* The maintenance waves that the operator has requested.  Each has a record
- * in the store that the owners of all pools share; the table holds the copy
- * that this node received last. */
+/* The maintenance waves that the operator has requested.  Each wave has a
+ * record in the store that the owners of all pools share; the table holds the
+ * copy of the record that this node received last. */
 
 typedef struct WaveTable WaveTable;
 
