--- a/packages/pool/fenced_order.h
+++ b/packages/pool/fenced_order.h
@@ -18,11 +18,14 @@
  * limits.machine_pause_ms. */
 
 typedef enum {
-    FENCED_ORDER_DONE, /* the order was accepted, or carried out before */
-    /* The order was not sent, or not accepted at present. */
+    /* The platform accepted the order, or had carried it out before. */
+    FENCED_ORDER_DONE,
+    /* The order was not sent, or the platform does not accept it at present.
+     */
     FENCED_ORDER_RETRY,
     FENCED_ORDER_REFUSED, /* the platform has no such VM, pool or wave */
-    FENCED_ORDER_UNKNOWN  /* no response; the order may be carried out */
+    /* The platform did not respond and may carry out the order. */
+    FENCED_ORDER_UNKNOWN
 } FencedOrderResult;
 
 /* "claim_index" is the store revision of the VM's claim for the order; 0: the
--- a/packages/pool/forwarder.c
+++ b/packages/pool/forwarder.c
@@ -11,7 +11,8 @@
     /* Time until a request's deadline below which another node could not
      * respond, so the request is not forwarded. */
     MIN_REMAINING_MS = 300,
-    /* Time kept for the response to reach the caller. */
+    /* Time kept before a request's deadline for the response to reach the
+     * caller. */
     RESPONSE_RESERVE_MS = 150,
     CONNECT_TIMEOUT_MS = 250,
     /* Time without forwarding after a peer failed to serve a request. */
--- a/packages/pool/job_api.c
+++ b/packages/pool/job_api.c
@@ -12,7 +12,8 @@
 
 enum {
     DEFAULT_DEADLINE_MS = 2500, /* of a request without the deadline header */
-    /* Time kept for the response to reach the caller. */
+    /* Time kept before a request's deadline for the response to reach the
+     * caller. */
     RESPONSE_RESERVE_MS = 150,
     STORE_RETRY_MS = 100, /* wait between two attempts of a store call */
     /* Age up to which a pool's cached report of waiting jobs is used. */
--- a/packages/pool/machine_coordinator.c
+++ b/packages/pool/machine_coordinator.c
@@ -11,8 +11,8 @@
 #include "prefix_view.h"
 
 enum {
-    /* Wait after an order that was not accepted, or a write of responses that
-     * failed. */
+    /* Wait before an order that the platform did not accept, or a failed write
+     * of responses to pool owners, is repeated. */
     RETRY_MS = 250,
     /* How long a VM that was sent to a pool is subtracted from the VMs that
      * the pool requests.  After that the VM has arrived, and the pool requests
@@ -26,7 +26,9 @@
 typedef enum {
     REQUEST_WAITING, /* the request's order is to be sent, or sent again */
     REQUEST_ORDERED, /* the request's order was sent; no result yet */
-    REQUEST_ENDED    /* the order was accepted, or the request refused */
+    /* The platform accepted the request's order, or the platform or this
+     * coordinator refused the request. */
+    REQUEST_ENDED
 } MachineRequestState;
 
 typedef struct {
@@ -35,9 +37,13 @@
     /* Fence of the sending owner's ownership of "pool". */
     uint64_t fence;
     MachineRequestState state;
-    bool is_refused;   /* the request was refused; valid in REQUEST_ENDED */
-    bool is_requested; /* the pool owner's list still contains the request */
-    AqTime retry_at;   /* earliest time of the next order for the request */
+    /* The platform or this coordinator refused the request; valid in
+     * REQUEST_ENDED. */
+    bool is_refused;
+    /* The pool owner's list of requests in the store still contains this
+     * request. */
+    bool is_requested;
+    AqTime retry_at; /* earliest time of the next order for the request */
     /* Pool to which the VM is to move; "": not chosen yet, or no move. */
     char target[64];
 } RequestEntry;
@@ -51,21 +57,23 @@
 
 /* Outcome of this coordinator's last orders for a VM. */
 typedef struct {
-    /* Pool to which the last order moved the VM; "": none, or not known. */
+    /* Pool to which this coordinator's last order moved the VM; "": the VM was
+     * not moved, or its pool is not known. */
     char moved_to_pool[64];
-    /* Store revision of the VM's last claim; 0: not known. */
+    /* Store revision of this node's last claim of the VM; 0: not known. */
     uint64_t claim_index;
 } VmRecord;
 
 struct MachineCoordinator {
     NodeContext *node;
     uint64_t fence;      /* of this node's ownership of the coordinator role */
-    PrefixView *view;    /* of the requests of the pools' owners */
+    PrefixView *view;    /* view of the requests of the pools' owners */
     OwnerWriter *writer; /* writes the responses to the owners' requests */
     GPtrArray *entries;  /* of RequestEntry, which the array owns */
     GHashTable *demands; /* pool name -> Demand */
     GHashTable *vm_records; /* VM id -> VmRecord */
-    /* Set of names of the pools whose responses are to be written. */
+    /* Set of the names of the pools for whose owners responses are to be
+     * written to the store. */
     GHashTable *responses;
     bool is_writing_responses;
     AqTime responses_due; /* earliest time of the next write of responses */
--- a/packages/pool/member.c
+++ b/packages/pool/member.c
@@ -23,10 +23,11 @@
     /* Wait between this node's joining and its first claim of a pool, so that
      * it sees the other members first. */
     CLAIM_START_WAIT_MS = 300,
-    /* Extra wait before a claim for each pool that this node owns already. */
+    /* Extra wait before a claim for each pool that this node owns or is
+     * claiming already. */
     CLAIM_WAIT_PER_POOL_MS = 120,
-    /* Range of the extra wait before a claim that depends on a hash of pool
-     * and node. */
+    /* Upper limit of the extra wait before a claim that depends on a hash of
+     * pool and node. */
     CLAIM_SPREAD_MS = 100,
     /* Extra wait before a claim of a pool by a node with a CPU share of 0, if
      * another member has a greater one; less for shares in between.  Longer
@@ -58,8 +59,8 @@
     char owner_node[64];
     char owner_incarnation[40];
     /* The pool's term record as last read: store revision (0: there is no
-     * record), number of owners so far, whether the last owner released the
-     * pool, and that owner's node id and incarnation. */
+     * record), number of ownerships so far, whether the last owner released
+     * the pool, and that owner's node id and incarnation. */
     uint64_t term_index;
     int64_t generation;
     bool was_released;
@@ -68,7 +69,8 @@
     /* Store revision of the owner key that this node wrote; valid in
      * CLAIM_OWNED. */
     uint64_t fence;
-    bool previous_owner_may_be_active; /* as in Ownership */
+    /* Becomes the field of the same name of Ownership (member.h). */
+    bool previous_owner_may_be_active;
 } PoolClaim;
 
 /* A member's entry in the store. */
@@ -505,8 +507,8 @@
     }
     AqTime due = claim_due(claim);
     if (due > AqLoop_Now(node->loop)) {
-        /* Pools that this node gained while it waited have lengthened the wait
-         * before this claim. */
+        /* The wait before this claim has become longer since it began, for
+         * instance because each pool that this node gains lengthens it. */
         AqTimer_Start(node->loop, &claim->timer, due);
         return;
     }
--- a/packages/pool/member.h
+++ b/packages/pool/member.h
@@ -25,7 +25,9 @@
     /* Fence of the owner's orders: store revision (modify index) at which the
      * pool's owner key was written. */
     uint64_t fence;
-    int64_t generation; /* number of the pool's earlier owners */
+    /* Number of the pool's earlier ownerships; a node that has owned the pool
+     * repeatedly counts each time. */
+    int64_t generation;
     bool previous_owner_may_be_active; /* the previous owner neither released
                                           the pool nor was replaced by a new
                                           incarnation of its node */
--- a/packages/pool/node.c
+++ b/packages/pool/node.c
@@ -21,7 +21,9 @@
     STORE_TIMEOUT_MS = 800, /* the store's slow replies take up to 0.3 s */
     ORDER_TIMEOUT_MS = 600, /* VMs usually reply within a few ms */
     MACHINE_TIMEOUT_MS = 1500,
-    ADVICE_TIMEOUT_MS = 3000, /* the advice service handles calls serially */
+    /* Longer than for other calls, because the advice service handles calls
+     * serially. */
+    ADVICE_TIMEOUT_MS = 3000,
     MAX_JOB_BYTES = 262144,
     IDLE_TIMEOUT_S = 30,
     /* Age of the store's last reply to the watch of the configuration from
--- a/packages/pool/pool_machines.c
+++ b/packages/pool/pool_machines.c
@@ -7,7 +7,8 @@
 
 enum {
     ROUND_INTERVAL_MS = 100,
-    /* Age of the platform's list before the first one is received. */
+    /* Age that the platform's list of VMs counts as having until the first
+     * list is received; so great that a list is requested at once. */
     LIST_INITIAL_AGE_MS = 60000,
     /* Age from which the platform's list is requested again while a VM doesn't
      * reply to orders. */
--- a/packages/pool/pool_machines_private.h
+++ b/packages/pool/pool_machines_private.h
@@ -13,22 +13,23 @@
  * pool_sizing.c            VMs acquired from the spare pool and released */
 
 enum {
-    /* Wait after a write to the store, or a request for the platform's list,
-     * that failed. */
+    /* Wait before a failed write to the store, or a failed request for the
+     * platform's list of VMs, is repeated. */
     MACHINES_RETRY_MS = 150
 };
 
 typedef enum {
-    /* The VM gets no new tasks; the plan's order is requested when the VM's
-     * tasks have ended. */
+    /* The VM gets no new tasks; the plan's order is requested from the machine
+     * coordinator when the VM's tasks have ended. */
     VM_CORDONED,
-    /* A slot of the wave is being claimed for the VM by a write of the wave's
-     * record. */
+    /* The VM's maintenance is being recorded as begun in the wave's record,
+     * which claims one of the wave's slots for VMs in maintenance. */
     VM_CLAIMING,
-    /* The plan's order is requested from the machine coordinator. */
+    /* The plan's order was requested from the machine coordinator, whose
+     * response is awaited or, once is_ordered is set, has arrived. */
     VM_REQUESTED,
-    /* The VM serves again; the wave's record is to show its maintenance as
-     * done. */
+    /* The VM serves again after its maintenance, which the wave's record does
+     * not show as done yet. */
     VM_RETURNED
 } VmPhase;
 
@@ -48,15 +49,20 @@
     char vm[AQ_VM_ID_SIZE];
     PlanKind kind;
     VmPhase phase;
-    int64_t wave;           /* number of the maintenance wave; 0 for moves */
-    int64_t request_number; /* number of the request for the order; 0: none */
-    /* The machine coordinator responded that the plan's order was accepted. */
+    int64_t wave; /* number of the maintenance wave; 0 for moves */
+    /* Number of the request for the plan's order; 0: not requested yet. */
+    int64_t request_number;
+    /* The machine coordinator responded that the platform accepted the plan's
+     * order or had carried it out before. */
     bool is_ordered;
-    AqTime ordered_at; /* when the response that set is_ordered arrived */
+    /* When the machine coordinator's response that set is_ordered arrived. */
+    AqTime ordered_at;
     /* When the plan began or, once the plan's order is requested, when that
      * request was made. */
     AqTime started_at;
-    AqTime retry_at; /* earliest time of the next write of the wave's record */
+    /* Earliest time of the next write of the wave's record for this VM; 0: no
+     * write has been delayed. */
+    AqTime retry_at;
 } Plan;
 
 struct PoolMachines {
@@ -71,28 +77,34 @@
     AqTime next_log_at; /* earliest time of the next pool_load log event */
     /* Highest number given to a request for an order so far. */
     int64_t last_request_number;
-    /* The requests for orders have changed since they were last written. */
+    /* The requests for orders have changed since they were last written to the
+     * store. */
     bool are_requests_changed;
-    /* VMs that the pool needs beyond those that it acquires from the spare
-     * pool. */
+    /* Number of VMs that the pool needs beyond those that it acquires from the
+     * spare pool. */
     size_t requested_vms;
     bool is_writing_requests;
-    AqTime requests_due; /* earliest time of the next write of the requests */
+    /* Earliest time of the next write of the requests for orders to the
+     * store. */
+    AqTime requests_due;
     /* View of the machine coordinator's responses to this pool's requests. */
     PrefixView *responses;
     bool is_writing_wave;
-    /* Of WaveChange: changes of the current round, written at its end. */
+    /* Of WaveChange: new states of VMs set in the current round, written to
+     * the wave's record at the end of the round. */
     GArray *wave_changes;
     GHashTable *plans; /* VM id -> Plan */
     /* Of VmCopy: the pool's VMs as of the last round, in the order of their
      * load, idle ones first. */
     GArray *vms;
-    GArray *list; /* of AqMachine: the platform's list of VMs */
+    GArray *list; /* of AqMachine: the platform's list of VMs, last received */
     /* When "list" was received.  A failed request for a new list adds
      * MACHINES_RETRY_MS, which delays the next request by as much. */
     AqTime listed_at;
-    AqTime list_requested_at; /* when "list" was requested */
-    /* When the list that is still to be received was requested. */
+    /* When "list", as last received, was requested from the platform. */
+    AqTime list_requested_at;
+    /* When the platform's list of VMs was last requested; while is_listing is
+     * set, the platform has not responded to this request. */
     AqTime listing_since;
     bool is_listing;
 };
--- a/packages/pool/pool_maintenance.c
+++ b/packages/pool/pool_maintenance.c
@@ -19,8 +19,9 @@
 
 /* A new state of one VM of a wave, for the next write of the wave's record. */
 typedef struct {
-    size_t at;          /* position of the VM in the wave */
-    AqWaveState before; /* the VM's state in the wave's record as read */
+    size_t at; /* position of the VM in the wave */
+    /* The VM's state before the change, as in the wave's record last read. */
+    AqWaveState before;
 } WaveChange;
 
 static void
@@ -125,8 +126,9 @@
 
 /* ---- Rounds ------------------------------------------------------------- */
 
-/* Requests the maintenance of an idle VM.  Claims a slot of the wave for the
- * VM first, unless the wave's record shows that the VM has one. */
+/* Requests the maintenance of an idle VM.  Before that, claims one of the
+ * wave's slots for VMs in maintenance for this VM, unless the wave's record
+ * shows that the VM has one. */
 static void
 request_maintenance(PoolMachines *self, WaveEntry *entry, size_t at,
                     Plan *plan)
@@ -316,8 +318,8 @@
         return;
     }
     if (plan == NULL) {
-        /* A VM whose maintenance an earlier owner has begun has a slot of the
-         * wave already. */
+        /* A VM whose maintenance an earlier owner has begun already has one of
+         * the wave's slots for VMs in maintenance. */
         bool is_begun = AqWave_State(entry->wave, at) == AQ_WAVE_BEGUN;
         if (is_begun ||
             (AqWave_HasSlot(entry->wave) && !self->is_writing_wave)) {
--- a/packages/pool/pool_owner.c
+++ b/packages/pool/pool_owner.c
@@ -59,7 +59,9 @@
     uint64_t used_vms_written;
     uint64_t used_vms_sent_version;
     AqTime used_vms_due;
-    char *last_report; /* text of the report as last written; NULL: none */
+    /* Text of the pool's report of waiting jobs as last written to the store;
+     * NULL: none. */
+    char *last_report;
     AqTime report_due;
     /* Callback of pool_owner_finish, its argument, and the time at which it is
      * called at the latest; finish_done is NULL if no callback is due. */
@@ -67,7 +69,9 @@
     void *finish_context;
     AqTime finish_deadline;
     LoadState load_state;
-    int calls_in_flight; /* calls of this owner, each with a pointer to it */
+    /* Number of calls to the store, VMs and the advice service that have not
+     * ended; each has a pointer to this owner. */
+    int calls_in_flight;
     bool is_dropped;
     bool is_finishing;
     bool is_saving;
--- a/packages/pool/store_keys.h
+++ b/packages/pool/store_keys.h
@@ -14,9 +14,9 @@
  * aq/node/owner/POOL   the owner, under its lease: the owner's node id and
  *                      incarnation; the store revision (modify index) of
  *                      the key is the fence of the pool's orders
- * aq/term/POOL         the owner: number of owners so far, the last owner's
- *                      node id and incarnation, whether that owner released
- *                      the pool
+ * aq/term/POOL         the owner: number of the pool's ownerships so far, the
+ *                      last owner's node id and incarnation, whether that
+ *                      owner released the pool
  * aq/lane/POOL         the owner: write stamp of the owner's last write
  *                      (owner_writer.h)
  * aq/roster/POOL       the owner: used VMs, those that may have got orders
@@ -51,8 +51,10 @@
     KEY_MACHINE_RESPONSES,
     KEY_MACHINE,
     KEY_WAVE,
-    KEY_JOBS,    /* prefix of a pool's job keys */
-    KEY_PROGRESS /* prefix of a pool's progress keys */
+    /* Prefix of the keys of a pool's jobs and of their cancellation marks. */
+    KEY_JOBS,
+    /* Prefix of the keys of the progress records of a pool's jobs. */
+    KEY_PROGRESS
 } KeyKind;
 
 /* Returns a store key of the given kind; "name" is the name of the pool, the
--- a/packages/pool/tests/fake_store.c
+++ b/packages/pool/tests/fake_store.c
@@ -39,10 +39,13 @@
 struct FakeStore {
     AqStore store; /* first, so that AqStore * can be cast to FakeStore * */
     GPtrArray *records; /* of Record; removed keys stay, marked as removed */
-    GQueue *calls;      /* of Call: queued, oldest first */
-    GQueue *lost;       /* of Call: lost and not executed, oldest first */
-    uint64_t index;     /* store revision: increased by 1 with each write */
-    /* Store revision up to which the history of changes is dropped. */
+    GQueue *calls;      /* of Call: not ended yet, oldest first */
+    /* Of Call: ended by fake_store_lose_call() and not executed since, oldest
+     * first. */
+    GQueue *lost;
+    uint64_t index; /* store revision: increased by 1 with each write */
+    /* A watch for the changes after a store revision smaller than this ends
+     * with AQ_STORE_COMPACTED. */
     uint64_t compacted_index;
     int64_t max_wait_ms;
     unsigned get_count;
--- a/packages/pool/tests/fake_store.h
+++ b/packages/pool/tests/fake_store.h
@@ -12,7 +12,7 @@
 void fake_store_destroy(FakeStore *fake);
 AqStore *fake_store_interface(FakeStore *fake);
 
-/* Returns the number of queued calls. */
+/* Returns the number of queued calls, those that have not ended yet. */
 size_t fake_store_pending_count(const FakeStore *fake);
 /* Executes the oldest queued call and replies to it. */
 void fake_store_reply(FakeStore *fake);
@@ -21,9 +21,11 @@
  * which each watch left queued counts as one; the others stay queued. */
 void fake_store_reply_all(FakeStore *fake);
 /* Ends the oldest queued call without a reply: a commit with AQ_STORE_UNKNOWN,
- * other calls with AQ_STORE_UNAVAILABLE.  The call is not executed. */
+ * other calls with AQ_STORE_UNAVAILABLE.  The call is not executed, unless
+ * fake_store_execute_lost() does so later. */
 void fake_store_lose_call(FakeStore *fake);
-/* Executes the oldest lost call, if its conditions still hold. */
+/* Executes the oldest call that fake_store_lose_call() ended and that was not
+ * executed since, if the call's conditions still hold. */
 void fake_store_execute_lost(FakeStore *fake);
 /* Ends the oldest queued call with AQ_STORE_UNAVAILABLE; the call is never
  * executed. */
--- a/packages/pool/tests/test_pool.c
+++ b/packages/pool/tests/test_pool.c
@@ -606,7 +606,9 @@
     WAVE_VMS = 6, /* number of VMs in the platform's list; m-0 to m-5 */
     WAVE_CAP = 4,
     VM_NOT_DUE = 4, /* number of the VM in the list that is in no wave */
-    RECOVERY_LIMIT_MS = 2000 /* well below the 5000 ms of a task's lease */
+    /* Time allowed for the scheduler's recovery after a change of the pool's
+     * owner; well below the 5000 ms of a task's lease. */
+    RECOVERY_LIMIT_MS = 2000
 };
 
 /* Replies with the platform's list: WAVE_VMS VMs, all up in one pool. */
@@ -778,8 +780,9 @@
     tear_down_owner(&self);
 }
 
-/* Stores the wave's record as an earlier owner of the pool left it: all slots
- * of the wave are claimed, but no order was requested. */
+/* Stores the wave's record as an earlier owner of the pool left it: all of the
+ * wave's slots for VMs in maintenance are claimed, but no order was
+ * requested. */
 static void
 store_begun_wave(Fixture *fixture)
 {
@@ -798,9 +801,9 @@
     AqWaveSpec_Clear(&spec);
 }
 
-/* Guards against a wave that stops because the owner that had claimed all
- * slots of the wave handed the pool over before it requested any maintenance
- * order. */
+/* Guards against a wave that stops because the owner that had claimed all of
+ * the wave's slots for VMs in maintenance handed the pool over before it
+ * requested any maintenance order. */
 static void
 test_begun_maintenance_is_requested_again(void)
 {
--- a/packages/pool/wave_table.c
+++ b/packages/pool/wave_table.c
@@ -12,7 +12,8 @@
     NodeContext *node;
     GHashTable *entries; /* wave number in decimal -> WaveEntry */
     bool is_watching;
-    /* NULL until is_watching is set and a wave is added */
+    /* View of the waves' records in the store; NULL until is_watching is set
+     * and a wave is added. */
     PrefixView *records;
 };
 
