--- a/packages/pool/job_api.c
+++ b/packages/pool/job_api.c
@@ -11,7 +11,9 @@
 #include "store_keys.h"
 
 enum {
-    DEFAULT_DEADLINE_MS = 2500, /* of a request without the deadline header */
+    /* Time from the arrival of a request without the deadline header to its
+     * deadline. */
+    DEFAULT_DEADLINE_MS = 2500,
     /* Time kept before a request's deadline for the response to reach the
      * caller. */
     RESPONSE_RESERVE_MS = 150,
@@ -212,8 +214,9 @@
     }
 }
 
-/* Called when the forwarding of a request has ended.  If the other node could
- * not determine the request's outcome either, this node retries it. */
+/* Called when the forwarding of a request has ended.  If the other node
+ * could not determine the request's outcome either, this node retries the
+ * request. */
 static void
 on_forwarded(void *context, bool has_responded)
 {
@@ -380,7 +383,9 @@
 
 /* ---- Cancelling --------------------------------------------------------- */
 
-/* Handles a cancellation whose write was not carried out or got no reply. */
+/* Continues a cancellation whose write was not carried out or got no reply:
+ * forwards it to another node, retries it on this one, or ends it with status
+ * 503 or 504. */
 static void
 retry_cancel(Request *request, const AqStoreReply *reply)
 {
--- a/packages/pool/job_api.h
+++ b/packages/pool/job_api.h
@@ -7,8 +7,8 @@
 
 /* HTTP API for callers: jobs are submitted, queried and cancelled at any
  * node.  A job is accepted once it is in the store.  While the store can't be
- * reached, a request that needs the store gets an error response with this
- * reason. */
+ * reached, a request that needs the store gets an error response that says
+ * so. */
 
 typedef struct JobApi JobApi;
 
--- a/packages/pool/machine_coordinator.c
+++ b/packages/pool/machine_coordinator.c
@@ -12,14 +12,17 @@
 
 enum {
     /* Wait before an order that the platform did not accept, or a failed write
-     * of responses to pool owners, is repeated. */
+     * to the store of responses to pool owners, is repeated. */
     RETRY_MS = 250,
-    /* How long a VM that was sent to a pool is subtracted from the VMs that
-     * the pool requests.  After that the VM has arrived, and the pool requests
-     * one VM less. */
+    /* Time, from when a VM was sent to a pool, for which the VM is subtracted
+     * from the number of VMs that the pool requests.  After that the VM has
+     * arrived, and the pool requests one VM less. */
     MOVE_IN_PROGRESS_MS = 2300,
-    /* Greatest number of orders and writes of responses in progress at a time;
-     * further orders wait.  The platform accepts about 64 orders a second. */
+    /* An order for a VM is sent only while fewer than this many orders, and
+     * writes to the store of responses to pool owners, are in progress,
+     * counted together.  The platform accepts about 64 orders a second; 12
+     * orders in progress exceed this if each takes less than 190 ms, and an
+     * order that the platform doesn't accept is repeated after RETRY_MS. */
     MAX_CONCURRENT_CALLS = 12
 };
 
@@ -43,7 +46,8 @@
     /* The pool owner's list of requests in the store still contains this
      * request. */
     bool is_requested;
-    AqTime retry_at; /* earliest time of the next order for the request */
+    /* Earliest time at which the request's order is sent again. */
+    AqTime retry_at;
     /* Pool to which the VM is to move; "": not chosen yet, or no move. */
     char target[64];
 } RequestEntry;
@@ -66,19 +70,27 @@
 
 struct MachineCoordinator {
     NodeContext *node;
-    uint64_t fence;      /* of this node's ownership of the coordinator role */
-    PrefixView *view;    /* view of the requests of the pools' owners */
-    OwnerWriter *writer; /* writes the responses to the owners' requests */
-    GPtrArray *entries;  /* of RequestEntry, which the array owns */
-    GHashTable *demands; /* pool name -> Demand */
+    /* Fence of this node's ownership of the role of the machine
+     * coordinator. */
+    uint64_t fence;
+    PrefixView *view;       /* pool owners' requests in the store */
+    OwnerWriter *writer;    /* writes the responses to pool owners */
+    GPtrArray *entries;     /* of RequestEntry, owned: pool owners' requests */
+    GHashTable *demands;    /* pool name -> Demand */
     GHashTable *vm_records; /* VM id -> VmRecord */
     /* Set of the names of the pools for whose owners responses are to be
      * written to the store. */
     GHashTable *responses;
     bool is_writing_responses;
-    AqTime responses_due; /* earliest time of the next write of responses */
-    int calls;            /* orders and writes of responses in progress */
-    bool is_dropped;      /* the coordinator is freed once "calls" is 0 */
+    /* Earliest time of the next write to the store of responses to pool
+     * owners. */
+    AqTime responses_due;
+    /* Number of orders for VMs, and of writes to the store of responses to
+     * pool owners, in progress. */
+    int calls;
+    /* Machine_coordinator_drop() was called; the coordinator is freed once
+     * "calls" is 0. */
+    bool is_dropped;
 };
 
 typedef struct {
@@ -497,7 +509,8 @@
         return;
     }
     prefix_view_destroy(coordinator->view);
-    /* Keeps the coordinator allocated while owner_writer_drop() ends calls. */
+    /* Counts one more call, so that the coordinator isn't freed while
+     * owner_writer_drop() calls the "done" of the queued writes. */
     coordinator->calls++;
     owner_writer_drop(coordinator->writer);
     coordinator->calls--;
--- a/packages/pool/member.c
+++ b/packages/pool/member.c
@@ -507,8 +507,8 @@
     }
     AqTime due = claim_due(claim);
     if (due > AqLoop_Now(node->loop)) {
-        /* The wait before this claim has become longer since it began, for
-         * instance because each pool that this node gains lengthens it. */
+        /* The wait before this claim has become longer since the timer was
+         * started, for instance because this node gained another pool. */
         AqTimer_Start(node->loop, &claim->timer, due);
         return;
     }
@@ -517,7 +517,8 @@
                           on_term_read, claim);
 }
 
-/* Starts a claim if the pool is configured and has no owner. */
+/* Starts this node's claim of the pool if the pool is configured and has no
+ * owner. */
 static void
 claim_if_vacant(PoolClaim *claim)
 {
--- a/packages/pool/node.c
+++ b/packages/pool/node.c
@@ -19,10 +19,10 @@
 
 enum {
     STORE_TIMEOUT_MS = 800, /* the store's slow replies take up to 0.3 s */
-    ORDER_TIMEOUT_MS = 600, /* VMs usually reply within a few ms */
+    ORDER_TIMEOUT_MS = 600, /* for VMs, which usually reply within a few ms */
     MACHINE_TIMEOUT_MS = 1500,
-    /* Longer than for other calls, because the advice service handles calls
-     * serially. */
+    /* Timeout of calls to the advice service, which handles calls one after
+     * another; so it is longer than for other calls. */
     ADVICE_TIMEOUT_MS = 3000,
     MAX_JOB_BYTES = 262144,
     IDLE_TIMEOUT_S = 30,
--- a/packages/pool/node.h
+++ b/packages/pool/node.h
@@ -37,11 +37,14 @@
     /* Time from this node's gaining a pool until the pool's jobs are
      * loaded. */
     AqMetric *takeover_ms;
-    /* Callers' submissions that were stored. */
+    /* Number of callers' submissions of jobs that were stored. */
     AqMetric *stored;
-    AqMetric *refused; /* callers' requests with status 503: nothing done */
-    AqMetric *unknown; /* callers' requests with status 504: outcome unknown */
-    /* Pool owners' orders to VMs that got no reply or were not sent. */
+    /* Number of callers' requests with status 503: nothing was done. */
+    AqMetric *refused;
+    /* Number of callers' requests with status 504: outcome unknown. */
+    AqMetric *unknown;
+    /* Number of pool owners' orders to VMs that got no reply or were not
+     * sent. */
     AqMetric *orders_failed;
     AqMetric *pools_gained;
     AqMetric *pools_lost;
@@ -57,7 +60,8 @@
     AqAdviceClient *advice;    /* NULL: no advice service is configured */
     NodeMetrics metrics;
     StoreHealth store_health;
-    AqSiteConfig site;    /* configuration of the site; version 0: not read */
+    /* Configuration of the site, as last read; version 0: not read. */
+    AqSiteConfig site;
     char incarnation[40]; /* random id of this process */
     bool is_stopping;
 } NodeContext;
--- a/packages/pool/owner_writer.c
+++ b/packages/pool/owner_writer.c
@@ -9,16 +9,21 @@
 #include "store_keys.h"
 
 enum {
-    STAMP_READ_RETRY_MS = 150 /* delay before the write stamp is read again */
+    /* Delay from a write without a reply, or from a failed read, to the next
+     * read of the write stamp: a key that every write of the owner requires to
+     * be unchanged and replaces. */
+    STAMP_READ_RETRY_MS = 150
 };
 
 typedef struct {
-    GPtrArray *allocations; /* owns the keys and values of expects and puts */
+    /* Owns the keys and values of "expects" and "puts". */
+    GPtrArray *allocations;
     AqStoreExpect expects[AQ_STORE_COMMIT_ENTRIES];
     size_t expect_count;
     AqStorePut puts[AQ_STORE_COMMIT_ENTRIES];
     size_t put_count;
-    /* Value that this write gives to the owner's write stamp; read back to see
+    /* Value that this write gives to the write stamp, the key that every write
+     * of the owner replaces; the key is read back after a lost reply to see
      * whether the write took effect. */
     char stamp[80];
     OwnerWriteDone done;
@@ -29,9 +34,10 @@
     NodeContext *node;
     char pool[64];
     uint64_t fence;
-    GQueue *writes; /* of Write: not ended; the first is in progress */
-    /* Store revision of the owner's write stamp as last read or written; 0:
-     * there is no write stamp. */
+    GQueue *writes; /* of Write: writes that have not ended, oldest first */
+    /* Store revision, as last read or written, of the write stamp, the key
+     * that every write of the owner requires to be unchanged and replaces; 0:
+     * there is no such key. */
     uint64_t write_stamp_index;
     bool is_write_stamp_known;
     uint64_t last_stamp_number;
@@ -118,8 +124,8 @@
         find_item(reply, key_of(KEY_OWNER, writer->pool));
     uint64_t write_stamp_index = write_stamp != NULL ? write_stamp->index : 0;
     if (is_stamped(write_stamp, write)) {
-        /* The HTTP client sent the write twice, and the first copy took
-         * effect. */
+        /* The HTTP client sent the write twice; the first copy took effect,
+         * and the second conflicted with it. */
         writer->write_stamp_index = write_stamp_index;
         finish_first(writer, AQ_STORE_OK);
     }
@@ -128,8 +134,9 @@
     }
     else if (write_stamp_index != writer->write_stamp_index) {
         /* An earlier write that had been given up took effect meanwhile and
-         * changed the write stamp.  The first write of the queue is sent
-         * again, with the changed stamp as its condition. */
+         * changed the write stamp, the key that every write requires to be
+         * unchanged.  The first write of the queue is sent again, with the
+         * changed stamp as its condition. */
         writer->write_stamp_index = write_stamp_index;
         writer->is_write_in_progress = false;
         start_next(writer);
@@ -184,9 +191,10 @@
         finish_first(writer, AQ_STORE_OK);
         return;
     }
-    /* The first write of the queue has not taken effect, and a copy sent
-     * before can't any more once the write stamp has changed, so the write is
-     * sent again with a new stamp. */
+    /* The first write of the queue has not taken effect, so it is sent again
+     * with a new value for the write stamp, the key that every write requires
+     * to be unchanged.  Once this key has changed, a copy sent before can't
+     * take effect any more. */
     writer->is_write_in_progress = false;
     start_next(writer);
 }
--- a/packages/pool/pool_machines.c
+++ b/packages/pool/pool_machines.c
@@ -13,8 +13,8 @@
     /* Age from which the platform's list is requested again while a VM doesn't
      * reply to orders. */
     SILENT_LIST_MAX_AGE_MS = 1000,
-    /* Load of a perpetual task, in ordinary tasks, when VMs are sorted by
-     * load. */
+    /* Number of ordinary tasks as which a perpetual task counts when VMs are
+     * sorted by load. */
     PERPETUAL_TASK_WEIGHT = 100
 };
 
--- a/packages/pool/pool_machines_private.h
+++ b/packages/pool/pool_machines_private.h
@@ -22,8 +22,8 @@
     /* The VM gets no new tasks; the plan's order is requested from the machine
      * coordinator when the VM's tasks have ended. */
     VM_CORDONED,
-    /* The VM's maintenance is being recorded as begun in the wave's record,
-     * which claims one of the wave's slots for VMs in maintenance. */
+    /* The VM's maintenance is being written to the wave's record as begun.
+     * The wave's cap limits how many VMs have begun maintenance at a time. */
     VM_CLAIMING,
     /* The plan's order was requested from the machine coordinator, whose
      * response is awaited or, once is_ordered is set, has arrived. */
@@ -35,7 +35,8 @@
 
 typedef enum {
     PLAN_MAINTENANCE,
-    /* Move from this pool to the spare pool, or to one that requests VMs. */
+    /* Move from this pool to the spare pool, or to another pool that requests
+     * VMs. */
     PLAN_RELEASE,
     PLAN_ACQUIRE /* move from the spare pool to this one */
 } PlanKind;
@@ -70,9 +71,11 @@
     WaveTable *waves;
     PoolOwner *owner;
     char pool[64];
-    uint64_t fence;  /* of this node's ownership of the pool */
-    bool is_dropped; /* the PoolMachines is freed once "calls" is 0 */
-    int calls;       /* calls to the store or the platform in progress */
+    uint64_t fence; /* fence of this node's ownership of "pool" */
+    /* Pool_machines_drop() was called; the PoolMachines is freed once "calls"
+     * is 0. */
+    bool is_dropped;
+    int calls; /* calls to the store or the platform in progress */
     AqTime next_round_at;
     AqTime next_log_at; /* earliest time of the next pool_load log event */
     /* Highest number given to a request for an order so far. */
@@ -116,7 +119,7 @@
     bool is_usable;
     bool is_answering;
     size_t tasks;
-    size_t perpetual; /* number of perpetual tasks among "tasks" */
+    size_t perpetual; /* perpetual tasks of the VM, part of the VM's "tasks" */
     int64_t cpu_millis;
     AqTime idle_since;
     AqTime silent_since;
--- a/packages/pool/pool_maintenance.c
+++ b/packages/pool/pool_maintenance.c
@@ -126,9 +126,9 @@
 
 /* ---- Rounds ------------------------------------------------------------- */
 
-/* Requests the maintenance of an idle VM.  Before that, claims one of the
- * wave's slots for VMs in maintenance for this VM, unless the wave's record
- * shows that the VM has one. */
+/* Requests the maintenance of an idle VM if the wave's record shows it as
+ * begun.  Otherwise stages its state as begun, if fewer VMs than the wave's
+ * cap have begun maintenance; on_wave_written() then requests it. */
 static void
 request_maintenance(PoolMachines *self, WaveEntry *entry, size_t at,
                     Plan *plan)
@@ -247,8 +247,9 @@
     }
 }
 
-/* Requests the maintenance of a cordoned VM once it is idle; stops the VM's
- * tasks when the wave leaves too little time to wait for their end. */
+/* Requests the maintenance of a cordoned VM once the VM is idle; stops the
+ * VM's tasks when too little of the wave's time is left to wait for their
+ * end. */
 static void
 advance_cordoned_vm(WaveRound *round, WaveEntry *entry, size_t at, Plan *plan,
                     const VmCopy *vm)
@@ -282,8 +283,8 @@
     return count;
 }
 
-/* Cordons VMs of the wave for their maintenance: as many as the pool can do
- * without at a time, and up to two more VMs that are idle. */
+/* Cordons VMs of the pool for their maintenance in the wave: as many as the
+ * pool can do without at a time, and up to two more VMs that are idle. */
 static void
 cordon_for_wave(WaveRound *round, const WaveEntry *entry)
 {
@@ -307,7 +308,9 @@
     }
 }
 
-/* Advances the maintenance of a VM that is off in this pool. */
+/* Advances the maintenance of the VM at position "at" of a wave, which the
+ * platform's list shows in this pool in state AQ_MACHINE_UP; a VM of the spare
+ * pool has this state while it is powered off. */
 static void
 advance_listed_vm(WaveRound *round, WaveEntry *entry, size_t at,
                   const AqMachine *listed)
@@ -318,8 +321,9 @@
         return;
     }
     if (plan == NULL) {
-        /* A VM whose maintenance an earlier owner has begun already has one of
-         * the wave's slots for VMs in maintenance. */
+        /* A VM whose maintenance an earlier owner of the pool has begun
+         * already counts toward the wave's cap, the greatest number of VMs in
+         * maintenance at a time. */
         bool is_begun = AqWave_State(entry->wave, at) == AQ_WAVE_BEGUN;
         if (is_begun ||
             (AqWave_HasSlot(entry->wave) && !self->is_writing_wave)) {
@@ -334,8 +338,9 @@
     }
     else if (plan->phase >= VM_REQUESTED && plan->is_ordered &&
              self->listed_at - plan->ordered_at > WAVE_RETURN_LIMIT_MS / 2) {
-        /* The platform's list, received after the VM's maintenance, shows the
-         * VM as up. */
+        /* The platform's list, received more than 2 s after the maintenance
+         * order was accepted, shows the VM in state AQ_MACHINE_UP, so the
+         * maintenance is done. */
         record_maintenance_done(round, entry, at, plan);
     }
 }
--- a/packages/pool/pool_owner.c
+++ b/packages/pool/pool_owner.c
@@ -63,8 +63,9 @@
      * NULL: none. */
     char *last_report;
     AqTime report_due;
-    /* Callback of pool_owner_finish, its argument, and the time at which it is
-     * called at the latest; finish_done is NULL if no callback is due. */
+    /* Callback of pool_owner_finish(), its argument, and the time at which it
+     * is called at the latest; finish_done is NULL before pool_owner_finish()
+     * and after the callback. */
     void (*finish_done)(void *context);
     void *finish_context;
     AqTime finish_deadline;
@@ -156,9 +157,9 @@
 {
     Order *order = context;
     PoolOwner *owner = order->owner;
-    /* Read the clock: the loop's time may be before the arrival of the reply,
-     * which would make the VM's clock seem ahead and the leases on the VM
-     * expire too early. */
+    /* Read the clock: the loop's time may be before the arrival of the VM's
+     * reply, which would make the VM's clock seem ahead and the leases on the
+     * VM expire too early. */
     AqTime now = AqClock_ReadMonotonic();
     if (end_call(owner)) {
         AqScheduler *s = owner->scheduler;
@@ -614,8 +615,9 @@
 
 /* ---- Rounds ------------------------------------------------------------- */
 
-/* Calls the callback of pool_owner_finish if it is due, which may free the
- * owner. */
+/* Calls the callback of pool_owner_finish() if the progress of all jobs is
+ * stored, the jobs aren't loaded, or 600 ms have passed since
+ * pool_owner_finish().  The callback may free the owner. */
 static void
 check_finished(PoolOwner *owner)
 {
@@ -713,7 +715,8 @@
     AqTimer_Stop(&owner->load_timer);
     prefix_view_destroy(owner->jobs);
     owner->jobs = NULL;
-    /* Keeps the owner allocated while owner_writer_drop ends calls. */
+    /* Counts one more call, so that the owner isn't freed while
+     * owner_writer_drop() calls the "done" of the queued writes. */
     owner->calls_in_flight++;
     owner_writer_drop(owner->writer);
     owner->calls_in_flight--;
--- a/packages/pool/pool_owner.h
+++ b/packages/pool/pool_owner.h
@@ -48,8 +48,9 @@
 void pool_owner_finish(PoolOwner *owner, void (*done)(void *context),
                        void *context);
 
-/* Runs the pool's scheduler and starts the writes to the store that are due;
- * returns the loop time at which to call it again at the latest. */
+/* Runs the pool's scheduler and starts the writes to the store whose intervals
+ * have passed; returns the loop time at which to call this function again at
+ * the latest. */
 AqTime pool_owner_round(PoolOwner *owner);
 
 #endif
--- a/packages/pool/pool_sizing.c
+++ b/packages/pool/pool_sizing.c
@@ -87,9 +87,9 @@
            is_available(self, machine->machine);
 }
 
-/* Requests the moves of up to "count" VMs of the spare pool to this pool: of
- * VMs whose maintenance is due if "is_due" is set, otherwise of VMs whose
- * maintenance is not due.  Returns how many of "count" were not found. */
+/* Requests the moves of up to "count" VMs from the spare pool to this pool: if
+ * "is_due" is set, of VMs that wait for their maintenance in a wave, otherwise
+ * of other VMs.  Returns "count" less the number of moves requested. */
 static size_t
 acquire_listed_vms(PoolMachines *self, const char *spare, bool is_due,
                    size_t count)
@@ -123,8 +123,9 @@
     if (!machines_ensure_list(self, LIST_MAX_AGE_MS)) {
         return;
     }
-    /* VMs whose maintenance is due are acquired last: maintenance is better
-     * done while the VMs are off in the spare pool. */
+    /* VMs that wait for their maintenance in a wave are acquired last:
+     * maintenance is better done while the VMs are powered off in the spare
+     * pool. */
     size_t left =
         acquire_listed_vms(self, spare, false, decision->acquire_vms);
     left = acquire_listed_vms(self, spare, true, left);
--- a/packages/pool/prefix_view.h
+++ b/packages/pool/prefix_view.h
@@ -14,7 +14,8 @@
     /* A key was written; "item" is borrowed for the call.  Not called twice
      * for the same write. */
     void (*put)(void *context, const AqStoreItem *item);
-    void (*removed)(void *context, const char *key); /* may be NULL */
+    /* A key was removed.  May be NULL. */
+    void (*removed)(void *context, const char *key);
     /* A listing is complete: all keys under the prefix have been reported.
      * May be NULL. */
     void (*listed)(void *context);
--- a/packages/pool/store_health.h
+++ b/packages/pool/store_health.h
@@ -10,7 +10,8 @@
  * to have no effect, unlike a write that got no reply. */
 
 typedef struct {
-    unsigned failures; /* failed store calls since the last served one */
+    /* Failed calls of this node since the store last served one. */
+    unsigned failures;
 } StoreHealth;
 
 /* Records the result of a store call.  Not for watches, whose connection may
--- a/packages/pool/tests/fake_store.c
+++ b/packages/pool/tests/fake_store.c
@@ -18,7 +18,8 @@
     char *value;
     size_t size;
     uint64_t index; /* store revision of the key's last write or removal */
-    uint64_t lease; /* lease under which the key was written; 0: none */
+    /* Id of the lease under which the key was written; 0: none. */
+    uint64_t lease;
     bool removed;
 } Record;
 
@@ -49,7 +50,8 @@
     uint64_t compacted_index;
     int64_t max_wait_ms;
     unsigned get_count;
-    uint64_t lease;       /* id of the last lease granted; 0: it has ended */
+    /* Id of the last lease granted; 0: none, or it has ended. */
+    uint64_t lease;
     uint64_t lease_count; /* number of leases granted so far */
 };
 
@@ -324,7 +326,8 @@
 fake_store_reply_all(FakeStore *fake)
 {
     enum {
-        /* Ends the loop: each reply to a watch causes another watch. */
+        /* Number of calls after which the loop ends, since each reply to a
+         * watch may cause another watch. */
         MAX_CALLS = 100
     };
     for (int i = 0; i < MAX_CALLS && fake_store_pending_count(fake) > 0; i++) {
--- a/packages/pool/tests/test_job_api.c
+++ b/packages/pool/tests/test_job_api.c
@@ -28,12 +28,18 @@
     JobApi *job_api;
     AqQueueConfig queue;
     bool has_peer;
-    /* The peer returns the first forwarded request unserved. */
+    /* The peer fails to serve the first forwarded request: "done" of the
+     * ForwardOrder is called with "has_responded" false, so this node has to
+     * respond to the caller.  After that there is no peer. */
     bool is_first_returned;
-    unsigned forward_count;  /* requests forwarded so far */
-    bool may_have_effect;    /* as given with the last forwarded request */
-    unsigned response_count; /* responses received so far */
-    int status; /* HTTP status of the last response; 0: none received */
+    unsigned forward_count; /* requests forwarded to the peer so far */
+    /* Field of the same name of the last ForwardOrder: whether an earlier
+     * write to the store for the request may have had an effect. */
+    bool may_have_effect;
+    /* Responses that the caller has received so far. */
+    unsigned response_count;
+    /* HTTP status of the last response that the caller received; 0: none. */
+    int status;
 } Fixture;
 
 static bool
@@ -223,8 +229,9 @@
     tear_down(&fixture);
 }
 
-/* Guards against a response of unknown outcome when a peer returns a forwarded
- * request, although another call to the store would show the outcome. */
+/* Guards against a response that says that the outcome is unknown (504) when a
+ * peer could not determine the outcome of a forwarded request, although
+ * another store call of this node would show the outcome. */
 static void
 test_unsure_peer_gives_back(void)
 {
@@ -244,7 +251,7 @@
 }
 
 /* Guards against a write to a store that is known not to reply to this node:
- * the caller would get only an unknown outcome, and would not retry. */
+ * the caller would get status 504 (outcome unknown), and would not retry. */
 static void
 test_lost_store_is_not_written_to(void)
 {
@@ -312,9 +319,9 @@
     tear_down(&fixture);
 }
 
-/* Guards against a peer's failure that is passed on as a refusal although this
- * node's own write may have had an effect, and against an unknown outcome
- * where nothing can have been done. */
+/* Guards against a peer's refusal (503 or 429: nothing was done) passed on to
+ * the caller although this node's own write may have had an effect, and
+ * against a status 504 (outcome unknown) where nothing can have been done. */
 static void
 test_status_after_forwarding(void)
 {
--- a/packages/pool/tests/test_pool.c
+++ b/packages/pool/tests/test_pool.c
@@ -47,7 +47,8 @@
 typedef struct {
     int count;
     AqStoreStatus last;
-    OwnerWriter *drop; /* writer that the callback drops; NULL: none */
+    /* Writer that the callback of a write drops; NULL: none. */
+    OwnerWriter *drop;
 } Outcome;
 
 static void
@@ -77,8 +78,9 @@
     return owner_writer_create(&fixture->node, "pool", fence);
 }
 
-/* Runs the loop until the store gets a call, for instance from the retry timer
- * of an OwnerWriter, which reads the write stamp. */
+/* Runs the loop until the store gets a call, for instance when the retry timer
+ * of an OwnerWriter reads the write stamp, the key that every write of the
+ * owner replaces. */
 static void
 run_until_call(Fixture *fixture)
 {
@@ -100,12 +102,15 @@
     set_up(&fixture);
     OwnerWriter *writer = make_writer(&fixture);
     write_value(writer, "old", &first);
-    fake_store_reply(fixture.fake); /* reply to the read of the write stamp */
+    /* Reply to the writer's read of the write stamp, the key that each of its
+     * writes replaces. */
+    fake_store_reply(fixture.fake);
     fake_store_lose_call(fixture.fake);
     run_until_call(&fixture);
-    /* The write stamp shows that the lost write had no effect. */
+    /* Reply to the writer's read of the write stamp, the key that each of its
+     * writes replaces: the stamp shows that the lost write had no effect. */
     fake_store_reply(fixture.fake);
-    /* The reply is to the write, which was sent again. */
+    /* Reply to the lost write, which the writer has sent again. */
     fake_store_reply(fixture.fake);
     CU_ASSERT_EQUAL(first.last, AQ_STORE_OK);
     write_value(writer, "new", &second);
@@ -310,9 +315,10 @@
     tear_down(&fixture);
 }
 
-/* Guards against a watch without a reply that delays cancellations and
- * configurations for longer than their bounds: 3 s for a cancellation, and 2 s
- * for a configuration after 3 s of contact with the store. */
+/* Guards against a watch without a reply that makes a node notice changes in
+ * the store too late: a cancellation must be noticed within 3 s of the write
+ * of its mark, and a configuration within 2 s of its write by a node that has
+ * been in contact with the store for 3 s. */
 static void
 test_view_limits_watch_wait(void)
 {
@@ -575,9 +581,11 @@
 test_weak_node_defers_claim(void)
 {
     enum {
-        /* Time left to the stronger node for its claim of the pool. */
+        /* Time that the weaker node leaves the stronger node to claim the
+         * pool. */
         DEFER_MS = 1300,
-        /* Time in which the weaker node claims the pool once it is alone. */
+        /* Time within which the weaker node claims the pool after the stronger
+         * node has left. */
         CLAIM_LIMIT_MS = 400
     };
     Fixture fixture;
@@ -605,7 +613,8 @@
 enum {
     WAVE_VMS = 6, /* number of VMs in the platform's list; m-0 to m-5 */
     WAVE_CAP = 4,
-    VM_NOT_DUE = 4, /* number of the VM in the list that is in no wave */
+    /* Number, in the platform's list, of the VM that is in no wave. */
+    VM_NOT_DUE = 4,
     /* Time allowed for the scheduler's recovery after a change of the pool's
      * owner; well below the 5000 ms of a task's lease. */
     RECOVERY_LIMIT_MS = 2000
@@ -780,9 +789,9 @@
     tear_down_owner(&self);
 }
 
-/* Stores the wave's record as an earlier owner of the pool left it: all of the
- * wave's slots for VMs in maintenance are claimed, but no order was
- * requested. */
+/* Stores the wave's record as an earlier owner of the pool left it: as many
+ * VMs as the wave's cap allows at a time have begun maintenance, but no
+ * maintenance order was requested. */
 static void
 store_begun_wave(Fixture *fixture)
 {
@@ -801,9 +810,9 @@
     AqWaveSpec_Clear(&spec);
 }
 
-/* Guards against a wave that stops because the owner that had claimed all of
- * the wave's slots for VMs in maintenance handed the pool over before it
- * requested any maintenance order. */
+/* Guards against a wave that stops because an earlier owner of the pool
+ * recorded as many VMs as the wave's cap allows at a time as in maintenance,
+ * and handed the pool over before it requested any maintenance order. */
 static void
 test_begun_maintenance_is_requested_again(void)
 {
@@ -954,8 +963,8 @@
     store_machine_request(&self.fixture, "a", self.pool_fence, 1, "a");
     run_coordinator(&self.fixture, self.coordinator);
     CU_ASSERT_EQUAL(self.machines.moves, 1);
-    /* The VM has arrived in pool "a", so that pool's owner withdraws the
-     * request. */
+    /* Withdraw the request for the VM's move, as the owner of pool "a" does
+     * after the VM has arrived there. */
     fake_store_remove(self.fixture.fake, key_of(KEY_MACHINE_REQUESTS, "a"));
     store_machine_request(&self.fixture, "spare", self.spare_fence, 1, "");
     run_coordinator(&self.fixture, self.coordinator);
@@ -1012,7 +1021,7 @@
     set_up_coordinator(&self);
     store_machine_request(&self.fixture, "a", self.pool_fence, 1, "a");
     run_coordinator(&self.fixture, self.coordinator);
-    /* The coordinator writes its response. */
+    /* The coordinator writes its response to the owner of pool "a". */
     run_coordinator(&self.fixture, self.coordinator);
     unsigned reads = fake_store_get_count(self.fixture.fake);
     store_machine_request(&self.fixture, "a", self.pool_fence, 2, "");
@@ -1030,8 +1039,8 @@
 
 /* ---- Acquiring VMs ------------------------------------------------------ */
 
-/* Guards against a pool's owner acquiring a VM whose maintenance is due while
- * the spare pool has a VM whose maintenance is not due. */
+/* Guards against a pool's owner acquiring a VM that waits for its maintenance
+ * in a wave while the spare pool has a VM that doesn't. */
 static void
 test_due_vm_is_acquired_last(void)
 {
--- a/packages/pool/vm_directory.c
+++ b/packages/pool/vm_directory.c
@@ -38,9 +38,9 @@
     g_hash_table_remove(directory->vms, key);
 }
 
-/* Returns whether a VM's entry, as written again, is to be logged: there was
- * none, or it differs from the last one in a field that decisions depend on.
- * Most writes of entries are not logged. */
+/* Returns whether a VM's entry "report" is to be logged: "known" is NULL
+ * because the VM had no entry, or the entry differs from "known" in a field
+ * that decisions depend on.  Most writes of entries are not logged. */
 static bool
 is_changed(const AqVmReport *known, const AqVmReport *report)
 {
--- a/packages/pool/wave_table.c
+++ b/packages/pool/wave_table.c
@@ -65,8 +65,8 @@
 static const PrefixViewOps record_ops = {on_put, on_removed, on_listed, 0,
                                          false};
 
-/* Lists the waves' records anew, because a listing skips records of waves that
- * were not in the table at that time. */
+/* Lists the waves' records in the store anew, because a record received before
+ * its wave was in the table was ignored. */
 static void
 read_records(WaveTable *table)
 {
--- a/packages/pool/wave_table.h
+++ b/packages/pool/wave_table.h
@@ -11,8 +11,9 @@
 typedef struct WaveTable WaveTable;
 
 typedef struct {
-    AqWave *wave;          /* owned by the table */
-    uint64_t record_index; /* store revision of the record; 0: none is known */
+    AqWave *wave; /* owned by the table */
+    /* Store revision of the wave's record as last read; 0: none was read. */
+    uint64_t record_index;
     /* The wave's record was read, or a listing of the store showed that there
      * is none. */
     bool is_record_read;
@@ -33,7 +34,7 @@
 void wave_table_each(WaveTable *table,
                      void (*visit)(void *context, WaveEntry *entry),
                      void *context);
-/* Returns whether the VM with id "machine" is in this state in any wave. */
+/* Returns whether the VM with id "machine" is in state "state" in any wave. */
 bool wave_table_has(WaveTable *table, const char *machine, AqWaveState state);
 
 #endif
