--- a/packages/pool/fenced_order.c
+++ b/packages/pool/fenced_order.c
@@ -8,11 +8,12 @@
 #include "store_keys.h"
 
 enum {
-    /* Age of a VM's claim up to which the order for the VM may be sent; with
-     * an older claim the order ends with FENCED_ORDER_RETRY.  Up to this age,
-     * no later machine coordinator can have sent an order for the VM. */
+    /* An order for a VM is sent only if this node claimed the VM at most this
+     * long ago; otherwise the order ends with FENCED_ORDER_RETRY.  Within this
+     * time, no later machine coordinator can have sent an order for the VM. */
     CLAIM_MAX_AGE_MS = 800,
-    /* Added to limits.machine_pause_ms for the clock skew between nodes. */
+    /* Added to limits.machine_pause_ms, the pause after another node has
+     * claimed a VM, because the clocks of the nodes may differ. */
     PAUSE_MARGIN_MS = 500
 };
 
@@ -24,8 +25,12 @@
     char machine[AQ_VM_ID_SIZE];
     char to_pool[64];
     int64_t wave;
-    uint64_t fence;    /* store revision of the VM's claim; 0: not claimed */
-    AqTime claimed_at; /* when the VM's claim was sent; monotonic clock */
+    /* Store revision at which this node wrote the claim of the VM for this
+     * order; 0: no claim is known to be written. */
+    uint64_t fence;
+    /* When this node sent its claim of the VM to the store; monotonic clock.
+     */
+    AqTime claimed_at;
     FencedOrderDone done;
     void *context;
 } FencedOrderCall;
@@ -92,9 +97,9 @@
     }
 }
 
-/* Whether another node claimed the VM so recently that the pause after that
- * node's order has not ended.  "item" is the VM's last claim: id of the
- * claiming node, and time in ms of the wall clock. */
+/* Whether another node claimed the VM so recently that the pause after this
+ * claim has not ended.  "item" contains the VM's last claim: id of the
+ * claiming node, and time of the claim in ms of the wall clock. */
 static bool
 is_pause_active(const FencedOrderCall *call, const AqStoreItem *item)
 {
--- a/packages/pool/fenced_order.h
+++ b/packages/pool/fenced_order.h
@@ -28,25 +28,25 @@
     FENCED_ORDER_UNKNOWN
 } FencedOrderResult;
 
-/* "claim_index" is the store revision of the VM's claim for the order; 0: the
- * VM was not claimed. */
+/* "claim_index" is the store revision at which this node claimed the VM for
+ * the order; 0: no claim is known to be written. */
 typedef void (*FencedOrderDone)(void *context, FencedOrderResult result,
                                 uint64_t claim_index);
 
 typedef struct {
     const char *pool; /* the pool whose owner requests the order */
-    /* Fence of the ownership of "pool" by the owner that requests the
-     * order. */
+    /* Store revision at which the owner that requests the order claimed
+     * "pool". */
     uint64_t pool_fence;
-    /* Fence of this node's ownership of the role of the machine
+    /* Store revision at which this node claimed the role of machine
      * coordinator. */
     uint64_t coordinator_fence;
     const char *machine;
     const char *to_pool; /* pool to which the VM moves; "": maintenance */
     int64_t wave;        /* number of the maintenance wave; 0 for a move */
-    /* Store revision of this node's last claim of the VM, which saves reading
-     * the claim from the store; 0: not known.  If another node has claimed the
-     * VM since, the order ends with FENCED_ORDER_RETRY. */
+    /* Store revision at which this node last claimed the VM; 0: not known, so
+     * the VM's last claim is read from the store first.  If another node has
+     * claimed the VM since, the order ends with FENCED_ORDER_RETRY. */
     uint64_t last_claim_index;
 } FencedOrder;
 
--- a/packages/pool/forwarder.c
+++ b/packages/pool/forwarder.c
@@ -8,14 +8,15 @@
 #include "aq_log.h"
 
 enum {
-    /* Time until a request's deadline below which another node could not
-     * respond, so the request is not forwarded. */
+    /* A request is not forwarded with less than this left until its deadline,
+     * because another node could not respond in time. */
     MIN_REMAINING_MS = 300,
     /* Time kept before a request's deadline for the response to reach the
      * caller. */
     RESPONSE_RESERVE_MS = 150,
     CONNECT_TIMEOUT_MS = 250,
-    /* Time without forwarding after a peer failed to serve a request. */
+    /* For this long after a peer failed to serve a request, no request is
+     * forwarded. */
     PEER_FAILURE_PAUSE_MS = 500,
     MAX_RESPONSE_BYTES = 65536
 };
--- a/packages/pool/job_api.c
+++ b/packages/pool/job_api.c
@@ -49,7 +49,8 @@
     AqTime arrived_at;
     AqTimer retry_timer;
     void (*try)(void *request);
-    AqBuffer encoded_job; /* the encoded job of a submission, else empty */
+    /* Submitted job, encoded; empty for other requests. */
+    AqBuffer encoded_job;
     unsigned attempts;
     /* A write to the store for this request got no reply. */
     bool may_have_effect;
@@ -414,8 +415,8 @@
     }
 }
 
-/* Writes the cancellation mark of a job that is in the store; requires that
- * the job was last written at store revision "job_index". */
+/* Writes the cancellation mark of a job that is in the store, on condition
+ * that the job was last written at store revision "job_index". */
 static void
 mark_cancelled(Request *request, uint64_t job_index)
 {
@@ -427,8 +428,8 @@
     store->ops->commit(store, &commit, on_cancelled, request);
 }
 
-/* Handles the reply to a write of the cancellation mark that required the
- * job to be absent. */
+/* Handles the reply to a write of a job's cancellation mark that took effect
+ * only if the job was not in the store. */
 static void
 on_cancelled_before_job(void *context, const AqStoreReply *reply)
 {
--- a/packages/pool/machine_coordinator.c
+++ b/packages/pool/machine_coordinator.c
@@ -11,23 +11,23 @@
 #include "prefix_view.h"
 
 enum {
-    /* Wait before an order that the platform did not accept, or a failed write
-     * to the store of responses to pool owners, is repeated. */
+    /* Wait before the coordinator repeats an order that the platform has not
+     * accepted, or a failed write of its responses to pool owners. */
     RETRY_MS = 250,
-    /* Time, from when a VM was sent to a pool, for which the VM is subtracted
-     * from the number of VMs that the pool requests.  After that the VM has
-     * arrived, and the pool requests one VM less. */
+    /* For this long after the coordinator has chosen a pool for a released VM,
+     * the VM is subtracted from the number of VMs that the pool requests.
+     * After that the VM has arrived, and the pool requests one VM less. */
     MOVE_IN_PROGRESS_MS = 2300,
-    /* An order for a VM is sent only while fewer than this many orders, and
-     * writes to the store of responses to pool owners, are in progress,
-     * counted together.  The platform accepts about 64 orders a second; 12
-     * orders in progress exceed this if each takes less than 190 ms, and an
-     * order that the platform doesn't accept is repeated after RETRY_MS. */
+    /* An order for a VM is sent only while fewer than this many calls are in
+     * progress: orders for VMs, and writes of responses to pool owners.  The
+     * platform accepts about 64 orders a second; an order that it doesn't
+     * accept is repeated after RETRY_MS. */
     MAX_CONCURRENT_CALLS = 12
 };
 
 typedef enum {
-    REQUEST_WAITING, /* the request's order is to be sent, or sent again */
+    /* The request's order is to be sent, or to be repeated. */
+    REQUEST_WAITING,
     REQUEST_ORDERED, /* the request's order was sent; no result yet */
     /* The platform accepted the request's order, or the platform or this
      * coordinator refused the request. */
@@ -37,7 +37,7 @@
 typedef struct {
     AqMachineRequest request;
     char pool[64]; /* pool whose owner sent the request */
-    /* Fence of the sending owner's ownership of "pool". */
+    /* Store revision at which the requesting owner claimed "pool". */
     uint64_t fence;
     MachineRequestState state;
     /* The platform or this coordinator refused the request; valid in
@@ -48,14 +48,17 @@
     bool is_requested;
     /* Earliest time at which the request's order is sent again. */
     AqTime retry_at;
-    /* Pool to which the VM is to move; "": not chosen yet, or no move. */
+    /* Pool to which the VM is to move; "": the pool is not chosen yet, or the
+     * request is for maintenance. */
     char target[64];
 } RequestEntry;
 
-/* VMs that a pool requests without naming them, and VMs sent to the pool. */
+/* Number of VMs that a pool requests without naming them, and the latest moves
+ * of released VMs to the pool. */
 typedef struct {
     size_t requested_vms;
-    /* Of AqTime: when VMs were sent to the pool, oldest first. */
+    /* Of AqTime: when the coordinator chose this pool for released VMs, oldest
+     * first. */
     GArray *sent_at;
 } Demand;
 
@@ -64,31 +67,32 @@
     /* Pool to which this coordinator's last order moved the VM; "": the VM was
      * not moved, or its pool is not known. */
     char moved_to_pool[64];
-    /* Store revision of this node's last claim of the VM; 0: not known. */
+    /* Store revision at which this node last claimed the VM; 0: not known. */
     uint64_t claim_index;
 } VmRecord;
 
 struct MachineCoordinator {
     NodeContext *node;
-    /* Fence of this node's ownership of the role of the machine
+    /* Store revision at which this node claimed the role of machine
      * coordinator. */
     uint64_t fence;
-    PrefixView *view;       /* pool owners' requests in the store */
-    OwnerWriter *writer;    /* writes the responses to pool owners */
-    GPtrArray *entries;     /* of RequestEntry, owned: pool owners' requests */
+    PrefixView *view;    /* view of the requests that pool owners wrote */
+    OwnerWriter *writer; /* writes the responses to pool owners */
+    /* Of RequestEntry: requests of pool owners; owned. */
+    GPtrArray *entries;
     GHashTable *demands;    /* pool name -> Demand */
     GHashTable *vm_records; /* VM id -> VmRecord */
-    /* Set of the names of the pools for whose owners responses are to be
-     * written to the store. */
+    /* Set of pool names: for these pools, the responses to ended requests are
+     * still to be written to the store. */
     GHashTable *responses;
     bool is_writing_responses;
-    /* Earliest time of the next write to the store of responses to pool
-     * owners. */
+    /* Responses to pool owners are not written to the store before this time.
+     */
     AqTime responses_due;
-    /* Number of orders for VMs, and of writes to the store of responses to
-     * pool owners, in progress. */
+    /* Number of calls in progress: orders for VMs, and writes of responses to
+     * pool owners. */
     int calls;
-    /* Machine_coordinator_drop() was called; the coordinator is freed once
+    /* The coordinator was dropped (machine_coordinator_drop) and is freed once
      * "calls" is 0. */
     bool is_dropped;
 };
@@ -227,8 +231,8 @@
     return demand;
 }
 
-/* Returns how many VMs a pool requests beyond those that are on the move to
- * it; removes moves older than MOVE_IN_PROGRESS_MS from "demand". */
+/* Returns how many VMs a pool requests beyond the released VMs that are moving
+ * to it; removes moves older than MOVE_IN_PROGRESS_MS from "demand". */
 static size_t
 unmet_demand(const MachineCoordinator *coordinator, Demand *demand)
 {
@@ -258,8 +262,8 @@
     AqTime now = AqLoop_Now(coordinator->node->loop);
     g_strlcpy(entry->target, entry->request.to_pool, sizeof(entry->target));
     if (entry->target[0] == '\0' || strcmp(entry->target, entry->pool) == 0) {
-        /* Maintenance, or a move to the pool that requests the move: there is
-         * no pool to choose. */
+        /* The request is for maintenance, or for a move to the requesting
+         * pool: there is no pool to choose. */
         return;
     }
     g_hash_table_iter_init(&iter, coordinator->demands);
@@ -333,8 +337,8 @@
     coordinator->is_writing_responses = false;
     coordinator->calls--;
     if (status != AQ_STORE_OK) {
-        /* The write failed: write the responses to the owners of all pools
-         * with ended requests again. */
+        /* The write of responses failed.  Write again the responses for every
+         * pool that has ended requests. */
         for (guint i = 0; i < coordinator->entries->len; i++) {
             const RequestEntry *entry =
                 g_ptr_array_index(coordinator->entries, i);
@@ -510,7 +514,7 @@
     }
     prefix_view_destroy(coordinator->view);
     /* Counts one more call, so that the coordinator isn't freed while
-     * owner_writer_drop() calls the "done" of the queued writes. */
+     * owner_writer_drop() calls the "done" callbacks of the queued writes. */
     coordinator->calls++;
     owner_writer_drop(coordinator->writer);
     coordinator->calls--;
--- a/packages/pool/machine_coordinator.h
+++ b/packages/pool/machine_coordinator.h
@@ -10,17 +10,17 @@
 
 typedef struct MachineCoordinator MachineCoordinator;
 
-/* "fence" is the fence of this node's ownership of the role of the machine
+/* "fence" is the store revision at which this node claimed the role of machine
  * coordinator. */
 MachineCoordinator *machine_coordinator_create(NodeContext *node,
                                                uint64_t fence);
 /* Sends no further orders; frees the coordinator when its calls to the store
  * and the platform have ended. */
 void machine_coordinator_drop(MachineCoordinator *coordinator);
-/* Sends the orders for VMs that are not sent yet, and writes to the store the
- * responses to pool owners that are not written yet; those to be repeated wait
- * for 250 ms after they failed.  "may_order": whether this node is certain to
- * be the machine coordinator; otherwise no order is sent. */
+/* Sends the orders for VMs that are not sent yet, and writes the responses to
+ * pool owners that the store doesn't have yet.  An order or write that failed
+ * is repeated after 250 ms.  "may_order": whether this node is certain to be
+ * the machine coordinator; otherwise no order is sent. */
 void machine_coordinator_round(MachineCoordinator *coordinator,
                                bool may_order);
 
--- a/packages/pool/member.c
+++ b/packages/pool/member.c
@@ -10,28 +10,30 @@
 #include "prefix_view.h"
 
 enum {
-    RENEWAL_INTERVAL_MS = 450, /* between renewals of this node's lease */
+    /* Time between two renewals of this node's lease in the store. */
+    RENEWAL_INTERVAL_MS = 450,
     LEASE_RETRY_MS = 150,
     /* Time allowed for an order to a VM to be sent and carried out. */
     ORDER_DELIVERY_MS = 300,
     /* Subtracted from the term of this node's lease, because the store's clock
      * may run slightly faster than the local one. */
     LEASE_MARGIN_MS = 200,
-    /* Once the store's last reply to a lease call is this old, this node
-     * reports not ready, so that callers send it no requests. */
+    /* Once the store's last reply to a call for this node's lease is this old,
+     * this node reports not ready, so that callers send it no requests. */
     REPLY_MAX_AGE_MS = 1500,
-    /* Wait between this node's joining and its first claim of a pool, so that
-     * it sees the other members first. */
+    /* Wait after this node has written its membership entry until it first
+     * claims a pool, so that it sees the other members first. */
     CLAIM_START_WAIT_MS = 300,
-    /* Extra wait before a claim for each pool that this node owns or is
-     * claiming already. */
+    /* Added to the wait before this node claims a pool, once for each pool
+     * that the node owns or is claiming already. */
     CLAIM_WAIT_PER_POOL_MS = 120,
-    /* Upper limit of the extra wait before a claim that depends on a hash of
-     * pool and node. */
+    /* One part of the wait before a node claims a pool is given by a hash of
+     * pool and node; that part is shorter than this. */
     CLAIM_SPREAD_MS = 100,
-    /* Extra wait before a claim of a pool by a node with a CPU share of 0, if
-     * another member has a greater one; less for shares in between.  Longer
-     * than the wait of a stronger node that owns all pools of a site. */
+    /* A node that is allotted a CPU share of 0 waits this much longer before
+     * it claims a pool, if another member has a greater share; less for shares
+     * in between.  This exceeds the wait of a node with a greater share that
+     * owns all pools of a site. */
     CLAIM_LOW_CPU_WAIT_MS = 2000,
     CLAIM_RETRY_MS = 100
 };
@@ -40,7 +42,9 @@
     CLAIM_NONE,
     CLAIM_OWNED,
     CLAIM_WAITING,
-    CLAIM_READING, /* the pool's term record is being read */
+    /* The pool's term record, which names its last owner, is being read from
+     * the store. */
+    CLAIM_READING,
     CLAIM_WRITING
 } ClaimState;
 
@@ -69,15 +73,17 @@
     /* Store revision of the owner key that this node wrote; valid in
      * CLAIM_OWNED. */
     uint64_t fence;
-    /* Becomes the field of the same name of Ownership (member.h). */
+    /* The pool's previous owner may still send orders: it neither released the
+     * pool nor was replaced by a new incarnation of its node. */
     bool previous_owner_may_be_active;
 } PoolClaim;
 
 /* A member's entry in the store. */
 typedef struct {
     char incarnation[40];
-    char address[32]; /* "IP:port" for callers */
-    int cpu_millis;   /* CPU share in thousandths of a core */
+    char address[32]; /* "IP:port" on which the member serves callers */
+    /* CPU share allotted to the member, in thousandths of a core. */
+    int cpu_millis;
 } MemberEntry;
 
 struct Member {
@@ -95,8 +101,8 @@
     /* This node's lease is certain to hold until this time. */
     AqTime lease_valid_until;
     AqTime last_reply_at;
-    /* When this node's membership entry was written; AQ_TIME_NEVER: it has
-     * none. */
+    /* When this node wrote its membership entry to the store; AQ_TIME_NEVER:
+     * the node has no entry. */
     AqTime joined_at;
     bool is_leaving;
 };
@@ -166,7 +172,7 @@
     claim_all_vacant(member);
 }
 
-/* Returns the CPU share of this node in thousandths of a core. */
+/* Returns the CPU share allotted to this node, in thousandths of a core. */
 static int64_t
 own_cpu_millis(const Member *member)
 {
@@ -452,9 +458,10 @@
     node->store->ops->commit(node->store, &commit, on_claimed, claim);
 }
 
-/* Returns the extra wait, in ms, before this node claims a pool if it has less
- * CPU than the strongest member.  A pool's owner sends 1000 orders a second at
- * the peak of a burst, so stronger nodes claim first. */
+/* Returns by how many ms longer this node waits before it claims a pool
+ * because another member has a greater CPU share.  A pool's owner sends 1000
+ * orders a second at the peak of a burst, so nodes with greater shares claim
+ * first. */
 static AqTime
 low_cpu_wait(const Member *member)
 {
@@ -611,8 +618,9 @@
     GHashTableIter iter;
     gpointer value;
     g_hash_table_remove(member->peers, key + strlen(KEYS_MEMBERS));
-    /* The waits before this node's claims may have become shorter: the removed
-     * member may have been stronger than this node. */
+    /* This node waits longer before it claims a pool while another member has
+     * a greater CPU share.  The removed member may have had that share, so all
+     * waits are computed again. */
     g_hash_table_iter_init(&iter, member->claims);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         PoolClaim *claim = value;
--- a/packages/pool/member.h
+++ b/packages/pool/member.h
@@ -16,8 +16,8 @@
 
 typedef struct Member Member;
 
-/* Name under which the role of the machine coordinator is claimed, like a
- * pool. */
+/* Name under which a node claims the role of machine coordinator, in the same
+ * way as it claims a pool. */
 #define MEMBER_MACHINE_COORDINATOR "@machines"
 
 typedef struct {
@@ -25,12 +25,12 @@
     /* Fence of the owner's orders: store revision (modify index) at which the
      * pool's owner key was written. */
     uint64_t fence;
-    /* Number of the pool's earlier ownerships; a node that has owned the pool
-     * repeatedly counts each time. */
+    /* How often any node gained the pool before this ownership; a node that
+     * has owned the pool repeatedly counts each time. */
     int64_t generation;
-    bool previous_owner_may_be_active; /* the previous owner neither released
-                                          the pool nor was replaced by a new
-                                          incarnation of its node */
+    /* The pool's previous owner may still send orders: it neither released the
+     * pool nor was replaced by a new incarnation of its node. */
+    bool previous_owner_may_be_active;
 } Ownership;
 
 typedef struct {
@@ -71,8 +71,8 @@
 void member_leave(Member *member);
 
 enum {
-    /* Term of a node's lease in the store; after it, the pools of a failed
-     * node can be claimed. */
+    /* A node's lease in the store ends this long after its last renewal; other
+     * nodes can then claim the pools of a failed node. */
     MEMBER_LEASE_MS = 2000
 };
 
--- a/packages/pool/node.c
+++ b/packages/pool/node.c
@@ -18,17 +18,19 @@
 #include "vm_directory.h"
 
 enum {
-    STORE_TIMEOUT_MS = 800, /* the store's slow replies take up to 0.3 s */
-    ORDER_TIMEOUT_MS = 600, /* for VMs, which usually reply within a few ms */
+    /* Timeout of store calls; the store's slow replies take up to 0.3 s. */
+    STORE_TIMEOUT_MS = 800,
+    /* Timeout of orders to VMs, which usually reply within a few ms. */
+    ORDER_TIMEOUT_MS = 600,
     MACHINE_TIMEOUT_MS = 1500,
     /* Timeout of calls to the advice service, which handles calls one after
      * another; so it is longer than for other calls. */
     ADVICE_TIMEOUT_MS = 3000,
     MAX_JOB_BYTES = 262144,
     IDLE_TIMEOUT_S = 30,
-    /* Age of the store's last reply to the watch of the configuration from
-     * which this node's copy counts as out of date; a watch returns at least
-     * every 2 s. */
+    /* This node's copy of the configuration counts as out of date once the
+     * store's last reply to a watch of the configuration is this old; a watch
+     * returns at least every 2 s. */
     CONFIG_MAX_AGE_MS = 4000,
     /* A graceful stop: the node reports not ready at once, so that callers
      * switch to other nodes; after STOP_CLOSE_MS the node closes each
@@ -46,7 +48,8 @@
     NodeContext context;
     AqHttpServer *callers;
     AqHttpServer *readiness;
-    AqHttpServer *metrics; /* NULL: no metrics address is configured */
+    /* Serves this node's metrics; NULL: no metrics address. */
+    AqHttpServer *metrics;
     JobApi *job_api;
     Forwarder *forwarder;
     Member *member;
--- a/packages/pool/node.h
+++ b/packages/pool/node.h
@@ -28,16 +28,16 @@
     /* Time from the arrival of a request for a job's state to its response, if
      * that has status 200. */
     AqMetric *state_ms;
-    /* Round-trip time of an order to a VM to start a task, if the VM
-     * replied. */
+    /* Time from when an order to start a task is sent to a VM until the VM's
+     * reply; an order without a reply is not counted. */
     AqMetric *start_ms;
-    /* Time that a pool owner's write of job progress to the store takes, with
-     * repeated attempts. */
+    /* Time that a pool owner's write of job progress to the store takes,
+     * including repeated attempts. */
     AqMetric *save_ms;
-    /* Time from this node's gaining a pool until the pool's jobs are
-     * loaded. */
+    /* Time from when this node becomes a pool's owner until the pool's jobs
+     * are loaded. */
     AqMetric *takeover_ms;
-    /* Number of callers' submissions of jobs that were stored. */
+    /* Number of submissions by callers whose job was stored. */
     AqMetric *stored;
     /* Number of callers' requests with status 503: nothing was done. */
     AqMetric *refused;
@@ -56,8 +56,9 @@
     AqHttpClient *http;
     AqStore *store;
     AqWorkerClient *workers;
-    AqMachineClient *machines; /* NULL: no machine service is configured */
-    AqAdviceClient *advice;    /* NULL: no advice service is configured */
+    /* Client of the machine service; NULL: none. */
+    AqMachineClient *machines;
+    AqAdviceClient *advice; /* client of the advice service; NULL: none */
     NodeMetrics metrics;
     StoreHealth store_health;
     /* Configuration of the site, as last read; version 0: not read. */
--- a/packages/pool/owner_writer.c
+++ b/packages/pool/owner_writer.c
@@ -16,7 +16,8 @@
 };
 
 typedef struct {
-    /* Owns the keys and values of "expects" and "puts". */
+    /* Copies of the keys and values to which "expects" and "puts" point;
+     * owned. */
     GPtrArray *allocations;
     AqStoreExpect expects[AQ_STORE_COMMIT_ENTRIES];
     size_t expect_count;
@@ -67,8 +68,8 @@
     free(writer);
 }
 
-/* Removes the first write of the queue, calls its "done", and starts the next
- * write.  May free the writer. */
+/* Removes the first write of the queue, calls its "done" callback, and starts
+ * the next write.  May free the writer. */
 static void
 finish_first(OwnerWriter *writer, AqStoreStatus status)
 {
--- a/packages/pool/pool_machines.c
+++ b/packages/pool/pool_machines.c
@@ -7,14 +7,14 @@
 
 enum {
     ROUND_INTERVAL_MS = 100,
-    /* Age that the platform's list of VMs counts as having until the first
-     * list is received; so great that a list is requested at once. */
+    /* Until the platform's first list of VMs is received, the list counts as
+     * this old; so great an age that a list is requested at once. */
     LIST_INITIAL_AGE_MS = 60000,
     /* Age from which the platform's list is requested again while a VM doesn't
      * reply to orders. */
     SILENT_LIST_MAX_AGE_MS = 1000,
-    /* Number of ordinary tasks as which a perpetual task counts when VMs are
-     * sorted by load. */
+    /* When VMs are sorted by load, a perpetual task counts as this many
+     * ordinary tasks. */
     PERPETUAL_TASK_WEIGHT = 100
 };
 
--- a/packages/pool/pool_machines_private.h
+++ b/packages/pool/pool_machines_private.h
@@ -41,7 +41,7 @@
     PLAN_ACQUIRE /* move from the spare pool to this one */
 } PlanKind;
 
-/* Planned maintenance or move of one VM by this pool's owner, with its
+/* Maintenance or move of one VM that this pool's owner has planned, and its
  * progress. */
 typedef struct {
     char machine[AQ_VM_ID_SIZE]; /* VM id */
@@ -51,7 +51,8 @@
     PlanKind kind;
     VmPhase phase;
     int64_t wave; /* number of the maintenance wave; 0 for moves */
-    /* Number of the request for the plan's order; 0: not requested yet. */
+    /* Number of the request in which the plan's order is requested from the
+     * machine coordinator; 0: not requested yet. */
     int64_t request_number;
     /* The machine coordinator responded that the platform accepted the plan's
      * order or had carried it out before. */
@@ -61,8 +62,8 @@
     /* When the plan began or, once the plan's order is requested, when that
      * request was made. */
     AqTime started_at;
-    /* Earliest time of the next write of the wave's record for this VM; 0: no
-     * write has been delayed. */
+    /* The VM's state is not written to the wave's record before this time; 0:
+     * no write has been delayed. */
     AqTime retry_at;
 } Plan;
 
@@ -71,24 +72,25 @@
     WaveTable *waves;
     PoolOwner *owner;
     char pool[64];
-    uint64_t fence; /* fence of this node's ownership of "pool" */
-    /* Pool_machines_drop() was called; the PoolMachines is freed once "calls"
-     * is 0. */
+    uint64_t fence; /* store revision at which this node claimed "pool" */
+    /* The PoolMachines was dropped (pool_machines_drop) and is freed once
+     * "calls" is 0. */
     bool is_dropped;
-    int calls; /* calls to the store or the platform in progress */
+    /* Number of calls to the store and the platform in progress. */
+    int calls;
     AqTime next_round_at;
     AqTime next_log_at; /* earliest time of the next pool_load log event */
-    /* Highest number given to a request for an order so far. */
+    /* Highest number that a request to the machine coordinator got so far. */
     int64_t last_request_number;
-    /* The requests for orders have changed since they were last written to the
-     * store. */
+    /* This pool's requests to the machine coordinator have changed since they
+     * were last written to the store. */
     bool are_requests_changed;
     /* Number of VMs that the pool needs beyond those that it acquires from the
      * spare pool. */
     size_t requested_vms;
     bool is_writing_requests;
-    /* Earliest time of the next write of the requests for orders to the
-     * store. */
+    /* This pool's requests to the machine coordinator are not written to the
+     * store before this time. */
     AqTime requests_due;
     /* View of the machine coordinator's responses to this pool's requests. */
     PrefixView *responses;
@@ -100,7 +102,8 @@
     /* Of VmCopy: the pool's VMs as of the last round, in the order of their
      * load, idle ones first. */
     GArray *vms;
-    GArray *list; /* of AqMachine: the platform's list of VMs, last received */
+    /* Of AqMachine: the platform's list of VMs as last received. */
+    GArray *list;
     /* When "list" was received.  A failed request for a new list adds
      * MACHINES_RETRY_MS, which delays the next request by as much. */
     AqTime listed_at;
@@ -112,14 +115,15 @@
     bool is_listing;
 };
 
-/* Copy of an AqScheduledVm, whose fields aq_scheduler.h describes. */
+/* Copy of an AqScheduledVm: state of one incarnation of a VM in the pool's
+ * scheduler. */
 typedef struct {
     char vm[AQ_VM_ID_SIZE];      /* id of the VM's incarnation */
     char machine[AQ_VM_ID_SIZE]; /* VM id */
     bool is_usable;
     bool is_answering;
     size_t tasks;
-    size_t perpetual; /* perpetual tasks of the VM, part of the VM's "tasks" */
+    size_t perpetual; /* number of perpetual tasks, included in "tasks" */
     int64_t cpu_millis;
     AqTime idle_since;
     AqTime silent_since;
@@ -165,11 +169,12 @@
                                       const char *machine);
 
 /* ---- pool_machine_requests.c */
-/* Adds a request for the order of a plan, which the next
- * machines_write_requests() writes to the store. */
+/* Requests a plan's order from the machine coordinator; the next
+ * machines_write_requests() writes the request to the store. */
 void machines_add_request(PoolMachines *self, Plan *plan);
-/* Writes this pool's requests for orders to the store if they have changed and
- * no write of requests is in progress. */
+/* Writes to the store this pool's requests to the machine coordinator, if they
+ * have changed, no write of them is in progress, and the wait after a failed
+ * write has passed. */
 void machines_write_requests(PoolMachines *self);
 /* Starts to watch the machine coordinator's responses to this pool's
  * requests. */
--- a/packages/pool/pool_maintenance.c
+++ b/packages/pool/pool_maintenance.c
@@ -7,8 +7,8 @@
 #include "pool_machines_private.h"
 
 enum {
-    /* Greatest age of the platform's list when VMs that no scheduler has are
-     * looked up in it; an older list is requested anew. */
+    /* Greatest age at which the platform's list of VMs is used to look up VMs
+     * that no scheduler has; an older list is requested again. */
     LIST_MAX_AGE_MS = 800,
     /* A VM that replies to orders this long after its maintenance order was
      * accepted has returned to service, even with the same incarnation. */
@@ -126,9 +126,10 @@
 
 /* ---- Rounds ------------------------------------------------------------- */
 
-/* Requests the maintenance of an idle VM if the wave's record shows it as
- * begun.  Otherwise stages its state as begun, if fewer VMs than the wave's
- * cap have begun maintenance; on_wave_written() then requests it. */
+/* Requests the maintenance of an idle VM if the wave's record shows this
+ * maintenance as begun.  Otherwise, if fewer VMs than the wave's cap have
+ * begun maintenance, adds the VM's state "begun" to the next write of the
+ * record; on_wave_written() then requests the maintenance. */
 static void
 request_maintenance(PoolMachines *self, WaveEntry *entry, size_t at,
                     Plan *plan)
@@ -163,7 +164,8 @@
 
 typedef struct {
     PoolMachines *self;
-    /* VMs of the wave in this pool whose maintenance has not begun. */
+    /* Number of VMs of the wave in this pool whose maintenance has not begun.
+     */
     size_t waiting;
 } WaveRound;
 
--- a/packages/pool/pool_owner.c
+++ b/packages/pool/pool_owner.c
@@ -10,22 +10,22 @@
 #include "prefix_view.h"
 
 enum {
-    /* Shortest time from the end of one write of job progress to the next; the
-     * changes in between are stored in one write. */
+    /* Shortest time from the end of one write of job progress to the start of
+     * the next; the changes in between are stored in one write. */
     SAVE_INTERVAL_MS = 60,
     SAVE_RETRY_MS = 150,
-    /* Most jobs whose progress one write stores; the rest waits for the next
-     * write.  OwnerWriter adds three entries to each commit. */
+    /* Greatest number of jobs whose progress one write stores; other jobs wait
+     * for the next write.  OwnerWriter adds three entries to each commit. */
     MAX_SAVES = AQ_STORE_COMMIT_ENTRIES - 3,
     REPORT_INTERVAL_MS = 800,
     LOAD_RETRY_MS = 150,
-    /* Longest time that the handover of a pool waits for the unsaved progress
-     * of its jobs to be stored. */
+    /* Longest time for which the handover of a pool waits until the unsaved
+     * progress of the pool's jobs is stored. */
     FINISH_TIMEOUT_MS = 600,
-    /* Lease of a task on its VM; limited by the setting
-     * limits.longest_lease_ms. */
+    /* Term of the lease under which a VM runs a task, unless the setting
+     * limits.longest_lease_ms is shorter. */
     TASK_LEASE_MS = 5000,
-    /* Bytes of ".c", which ends the key of a cancellation mark. */
+    /* Length in bytes of ".c", the end of the key of a cancellation mark. */
     CANCEL_SUFFIX_LENGTH = 2
 };
 
@@ -93,8 +93,8 @@
     free(owner);
 }
 
-/* Counts a call in flight of the owner as ended.  Returns false if the owner
- * was dropped, in which case it may have been freed. */
+/* Counts one of the owner's calls as ended.  Returns false if the owner was
+ * dropped, in which case it may have been freed. */
 static bool
 end_call(PoolOwner *owner)
 {
@@ -716,7 +716,7 @@
     prefix_view_destroy(owner->jobs);
     owner->jobs = NULL;
     /* Counts one more call, so that the owner isn't freed while
-     * owner_writer_drop() calls the "done" of the queued writes. */
+     * owner_writer_drop() calls the "done" callbacks of the queued writes. */
     owner->calls_in_flight++;
     owner_writer_drop(owner->writer);
     owner->calls_in_flight--;
--- a/packages/pool/pool_sizing.c
+++ b/packages/pool/pool_sizing.c
@@ -7,11 +7,11 @@
 
 enum {
     LOG_INTERVAL_MS = 1000,
-    /* Greatest age of the platform's list when spare VMs are chosen from it;
-     * an older list is requested anew. */
+    /* Greatest age at which the platform's list of VMs is used to choose spare
+     * VMs; an older list is requested again. */
     LIST_MAX_AGE_MS = 400,
-    /* Time after which the request for a move of a VM is withdrawn; the VM
-     * then stays in its pool. */
+    /* A request for the move of a VM is withdrawn if the move has not ended
+     * after this time; the VM then stays in its pool. */
     MOVE_TIMEOUT_MS = 6000
 };
 
@@ -77,7 +77,7 @@
 }
 
 /* Whether the VM is in the spare pool, neither moving nor in maintenance, and
- * is_available(). */
+ * is_available() returns true for it. */
 static bool
 is_acquirable(const PoolMachines *self, const AqMachine *machine,
               const char *spare)
--- a/packages/pool/prefix_view.c
+++ b/packages/pool/prefix_view.c
@@ -7,12 +7,12 @@
 #include "aq_log.h"
 
 enum {
-    /* Longest time that the store holds a watch open.  A watch that misses
-     * changes, or whose connection is dead, is detected after this time plus
-     * the timeout of store calls. */
+    /* Longest time that the store waits for a change before it replies to a
+     * watch.  A watch that misses changes, or whose connection is broken, is
+     * detected after this time plus the timeout of store calls. */
     WATCH_WAIT_MS = 2000,
-    /* Longest time that the store holds a watch of a view with is_prompt
-     * open. */
+    /* Longest time that the store waits for a change before it replies to a
+     * watch of a view with is_prompt. */
     PROMPT_WAIT_MS = 500,
     /* How much later than PROMPT_WAIT_MS a reply to a watch may arrive before
      * another watch is started in parallel. */
@@ -34,9 +34,10 @@
     uint64_t last_watch;
     /* Key -> store revision of the key's last write, as uint64_t*. */
     GHashTable *indexes;
-    GHashTable *listing; /* keys of the listing in progress; NULL: none */
-    /* Last key of the pages received in the listing in progress; "" before the
-     * first page. */
+    /* Keys received in the listing in progress; NULL: none. */
+    GHashTable *listing;
+    /* Last key received in the listing in progress, which arrives in pages; ""
+     * before the first page. */
     char *last_listed_key;
     /* Store revision after which the next watch returns changes. */
     uint64_t index;
@@ -312,8 +313,9 @@
     start_call(context);
 }
 
-/* The store may have dropped the last watch silently, so another one is
- * started.  If the reply to that watch is only late, it is still applied. */
+/* The store may have dropped the last watch without an error, so another one
+ * is started.  If the reply to the last watch is only late, it is still
+ * applied. */
 static void
 on_silence(void *context)
 {
--- a/packages/pool/prefix_view.h
+++ b/packages/pool/prefix_view.h
@@ -23,7 +23,8 @@
      * returns several changes at once.  0: each change is reported at once. */
     AqTime coalesce_ms;
     /* Detects after 1 s instead of 3 s that the store has dropped a watch
-     * silently; costs two calls a second while the prefix is unchanged. */
+     * without an error; costs two calls a second while no key under the prefix
+     * changes. */
     bool is_prompt;
 } PrefixViewOps;
 
@@ -32,7 +33,7 @@
 PrefixView *prefix_view_create(AqLoop *loop, AqStore *store,
                                const char *prefix, const PrefixViewOps *ops,
                                void *context);
-/* May be called from a callback of the view.  NULL is allowed. */
+/* May be called from a callback of the view.  "view" may be NULL. */
 void prefix_view_destroy(PrefixView *view);
 
 /* Returns the loop time of the store's last successful reply to the view;
--- a/packages/pool/store_health.h
+++ b/packages/pool/store_health.h
@@ -10,7 +10,8 @@
  * to have no effect, unlike a write that got no reply. */
 
 typedef struct {
-    /* Failed calls of this node since the store last served one. */
+    /* Number of this node's store calls that have failed since the last one
+     * that succeeded. */
     unsigned failures;
 } StoreHealth;
 
--- a/packages/pool/store_keys.h
+++ b/packages/pool/store_keys.h
@@ -61,8 +61,9 @@
  * id of the node or VM, or the number of the wave.  The result points into one
  * of eight static buffers, which are reused in turn. */
 const char *key_of(KeyKind kind, const char *name);
-/* Return the store key of a job, of its cancellation mark and of its progress
- * record, in the same buffers as key_of(). */
+/* These return the store keys of a job, of its cancellation mark and of its
+ * progress record.  Each result points into one of the eight static buffers of
+ * key_of(), which are reused in turn. */
 const char *key_of_job(const char *pool, const char *id);
 const char *key_of_cancel(const char *pool, const char *id);
 const char *key_of_progress(const char *pool, const char *id);
--- a/packages/pool/tests/fake_store.c
+++ b/packages/pool/tests/fake_store.c
@@ -25,7 +25,8 @@
 
 typedef struct {
     CallKind kind;
-    char *key;   /* key; for CALL_LIST and CALL_CHANGES: prefix of keys */
+    /* Key of the call; CALL_LIST and CALL_CHANGES: prefix of keys. */
+    char *key;
     char *after; /* CALL_LIST: last key of the page before this one */
     /* CALL_CHANGES: store revision after which changes are returned;
      * CALL_KEEP: id of the lease. */
--- a/packages/pool/tests/test_job_api.c
+++ b/packages/pool/tests/test_job_api.c
@@ -32,11 +32,12 @@
      * ForwardOrder is called with "has_responded" false, so this node has to
      * respond to the caller.  After that there is no peer. */
     bool is_first_returned;
-    unsigned forward_count; /* requests forwarded to the peer so far */
-    /* Field of the same name of the last ForwardOrder: whether an earlier
-     * write to the store for the request may have had an effect. */
+    /* Number of requests forwarded to the peer so far. */
+    unsigned forward_count;
+    /* The last forwarded request was marked as one for which an earlier write
+     * to the store may have had an effect. */
     bool may_have_effect;
-    /* Responses that the caller has received so far. */
+    /* Number of responses that the caller has received so far. */
     unsigned response_count;
     /* HTTP status of the last response that the caller received; 0: none. */
     int status;
--- a/packages/pool/tests/test_pool.c
+++ b/packages/pool/tests/test_pool.c
@@ -574,18 +574,18 @@
     tear_down_owner(&self);
 }
 
-/* Guards against a node claiming a pool with a smaller CPU share than another
- * member has, and against a pool that stays without an owner after the
- * stronger member has left. */
+/* Guards against a node claiming a pool at once although another member has a
+ * greater CPU share, and against a pool that stays without an owner after that
+ * member has left. */
 static void
 test_weak_node_defers_claim(void)
 {
     enum {
-        /* Time that the weaker node leaves the stronger node to claim the
-         * pool. */
+        /* For this long the node with the smaller CPU share leaves the pool
+         * for the other node to claim. */
         DEFER_MS = 1300,
-        /* Time within which the weaker node claims the pool after the stronger
-         * node has left. */
+        /* Time within which the node with the smaller CPU share claims the
+         * pool after the other node has left. */
         CLAIM_LIMIT_MS = 400
     };
     Fixture fixture;
@@ -914,8 +914,9 @@
     Fixture fixture;
     CountedMachines machines;
     MachineCoordinator *coordinator;
-    uint64_t pool_fence;  /* fence of the ownership of pool "a" */
-    uint64_t spare_fence; /* fence of the ownership of pool "spare" */
+    uint64_t pool_fence; /* store revision of the owner key of pool "a" */
+    /* Store revision of the owner key of pool "spare". */
+    uint64_t spare_fence;
 } CoordinatorFixture;
 
 static void
--- a/packages/pool/vm_directory.h
+++ b/packages/pool/vm_directory.h
@@ -22,7 +22,7 @@
  * loop only, not from inside this call. */
 VmDirectory *vm_directory_create(AqLoop *loop, AqStore *store,
                                  const VmDirectoryOps *ops, void *context);
-/* NULL is allowed. */
+/* "directory" may be NULL. */
 void vm_directory_destroy(VmDirectory *directory);
 
 /* Calls "visit" for each listed VM. */
--- a/packages/pool/wave_table.h
+++ b/packages/pool/wave_table.h
@@ -12,7 +12,8 @@
 
 typedef struct {
     AqWave *wave; /* owned by the table */
-    /* Store revision of the wave's record as last read; 0: none was read. */
+    /* Store revision of the wave's record as last read; 0: no record was read.
+     */
     uint64_t record_index;
     /* The wave's record was read, or a listing of the store showed that there
      * is none. */
@@ -26,8 +27,8 @@
  * own a pool need this; each change of a record costs a store call of every
  * watching node. */
 void wave_table_follow(WaveTable *table);
-/* Adds a wave, unless the table has one with the same number; clears
- * "spec". */
+/* Adds a wave, unless the table has one with the same number.  "spec" is
+ * copied if the wave is added, and its contents are freed in both cases. */
 void wave_table_add(WaveTable *table, AqWaveSpec *spec);
 /* Calls "visit" for each wave whose record was read from the store, or is
  * known not to exist. */
