--- a/packages/pool/job_api.c
+++ b/packages/pool/job_api.c
@@ -11,10 +11,15 @@
 #include "store_keys.h"
 
 enum {
-    DEFAULT_DEADLINE_MS = 2500, /* of a request without the deadline header */
-    RESPONSE_RESERVE_MS = 150,  /* for the response to reach the caller */
-    STORE_RETRY_MS = 100,       /* between two attempts of a store call */
-    REPORT_MAX_AGE_MS = 400     /* of a cached report that is still used */
+    /* Time from the arrival of a request without the deadline header to its
+     * deadline. */
+    DEFAULT_DEADLINE_MS = 2500,
+    /* Time kept before a request's deadline for the response to reach the
+     * caller. */
+    RESPONSE_RESERVE_MS = 150,
+    STORE_RETRY_MS = 100, /* wait between two attempts of a store call */
+    /* Age up to which a pool's cached report of waiting jobs is used. */
+    REPORT_MAX_AGE_MS = 400
 };
 
 static const char response_no_owner[] =
@@ -24,11 +29,11 @@
     NodeContext *node;
     JobApiOps ops;
     void *context;
-    GHashTable *reports; /* pool -> Report */
+    GHashTable *reports; /* pool name -> Report */
 };
 
-/* A cached copy of the counts of waiting jobs in a pool's queues, as its
- * owner wrote them. */
+/* A cached copy of the counts of waiting jobs in a pool's queues, as the
+ * pool's owner wrote them to the store. */
 typedef struct {
     char *text;
     AqTime read_at;
@@ -44,9 +49,11 @@
     AqTime arrived_at;
     AqTimer retry_timer;
     void (*try)(void *request);
-    AqBuffer encoded_job; /* the encoded job of a submission, else empty */
+    /* Submitted job, encoded; empty for other requests. */
+    AqBuffer encoded_job;
     unsigned attempts;
-    bool may_have_effect; /* an earlier write of this request got no reply */
+    /* A write to the store for this request got no reply. */
+    bool may_have_effect;
 } Request;
 
 static AqTime
@@ -176,8 +183,8 @@
     request->try(request);
 }
 
-/* Schedules another attempt; returns false if too little time is left
- * before the deadline. */
+/* Schedules another attempt of the request; returns false if too little time
+ * is left before the request's deadline. */
 static bool
 schedule_retry(Request *request)
 {
@@ -197,9 +204,9 @@
     }
 }
 
-/* For reads, which have no effect, and for requests with a write that got
- * no reply, whose outcome only another attempt can show: forwards the
- * request, or schedules another attempt here. */
+/* For reads, which have no effect, and for requests with a write that got no
+ * reply, whose outcome only another attempt can show: forwards the request to
+ * another node or, if that is not possible, retries it on this one. */
 static void
 forward_or_retry(Request *request)
 {
@@ -208,8 +215,9 @@
     }
 }
 
-/* Called when forwarding has ended.  If the peer doesn't know the outcome
- * either, this node goes on trying. */
+/* Called when the forwarding of a request has ended.  If the other node
+ * could not determine the request's outcome either, this node retries the
+ * request. */
 static void
 on_forwarded(void *context, bool has_responded)
 {
@@ -234,7 +242,8 @@
         finish_request(request, 200, "{}", "stored");
         break;
     case AQ_STORE_CONFLICT:
-        /* The job exists already, or was cancelled before it arrived. */
+        /* The job is in the store already, or was cancelled before its
+         * submission arrived. */
         finish_request(request, 200, "{}", "known");
         break;
     case AQ_STORE_UNKNOWN:
@@ -242,7 +251,8 @@
         forward_or_retry(request);
         break;
     default:
-        /* This write had no effect; an earlier one may still take effect. */
+        /* This write had no effect; an earlier write for the same request that
+         * got no reply may still take effect. */
         if (request->may_have_effect) {
             forward_or_retry(request);
         }
@@ -374,7 +384,9 @@
 
 /* ---- Cancelling --------------------------------------------------------- */
 
-/* Handles a cancellation whose write was not carried out or got no reply. */
+/* Continues a cancellation whose write was not carried out or got no reply:
+ * forwards it to another node, retries it on this one, or ends it with status
+ * 503 or 504. */
 static void
 retry_cancel(Request *request, const AqStoreReply *reply)
 {
@@ -403,8 +415,8 @@
     }
 }
 
-/* Writes the cancellation mark of a job that is in the store; requires that
- * the job still has the given modify index. */
+/* Writes the cancellation mark of a job that is in the store, on condition
+ * that the job was last written at store revision "job_index". */
 static void
 mark_cancelled(Request *request, uint64_t job_index)
 {
@@ -416,16 +428,16 @@
     store->ops->commit(store, &commit, on_cancelled, request);
 }
 
-/* Handles the reply to a write of the cancellation mark that required the
- * job to be absent. */
+/* Handles the reply to a write of a job's cancellation mark that took effect
+ * only if the job was not in the store. */
 static void
 on_cancelled_before_job(void *context, const AqStoreReply *reply)
 {
     Request *request = context;
     record_store_status(request, reply);
     if (reply->status == AQ_STORE_OK) {
-        /* The mark stays: a submission that arrives later finds it, and the
-         * job never runs. */
+        /* The cancellation mark stays in the store: a submission of the job
+         * that arrives later finds the mark, and the job never runs. */
         finish_request(request, 410, "{\"error\":\"there is no such job\"}",
                        "cancelled_before");
     }
--- a/packages/pool/pool_machines_private.h
+++ b/packages/pool/pool_machines_private.h
@@ -13,34 +13,58 @@
  * pool_sizing.c            VMs acquired from the spare pool and released */
 
 enum {
-    MACHINES_RETRY_MS = 150 /* after a write or a listing that failed */
+    /* Wait before a failed write to the store, or a failed request for the
+     * platform's list of VMs, is repeated. */
+    MACHINES_RETRY_MS = 150
 };
 
 typedef enum {
-    VM_CORDONED,  /* gets no new tasks; waits until its tasks have ended */
-    VM_CLAIMING,  /* a slot is being claimed by a write of the wave's record */
-    VM_REQUESTED, /* the order is requested from the machine coordinator */
-    VM_RETURNED   /* serves again; the wave's record is to show it as done */
+    /* The VM gets no new tasks; the plan's order is requested from the machine
+     * coordinator when the VM's tasks have ended. */
+    VM_CORDONED,
+    /* The VM's maintenance is being written to the wave's record as begun.
+     * The wave's cap limits how many VMs have begun maintenance at a time. */
+    VM_CLAIMING,
+    /* The plan's order was requested from the machine coordinator, whose
+     * response is awaited or, once is_ordered is set, has arrived. */
+    VM_REQUESTED,
+    /* The VM serves again after its maintenance, which the wave's record does
+     * not show as done yet. */
+    VM_RETURNED
 } VmPhase;
 
 typedef enum {
     PLAN_MAINTENANCE,
-    PLAN_RELEASE, /* to the spare pool */
-    PLAN_ACQUIRE  /* from the spare pool */
+    /* Move from this pool to the spare pool, or to another pool that requests
+     * VMs. */
+    PLAN_RELEASE,
+    PLAN_ACQUIRE /* move from the spare pool to this one */
 } PlanKind;
 
-/* What this owner is doing with one VM, and how far it has come. */
+/* Maintenance or move of one VM that this pool's owner has planned, and its
+ * progress. */
 typedef struct {
     char machine[AQ_VM_ID_SIZE]; /* VM id */
-    char vm[AQ_VM_ID_SIZE]; /* its incarnation when the plan began, or "" */
+    /* The VM's incarnation when the plan began; "": the pool's scheduler had
+     * none. */
+    char vm[AQ_VM_ID_SIZE];
     PlanKind kind;
     VmPhase phase;
-    int64_t wave;           /* number of the wave; PLAN_MAINTENANCE only */
-    int64_t request_number; /* 0: no order is requested */
-    bool is_ordered;        /* the response says that the order was accepted */
-    AqTime ordered_at;      /* when that response was received */
-    AqTime started_at;      /* when the plan began; later, its request */
-    AqTime retry_at; /* earliest time of the next write of the wave's record */
+    int64_t wave; /* number of the maintenance wave; 0 for moves */
+    /* Number of the request in which the plan's order is requested from the
+     * machine coordinator; 0: not requested yet. */
+    int64_t request_number;
+    /* The machine coordinator responded that the platform accepted the plan's
+     * order or had carried it out before. */
+    bool is_ordered;
+    /* When the machine coordinator's response that set is_ordered arrived. */
+    AqTime ordered_at;
+    /* When the plan began or, once the plan's order is requested, when that
+     * request was made. */
+    AqTime started_at;
+    /* The VM's state is not written to the wave's record before this time; 0:
+     * no write has been delayed. */
+    AqTime retry_at;
 } Plan;
 
 struct PoolMachines {
@@ -48,61 +72,87 @@
     WaveTable *waves;
     PoolOwner *owner;
     char pool[64];
-    uint64_t fence;  /* of the pool's ownership */
-    bool is_dropped; /* freed as soon as "calls" is 0 */
-    int calls;       /* to the store or the platform, in progress */
+    uint64_t fence; /* store revision at which this node claimed "pool" */
+    /* The PoolMachines was dropped (pool_machines_drop) and is freed once
+     * "calls" is 0. */
+    bool is_dropped;
+    /* Number of calls to the store and the platform in progress. */
+    int calls;
     AqTime next_round_at;
-    AqTime next_log_at;          /* of the pool_load event */
-    int64_t last_request_number; /* highest request number used so far */
-    bool are_requests_changed;   /* since the last write of the requests */
-    size_t requested_vms; /* VMs needed beyond those of the spare pool */
+    AqTime next_log_at; /* earliest time of the next pool_load log event */
+    /* Highest number that a request to the machine coordinator got so far. */
+    int64_t last_request_number;
+    /* This pool's requests to the machine coordinator have changed since they
+     * were last written to the store. */
+    bool are_requests_changed;
+    /* Number of VMs that the pool needs beyond those that it acquires from the
+     * spare pool. */
+    size_t requested_vms;
     bool is_writing_requests;
-    AqTime requests_due;   /* earliest time of the next write of requests */
-    PrefixView *responses; /* of the machine coordinator to this pool */
+    /* This pool's requests to the machine coordinator are not written to the
+     * store before this time. */
+    AqTime requests_due;
+    /* View of the machine coordinator's responses to this pool's requests. */
+    PrefixView *responses;
     bool is_writing_wave;
-    GArray *wave_changes; /* of WaveChange: of this round, not written yet */
-    GHashTable *plans;    /* VM id -> Plan */
-    GArray *vms; /* of VmCopy: as of this round, in the order of their load */
-    /* The platform's list of VMs. */
-    GArray *list; /* of AqMachine */
-    /* When it was received; a failed attempt adds MACHINES_RETRY_MS. */
+    /* Of WaveChange: new states of VMs set in the current round, written to
+     * the wave's record at the end of the round. */
+    GArray *wave_changes;
+    GHashTable *plans; /* VM id -> Plan */
+    /* Of VmCopy: the pool's VMs as of the last round, in the order of their
+     * load, idle ones first. */
+    GArray *vms;
+    /* Of AqMachine: the platform's list of VMs as last received. */
+    GArray *list;
+    /* When "list" was received.  A failed request for a new list adds
+     * MACHINES_RETRY_MS, which delays the next request by as much. */
     AqTime listed_at;
-    AqTime list_requested_at; /* when this list was requested */
-    AqTime listing_since;     /* when the list in progress was requested */
+    /* When "list", as last received, was requested from the platform. */
+    AqTime list_requested_at;
+    /* When the platform's list of VMs was last requested; while is_listing is
+     * set, the platform has not responded to this request. */
+    AqTime listing_since;
     bool is_listing;
 };
 
-/* Copy of an AqScheduledVm, whose fields aq_scheduler.h describes. */
+/* Copy of an AqScheduledVm: state of one incarnation of a VM in the pool's
+ * scheduler. */
 typedef struct {
-    char vm[AQ_VM_ID_SIZE];      /* id of the incarnation */
+    char vm[AQ_VM_ID_SIZE];      /* id of the VM's incarnation */
     char machine[AQ_VM_ID_SIZE]; /* VM id */
     bool is_usable;
     bool is_answering;
     size_t tasks;
-    size_t perpetual; /* of "tasks" */
+    size_t perpetual; /* number of perpetual tasks, included in "tasks" */
     int64_t cpu_millis;
     AqTime idle_since;
     AqTime silent_since;
 } VmCopy;
 
 AqTime machines_now(const PoolMachines *self);
-/* Ends a call.  Returns false if "self" was dropped; it may be freed then. */
+/* Counts a call to the store or the platform as ended.  Returns false if
+ * "self" was dropped, in which case it may have been freed. */
 bool machines_end_call(PoolMachines *self);
 
 /* ---- pool_machines.c */
-/* Returns the incarnation of a VM that answers, or else any; NULL when there
- * is none.  Valid until the next round. */
+/* Returns the incarnation of a VM that replies to orders, or else any of the
+ * VM's incarnations; NULL if the pool's scheduler has none.  The result is
+ * valid until the next round. */
 const VmCopy *machines_find_vm(const PoolMachines *self, const char *machine);
-/* Whether an incarnation doesn't answer, or the scheduler doesn't have it. */
+/* Whether an incarnation of a VM doesn't reply to orders, or the pool's
+ * scheduler doesn't have it. */
 bool machines_is_incarnation_over(const PoolMachines *self,
                                   const char *incarnation);
-/* Returns the plan for a VM, or NULL; "self" owns it. */
+/* Returns the plan for a VM, or NULL if there is none; "self" owns the
+ * plan. */
 Plan *machines_find_plan(const PoolMachines *self, const char *machine);
-/* Adds a plan in phase VM_CORDONED, instead of any other for the VM.  "vm" is
- * its incarnation, or "". */
+/* Adds a plan in phase VM_CORDONED for the VM with id "machine", and removes
+ * any other plan for the VM.  "vm" is the VM's incarnation; "": the pool's
+ * scheduler has none. */
 Plan *machines_add_plan(PoolMachines *self, const char *machine,
                         const char *vm, PlanKind kind);
-/* Frees the plan and withdraws its request; the VM is no longer cordoned. */
+/* Frees the plan and withdraws the request for the plan's order; the plan's VM
+ * is no longer cordoned. */
 void machines_remove_plan(PoolMachines *self, const Plan *plan);
 /* Cordons the VM and adds a plan for it; "reason" is logged. */
 Plan *machines_cordon(PoolMachines *self, const VmCopy *vm, PlanKind kind,
@@ -110,19 +160,24 @@
 size_t machines_count_plans(const PoolMachines *self, PlanKind kind);
 /* Returns the name of the spare pool; NULL when the configuration has none. */
 const char *machines_spare_pool(const PoolMachines *self);
-/* Whether the platform's list is at most this old, ms; requests a new one if
- * not. */
+/* Returns whether the platform's list of VMs is at most "max_age_ms" old;
+ * requests a new list if not. */
 bool machines_ensure_list(PoolMachines *self, AqTime max_age_ms);
-/* Returns the list's entry of a VM, or NULL; valid until the next list. */
+/* Returns the entry of a VM in the platform's list, or NULL if it has none;
+ * valid until the next list is received. */
 const AqMachine *machines_find_listed(const PoolMachines *self,
                                       const char *machine);
 
 /* ---- pool_machine_requests.c */
-/* Requests the order of a plan, with the next write of requests. */
+/* Requests a plan's order from the machine coordinator; the next
+ * machines_write_requests() writes the request to the store. */
 void machines_add_request(PoolMachines *self, Plan *plan);
-/* Writes the requests if they have changed and no write is in progress. */
+/* Writes to the store this pool's requests to the machine coordinator, if they
+ * have changed, no write of them is in progress, and the wait after a failed
+ * write has passed. */
 void machines_write_requests(PoolMachines *self);
-/* Starts to watch the responses of the machine coordinator. */
+/* Starts to watch the machine coordinator's responses to this pool's
+ * requests. */
 void machines_watch_responses(PoolMachines *self);
 
 /* ---- pool_maintenance.c */
--- a/packages/pool/pool_owner.c
+++ b/packages/pool/pool_owner.c
@@ -10,19 +10,23 @@
 #include "prefix_view.h"
 
 enum {
-    /* Interval of saves; the changes in between are stored in one write. */
+    /* Shortest time from the end of one write of job progress to the start of
+     * the next; the changes in between are stored in one write. */
     SAVE_INTERVAL_MS = 60,
     SAVE_RETRY_MS = 150,
-    /* The writer adds three entries to each commit. */
+    /* Greatest number of jobs whose progress one write stores; other jobs wait
+     * for the next write.  OwnerWriter adds three entries to each commit. */
     MAX_SAVES = AQ_STORE_COMMIT_ENTRIES - 3,
     REPORT_INTERVAL_MS = 800,
     LOAD_RETRY_MS = 150,
-    /* Longest time that a handover waits for unsaved progress to be stored. */
+    /* Longest time for which the handover of a pool waits until the unsaved
+     * progress of the pool's jobs is stored. */
     FINISH_TIMEOUT_MS = 600,
-    /* Lease of a task on its VM; limited by the setting
-     * limits.longest_lease_ms. */
+    /* Term of the lease under which a VM runs a task, unless the setting
+     * limits.longest_lease_ms is shorter. */
     TASK_LEASE_MS = 5000,
-    CANCEL_SUFFIX_LENGTH = 2 /* bytes of ".c" */
+    /* Length in bytes of ".c", the end of the key of a cancellation mark. */
+    CANCEL_SUFFIX_LENGTH = 2
 };
 
 typedef enum {
@@ -42,7 +46,8 @@
     Ownership ownership;
     AqScheduler *scheduler;
     AqTimer load_timer;
-    /* Job id -> GBytes: progress records, kept while loading. */
+    /* Job id -> GBytes: progress records of the pool's jobs, kept until the
+     * jobs are loaded. */
     GHashTable *progress_records;
     GHashTable *cancelled; /* ids of jobs with a cancellation mark */
     char *last_progress_key;
@@ -54,15 +59,20 @@
     uint64_t used_vms_written;
     uint64_t used_vms_sent_version;
     AqTime used_vms_due;
-    char *last_report; /* as written last; NULL: not written */
+    /* Text of the pool's report of waiting jobs as last written to the store;
+     * NULL: none. */
+    char *last_report;
     AqTime report_due;
-    /* Callback of pool_owner_finish and the time at which it is called at
-     * the latest; finish_done is NULL if none is due. */
+    /* Callback of pool_owner_finish(), its argument, and the time at which it
+     * is called at the latest; finish_done is NULL before pool_owner_finish()
+     * and after the callback. */
     void (*finish_done)(void *context);
     void *finish_context;
     AqTime finish_deadline;
     LoadState load_state;
-    int calls_in_flight; /* each holds a pointer to this owner */
+    /* Number of calls to the store, VMs and the advice service that have not
+     * ended; each has a pointer to this owner. */
+    int calls_in_flight;
     bool is_dropped;
     bool is_finishing;
     bool is_saving;
@@ -83,7 +93,7 @@
     free(owner);
 }
 
-/* Counts a call in flight as ended.  Returns false when the owner was
+/* Counts one of the owner's calls as ended.  Returns false if the owner was
  * dropped, in which case it may have been freed. */
 static bool
 end_call(PoolOwner *owner)
@@ -147,9 +157,9 @@
 {
     Order *order = context;
     PoolOwner *owner = order->owner;
-    /* Reads the clock: the loop's time may be before the arrival of the
-     * reply, which would make the VM's clock seem ahead and its leases
-     * expire too early. */
+    /* Read the clock: the loop's time may be before the arrival of the VM's
+     * reply, which would make the VM's clock seem ahead and the leases on the
+     * VM expire too early. */
     AqTime now = AqClock_ReadMonotonic();
     if (end_call(owner)) {
         AqScheduler *s = owner->scheduler;
@@ -605,8 +615,9 @@
 
 /* ---- Rounds ------------------------------------------------------------- */
 
-/* Calls the callback of pool_owner_finish if it is due, which may free the
- * owner. */
+/* Calls the callback of pool_owner_finish() if the progress of all jobs is
+ * stored, the jobs aren't loaded, or 600 ms have passed since
+ * pool_owner_finish().  The callback may free the owner. */
 static void
 check_finished(PoolOwner *owner)
 {
@@ -704,7 +715,8 @@
     AqTimer_Stop(&owner->load_timer);
     prefix_view_destroy(owner->jobs);
     owner->jobs = NULL;
-    /* Keeps the owner allocated while owner_writer_drop ends calls. */
+    /* Counts one more call, so that the owner isn't freed while
+     * owner_writer_drop() calls the "done" callbacks of the queued writes. */
     owner->calls_in_flight++;
     owner_writer_drop(owner->writer);
     owner->calls_in_flight--;
--- a/packages/pool/pool_sizing.c
+++ b/packages/pool/pool_sizing.c
@@ -7,12 +7,16 @@
 
 enum {
     LOG_INTERVAL_MS = 1000,
-    LIST_MAX_AGE_MS = 400, /* of a list from which spare VMs are chosen */
-    MOVE_TIMEOUT_MS = 6000 /* of a requested move; the VM then stays */
+    /* Greatest age at which the platform's list of VMs is used to choose spare
+     * VMs; an older list is requested again. */
+    LIST_MAX_AGE_MS = 400,
+    /* A request for the move of a VM is withdrawn if the move has not ended
+     * after this time; the VM then stays in its pool. */
+    MOVE_TIMEOUT_MS = 6000
 };
 
-/* Whether this owner has no plan for the VM, and no wave has begun its
- * maintenance. */
+/* Whether this pool's owner has no plan for the VM, and no wave has begun the
+ * VM's maintenance. */
 static bool
 is_available(const PoolMachines *self, const char *machine)
 {
@@ -39,8 +43,8 @@
 }
 
 /* Requests the moves of VMs that were cordoned for release and are idle now.
- * While tasks wait to start, all that are still cordoned return to service
- * instead. */
+ * While tasks wait to start, all VMs that are still cordoned for release
+ * return to service instead. */
 static void
 advance_releases(PoolMachines *self, bool has_waiting_tasks)
 {
@@ -73,7 +77,7 @@
 }
 
 /* Whether the VM is in the spare pool, neither moving nor in maintenance, and
- * available. */
+ * is_available() returns true for it. */
 static bool
 is_acquirable(const PoolMachines *self, const AqMachine *machine,
               const char *spare)
@@ -83,9 +87,9 @@
            is_available(self, machine->machine);
 }
 
-/* Requests up to "count" VMs of the spare pool: those whose maintenance is
- * due when "is_due" is set, otherwise those whose maintenance is not.  Returns
- * how many of "count" were not found. */
+/* Requests the moves of up to "count" VMs from the spare pool to this pool: if
+ * "is_due" is set, of VMs that wait for their maintenance in a wave, otherwise
+ * of other VMs.  Returns "count" less the number of moves requested. */
 static size_t
 acquire_listed_vms(PoolMachines *self, const char *spare, bool is_due,
                    size_t count)
@@ -119,8 +123,9 @@
     if (!machines_ensure_list(self, LIST_MAX_AGE_MS)) {
         return;
     }
-    /* VMs whose maintenance is due are acquired last: it is better done while
-     * they are off in the spare pool. */
+    /* VMs that wait for their maintenance in a wave are acquired last:
+     * maintenance is better done while the VMs are powered off in the spare
+     * pool. */
     size_t left =
         acquire_listed_vms(self, spare, false, decision->acquire_vms);
     left = acquire_listed_vms(self, spare, true, left);
@@ -128,8 +133,8 @@
                       decision->needed_vms - (decision->acquire_vms - left));
 }
 
-/* Whether a move has ended: the VM has arrived, left, or gone to a third pool,
- * or the move has timed out. */
+/* Whether a planned move of a VM has ended: the VM has arrived in this pool,
+ * left this pool, or gone to a third one, or the move has timed out. */
 static bool
 is_move_ended(const PoolMachines *self, const Plan *plan, const char *spare)
 {
--- a/packages/pool/tests/test_job_api.c
+++ b/packages/pool/tests/test_job_api.c
@@ -28,11 +28,19 @@
     JobApi *job_api;
     AqQueueConfig queue;
     bool has_peer;
-    bool is_first_returned;  /* the peer returns the first request unserved */
-    unsigned forward_count;  /* requests forwarded so far */
-    bool may_have_effect;    /* of the last forwarded request */
-    unsigned response_count; /* responses received so far */
-    int status;              /* of the last response; 0: none was received */
+    /* The peer fails to serve the first forwarded request: "done" of the
+     * ForwardOrder is called with "has_responded" false, so this node has to
+     * respond to the caller.  After that there is no peer. */
+    bool is_first_returned;
+    /* Number of requests forwarded to the peer so far. */
+    unsigned forward_count;
+    /* The last forwarded request was marked as one for which an earlier write
+     * to the store may have had an effect. */
+    bool may_have_effect;
+    /* Number of responses that the caller has received so far. */
+    unsigned response_count;
+    /* HTTP status of the last response that the caller received; 0: none. */
+    int status;
 } Fixture;
 
 static bool
@@ -161,8 +169,9 @@
     }
 }
 
-/* Guards against a write that waits until the caller's deadline because only
- * this node gets no reply from the store, although a peer could serve it. */
+/* Guards against a request that waits until the caller's deadline because only
+ * this node gets no reply to its write from the store, although a peer could
+ * serve the request. */
 static void
 test_silent_store_hands_on(void)
 {
@@ -183,7 +192,8 @@
 }
 
 /* Guards against a request being forwarded as one that may have had an effect
- * after the store has refused it, which means that nothing was done. */
+ * after the store has refused the request's write, which means that nothing
+ * was done. */
 static void
 test_refusing_store_hands_on(void)
 {
@@ -199,8 +209,9 @@
     tear_down(&fixture);
 }
 
-/* Guards against a response that says that nothing was done, sent after a
- * write without a reply, which may still take effect. */
+/* Guards against a response to the caller that says that nothing was done,
+ * sent after a write to the store without a reply, which may still take
+ * effect. */
 static void
 test_refusal_after_silence(void)
 {
@@ -219,8 +230,9 @@
     tear_down(&fixture);
 }
 
-/* Guards against a response of unknown outcome when a peer returns a forwarded
- * request, although another call to the store would show the outcome. */
+/* Guards against a response that says that the outcome is unknown (504) when a
+ * peer could not determine the outcome of a forwarded request, although
+ * another store call of this node would show the outcome. */
 static void
 test_unsure_peer_gives_back(void)
 {
@@ -240,7 +252,7 @@
 }
 
 /* Guards against a write to a store that is known not to reply to this node:
- * the caller would get only an unknown outcome, and would not retry. */
+ * the caller would get status 504 (outcome unknown), and would not retry. */
 static void
 test_lost_store_is_not_written_to(void)
 {
@@ -266,8 +278,9 @@
     }
 }
 
-/* Guards against a job that is stored twice, or a response that is lost, when
- * the first write takes effect but its reply is lost. */
+/* Guards against a job that is stored twice, or a caller that gets no
+ * response, when the first write of the job takes effect but the store's reply
+ * is lost. */
 static void
 test_effect_without_reply(void)
 {
@@ -284,9 +297,9 @@
     tear_down(&fixture);
 }
 
-/* Guards against a count of waiting jobs that is invented, or older than its
- * bound, while a pool has no owner: the report it is read from is removed when
- * the owner's lease ends. */
+/* Guards against a response with a count of waiting jobs that is made up, or
+ * older than allowed, while a pool has no owner: the owner's report, from
+ * which the count is read, is removed when the owner's lease ends. */
 static void
 test_waiting_count_needs_owner(void)
 {
@@ -307,18 +320,18 @@
     tear_down(&fixture);
 }
 
-/* Guards against a peer's failure that is passed on as a refusal although this
- * node's own write may have had an effect, and against an unknown outcome
- * where nothing can have been done. */
+/* Guards against a peer's refusal (503 or 429: nothing was done) passed on to
+ * the caller although this node's own write may have had an effect, and
+ * against a status 504 (outcome unknown) where nothing can have been done. */
 static void
 test_status_after_forwarding(void)
 {
     static const struct {
-        int status; /* of the peer; 0: no response */
+        int status; /* HTTP status of the peer's response; 0: no response */
         bool was_sent;
         bool is_read;
         bool may_have_effect;
-        int expected_status; /* of the response to the caller */
+        int expected_status; /* HTTP status of the response to the caller */
     } cases[] = {
         {200, true, false, true, 200}, {503, true, false, false, 503},
         {503, true, false, true, 504}, {429, true, false, true, 504},
