--- a/packages/jobs/estimate.c
+++ b/packages/jobs/estimate.c
@@ -4,7 +4,9 @@
 
 enum {
     MILLI_PER_CORE = 1000,
-    ESTIMATE_PERCENT = 120 /* of the 90th percentile of the measured use */
+    /* Size that is reserved for a task, in percent of the 90th percentile of
+     * the use of finished tasks of the same class. */
+    ESTIMATE_PERCENT = 120
 };
 
 Size
@@ -18,8 +20,9 @@
     return size;
 }
 
-/* Returns the name of the job's class, freed with g_free.  Jobs that declare
- * the same size form a class and share their samples. */
+/* Returns the name of the job's class, which the caller frees with g_free.
+ * Jobs of a team that declare the same size form a class; the use of the
+ * finished tasks of a class is sampled together. */
 static char *
 class_name(const json_t *job)
 {
@@ -36,8 +39,9 @@
     return (x > y) - (x < y);
 }
 
-/* Returns the 90th percentile of the samples' element at index "element" (0:
- * thousandths of a core, 1: MB of memory), scaled by ESTIMATE_PERCENT. */
+/* Each of "samples" is an array [thousandths of a core, MB of memory].
+ * Returns ESTIMATE_PERCENT of the 90th percentile of the cores ("element" 0)
+ * or of the memory ("element" 1) in all samples. */
 static int64_t
 estimate_from_samples(const json_t *samples, size_t element)
 {
@@ -76,8 +80,8 @@
 {
     json_t *all = json_object_get(team->working, "samples");
     if (runtime->peak_cores_milli == 0 && runtime->peak_memory_mb == 0) {
-        /* The usage lags behind the state: a short task may end before its
-         * use was reported. */
+        /* No sample: the platform reports a task's use later than its state,
+         * so a short task may finish before its use was ever reported. */
         return;
     }
     char *class = class_name(job);
--- a/packages/jobs/job_intents.c
+++ b/packages/jobs/job_intents.c
@@ -48,8 +48,8 @@
     return true;
 }
 
-/* Returns a new record in state queued with the arguments of job.submit, or
- * NULL with the error set. */
+/* Returns a new job record in state queued, made from the arguments of a
+ * job.submit, or NULL with "error" set if an argument is invalid. */
 static json_t *
 parse_job(const json_t *args, AqError *error)
 {
@@ -90,7 +90,8 @@
         "queued", "tries", 0);
 }
 
-/* Whether the team's quota would allow the job with nothing else running. */
+/* Whether the team's quota is large enough for the job while no other job of
+ * the team runs. */
 static bool
 check_quota(const AqFleet *fleet, const char *team, const json_t *job,
             AqError *error)
@@ -117,8 +118,9 @@
     return true;
 }
 
-/* Whether operation "op" has been applied: the team's unfinished job "id" or
- * one of its kept results records it. */
+/* Whether the job.submit with operation id "op" has been applied: the team's
+ * unfinished job "id" or one of the team's kept results records that operation
+ * id. */
 static bool
 is_applied(const Team *team, const char *id, const char *op)
 {
@@ -137,14 +139,16 @@
     return false;
 }
 
-/* Returns the team; if it isn't known, adds it with an empty document. */
+/* Returns the team of that name; a team that isn't known is first added with
+ * an empty document. */
 static Team *
 get_or_create_team(AqJobs *jobs, const char *name)
 {
     static const char empty[] = "{\"jobs\":{},\"results\":[],\"samples\":{}}";
     Team *team = jobs_find_team(jobs, name);
     if (team == NULL) {
-        /* Index 0 means that the key is absent; the first write creates it. */
+        /* Store revision 0 means that the store has no key of this team; the
+         * first write of the team's document creates the key. */
         AqJobs_Load(jobs, name, empty, sizeof(empty) - 1, 0, NULL);
         team = jobs_find_team(jobs, name);
     }
@@ -195,8 +199,8 @@
     return ok;
 }
 
-/* Returns a team that has an unfinished job "id", or NULL; for intents that
- * don't name the team. */
+/* Returns a team that has an unfinished job "id", or NULL if no team has such
+ * a job; for a job.cancel that doesn't name the job's team. */
 static Team *
 find_team_of_job(const AqJobs *jobs, const char *id)
 {
--- a/packages/jobs/jobs.c
+++ b/packages/jobs/jobs.c
@@ -83,8 +83,8 @@
     return team;
 }
 
-/* Whether the parts that all other functions rely on are present with the
- * right types. */
+/* Whether a team's document has the parts that all other functions rely on,
+ * with the right types. */
 static bool
 is_valid_document(const json_t *root)
 {
@@ -109,7 +109,7 @@
             uint64_t index, AqError *error)
 {
     Team *team = jobs_find_team(jobs, name);
-    if (team != NULL && index <= team->index) {
+    if (team != NULL && index <= team->store_revision) {
         return true;
     }
     json_t *root = AqJson_Parse(text, size, error);
@@ -127,9 +127,9 @@
     json_decref(team->working);
     team->stored = root;
     team->working = json_deep_copy(root);
-    team->index = index;
-    /* The dropped changes were based on an older document, so the store would
-     * refuse their write. */
+    team->store_revision = index;
+    /* The decided changes dropped here were based on an older document, so the
+     * store would refuse to write them: nothing is left to store. */
     team->dirty = false;
     return true;
 }
@@ -138,7 +138,7 @@
 AqJobs_Encode(const AqJobs *jobs, const char *name, uint64_t *index)
 {
     const Team *team = jobs_find_team(jobs, name);
-    *index = team->index;
+    *index = team->store_revision;
     return AqJson_Dump(team->working);
 }
 
@@ -161,12 +161,12 @@
 AqJobs_Stored(AqJobs *jobs, const char *name, uint64_t index)
 {
     Team *team = jobs_find_team(jobs, name);
-    if (team == NULL || index <= team->index) {
+    if (team == NULL || index <= team->store_revision) {
         return;
     }
     json_decref(team->stored);
     team->stored = json_deep_copy(team->working);
-    team->index = index;
+    team->store_revision = index;
     team->dirty = false;
 }
 
@@ -304,8 +304,8 @@
     return result;
 }
 
-/* Whether a record has a known state, a worker unless it is queued, and no
- * negative numbers. */
+/* Whether a job's record has a known state, a worker unless the job is queued
+ * (and none if it is queued), and no negative tries or cores. */
 static bool
 check_record(const Team *team, const char *id, const json_t *job,
              AqError *error)
--- a/packages/jobs/jobs_internal.h
+++ b/packages/jobs/jobs_internal.h
@@ -6,64 +6,90 @@
 #include "aq_jobs.h"
 
 enum {
-    JOBS_LEASE_MS = 10000, /* length of a task's lease */
+    /* Length of a task's lease.  Not used: the daemon's task client, which
+     * sends the orders, has a constant of its own. */
+    JOBS_LEASE_MS = 10000,
     JOBS_RENEW_INTERVAL_MS = 3000,
-    /* Interval at which an order is repeated until the job's state shows its
-     * effect. */
+    /* Interval at which a start, checkpoint or stop order for a task is
+     * repeated until the state of the task's job shows the order's effect. */
     JOBS_ORDER_RETRY_INTERVAL_MS = 1000,
-    JOBS_CANCEL_BATCH_SIZE = 256, /* cancellations per step, all teams */
-    /* Unfinished jobs.  A record takes about 300 bytes, and a value in the
-     * store holds 1 MB. */
+    /* Most job cancellations that one AqJobs_Step() applies over all teams;
+     * later calls apply the rest. */
+    JOBS_CANCEL_BATCH_SIZE = 256,
+    /* Most unfinished jobs of a team; further submissions are refused.  A
+     * job's record takes about 300 bytes, and a value in the store holds at
+     * most 1 MB. */
     JOBS_MAX_PER_TEAM = 2000,
-    JOBS_MAX_RESULTS = 256, /* kept per team */
-    JOBS_MAX_TRIES = 3, /* failure or expiry of the last one ends the job */
+    /* Results of ended jobs that are kept per team; older results are dropped.
+     */
+    JOBS_MAX_RESULTS = 256,
+    /* Most tries of a job.  If the task of the last try fails or that task's
+     * lease expires, the job ends in state failed. */
+    JOBS_MAX_TRIES = 3,
     JOBS_MIN_ESTIMATE_CORES_MILLI = 1000,
     JOBS_MIN_ESTIMATE_MEMORY_MB = 64,
-    JOBS_MIN_SAMPLES = 3,  /* of a class, before its estimate is used */
-    JOBS_MAX_SAMPLES = 20, /* latest ones kept per class */
-    /* Consecutive failures on a worker after which it gets no tasks for
-     * JOBS_BAD_WORKER_PAUSE_MS. */
+    /* Samples (the use of finished tasks) that a class of jobs needs for an
+     * estimate of its jobs' size; with fewer, the declared size is reserved.
+     */
+    JOBS_MIN_SAMPLES = 3,
+    JOBS_MAX_SAMPLES = 20, /* latest samples kept per class of jobs */
+    /* Consecutive failures of tasks on a worker after which that worker gets
+     * no tasks for JOBS_BAD_WORKER_PAUSE_MS. */
     JOBS_BAD_WORKER_FAILURES = 3,
     JOBS_BAD_WORKER_PAUSE_MS = 10 * 60 * 1000
 };
 
-/* A team and its document: {"jobs": {ID: record}, "results": [record...],
- * "samples": {CLASS: [[cores_milli, memory_mb]...]}}. */
+/* A team and its document: {"jobs": {ID: record of an unfinished job},
+ * "results": [result of an ended job...], "samples": {CLASS: [[cores_milli,
+ * memory_mb]...]}}.  A sample is the highest use of one finished task, and
+ * CLASS stands for all jobs that declare the same size. */
 typedef struct {
     char *name;
-    json_t *stored;  /* document as last read from the store */
-    json_t *working; /* the same with the decided changes */
-    uint64_t index;  /* store index of "stored"; 0: not in the store */
-    bool dirty;      /* "working" has changes that are not stored */
+    json_t *stored;  /* document as last read from or written to the store */
+    json_t *working; /* copy of "stored" with all decided changes */
+    /* Store revision of the document "stored"; 0: the store has no document of
+     * this team. */
+    uint64_t store_revision;
+    bool dirty; /* "working" has changes that are not stored */
 } Team;
 
-/* Data on a task that is kept in memory only and lost with the process. */
+/* Data on one task.  The data is kept in memory only and lost when the process
+ * ends. */
 typedef struct {
-    int64_t last_order_ms;    /* Unix ms of the last start, stop or checkpoint
-                               * order */
-    int64_t last_renewal_ms;  /* Unix ms of the last lease renewal order */
-    int64_t peak_cores_milli; /* highest use reported so far */
+    /* Unix ms at which the last start, stop or checkpoint order for this task
+     * was sent. */
+    int64_t last_order_ms;
+    /* Unix ms at which the last order to renew this task's lease was sent. */
+    int64_t last_renewal_ms;
+    /* Most cores that this task was reported to use, in thousandths of a core.
+     */
+    int64_t peak_cores_milli;
     int64_t peak_memory_mb;
 } TaskRuntime;
 
-/* Failures on a worker since a task last finished there. */
+/* Failures of tasks on one worker since a task last finished on that worker.
+ */
 typedef struct {
-    char *last_failed_task;   /* name; repeated reports on it count once */
-    int consecutive_failures; /* of different tasks */
-    int64_t bad_until_ms;     /* Unix ms; no tasks before that time */
-    /* A task was placed after that time, to test the worker; no other task is
-     * placed until it has failed or finished. */
+    /* Name of the task that failed last on this worker; repeated reports of
+     * that failure count once. */
+    char *last_failed_task;
+    /* Tasks that failed on this worker since a task last finished on it. */
+    int consecutive_failures;
+    int64_t bad_until_ms; /* Unix ms before which this worker gets no tasks */
+    /* A task was placed on this worker after "bad_until_ms", to test the
+     * worker; no other task is placed on the worker until that task has failed
+     * or finished. */
     bool is_on_trial;
 } WorkerHealth;
 
 struct AqJobs {
-    GHashTable *teams;   /* name -> Team, owned */
-    GHashTable *tasks;   /* task -> TaskRuntime, owned */
-    GHashTable *workers; /* worker -> WorkerHealth, owned */
-    uint32_t disabled;   /* AQ_JOBS_DISABLE_* bits */
+    GHashTable *teams;   /* team name -> Team, owned */
+    GHashTable *tasks;   /* task name -> TaskRuntime, owned */
+    GHashTable *workers; /* worker id -> WorkerHealth, owned */
+    uint32_t disabled; /* AQ_JOBS_DISABLE_* bits of the disabled mechanisms */
 };
 
-/* Resources of a task, a worker or a quota. */
+/* Amounts of the resources of a task, a worker or a team's quota. */
 typedef struct {
     int64_t cores_milli; /* thousandths of a core */
     int64_t memory_mb;
@@ -73,52 +99,60 @@
 /* ---- Teams and records (jobs.c) ------------------------------------------
  */
 
-/* Returns a team, borrowed, or NULL if no document of it was loaded. */
+/* Returns the team of that name, borrowed from "jobs", or NULL if no document
+ * of that team was loaded. */
 Team *jobs_find_team(const AqJobs *jobs, const char *name);
-/* Returns the unfinished jobs in a team's working document, an object from id
- * to record.  Borrowed. */
+/* Returns the unfinished jobs in the team's document with all decided changes:
+ * an object from job id to job record, borrowed from "team". */
 json_t *team_jobs(const Team *team);
 const char *job_state(const json_t *job);
 /* Whether the job is in "state". */
 bool job_is(const json_t *job, const char *state);
-/* Fields of a record; an absent field reads as 0, "" or false. */
+/* job_int(), job_text() and job_flag() return the value of a field of a job's
+ * record; an absent field reads as 0, "" or false. */
 int64_t job_int(const json_t *job, const char *field);
 const char *job_text(const json_t *job, const char *field);
 bool job_flag(const json_t *job, const char *field);
-/* Changes the job's state and marks the team dirty. */
+/* Sets the state in the job's record, and marks the team as having unstored
+ * changes (dirty). */
 void job_set_state(Team *team, json_t *job, const char *state);
-/* Ends a job: removes its record and appends a result with the final state and
- * the reason for it; "" for none.  Only the last JOBS_MAX_RESULTS results of
- * the team are kept. */
+/* Ends job "id" of the team: removes the job's record, and appends a result
+ * with the final state and the reason for that state ("": no reason).  Only
+ * the last JOBS_MAX_RESULTS results of the team are kept. */
 void job_end(Team *team, const char *id, const char *state,
              const char *reason);
-/* Returns the name of a job's current task, "TEAM.JOB.TRY"; freed with g_free.
- * A start after a refused one and a start that resumes from a checkpoint keep
- * the number of the try, so that a delayed duplicate of the earlier order
- * finds the task of the later one and is refused by the platform. */
+/* Returns the name of the job's current task, "TEAM.JOB.TRY", which the caller
+ * frees with g_free.  A start after a refused start and a start that resumes
+ * from a checkpoint keep the number of the try.  A delayed duplicate of the
+ * earlier START order therefore finds the task of the later START order, and
+ * the platform refuses the duplicate. */
 char *task_name(const char *team, const char *id, const json_t *job);
 
-/* Both return the entry of that name, which they add if there is none.
- * Borrowed. */
+/* jobs_task_runtime() and jobs_worker_health() return the entry of that task
+ * or worker, borrowed from "jobs"; if there is no such entry, an empty one is
+ * added. */
 TaskRuntime *jobs_task_runtime(AqJobs *jobs, const char *task);
 WorkerHealth *jobs_worker_health(AqJobs *jobs, const char *worker);
 
 /* ---- Sizes (estimate.c) ---------------------------------------------------
  */
 
-/* The size that was given in job.submit. */
+/* Returns the size that the job's job.submit declared. */
 Size size_declared(const json_t *job);
-/* Returns the size to reserve for a job: estimated from the samples of its
- * class, or the declared size while there are fewer than JOBS_MIN_SAMPLES. */
+/* Returns the size to reserve for the job's task.  Cores and memory are
+ * estimated from the use of finished tasks of the job's class; they are as
+ * declared while the class has fewer than JOBS_MIN_SAMPLES samples. */
 Size size_estimate(const Team *team, const json_t *job);
-/* Adds the highest use of a finished task to the samples of its job's class.
- */
+/* Adds the highest use of a finished task ("runtime") to the samples of the
+ * class of the task's job. */
 void size_add_sample(Team *team, const json_t *job,
                      const TaskRuntime *runtime);
-/* Returns the size that was reserved when the start was decided.  It is stored
- * in the record, so that every repeat of the order carries the same size. */
+/* Returns the size that was reserved for the job's task when the start of that
+ * task was decided.  The size is stored in the job's record, so that every
+ * repeat of the START order carries the same size. */
 Size size_reserved(const json_t *job);
-/* Stores "size" in the record as the reserved size. */
+/* Stores "size" in the job's record as the size reserved for the job's task.
+ */
 void size_reserve(json_t *job, const Size *size);
 /* Whether "size" fits into the free resources "room". */
 bool size_fits(const Size *size, const Size *room);
@@ -126,39 +160,45 @@
 /* ---- Placement (placement.c) ----------------------------------------------
  */
 
-/* Free resources of the workers and used quotas of the teams in one step. */
+/* Free resources of the workers and used quotas of the teams during one
+ * AqJobs_Step(). */
 typedef struct Placement Placement;
 
-/* Computes the free resources of all workers in the fleet, less what the tasks
- * of all teams have reserved.  Only workers that serve and aren't marked as
- * bad accept new tasks.  "wall_ms" is the current Unix time in ms. */
+/* Computes, for each worker in the fleet, the worker's resources less what
+ * tasks have reserved on that worker and, for each team, the used quota.  Only
+ * workers in state serving on which tasks haven't failed repeatedly accept new
+ * tasks.  "wall_ms" is the current Unix time in ms. */
 Placement *placement_create(AqJobs *jobs, const AqFleet *fleet,
                             int64_t wall_ms);
 void placement_destroy(Placement *placement);
-/* Selects the worker with the fewest free cores among those that match the
- * selector and have room for "size", and reserves the room (best fit).
- * Returns its id, borrowed from the fleet, or NULL if there is none. */
+/* Selects the worker with the fewest free cores (best fit) among the workers
+ * that accept tasks, match the selector and have room for "size", and reserves
+ * "size" on that worker.  Returns the worker's id, borrowed from the fleet, or
+ * NULL if there is no such worker. */
 const char *placement_place(Placement *placement, const Size *size,
                             const json_t *selector);
 /* Reserves "size" in the team's quota.  Returns false and reserves nothing if
- * the rest of the quota doesn't suffice. */
+ * the unused part of the quota is smaller than "size". */
 bool placement_reserve_quota(Placement *placement, const char *team,
                              const Size *size);
-/* Undoes placement_reserve_quota(). */
+/* Undoes a placement_reserve_quota() of the same team and size. */
 void placement_release_quota(Placement *placement, const char *team,
                              const Size *size);
-/* Returns the used fraction of the team's core quota.  Teams with a smaller
- * fraction are served first. */
+/* Returns the fraction of the team's core quota that the team's tasks have
+ * reserved.  Jobs of teams with a smaller fraction are started first. */
 double placement_quota_share(const Placement *placement, const char *team);
-/* Selects the matching worker on which the fewest non-urgent idempotent tasks,
- * youngest first, must stop to make room for "size".  Sets their jobs to
- * checkpointing and reserves the room for the rest of the step.  Returns
- * false if there is no such worker. */
+/* Makes room for an urgent job of that size.  Selects, among the workers that
+ * accept tasks and match the selector, the worker on which the fewest
+ * non-urgent idempotent tasks must stop, the last started first.  Sets the
+ * jobs of those tasks to state checkpointing, and reserves "size" on the
+ * worker for the rest of this AqJobs_Step().  Returns false if stopping such
+ * tasks makes enough room on no worker. */
 bool placement_preempt(Placement *placement, const Size *size,
                        const json_t *selector);
 
-/* Whether any worker could hold the job's declared size when idle.  If none
- * could, the error names the label or size that prevents it. */
+/* Whether some worker in "fleet" matches the job's selector and has the
+ * resources that the job declares, free or not.  If there is no such worker,
+ * "error" names the label or size that prevents the job. */
 bool placement_is_possible(const AqFleet *fleet, const json_t *job,
                            AqError *error);
 /* Whether "labels" has every label of the selector with the same value. */
--- a/packages/jobs/placement.c
+++ b/packages/jobs/placement.c
@@ -4,15 +4,17 @@
 #include <string.h>
 
 typedef struct {
-    const char *id; /* borrowed from the fleet, as are the labels */
-    const json_t *labels;
-    Size free; /* negative while tasks reserve more than the worker has */
+    const char *id;       /* id of the VM, borrowed from the fleet */
+    const json_t *labels; /* of the VM, borrowed from the fleet */
+    /* Resources that no task has reserved; negative while tasks have reserved
+     * more than the worker has. */
+    Size free;
     bool accepts_tasks;
 } Worker;
 
 /* Quota of one team. */
 typedef struct {
-    Size used; /* reserved by its tasks */
+    Size used; /* reserved by the team's tasks */
     Size limit;
 } Quota;
 
@@ -20,12 +22,13 @@
     AqJobs *jobs;
     const AqFleet *fleet;
     int64_t wall_ms;
-    GArray *workers;    /* of Worker */
-    GHashTable *by_id;  /* worker id -> index in "workers" + 1 */
-    GHashTable *quotas; /* team -> Quota, owned */
+    GArray *workers;    /* array of Worker, one for each VM */
+    GHashTable *by_id;  /* worker id -> 1 + array position in "workers" */
+    GHashTable *quotas; /* team name -> Quota, owned */
 };
 
-/* Returns the resources in the record of a VM or a team. */
+/* Returns the resources in a fleet record: those of a VM, or those that a
+ * team's quota allows. */
 static Size
 capacity(const json_t *record)
 {
@@ -74,8 +77,8 @@
     return at == 0 ? NULL : &g_array_index(p->workers, Worker, at - 1);
 }
 
-/* Returns the quota of a team, which is read from the fleet on first use.
- * Owned by the placement. */
+/* Returns the quota of that team, owned by the placement.  The quota's limit
+ * is read from the fleet at the first call for that team. */
 static Quota *
 get_quota(const Placement *p, const char *team)
 {
@@ -91,7 +94,8 @@
 /* ---- Construction -------------------------------------------------------
  */
 
-/* Whether a worker gets no new tasks because tasks failed there repeatedly. */
+/* Whether worker "id" gets no new tasks because tasks failed on that worker
+ * repeatedly. */
 static bool
 is_bad_worker(AqJobs *jobs, const char *id, int64_t wall_ms)
 {
@@ -121,8 +125,9 @@
     return true;
 }
 
-/* Subtracts the reservations of a team's tasks from their workers, and adds
- * them to the team's used quota. */
+/* For each task of a team, subtracts the size reserved for the task from the
+ * free resources of the task's worker, and adds that size to the team's used
+ * quota. */
 static void
 add_tasks(Placement *p, const Team *team)
 {
@@ -174,8 +179,9 @@
 /* ---- Selection ----------------------------------------------------------
  */
 
-/* Records that a task was placed on a worker that was marked as bad.  Until it
- * has failed or finished, the worker gets no other task. */
+/* Records that a task was just placed on worker "id".  If tasks failed on that
+ * worker repeatedly before, the worker gets no other task until this task has
+ * failed or finished. */
 static void
 start_trial(Placement *p, const char *id)
 {
@@ -254,8 +260,8 @@
     return (x < y) - (x > y);
 }
 
-/* Returns the non-urgent idempotent tasks that run on a worker, youngest
- * first, as a new array of Victim. */
+/* Returns the non-urgent idempotent tasks of all teams that run on a worker,
+ * as a new array of Victim; the task that started last comes first. */
 static GArray *
 collect_victims(const Placement *p, const char *worker)
 {
@@ -281,8 +287,9 @@
     return victims;
 }
 
-/* Returns how many victims must stop, in the order of the array, to make room
- * for "size"; 0 if stopping all of them doesn't suffice or there are none. */
+/* Returns how many tasks from the start of "victims" must stop so that the
+ * worker has room for "size"; 0 if stopping all the victims doesn't make
+ * enough room or the array is empty. */
 static guint
 count_victims_needed(const Worker *worker, const GArray *victims,
                      const Size *size)
@@ -329,8 +336,9 @@
         Victim *victim = &g_array_index(best_victims, Victim, i);
         job_set_state(victim->team, victim->job, "checkpointing");
     }
-    /* Reserves the room, so that this step neither places another job in it
-     * nor counts it for another preemption. */
+    /* Reserves the room on the selected worker, so that the rest of this
+     * AqJobs_Step() neither places another job in that room nor counts the
+     * room for another preemption. */
     subtract_size(&best->free, size);
     g_array_free(best_victims, TRUE);
     return true;
@@ -339,17 +347,20 @@
 /* ---- Feasibility --------------------------------------------------------
  */
 
-/* Search for a worker that could hold a job when idle. */
+/* Search for a worker that matches a job's selector and has the resources that
+ * the job declares, free or not. */
 typedef struct {
     const AqFleet *fleet;
     const json_t *job;
-    bool any_match; /* a worker matches the selector */
-    bool any_fit;   /* a matching worker is large enough */
-    Size largest;   /* maximum of each resource over the matching workers */
+    bool any_match; /* some worker matches the job's selector */
+    bool any_fit;   /* some worker that matches is large enough for the job */
+    /* Maximum of each resource over the workers that match the job's selector.
+     */
+    Size largest;
 } FitSearch;
 
-/* Adds a VM to the search.  Returns false, which ends the search, if the job
- * fits. */
+/* Compares one VM with the job of the FitSearch "context".  Returns false,
+ * which ends the search, if the VM is large enough for the job. */
 static bool
 check_vm_fit(void *context, const AqVmView *view)
 {
@@ -371,8 +382,9 @@
     return !state->any_fit;
 }
 
-/* Sets an error that names the first selector label that no VM has, or says
- * that no VM has all of them; returns false. */
+/* Sets "error" so that it names the first label of the job's selector that no
+ * VM has or, if each label is on some VM, says that no VM has all labels of
+ * the selector.  Returns false. */
 static bool
 set_selector_error(const FitSearch *state, AqError *error)
 {
--- a/packages/jobs/steps.c
+++ b/packages/jobs/steps.c
@@ -6,7 +6,7 @@
 typedef struct {
     AqJobs *jobs;
     const AqFleet *fleet;
-    int64_t wall_ms; /* current Unix time */
+    int64_t wall_ms; /* current Unix time of the caller's clock */
     void (*order)(void *context, const AqTaskOrder *order);
     void *context;
 } Step;
@@ -21,7 +21,8 @@
 /* ---- Reports -------------------------------------------------------------
  */
 
-/* Releases the job's worker and reservation, and queues it again. */
+/* Sets a job to state queued, and removes the worker, the start time and the
+ * reserved size from the job's record. */
 static void
 requeue_job(Team *team, json_t *job)
 {
@@ -31,8 +32,8 @@
     job_set_state(team, job, "queued");
 }
 
-/* Queues a job again such that the next start has the number of this try, and
- * thus the name of this task. */
+/* Queues a job again such that the job's next start has the same try number,
+ * and thus the same task name, as the job's current task. */
 static void
 requeue_same_try(Team *team, json_t *job)
 {
@@ -40,8 +41,10 @@
     requeue_job(team, job);
 }
 
-/* Counts a failed task against its worker, once for each task name, and stops
- * placing tasks there after JOBS_BAD_WORKER_FAILURES consecutive ones. */
+/* Counts the failure of a task on a worker; further reports on the task that
+ * failed last on that worker aren't counted.  After JOBS_BAD_WORKER_FAILURES
+ * consecutive failures, the worker gets no tasks for JOBS_BAD_WORKER_PAUSE_MS.
+ */
 static void
 record_failure(AqJobs *jobs, const char *worker, const char *task,
                int64_t wall_ms)
@@ -59,15 +62,17 @@
     }
 }
 
-/* Clears the failures of a worker on which a task finished. */
+/* Clears the counted failures of a worker after a task finished on that
+ * worker. */
 static void
 record_success(AqJobs *jobs, const char *worker)
 {
     g_hash_table_remove(jobs->workers, worker);
 }
 
-/* Queues a job again after an unsuccessful try.  Ends it with "reason" if it
- * is cancelled or has used all its tries. */
+/* Queues job "id" again after an unsuccessful try.  Ends the job with "reason"
+ * instead if its cancellation was requested or it has used all JOBS_MAX_TRIES
+ * tries. */
 static void
 retry_or_fail(Team *team, const char *id, json_t *job, const char *reason)
 {
@@ -98,8 +103,10 @@
     }
 }
 
-/* Handles a task whose lease expired.  A non-idempotent one that may have run
- * isn't started again: its job ends in state unknown. */
+/* Changes job "id" after the lease of the job's task expired.  A
+ * non-idempotent job whose task may have run ("started") isn't started again
+ * but ends in state unknown; any other job is tried again if it has tries
+ * left. */
 static void
 handle_task_lapsed(AqJobs *jobs, Team *team, const char *id, json_t *job,
                    bool started)
@@ -150,8 +157,10 @@
         handle_task_stopped(team, id, job, report->started);
     }
     else if (strcmp(state, "checkpointed") == 0) {
-        /* The checkpoint keeps the work done, and the next task resumes from
-         * it: nothing runs twice, so non-idempotent jobs are queued too. */
+        /* The checkpoint keeps the work that the task has done, and the job's
+         * next start resumes from that checkpoint.  No work is done twice, so
+         * non-idempotent jobs are queued again too; only a cancelled job ends.
+         */
         if (job_flag(job, "cancel")) {
             job_end(team, id, "cancelled", "cancelled by an operator");
         }
@@ -165,17 +174,18 @@
     }
 }
 
-/* Returns the unfinished job that a task name belongs to, borrowed, or NULL if
- * there is none or the name is that of another try.  *team and *id receive the
- * job's team and id; the caller frees *id with g_free, also after NULL. */
+/* Returns the record of the unfinished job that the task name "task" belongs
+ * to, borrowed, or NULL if there is no such job or the task is another try of
+ * the job.  *team and *id receive the job's team and id; the caller frees *id
+ * with g_free, also if the function returns NULL. */
 static json_t *
 find_job(const AqJobs *jobs, const char *task, Team **team, char **id)
 {
     const char *last = strrchr(task, '.');
     json_t *job = NULL;
     *id = NULL;
-    /* Names of teams and jobs may contain dots: each dot before the number of
-     * the try may be the one that separates them. */
+    /* A task name is TEAM.JOB.TRY, and TEAM and JOB may contain dots: each dot
+     * before the last dot may be the one that separates TEAM from JOB. */
     for (const char *dot = strchr(task, '.'); dot != NULL && dot < last;
          dot = strchr(dot + 1, '.')) {
         char *name = g_strndup(task, (gsize)(dot - task));
@@ -198,8 +208,9 @@
     Team *team = NULL;
     char *id;
     json_t *job = find_job(jobs, report->id, &team, &id);
-    /* A report from another worker was made before a checkpoint moved the
-     * task. */
+    /* A report from a worker other than the one in the job's record has no
+     * effect: the report was made before a checkpoint moved the task to the
+     * recorded worker. */
     if (job != NULL && !job_is(job, "queued") &&
         strcmp(job_text(job, "worker"), report->worker) == 0) {
         TaskRuntime *runtime = jobs_task_runtime(jobs, report->id);
@@ -228,8 +239,8 @@
         json_object_set_new(job, "started", json_integer(wall_ms));
     }
     else if (refused) {
-        /* The worker has less room than the documents show.  That doesn't
-         * count as a try. */
+        /* The worker has less room than the teams' documents show.  A refused
+         * start doesn't count as a try of the job. */
         requeue_same_try(team, job);
     }
 }
@@ -254,8 +265,10 @@
     step->order(step->context, &order);
 }
 
-/* Sends an order unless one was sent within JOBS_ORDER_RETRY_INTERVAL_MS.  It
- * is called in each step until the job's state shows the effect. */
+/* Sends a start, checkpoint or stop order for a task unless such an order for
+ * this task was sent less than JOBS_ORDER_RETRY_INTERVAL_MS ago.  Each
+ * AqJobs_Step() calls this function until the job's state shows the order's
+ * effect. */
 static void
 send_order_with_retry(const Step *step, AqTaskAction action, const char *task,
                       const json_t *job)
@@ -268,8 +281,9 @@
     }
 }
 
-/* Sends the orders that are due in the job's state, and renews the lease of a
- * task that may run. */
+/* Sends the start, checkpoint or stop order that the job's state requires.
+ * Also renews the task's lease every JOBS_RENEW_INTERVAL_MS, except in state
+ * starting. */
 static void
 send_state_orders(const Step *step, const char *task, const json_t *job)
 {
@@ -290,9 +304,9 @@
     }
 }
 
-/* Sends the orders that are due for a team's tasks.  They are based on the
- * stored document, which therefore lists every task that may run; a planner
- * that takes over finds them there. */
+/* Sends the orders that are due for a team's tasks.  The orders are based on
+ * the stored document of the team, which therefore lists every task that may
+ * run; another planner that takes over finds these tasks in the document. */
 static void
 send_orders(const Step *step, const Team *team)
 {
@@ -314,9 +328,10 @@
 /* ---- Starts --------------------------------------------------------------
  */
 
-/* Decides the start of a queued job: reserves quota and room, and changes the
- * record.  Returns false if the job stays queued; for an urgent one that found
- * no room, tasks are preempted, and a later step starts it. */
+/* Decides the start of a queued job: reserves the team's quota and room on a
+ * worker, and sets the job's record to state starting.  Returns false if the
+ * job stays queued.  If no worker has room for an urgent job, other tasks are
+ * preempted, and a later AqJobs_Step() starts the job. */
 static bool
 start_job(const Step *step, Placement *placement, Team *team, json_t *job)
 {
@@ -347,12 +362,13 @@
     Team *team;
     json_t *job;
     bool urgent;
-    double share;      /* used fraction of the team's core quota */
-    int64_t submitted; /* Unix ms */
+    double share;         /* reserved fraction of the team's core quota */
+    int64_t submitted_ms; /* Unix time of the job's submission */
 } QueuedJob;
 
-/* Orders urgent jobs first, then those of teams that use the smallest fraction
- * of their quota, then the oldest. */
+/* Sorts urgent jobs before all others, then jobs of teams that have reserved a
+ * smaller fraction of their core quota, then jobs that were submitted earlier.
+ */
 static int
 compare_queued_jobs(gconstpointer a, gconstpointer b)
 {
@@ -364,11 +380,12 @@
     if (x->share != y->share) {
         return x->share < y->share ? -1 : 1;
     }
-    return (x->submitted > y->submitted) - (x->submitted < y->submitted);
+    return (x->submitted_ms > y->submitted_ms) -
+           (x->submitted_ms < y->submitted_ms);
 }
 
-/* Returns the queued jobs that aren't cancelled, in starting order, as a new
- * array of QueuedJob. */
+/* Returns the queued jobs of all teams, except those to be cancelled, in the
+ * order in which to start the jobs, as a new array of QueuedJob. */
 static GArray *
 collect_queued_jobs(const Step *step, const Placement *placement)
 {
@@ -414,8 +431,8 @@
 /* ---- Cancellations and drains --------------------------------------------
  */
 
-/* Applies up to *remaining cancellations of a team and lowers *remaining by
- * their number. */
+/* Applies up to *remaining requested job cancellations of a team, and lowers
+ * *remaining by the number applied; a later AqJobs_Step() applies the rest. */
 static void
 cancel_jobs(Team *team, int *remaining)
 {
@@ -454,8 +471,8 @@
     }
 }
 
-/* Sets the jobs that run on draining workers to checkpointing, so that their
- * tasks resume on other workers. */
+/* Sets the team's jobs that run on draining workers to state checkpointing, so
+ * that these jobs resume on other workers. */
 static void
 checkpoint_draining(const Step *step, Team *team)
 {
--- a/packages/jobs/tests/fake.c
+++ b/packages/jobs/tests/fake.c
@@ -56,7 +56,8 @@
 /* ---- Fleet ----------------------------------------------------------------
  */
 
-/* Sets a fleet record.  Takes over "record". */
+/* Adds or replaces the fleet record "name" of that kind.  Takes over "record".
+ */
 static void
 upsert(Fake *fake, const char *kind, const char *name, json_t *record)
 {
@@ -104,8 +105,8 @@
     g_hash_table_iter_init(&iter, fake->values);
     while (g_hash_table_iter_next(&iter, &key, &data)) {
         const FakeValue *value = data;
-        AqJobs_Load(jobs, key, value->text, strlen(value->text), value->index,
-                    NULL);
+        AqJobs_Load(jobs, key, value->text, strlen(value->text),
+                    value->store_revision, NULL);
     }
 }
 
@@ -125,15 +126,15 @@
         char *name = g_strdup(team);
         char *text = AqJobs_Encode(jobs, name, &index);
         FakeValue *value = g_hash_table_lookup(fake->values, name);
-        bool ok = (value != NULL ? value->index : 0) == index;
+        bool ok = (value != NULL ? value->store_revision : 0) == index;
         if (ok) {
             value = g_new0(FakeValue, 1);
             value->text = g_strdup(text);
-            value->index = ++fake->index;
+            value->store_revision = ++fake->store_revision;
             g_hash_table_replace(fake->values, g_strdup(name), value);
         }
         if (ok && !is_reply_lost(fake)) {
-            AqJobs_Stored(jobs, name, fake->index);
+            AqJobs_Stored(jobs, name, fake->store_revision);
         }
         else {
             AqJobs_Rollback(jobs, name);
@@ -153,8 +154,9 @@
     json_t *intent = json_pack("{s:s,s:s,s:o}", "op", op, "kind", kind, "args",
                                AqJson_Parse(args, strlen(args), NULL));
     bool ok;
-    /* Like the daemon, evaluates the intent on the stored documents until that
-     * changes nothing: the operation has then been found in the store. */
+    /* Like the daemon, evaluates the intent on the stored documents again
+     * until the evaluation changes nothing: the store then has the intent's
+     * change. */
     do {
         fake_load(fake, jobs);
         ok = AqJobs_Evaluate(jobs, fake->fleet, intent, fake->now_ms, error);
@@ -171,7 +173,7 @@
 /* ---- Platform -------------------------------------------------------------
  */
 
-/* Returns the cores of a worker that no running task has reserved. */
+/* Returns how many whole cores of a worker no running task has reserved. */
 static int64_t
 free_cores(const Fake *fake, const char *worker)
 {
@@ -209,9 +211,10 @@
     AqJobs *jobs;
 } OrderContext;
 
-/* Starts a task, or resumes one from its checkpoint on the ordered worker.  A
- * duplicate of the order succeeds for the same worker and is refused for
- * another one. */
+/* Executes a START order: starts the task or, if it is checkpointed, resumes
+ * it on the order's worker.  An order for a task that was started already is a
+ * duplicate, which succeeds if it names the task's worker and is refused if it
+ * names another worker. */
 static void
 start_task(Fake *fake, AqJobs *jobs, const AqTaskOrder *order)
 {
--- a/packages/jobs/tests/fake.h
+++ b/packages/jobs/tests/fake.h
@@ -11,40 +11,46 @@
 /* A fake store for the documents of teams and a fake platform that runs tasks,
  * both in virtual time. */
 
-/* Document of one team in the store. */
+/* Document of one team in the fake store. */
 typedef struct {
     char *text;
-    uint64_t index; /* store index of the last write */
+    uint64_t store_revision; /* of the last write of this document */
 } FakeValue;
 
-/* Task on the platform. */
+/* A task on the fake platform. */
 typedef struct {
-    char *id; /* TEAM.JOB.TRY */
+    char *id; /* task name, TEAM.JOB.TRY */
     char *worker;
     char *job; /* TEAM.JOB */
     const char *state;
     bool started;
-    int64_t lease_until_ms; /* virtual time */
+    int64_t lease_until_ms; /* virtual time at which the lease expires */
     int64_t finish_at_ms;
-    int64_t cores; /* reserved; whole cores */
+    int64_t cores; /* whole cores reserved for the task */
     int64_t memory_mb;
     int64_t cores_used_milli;
 } FakeTask;
 
 typedef struct {
-    GHashTable *values;      /* team -> FakeValue, owned */
-    uint64_t index;          /* store index of the latest write */
-    GHashTable *tasks;       /* task id -> FakeTask, owned */
-    GHashTable *run_counts;  /* TEAM.JOB -> tasks that were started for it */
-    GHashTable *bad_workers; /* set of workers on which every task fails */
+    GHashTable *values;      /* team name -> FakeValue, owned */
+    uint64_t store_revision; /* of the latest write of any document */
+    GHashTable *tasks;       /* task name -> FakeTask, owned */
+    /* TEAM.JOB -> number of tasks started for that job. */
+    GHashTable *run_counts;
+    /* Set of the ids of workers on which every task fails. */
+    GHashTable *bad_workers;
     AqFleet *fleet;
     AqRandom random;
-    int64_t now_ms;         /* virtual time */
-    int64_t run_ms;         /* time that a task takes */
-    int cpu_use_percent;    /* cores that a task uses, of the declared ones */
-    int reply_loss_percent; /* calls that take effect but lose their reply */
-    int starts_on_bad;      /* tasks started on bad workers */
-    int64_t most_used_cores_milli; /* highest use on one worker */
+    int64_t now_ms; /* current virtual time */
+    int64_t run_ms; /* virtual time that a task takes to finish */
+    /* Cores that a task uses, in percent of the cores that its job declares.
+     */
+    int cpu_use_percent;
+    /* Percentage of store writes and START orders that take effect but whose
+     * reply is lost. */
+    int reply_loss_percent;
+    int starts_on_bad; /* tasks started on workers in "bad_workers" */
+    int64_t most_used_cores_milli; /* never set; unused */
 } Fake;
 
 void fake_init(Fake *fake, uint64_t seed);
@@ -57,26 +63,31 @@
 /* Adds a team whose quota is "cores" and 1024 MB of memory for each core. */
 void fake_add_team(Fake *fake, const char *name, int cores);
 
-/* Evaluates an intent with a new operation id and writes the result,
- * repeatedly until it is in the store or refused.  "args" is a JSON object.
- * Returns whether it was accepted; "error" may be NULL. */
+/* Evaluates an intent of that kind with a new operation id and writes the
+ * changed document, repeatedly until the store has the change or the intent is
+ * refused.  "args" is the text of a JSON object.  Returns whether the intent
+ * was accepted; "error" may be NULL. */
 bool fake_submit(Fake *fake, AqJobs *jobs, const char *kind, const char *args,
                  AqError *error);
 
-/* Loads all documents from the store into "jobs". */
+/* Loads the documents of all teams from the fake store into "jobs". */
 void fake_load(Fake *fake, AqJobs *jobs);
-/* Writes all decided changes to the store.  They are rolled back in "jobs" if
- * the write conflicts or its reply is lost. */
+/* Writes each document with decided changes to the fake store.  The changes to
+ * a document are rolled back in "jobs" if the write of that document conflicts
+ * with an earlier write or the reply is lost. */
 void fake_store(Fake *fake, AqJobs *jobs);
-/* Runs one round of a planner: loads the documents, reports all tasks, runs a
- * step and stores the changes. */
+/* Runs one round of the planner "jobs": loads all documents from the fake
+ * store, reports all tasks of the fake platform, runs AqJobs_Step(), executes
+ * its orders and stores the changes. */
 void fake_round(Fake *fake, AqJobs *jobs);
-/* Advances virtual time; tasks finish, or lapse if the lease expires first. */
+/* Advances virtual time by "ms".  Running tasks that are due by the new time
+ * finish; a task whose lease expires first lapses. */
 void fake_advance(Fake *fake, int64_t ms);
 
 /* Returns how many tasks were started for "job", which is TEAM.JOB. */
 int fake_runs(const Fake *fake, const char *job);
-/* Returns the number of jobs and results in a state, over all teams. */
+/* Returns how many unfinished jobs and kept results of ended jobs, over all
+ * teams, are in state "state". */
 int fake_count(AqJobs *jobs, const char *state);
 
 #endif
--- a/packages/jobs/tests/test_jobs.c
+++ b/packages/jobs/tests/test_jobs.c
@@ -7,21 +7,21 @@
 
 enum {
     ROUND_MS = 500, /* virtual time between two rounds of a planner */
-    SEEDS = 200     /* random runs */
+    SEEDS = 200     /* number of random test runs, each with its own seed */
 };
 
 /* ---- Intents --------------------------------------------------------------
  */
 
-/* Guards against accepting a job that no worker can hold, which would stay
- * queued for ever, and against errors that don't name the label, size or quota
- * that prevents it. */
+/* Guards against accepting a job that fits on no worker, which would stay
+ * queued for ever, and against an error message that doesn't name the label,
+ * size or quota that prevents the job. */
 static void
 test_submit_cases(void)
 {
     static const struct {
         const char *args;
-        AqErrorKind kind; /* AQ_OK: accepted */
+        AqErrorKind kind; /* expected error; AQ_OK: the job is accepted */
         const char *in_message;
     } cases[] = {
         {"{\"id\":\"a\",\"team\":\"t\"}", AQ_OK, ""},
@@ -73,16 +73,18 @@
 /* ---- Mechanisms -----------------------------------------------------------
  */
 
-/* A property that one mechanism ensures. */
+/* A property of the job planner that one of its mechanisms ensures, with the
+ * test of that property. */
 typedef struct {
     const char *name;
-    uint32_t mechanism; /* AQ_JOBS_DISABLE_* bit */
-    /* Runs a scenario with the given mechanisms disabled; returns whether the
-     * property held. */
+    uint32_t mechanism; /* AQ_JOBS_DISABLE_* bit of that mechanism */
+    /* Runs a test scenario with the mechanisms of these AQ_JOBS_DISABLE_* bits
+     * disabled; returns whether the property held. */
     bool (*holds)(uint32_t disabled);
 } Property;
 
-/* Submits a job of team t; "extra_args" is "" or ",FIELD:VALUE...". */
+/* Submits job "id" of team t; "extra_args" is "" or further job.submit
+ * arguments as JSON text, ",FIELD:VALUE...". */
 static void
 submit_job(Fake *fake, AqJobs *jobs, const char *id, const char *extra_args)
 {
@@ -92,8 +94,8 @@
     CU_ASSERT_TRUE(fake_submit(fake, jobs, "job.submit", args, NULL));
 }
 
-/* Initializes "fake" with team t and returns new jobs; the caller destroys
- * both. */
+/* Initializes "fake" with team t and returns a new AqJobs with these
+ * mechanisms disabled; the caller clears "fake" and destroys the AqJobs. */
 static AqJobs *
 create_jobs(Fake *fake, uint32_t disabled)
 {
@@ -115,8 +117,9 @@
     }
 }
 
-/* Whether a non-idempotent task runs only once although its planner pauses
- * until after its lease has expired. */
+/* Whether a non-idempotent job is started only once although the planner
+ * pauses for 60 s of virtual time, in which the lease of the job's task
+ * expires. */
 static bool
 holds_at_most_once(uint32_t disabled)
 {
@@ -135,8 +138,9 @@
     return ok;
 }
 
-/* Whether the cores that jobs actually use are what is reserved for them: when
- * jobs declare ten times as many, the worker must not be left idle. */
+/* Whether the cores reserved for a job are estimated from what earlier tasks
+ * used: when jobs declare ten times the cores that they use, the worker must
+ * not be left so idle that 24 jobs don't finish in 15 s of virtual time. */
 static bool
 holds_estimates(uint32_t disabled)
 {
@@ -157,7 +161,8 @@
     return ok;
 }
 
-/* Whether an urgent job starts within 3.5 s when all workers are full. */
+/* Whether an urgent job that is submitted while all workers are full starts
+ * within 3.5 s of virtual time after its submission. */
 static bool
 holds_urgent(uint32_t disabled)
 {
@@ -183,8 +188,8 @@
     return ok;
 }
 
-/* Whether a worker on which every task fails gets at most 4 tasks, and all 30
- * jobs finish on the other worker. */
+/* Whether at most 4 tasks are started on a worker on which every task fails,
+ * and all 30 jobs finish on the other worker. */
 static bool
 holds_bad_worker(uint32_t disabled)
 {
@@ -205,7 +210,8 @@
     return ok;
 }
 
-/* Evaluates an intent for a job of team t without storing the change. */
+/* Evaluates an intent of that kind for job "id" of team t without storing the
+ * change. */
 static void
 evaluate_intent(Fake *fake, AqJobs *jobs, const char *kind, const char *id)
 {
@@ -216,8 +222,9 @@
     json_decref(intent);
 }
 
-/* Whether one step applies at most one batch (256) of 999 cancellations and
- * still starts the job that isn't cancelled; later steps apply the rest. */
+/* Whether one AqJobs_Step() applies at most one batch (256) of 999 job
+ * cancellations and still starts the one job that isn't cancelled, and the
+ * next 8 AqJobs_Step() calls apply the rest of the cancellations. */
 static bool
 holds_batches(uint32_t disabled)
 {
@@ -251,8 +258,9 @@
     *starts += order->action == AQ_TASK_START;
 }
 
-/* Whether a start is ordered only after it has been stored.  Otherwise a
- * planner that takes over finds the job queued and starts it again. */
+/* Whether the start of a task is ordered only after the document that records
+ * the start has been stored.  Otherwise another planner that takes over would
+ * find the job queued and start the job again. */
 static bool
 holds_stored_first(uint32_t disabled)
 {
@@ -277,9 +285,9 @@
     {"stored first", AQ_JOBS_DISABLE_STORED_FIRST, holds_stored_first},
 };
 
-/* Guards against a mechanism without effect and against a scenario that
- * doesn't need it: each property must hold while its mechanism is enabled and
- * fail while it is disabled. */
+/* Guards against a mechanism without effect and against a test scenario that
+ * passes without the mechanism: each property must hold while its mechanism is
+ * enabled and fail while that mechanism is disabled. */
 static void
 test_mechanisms(void)
 {
@@ -295,8 +303,8 @@
     }
 }
 
-/* Guards against a drain that ends or restarts the tasks of a worker: they
- * must resume from a checkpoint on another worker. */
+/* Guards against a drain that ends the tasks of a worker or runs them from the
+ * start again: the tasks must resume from a checkpoint on another worker. */
 static void
 test_drain_moves_tasks(void)
 {
@@ -341,7 +349,8 @@
     fake_submit(fake, jobs, "job.submit", args, NULL);
 }
 
-/* Fails if a non-idempotent job, whose id starts with "n", ran repeatedly. */
+/* Fails the test if a non-idempotent job (its id starts with "n") was started
+ * more than once. */
 static void
 check_run_counts(const Fake *fake, uint64_t seed)
 {
@@ -359,9 +368,11 @@
     }
 }
 
-/* Runs 150 random steps, each by one of two planners, which then have stale
- * documents.  One reply in five is lost, pauses outlast the leases, and tasks
- * fail on one of three workers. */
+/* Does 150 random actions: submissions, planner rounds and advances of virtual
+ * time.  One of two planners does each submission or round, after which the
+ * documents that the other planner has loaded are out of date.  One in five
+ * replies of the store and the platform is lost, some advances are longer than
+ * the lease of a task, and every task fails on one of the three workers. */
 static void
 run_random_steps(uint64_t seed)
 {
@@ -404,8 +415,8 @@
     fake_clear(&fake);
 }
 
-/* Guards against a second run of a non-idempotent task when planners race,
- * replies are lost and leases expire. */
+/* Guards against a second start of a non-idempotent job when two planners work
+ * on the same documents, replies are lost and leases of tasks expire. */
 static void
 test_random_interleavings(void)
 {
