--- a/packages/jobs/Include/aq_jobs.h
+++ b/packages/jobs/Include/aq_jobs.h
@@ -126,7 +126,7 @@
     const char *task; /* task name, "TEAM.JOB.TRY" */
     const char *worker;
     const json_t *job; /* the job's record in its team's document */
-    int64_t cores;     /* rounded up to whole cores */
+    int64_t cores;     /* reserved for the task, rounded up to whole cores */
     int64_t memory_mb;
     int64_t accelerators;
 } AqTaskOrder;
--- a/packages/jobs/jobs_internal.h
+++ b/packages/jobs/jobs_internal.h
@@ -32,7 +32,9 @@
      * estimate of its jobs' size; with fewer, the declared size is reserved.
      */
     JOBS_MIN_SAMPLES = 3,
-    JOBS_MAX_SAMPLES = 20, /* latest samples kept per class of jobs */
+    /* Samples (the use of finished tasks) that are kept per class of jobs;
+     * older samples are dropped. */
+    JOBS_MAX_SAMPLES = 20,
     /* Consecutive failures of tasks on a worker after which that worker gets
      * no tasks for JOBS_BAD_WORKER_PAUSE_MS. */
     JOBS_BAD_WORKER_FAILURES = 3,
@@ -50,7 +52,7 @@
     /* Store revision of the document "stored"; 0: the store has no document of
      * this team. */
     uint64_t store_revision;
-    bool dirty; /* "working" has changes that are not stored */
+    bool dirty; /* the document "working" has changes that aren't stored */
 } Team;
 
 /* Data on one task.  The data is kept in memory only and lost when the process
--- a/packages/jobs/placement.c
+++ b/packages/jobs/placement.c
@@ -353,7 +353,9 @@
     const AqFleet *fleet;
     const json_t *job;
     bool any_match; /* some worker matches the job's selector */
-    bool any_fit;   /* some worker that matches is large enough for the job */
+    /* Some worker that matches the job's selector is large enough for the job.
+     */
+    bool any_fit;
     /* Maximum of each resource over the workers that match the job's selector.
      */
     Size largest;
--- a/packages/jobs/tests/test_jobs.c
+++ b/packages/jobs/tests/test_jobs.c
@@ -77,9 +77,9 @@
  * test of that property. */
 typedef struct {
     const char *name;
-    uint32_t mechanism; /* AQ_JOBS_DISABLE_* bit of that mechanism */
-    /* Runs a test scenario with the mechanisms of these AQ_JOBS_DISABLE_* bits
-     * disabled; returns whether the property held. */
+    uint32_t mechanism; /* AQ_JOBS_DISABLE_* bit of the tested mechanism */
+    /* Runs a test scenario in which the mechanisms of the AQ_JOBS_DISABLE_*
+     * bits in "disabled" are off; returns whether the tested property held. */
     bool (*holds)(uint32_t disabled);
 } Property;
 
@@ -94,8 +94,9 @@
     CU_ASSERT_TRUE(fake_submit(fake, jobs, "job.submit", args, NULL));
 }
 
-/* Initializes "fake" with team t and returns a new AqJobs with these
- * mechanisms disabled; the caller clears "fake" and destroys the AqJobs. */
+/* Initializes "fake" with team t and returns a new AqJobs in which the
+ * mechanisms of the AQ_JOBS_DISABLE_* bits in "disabled" are off.  The caller
+ * clears "fake" and destroys the AqJobs. */
 static AqJobs *
 create_jobs(Fake *fake, uint32_t disabled)
 {
