--- a/packages/jobs/estimate.c
+++ b/packages/jobs/estimate.c
@@ -5,7 +5,8 @@
 enum {
     MILLI_PER_CORE = 1000,
     /* Size that is reserved for a task, in percent of the 90th percentile of
-     * the use of finished tasks of the same class. */
+     * the most cores, or the most memory, that each finished task of the
+     * team's jobs that declare the same size was reported to use. */
     ESTIMATE_PERCENT = 120
 };
 
@@ -21,8 +22,9 @@
 }
 
 /* Returns the name of the job's class, which the caller frees with g_free.
- * Jobs of a team that declare the same size form a class; the use of the
- * finished tasks of a class is sampled together. */
+ * Jobs of a team that declare the same size form a class; the most cores and
+ * memory that one finished task of a class was reported to use are a sample of
+ * that class. */
 static char *
 class_name(const json_t *job)
 {
@@ -39,9 +41,10 @@
     return (x > y) - (x < y);
 }
 
-/* Each of "samples" is an array [thousandths of a core, MB of memory].
- * Returns ESTIMATE_PERCENT of the 90th percentile of the cores ("element" 0)
- * or of the memory ("element" 1) in all samples. */
+/* Each of "samples" is the most that one finished task was reported to use, as
+ * an array [thousandths of a core, MB of memory].  Returns ESTIMATE_PERCENT of
+ * the 90th percentile of the cores ("element" 0) or of the memory ("element"
+ * 1) in all samples. */
 static int64_t
 estimate_from_samples(const json_t *samples, size_t element)
 {
--- a/packages/jobs/job_intents.c
+++ b/packages/jobs/job_intents.c
@@ -139,8 +139,8 @@
     return false;
 }
 
-/* Returns the team of that name; a team that isn't known is first added with
- * an empty document. */
+/* Returns team "name".  If no document of that team was loaded, the team is
+ * first added with an empty document. */
 static Team *
 get_or_create_team(AqJobs *jobs, const char *name)
 {
@@ -200,7 +200,7 @@
 }
 
 /* Returns a team that has an unfinished job "id", or NULL if no team has such
- * a job; for a job.cancel that doesn't name the job's team. */
+ * a job.  Used for a job.cancel that doesn't name the job's team. */
 static Team *
 find_team_of_job(const AqJobs *jobs, const char *id)
 {
--- a/packages/jobs/jobs.c
+++ b/packages/jobs/jobs.c
@@ -83,8 +83,9 @@
     return team;
 }
 
-/* Whether a team's document has the parts that all other functions rely on,
- * with the right types. */
+/* Whether a team's document has the objects "jobs" and "samples" and the array
+ * "results", and each job's record has a state that is a string.  The other
+ * functions don't check this again. */
 static bool
 is_valid_document(const json_t *root)
 {
@@ -128,8 +129,9 @@
     team->stored = root;
     team->working = json_deep_copy(root);
     team->store_revision = index;
-    /* The decided changes dropped here were based on an older document, so the
-     * store would refuse to write them: nothing is left to store. */
+    /* The unstored changes that this call drops were based on an older
+     * revision of the document, so the store would refuse to write them:
+     * nothing is left to store. */
     team->dirty = false;
     return true;
 }
--- a/packages/jobs/placement.c
+++ b/packages/jobs/placement.c
@@ -4,17 +4,17 @@
 #include <string.h>
 
 typedef struct {
-    const char *id;       /* id of the VM, borrowed from the fleet */
-    const json_t *labels; /* of the VM, borrowed from the fleet */
-    /* Resources that no task has reserved; negative while tasks have reserved
-     * more than the worker has. */
+    const char *id;       /* id of this worker's VM, borrowed from the fleet */
+    const json_t *labels; /* this VM's labels, borrowed from the fleet */
+    /* Resources of this worker that no task has reserved; negative while tasks
+     * have reserved more than the worker has. */
     Size free;
     bool accepts_tasks;
 } Worker;
 
-/* Quota of one team. */
+/* Resources that one team may reserve, and those reserved by its tasks. */
 typedef struct {
-    Size used; /* reserved by the team's tasks */
+    Size used; /* resources that the team's tasks have reserved */
     Size limit;
 } Quota;
 
@@ -22,13 +22,13 @@
     AqJobs *jobs;
     const AqFleet *fleet;
     int64_t wall_ms;
-    GArray *workers;    /* array of Worker, one for each VM */
+    GArray *workers;    /* array of Worker, one for each VM of "fleet" */
     GHashTable *by_id;  /* worker id -> 1 + array position in "workers" */
     GHashTable *quotas; /* team name -> Quota, owned */
 };
 
-/* Returns the resources in a fleet record: those of a VM, or those that a
- * team's quota allows. */
+/* Returns the resources in a fleet record: for a VM, all resources that the VM
+ * has, free or reserved; for a team, the resources that its quota allows. */
 static Size
 capacity(const json_t *record)
 {
@@ -77,8 +77,8 @@
     return at == 0 ? NULL : &g_array_index(p->workers, Worker, at - 1);
 }
 
-/* Returns the quota of that team, owned by the placement.  The quota's limit
- * is read from the fleet at the first call for that team. */
+/* Returns the quota of team "team", borrowed from the placement.  The quota's
+ * limit is read from the fleet at the first call for that team. */
 static Quota *
 get_quota(const Placement *p, const char *team)
 {
@@ -94,8 +94,9 @@
 /* ---- Construction -------------------------------------------------------
  */
 
-/* Whether worker "id" gets no new tasks because tasks failed on that worker
- * repeatedly. */
+/* Whether worker "id" gets no new tasks at "wall_ms", because tasks failed on
+ * that worker repeatedly and either the pause after the last failure isn't
+ * over or the one task that tests the worker hasn't ended. */
 static bool
 is_bad_worker(AqJobs *jobs, const char *id, int64_t wall_ms)
 {
@@ -249,7 +250,7 @@
 typedef struct {
     Team *team;
     json_t *job;
-    Size size; /* reserved for the task */
+    Size size; /* resources reserved for the task on its worker */
 } Victim;
 
 static int
@@ -260,8 +261,9 @@
     return (x < y) - (x > y);
 }
 
-/* Returns the non-urgent idempotent tasks of all teams that run on a worker,
- * as a new array of Victim; the task that started last comes first. */
+/* Returns the non-urgent idempotent tasks of all teams that run on worker
+ * "worker", as a new array of Victim; the task that started last comes
+ * first. */
 static GArray *
 collect_victims(const Placement *p, const char *worker)
 {
@@ -336,9 +338,9 @@
         Victim *victim = &g_array_index(best_victims, Victim, i);
         job_set_state(victim->team, victim->job, "checkpointing");
     }
-    /* Reserves the room on the selected worker, so that the rest of this
-     * AqJobs_Step() neither places another job in that room nor counts the
-     * room for another preemption. */
+    /* Reserves "size" on the selected worker, so that the rest of this
+     * AqJobs_Step() neither gives these resources to another job nor counts
+     * them as free for another preemption. */
     subtract_size(&best->free, size);
     g_array_free(best_victims, TRUE);
     return true;
@@ -347,22 +349,23 @@
 /* ---- Feasibility --------------------------------------------------------
  */
 
-/* Search for a worker that matches a job's selector and has the resources that
- * the job declares, free or not. */
+/* State of a search for a worker that matches a job's selector and has in
+ * total, free or reserved, the resources that the job declares. */
 typedef struct {
     const AqFleet *fleet;
     const json_t *job;
-    bool any_match; /* some worker matches the job's selector */
-    /* Some worker that matches the job's selector is large enough for the job.
-     */
+    bool any_match; /* some worker checked so far matches the job's selector */
+    /* Some worker that matches the job's selector has in total, free or
+     * reserved, the resources that the job declares. */
     bool any_fit;
-    /* Maximum of each resource over the workers that match the job's selector.
-     */
+    /* For each resource, the most that a worker which matches the job's
+     * selector has in total, free or reserved. */
     Size largest;
 } FitSearch;
 
 /* Compares one VM with the job of the FitSearch "context".  Returns false,
- * which ends the search, if the VM is large enough for the job. */
+ * which ends the search, if the VM matches the job's selector and has in
+ * total, free or reserved, the resources that the job declares. */
 static bool
 check_vm_fit(void *context, const AqVmView *view)
 {
--- a/packages/jobs/steps.c
+++ b/packages/jobs/steps.c
@@ -105,8 +105,8 @@
 
 /* Changes job "id" after the lease of the job's task expired.  A
  * non-idempotent job whose task may have run ("started") isn't started again
- * but ends in state unknown; any other job is tried again if it has tries
- * left. */
+ * but ends in state unknown; any other job is tried again unless its
+ * cancellation was requested or it has no tries left. */
 static void
 handle_task_lapsed(AqJobs *jobs, Team *team, const char *id, json_t *job,
                    bool started)
@@ -175,9 +175,9 @@
 }
 
 /* Returns the record of the unfinished job that the task name "task" belongs
- * to, borrowed, or NULL if there is no such job or the task is another try of
- * the job.  *team and *id receive the job's team and id; the caller frees *id
- * with g_free, also if the function returns NULL. */
+ * to, borrowed, or NULL if there is no such job or "task" isn't the job's
+ * current try.  *team and *id receive the job's team and id; the caller frees
+ * *id with g_free, also if the function returns NULL. */
 static json_t *
 find_job(const AqJobs *jobs, const char *task, Team **team, char **id)
 {
@@ -328,10 +328,11 @@
 /* ---- Starts --------------------------------------------------------------
  */
 
-/* Decides the start of a queued job: reserves the team's quota and room on a
- * worker, and sets the job's record to state starting.  Returns false if the
- * job stays queued.  If no worker has room for an urgent job, other tasks are
- * preempted, and a later AqJobs_Step() starts the job. */
+/* Decides the start of a queued job: reserves the size of the job's task in
+ * the team's quota and on a worker, and sets the job's record to state
+ * starting.  Returns false if the job stays queued.  If no worker has room for
+ * an urgent job, other tasks are preempted, and a later AqJobs_Step() starts
+ * the job. */
 static bool
 start_job(const Step *step, Placement *placement, Team *team, json_t *job)
 {
@@ -362,8 +363,10 @@
     Team *team;
     json_t *job;
     bool urgent;
-    double share;         /* reserved fraction of the team's core quota */
-    int64_t submitted_ms; /* Unix time of the job's submission */
+    /* Fraction of the team's core quota that the team's tasks have reserved.
+     */
+    double share;
+    int64_t submitted_ms; /* Unix time at which the job was submitted */
 } QueuedJob;
 
 /* Sorts urgent jobs before all others, then jobs of teams that have reserved a
--- a/packages/jobs/tests/fake.c
+++ b/packages/jobs/tests/fake.c
@@ -56,8 +56,8 @@
 /* ---- Fleet ----------------------------------------------------------------
  */
 
-/* Adds or replaces the fleet record "name" of that kind.  Takes over "record".
- */
+/* Adds or replaces the fleet record "name" of kind "kind", which is "vm" or
+ * "team".  Takes over the caller's reference to "record". */
 static void
 upsert(Fake *fake, const char *kind, const char *name, json_t *record)
 {
@@ -154,7 +154,7 @@
     json_t *intent = json_pack("{s:s,s:s,s:o}", "op", op, "kind", kind, "args",
                                AqJson_Parse(args, strlen(args), NULL));
     bool ok;
-    /* Like the daemon, evaluates the intent on the stored documents again
+    /* Like the daemon, evaluates the intent again on the stored documents
      * until the evaluation changes nothing: the store then has the intent's
      * change. */
     do {
--- a/packages/jobs/tests/fake.h
+++ b/packages/jobs/tests/fake.h
@@ -14,17 +14,18 @@
 /* Document of one team in the fake store. */
 typedef struct {
     char *text;
-    uint64_t store_revision; /* of the last write of this document */
+    uint64_t store_revision; /* revision of the last write of this document */
 } FakeValue;
 
 /* A task on the fake platform. */
 typedef struct {
     char *id; /* task name, TEAM.JOB.TRY */
     char *worker;
-    char *job; /* TEAM.JOB */
+    char *job; /* the job that the task runs, TEAM.JOB */
     const char *state;
     bool started;
-    int64_t lease_until_ms; /* virtual time at which the lease expires */
+    /* Virtual time at which the task's lease expires. */
+    int64_t lease_until_ms;
     int64_t finish_at_ms;
     int64_t cores; /* whole cores reserved for the task */
     int64_t memory_mb;
@@ -33,7 +34,7 @@
 
 typedef struct {
     GHashTable *values;      /* team name -> FakeValue, owned */
-    uint64_t store_revision; /* of the latest write of any document */
+    uint64_t store_revision; /* revision of the latest write of any document */
     GHashTable *tasks;       /* task name -> FakeTask, owned */
     /* TEAM.JOB -> number of tasks started for that job. */
     GHashTable *run_counts;
@@ -49,8 +50,9 @@
     /* Percentage of store writes and START orders that take effect but whose
      * reply is lost. */
     int reply_loss_percent;
-    int starts_on_bad; /* tasks started on workers in "bad_workers" */
-    int64_t most_used_cores_milli; /* never set; unused */
+    /* Number of task starts on workers in "bad_workers". */
+    int starts_on_bad;
+    int64_t most_used_cores_milli; /* no code sets or reads this field */
 } Fake;
 
 void fake_init(Fake *fake, uint64_t seed);
@@ -63,25 +65,28 @@
 /* Adds a team whose quota is "cores" and 1024 MB of memory for each core. */
 void fake_add_team(Fake *fake, const char *name, int cores);
 
-/* Evaluates an intent of that kind with a new operation id and writes the
- * changed document, repeatedly until the store has the change or the intent is
- * refused.  "args" is the text of a JSON object.  Returns whether the intent
- * was accepted; "error" may be NULL. */
+/* Evaluates an operator's requested change of kind "kind" (an intent) with a
+ * new operation id and writes the changed document to the fake store,
+ * repeatedly until the store has the change or the intent is refused.  "args"
+ * is the text of a JSON object.  Returns whether the intent was accepted;
+ * "error" may be NULL. */
 bool fake_submit(Fake *fake, AqJobs *jobs, const char *kind, const char *args,
                  AqError *error);
 
 /* Loads the documents of all teams from the fake store into "jobs". */
 void fake_load(Fake *fake, AqJobs *jobs);
-/* Writes each document with decided changes to the fake store.  The changes to
- * a document are rolled back in "jobs" if the write of that document conflicts
- * with an earlier write or the reply is lost. */
+/* Writes each document that has changes in "jobs" which aren't stored yet to
+ * the fake store.  The changes to a document are rolled back in "jobs" if the
+ * write of that document conflicts with an earlier write or its reply is
+ * lost. */
 void fake_store(Fake *fake, AqJobs *jobs);
 /* Runs one round of the planner "jobs": loads all documents from the fake
  * store, reports all tasks of the fake platform, runs AqJobs_Step(), executes
- * its orders and stores the changes. */
+ * the orders from that call and stores the changes. */
 void fake_round(Fake *fake, AqJobs *jobs);
-/* Advances virtual time by "ms".  Running tasks that are due by the new time
- * finish; a task whose lease expires first lapses. */
+/* Advances virtual time by "ms".  Each running task that is due to finish by
+ * the new time finishes; a task whose lease expires first gets state lapsed.
+ */
 void fake_advance(Fake *fake, int64_t ms);
 
 /* Returns how many tasks were started for "job", which is TEAM.JOB. */
--- a/packages/jobs/tests/test_jobs.c
+++ b/packages/jobs/tests/test_jobs.c
@@ -6,7 +6,7 @@
 #include "fake.h"
 
 enum {
-    ROUND_MS = 500, /* virtual time between two rounds of a planner */
+    ROUND_MS = 500, /* virtual time between two fake_round() calls */
     SEEDS = 200     /* number of random test runs, each with its own seed */
 };
 
@@ -211,8 +211,9 @@
     return ok;
 }
 
-/* Evaluates an intent of that kind for job "id" of team t without storing the
- * change. */
+/* Evaluates an operator's requested change (an intent) of kind "kind", which
+ * is job.submit or job.cancel, for job "id" of team t, and doesn't write the
+ * changed document to the fake store. */
 static void
 evaluate_intent(Fake *fake, AqJobs *jobs, const char *kind, const char *id)
 {
