--- a/packages/claims/batch.c
+++ b/packages/claims/batch.c
@@ -6,7 +6,7 @@
 
 enum {
     ENTRY_FIELDS = 5,
-    MIN_ENTRY_SIZE = 23 /* with an empty holder and one-byte numbers */
+    MIN_ENTRY_BYTES = 23 /* empty holder, all numbers of one byte */
 };
 
 static int
@@ -26,16 +26,16 @@
     msgpack_pack_bin_with_body(&packer, entry->hash, sizeof(entry->hash));
     msgpack_pack_str_with_body(&packer, entry->holder, strlen(entry->holder));
     msgpack_pack_uint64(&packer, entry->nonce);
-    msgpack_pack_uint64(&packer, (uint64_t)entry->wall);
+    msgpack_pack_uint64(&packer, (uint64_t)entry->wall_ms);
 }
 
 void
 AqBatch_EncodeHeader(AqBuffer *out, size_t count, const char *writer,
-                     uint64_t nonce, int64_t wall)
+                     uint64_t nonce, int64_t wall_ms)
 {
     AqBatchEntry header = {.op = AQ_BATCH_HEADER};
     header.nonce = nonce;
-    header.wall = wall;
+    header.wall_ms = wall_ms;
     strncpy(header.holder, writer, sizeof(header.holder) - 1);
     msgpack_packer packer;
     msgpack_packer_init(&packer, out, write_bytes);
@@ -43,9 +43,10 @@
     AqBatch_EncodeEntry(out, &header);
 }
 
-/* Reads the few msgpack types of a batch.  The unpacker of msgpack-c
- * allocates an array of the announced length before it has seen the elements,
- * so that five bytes could ask for 100 GB; this reader allocates nothing. */
+/* Reads the few msgpack types that a batch contains.  The unpacker of
+ * msgpack-c allocates an array of the announced length before it has read the
+ * elements, so that a value of five bytes could make it allocate 100 GB; this
+ * reader allocates nothing. */
 typedef struct {
     const uint8_t *at;
     size_t left;
@@ -152,7 +153,7 @@
         return false;
     }
     entry->op = (int)op;
-    entry->wall = (int64_t)wall;
+    entry->wall_ms = (int64_t)wall;
     return true;
 }
 
@@ -164,8 +165,8 @@
         if (!read_entry(reader, entry) || entry->op == AQ_BATCH_HEADER) {
             return false;
         }
-        if (entry->wall > batch->newest_wall) {
-            batch->newest_wall = entry->wall;
+        if (entry->wall_ms > batch->newest_wall_ms) {
+            batch->newest_wall_ms = entry->wall_ms;
         }
     }
     return reader->left == 0;
@@ -181,12 +182,12 @@
     if (!read_array(&reader, &count) || count == 0 ||
         count - 1 > AQ_BATCH_MAX_ENTRIES || !read_entry(&reader, &header) ||
         header.op != AQ_BATCH_HEADER ||
-        count - 1 > reader.left / MIN_ENTRY_SIZE) {
+        count - 1 > reader.left / MIN_ENTRY_BYTES) {
         goto error;
     }
     memcpy(batch->writer, header.holder, sizeof(batch->writer));
     batch->nonce = header.nonce;
-    batch->newest_wall = header.wall;
+    batch->newest_wall_ms = header.wall_ms;
     batch->count = (size_t)count - 1;
     batch->entries = calloc(batch->count + 1, sizeof(AqBatchEntry));
     if (batch->entries == NULL) {
--- a/packages/claims/batch.h
+++ b/packages/claims/batch.h
@@ -9,16 +9,17 @@
 #include "aq_error.h"
 #include "aq_wire.h"
 
-/* Value of one batch in the store: msgpack
- * [[op, id hash, holder, nonce, wall ms]...].  The first element has op 0, a
- * zero hash, the writer and the nonce of the batch. */
+/* Format of a batch of claims and releases in the store: msgpack
+ * [[op, id hash, holder, nonce, wall ms]...].  The first element is a header
+ * with op 0, a zero hash, the writer and nonce of the batch, and the time of
+ * writing. */
 
 enum {
     AQ_BATCH_HEADER = 0,
     AQ_BATCH_CLAIM = 1,
     AQ_BATCH_RELEASE = 2,
-    /* 4,096 entries of at most 105 bytes keep a value under the 1 MB that
-     * the store holds. */
+    /* 4,096 entries of at most 105 bytes keep a batch below the 1 MB limit
+     * of a store value. */
     AQ_BATCH_MAX_ENTRIES = 4096
 };
 
@@ -26,25 +27,25 @@
     int op;
     uint8_t hash[16];
     uint64_t nonce;
-    int64_t wall; /* Unix ms, > 0 */
+    int64_t wall_ms; /* Unix time of the claim or release, > 0 */
     char holder[AQ_WIRE_MAX_NAME];
 } AqBatchEntry;
 
 typedef struct {
     char writer[AQ_WIRE_MAX_NAME];
     uint64_t nonce;
-    int64_t newest_wall; /* of the header and all entries */
-    AqBatchEntry *entries;
+    int64_t newest_wall_ms; /* latest time in the header and all entries */
+    AqBatchEntry *entries;  /* owned; without the header */
     size_t count;
 } AqBatch;
 
-/* Starts a value with "count" entries to follow. */
+/* Appends the header of a batch; "count" entries must follow. */
 void AqBatch_EncodeHeader(AqBuffer *out, size_t count, const char *writer,
-                          uint64_t nonce, int64_t wall);
+                          uint64_t nonce, int64_t wall_ms);
 void AqBatch_EncodeEntry(AqBuffer *out, const AqBatchEntry *entry);
 
-/* Fills *batch, to be freed with AqBatch_Clear; false with AQ_ERR_PROTOCOL
- * for anything but the format above. */
+/* Decodes a batch into *batch, to be freed with AqBatch_Clear.  Returns false
+ * and sets AQ_ERR_PROTOCOL if the bytes do not have exactly this format. */
 bool AqBatch_Decode(const void *bytes, size_t size, AqBatch *batch,
                     AqError *error);
 void AqBatch_Clear(AqBatch *batch);
--- a/packages/claims/bench/bench_claims.c
+++ b/packages/claims/bench/bench_claims.c
@@ -6,20 +6,21 @@
 #include "sim.h"
 
 /* Measures the claim log in virtual time: store calls per claimed request and
- * added latency, with claims sent to the partition's owner and without,
- * against one write per request.  Prints one line per rate and scheme. */
+ * added latency, with claims routed to the owner of the partition, with claims
+ * submitted where the request arrives, and with one write per request as the
+ * baseline.  Prints one line per rate and scheme. */
 
 enum {
-    SEEDS = 20,
+    SEEDS = 20, /* runs per rate and scheme */
     DAEMONS = 9,
-    STORE_HALF_MS = 2, /* the store answers after 4 ms */
-    /* A short retention, so that removals are part of the measured time. */
+    STORE_HALF_MS = 2, /* half of the 4 ms that a store call takes */
+    /* Short, so that removals are part of the measured time. */
     RETENTION_MS = 60000,
-    WARM_UP_MS = 70000,
-    END_MS = 130000,
-    MAX_LATENCY_MS = 20000,
-    MEMORY_IDS = 1000000,
-    MEMORY_BATCH = 40
+    WARM_UP_MS = 70000,     /* start of the measured time */
+    END_MS = 130000,        /* end of the measured time */
+    MAX_LATENCY_MS = 20000, /* last bucket of the histogram */
+    MEMORY_IDS = 1000000,   /* ids claimed by measure_memory */
+    MEMORY_BATCH = 40       /* of them per batch */
 };
 
 typedef enum {
@@ -36,19 +37,20 @@
 
 typedef struct {
     Scheme scheme;
-    double interval_ms;
-    double next;
-    uint64_t measured;
+    double interval_ms;     /* mean time between requests */
+    double next_arrival_at; /* sim time of the next request */
+    uint64_t measured;      /* claims decided */
     uint64_t granted;
-    uint64_t writes;
+    uint64_t writes; /* creates and removals */
     uint64_t reads;
     uint64_t creates;
-    uint64_t histogram[MAX_LATENCY_MS + 1];
-    AqTime *trips; /* way to the owner and back, by request */
+    uint64_t histogram[MAX_LATENCY_MS + 1]; /* claims by latency in ms */
+    AqTime *round_trips; /* owned; network time to the owner and back, by
+                          * request, in ms */
 } Bench;
 
-static SimFate
-steady_store(Sim *sim, SimNode *node, AqClaimsStoreCall call)
+static SimCallPlan
+plan_measured_call(Sim *sim, SimNode *node, AqClaimsStoreCall call)
 {
     (void)node;
     Bench *bench = sim->user;
@@ -57,12 +59,13 @@
         bench->creates += call == AQ_CLAIMS_CREATE;
         bench->reads += call == AQ_CLAIMS_READ;
     }
-    return (SimFate){.effect_ms = STORE_HALF_MS, .reply_ms = STORE_HALF_MS};
+    return (SimCallPlan){.effect_ms = STORE_HALF_MS,
+                         .reply_ms = STORE_HALF_MS};
 }
 
-/* 1.4 ms one way on average, in whole ms. */
+/* Returns a one-way network delay in whole ms, of 1.4 ms on average. */
 static AqTime
-one_way(Sim *sim)
+random_one_way_ms(Sim *sim)
 {
     return AqRandom_Below(&sim->random, 10) < 4 ? 2 : 1;
 }
@@ -75,7 +78,8 @@
     if (request->submitted < WARM_UP_MS || request->submitted >= END_MS) {
         return;
     }
-    AqTime latency = sim->now - request->submitted + bench->trips[number];
+    AqTime latency =
+        sim->now - request->submitted + bench->round_trips[number];
     bench->measured++;
     bench->granted += request->verdict == AQ_CLAIM_GRANTED;
     bench->histogram[latency < MAX_LATENCY_MS ? latency : MAX_LATENCY_MS]++;
@@ -92,7 +96,7 @@
 }
 
 static void
-arrive(Sim *sim, uint64_t id)
+run_arrival(Sim *sim, uint64_t id)
 {
     Bench *bench = sim->user;
     int node = (int)AqRandom_Below(&sim->random, DAEMONS);
@@ -101,23 +105,25 @@
     snprintf(text, sizeof(text), "%" PRIu64, id);
     AqClaims_Hash("track", text, hash);
     bool local = bench->scheme == UNROUTED || node == AqClaims_Partition(hash);
-    AqTime there = local ? 0 : one_way(sim);
-    bench->trips[id] = local ? 0 : there + one_way(sim);
+    AqTime there = local ? 0 : random_one_way_ms(sim);
+    bench->round_trips[id] = local ? 0 : there + random_one_way_ms(sim);
     if (local) {
         Sim_Submit(sim, node, id);
     }
     else {
         Sim_At(sim, sim->now + there, submit_at_owner, id);
     }
-    bench->next += AqRandom_Exponential(&sim->random, bench->interval_ms);
-    if (bench->next < END_MS) {
-        Sim_At(sim, (AqTime)bench->next, arrive, id + 1);
+    bench->next_arrival_at +=
+        AqRandom_Exponential(&sim->random, bench->interval_ms);
+    if (bench->next_arrival_at < END_MS) {
+        Sim_At(sim, (AqTime)bench->next_arrival_at, run_arrival, id + 1);
     }
 }
 
-/* The trips are looked up by request number, which follows the order of
- * submits; with routing that is not the order of arrival.  The latency sum is
- * unaffected, as trips are drawn independently. */
+/* Runs one seed of a scheme.  round_trips is filled by request id but read by
+ * request number, which follows the order of submits; with routing this is not
+ * the order of arrival.  The sum of the latencies is not affected, as the
+ * round trips are drawn independently. */
 static void
 run_seed(Bench *bench, uint64_t seed)
 {
@@ -126,12 +132,12 @@
     config.store_timeout_ms = 1000;
     config.prefix_removal = bench->scheme == ROUTED_PREFIX;
     Sim_Create(&sim, seed, DAEMONS, &config);
-    sim.fate = steady_store;
+    sim.plan_call = plan_measured_call;
     sim.decided = on_verdict;
     sim.user = bench;
-    sim.unchecked = true;
-    bench->next = 0;
-    Sim_At(&sim, 0, arrive, 0);
+    sim.skips_checks = true;
+    bench->next_arrival_at = 0;
+    Sim_At(&sim, 0, run_arrival, 0);
     Sim_Run(&sim, END_MS + 10000);
     if (sim.failures > 0) {
         printf("seed %" PRIu64 ": %s\n", seed, sim.failure);
@@ -139,7 +145,8 @@
     Sim_Destroy(&sim);
 }
 
-/* One create of 4 ms for each request and one removal after the retention. */
+/* Computes the baseline: one create of 4 ms for each request and one removal
+ * after the retention. */
 static void
 run_baseline(Bench *bench, double rate)
 {
@@ -150,14 +157,16 @@
     bench->histogram[2 * STORE_HALF_MS] = bench->measured;
 }
 
+/* Returns the latency, in ms, at the given share (0 to 1) of the measured
+ * claims. */
 static int
 percentile(const Bench *bench, double share)
 {
-    uint64_t wanted = (uint64_t)((double)bench->measured * share);
+    uint64_t rank = (uint64_t)((double)bench->measured * share);
     uint64_t sum = 0;
     for (int ms = 0; ms < MAX_LATENCY_MS; ms++) {
         sum += bench->histogram[ms];
-        if (sum > wanted) {
+        if (sum > rank) {
             return ms;
         }
     }
@@ -170,7 +179,7 @@
     Bench *bench = calloc(1, sizeof(*bench));
     bench->scheme = scheme;
     bench->interval_ms = 1000.0 / rate;
-    bench->trips =
+    bench->round_trips =
         calloc((size_t)(rate * END_MS / 1000 * 2) + 1000, sizeof(AqTime));
     if (scheme == BASELINE) {
         run_baseline(bench, rate);
@@ -187,7 +196,7 @@
            percentile(bench, 0.5), percentile(bench, 0.99),
            (double)bench->granted / claims);
     fflush(stdout);
-    free(bench->trips);
+    free(bench->round_trips);
     free(bench);
 }
 
@@ -197,8 +206,8 @@
 } Pending;
 
 static void
-hold_call(void *context, uint64_t token, AqClaimsStoreCall call,
-          bool is_prefix, const char *key, const void *value, size_t size)
+record_call(void *context, uint64_t token, AqClaimsStoreCall call,
+            bool is_prefix, const char *key, const void *value, size_t size)
 {
     (void)is_prefix;
     (void)key;
@@ -215,12 +224,13 @@
     (void)verdict;
 }
 
-/* Bytes per remembered id while the table of one partition grows to its share
- * of one million ids, as at 278 claims a second over an hour. */
+/* Measures the memory per claimed id, in bytes, while the table of one
+ * partition grows to one million ids, as at 278 claims per second for an
+ * hour. */
 static void
 measure_memory(void)
 {
-    static const AqClaimsOps ops = {hold_call, ignore_verdict};
+    static const AqClaimsOps ops = {record_call, ignore_verdict};
     AqClaimsConfig config = {0};
     Pending pending = {0};
     AqClaims *claims = AqClaims_Create("entry-0", &config, &ops, &pending, 1);
@@ -248,7 +258,7 @@
             now += 40;
             AqClaims_Tick(claims, now, SIM_WALL_START + now);
         }
-        size_t count = AqClaims_Remembered(claims);
+        size_t count = AqClaims_RecordCount(claims);
         double bytes = (double)AqClaims_MemoryBytes(claims) / (double)count;
         if (count > 10000) {
             least = bytes < least ? bytes : least;
@@ -256,7 +266,7 @@
         }
     }
     printf("\nmemory: %zu ids, %zu bytes, %.1f to %.1f bytes per id\n",
-           AqClaims_Remembered(claims), AqClaims_MemoryBytes(claims), least,
+           AqClaims_RecordCount(claims), AqClaims_MemoryBytes(claims), least,
            most);
     AqClaims_Destroy(claims);
 }
--- a/packages/claims/claims.c
+++ b/packages/claims/claims.c
@@ -9,16 +9,17 @@
 enum {
     DEFAULT_RETENTION_MS = 3600 * 1000,
     DEFAULT_STORE_TIMEOUT_MS = 1000,
-    /* A claim whose create loses its reply needs a timeout, a read and a
-     * second create before it is decided. */
+    /* Store timeouts until the deadline of a claim.  If the reply to its
+     * create is lost, the claim needs that timeout, a read and a second create
+     * before it is decided. */
     CALLS_PER_CLAIM = 3
 };
 
 static void
-use_default(AqTime *value, AqTime standard)
+use_default(AqTime *value, AqTime default_value)
 {
     if (*value <= 0) {
-        *value = standard;
+        *value = default_value;
     }
 }
 
@@ -96,8 +97,8 @@
     memcpy(entry->data.holder, claim->holder, sizeof(entry->data.holder));
     entry->data.holder[sizeof(entry->data.holder) - 1] = '\0';
     entry->data.nonce = claim->nonce;
-    entry->data.wall = at.wall > 0 ? at.wall : 1;
-    entry->submitted = at.now;
+    entry->data.wall_ms = at.wall > 0 ? at.wall : 1;
+    entry->submitted_at = at.now;
     entry->deadline = AQ_TIME_NEVER;
     return entry;
 }
@@ -109,9 +110,9 @@
     AqPartition_Queue(part, new_entry(claim, AQ_BATCH_RELEASE, at));
 }
 
-/* Passes on the verdicts that were reached since the last event. */
+/* Reports the verdicts on all decided claims. */
 static void
-pass_on(AqClaims *claims)
+deliver_verdicts(AqClaims *claims)
 {
     for (AqLink *at; (at = AqList_PopFirst(&claims->decided)) != NULL;) {
         AqClaimEntry *entry = AqList_Entry(at, AqClaimEntry, link);
@@ -128,7 +129,7 @@
     AqPartition *part = partition_of(claims, claim->hash);
     AqClaimEntry *entry = new_entry(claim, AQ_BATCH_CLAIM, at);
     entry->request = request;
-    entry->waiting = true;
+    entry->awaits_verdict = true;
     entry->deadline = now + CALLS_PER_CLAIM * claims->config.store_timeout_ms;
     if (part->pending_count >= AQ_PENDING_MAX) {
         bool claimed =
@@ -148,40 +149,43 @@
 {
     AqClockReading at = {now, wall_ms};
     AqPartition *part = partition_of(claims, claim->hash);
-    AqPartition_Withdraw(claims, part, at, claim);
+    AqPartition_WithdrawClaim(claims, part, at, claim);
     queue_release(claims, claim, at);
     AqPartition_Advance(claims, part, at);
 }
 
+/* Returns the claim in the list that was submitted with this number and still
+ * awaits a verdict, or NULL. */
 static AqClaimEntry *
 find_request(AqLink *list, uint64_t request)
 {
     AqList_ForEach(at, list)
     {
         AqClaimEntry *entry = AqList_Entry(at, AqClaimEntry, link);
-        if (entry->waiting && entry->request == request) {
+        if (entry->awaits_verdict && entry->request == request) {
             return entry;
         }
     }
     return NULL;
 }
 
-/* Forgets a claim whose verdict was reached but not passed on. */
+/* Cancels a claim that was decided but whose verdict was not reported yet, and
+ * queues a release if it was granted.  Returns false if there is none. */
 static bool
-forget_decided(AqClaims *claims, AqClockReading at, uint64_t request)
+cancel_decided(AqClaims *claims, AqClockReading at, uint64_t request)
 {
     AqClaimEntry *entry = find_request(&claims->decided, request);
     if (entry == NULL) {
         return false;
     }
     AqList_Remove(&entry->link);
-    if (entry->verdict == AQ_CLAIM_GRANTED && !entry->shared) {
+    if (entry->verdict == AQ_CLAIM_GRANTED && !entry->written_elsewhere) {
         AqPartition *part = partition_of(claims, entry->data.hash);
         entry->data.op = AQ_BATCH_RELEASE;
-        entry->data.wall = at.wall;
-        entry->waiting = false;
-        entry->automatic = true;
-        part->has_automatic = true;
+        entry->data.wall_ms = at.wall;
+        entry->awaits_verdict = false;
+        entry->is_automatic = true;
+        part->may_have_automatic = true;
         entry->deadline = AQ_TIME_NEVER;
         AqPartition_Queue(part, entry);
         AqPartition_Advance(claims, part, at);
@@ -193,10 +197,10 @@
 }
 
 void
-AqClaims_Forget(AqClaims *claims, AqTime now, AqTime wall_ms, uint64_t request)
+AqClaims_Cancel(AqClaims *claims, AqTime now, AqTime wall_ms, uint64_t request)
 {
     AqClockReading at = {now, wall_ms};
-    if (forget_decided(claims, at, request)) {
+    if (cancel_decided(claims, at, request)) {
         return;
     }
     for (int i = 0; i < AQ_CLAIM_PARTITIONS; i++) {
@@ -210,7 +214,7 @@
         }
         entry = find_request(&part->batch, request);
         if (entry != NULL) {
-            entry->waiting = false;
+            entry->awaits_verdict = false;
             AqPartition_Expire(claims, part, at);
             return;
         }
@@ -224,17 +228,17 @@
 {
     AqClockReading at = {now, wall_ms};
     AqPartition *part = &claims->partitions[token % AQ_CLAIM_PARTITIONS];
-    if (token != 0 && token == part->removal) {
+    if (token != 0 && token == part->removal_token) {
         AqPartition_RemoveDone(part, now, result);
         return;
     }
-    if (token == 0 || token != part->token) {
+    if (token == 0 || token != part->call_token) {
         return;
     }
-    /* A reply after a long pause must not grant a claim whose deadline has
-     * passed. */
+    /* A reply that is handled after a long pause of this process must not
+     * grant a claim whose deadline has passed. */
     AqPartition_Expire(claims, part, at);
-    part->token = 0;
+    part->call_token = 0;
     if (part->call == AQ_CLAIMS_READ) {
         AqPartition_ReadDone(claims, part, at, result, items, count);
     }
@@ -243,7 +247,7 @@
     }
     AqPartition_Expire(claims, part, at);
     AqPartition_Advance(claims, part, at);
-    pass_on(claims);
+    deliver_verdicts(claims);
 }
 
 void
@@ -256,7 +260,7 @@
         AqPartition_Advance(claims, part, at);
         AqPartition_ApplyRetention(claims, part, at);
     }
-    pass_on(claims);
+    deliver_verdicts(claims);
 }
 
 static AqTime
@@ -265,35 +269,38 @@
     return a < b ? a : b;
 }
 
-/* The deadline of the first claim that waits, which is the earliest. */
+/* Returns the deadline of the first claim that awaits a verdict, which is the
+ * earliest one. */
 static AqTime
 first_deadline(const AqLink *list)
 {
     AqList_ForEach(at, list)
     {
         const AqClaimEntry *entry = AqList_Entry(at, AqClaimEntry, link);
-        if (entry->waiting) {
+        if (entry->awaits_verdict) {
             return entry->deadline;
         }
     }
     return AQ_TIME_NEVER;
 }
 
+/* Returns the monotonic time at which the partition needs its next tick, or
+ * AQ_TIME_NEVER. */
 static AqTime
 partition_due(const AqPartition *part)
 {
     AqTime due =
         earlier(first_deadline(&part->pending), first_deadline(&part->batch));
     bool idle = AqList_IsEmpty(&part->pending) && AqList_IsEmpty(&part->batch);
-    if (!idle && part->token == 0) {
-        bool reads = part->need != AQ_NEED_NOTHING;
+    if (!idle && part->call_token == 0) {
+        bool reads = part->read_need != AQ_NEED_NOTHING;
         AqTime call = part->not_before;
         if (!reads && part->write_at > call) {
             call = part->write_at;
         }
         due = earlier(due, call);
     }
-    if (part->removal == 0 && part->newest_is_own &&
+    if (part->removal_token == 0 && part->newest_is_own &&
         part->group_count - part->group_first > 1) {
         due = earlier(due, part->remove_at);
     }
@@ -317,7 +324,7 @@
 }
 
 size_t
-AqClaims_Remembered(const AqClaims *claims)
+AqClaims_RecordCount(const AqClaims *claims)
 {
     size_t count = 0;
     for (int i = 0; i < AQ_CLAIM_PARTITIONS; i++) {
@@ -334,7 +341,7 @@
         const AqPartition *part = &claims->partitions[i];
         bytes += part->ids.capacity * sizeof(AqIdRecord);
         bytes += part->group_capacity * sizeof(AqBatchGroup);
-        bytes += part->value.capacity;
+        bytes += part->batch_value.capacity;
         bytes += part->pending_count * sizeof(AqClaimEntry);
         bytes += AqList_Length(&part->batch) * sizeof(AqClaimEntry);
     }
--- a/packages/claims/id_table.c
+++ b/packages/claims/id_table.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 enum {
-    MIN_CAPACITY = 64
+    MIN_CAPACITY = 64 /* slots */
 };
 
 void
@@ -14,8 +14,9 @@
     memset(table, 0, sizeof(*table));
 }
 
-/* The slot where the probe for a key starts.  The partition is taken from
- * the first eight bytes, so the slot uses the others. */
+/* Returns the slot where the search for a key starts.  All keys of a table may
+ * agree in their first byte modulo AQ_CLAIM_PARTITIONS, which selects the
+ * partition, so the slot is derived from the last eight bytes. */
 static size_t
 home_slot(const AqIdTable *table, const uint8_t key[16])
 {
@@ -30,35 +31,35 @@
     return i + 1 < table->capacity ? i + 1 : 0;
 }
 
-/* The slot of the key, or the free slot where it belongs. */
+/* Returns the slot of the key, or the free slot where it belongs. */
 static size_t
 probe(const AqIdTable *table, const uint8_t key[16])
 {
     size_t i = home_slot(table, key);
-    while (table->slots[i].wall != 0 &&
+    while (table->slots[i].wall_ms != 0 &&
            memcmp(table->slots[i].key, key, 16) != 0) {
         i = next_slot(table, i);
     }
     return i;
 }
 
-/* Moves all records that are not older than "oldest" to a new table. */
+/* Moves all records with a time of oldest_ms or later to a new table. */
 static void
-rebuild(AqIdTable *table, size_t capacity, int64_t oldest)
+rebuild(AqIdTable *table, size_t capacity, int64_t oldest_ms)
 {
-    AqIdTable fresh = {calloc(capacity, sizeof(AqIdRecord)), capacity, 0};
-    if (fresh.slots == NULL) {
+    AqIdTable rebuilt = {calloc(capacity, sizeof(AqIdRecord)), capacity, 0};
+    if (rebuilt.slots == NULL) {
         abort();
     }
     for (size_t i = 0; i < table->capacity; i++) {
         const AqIdRecord *record = &table->slots[i];
-        if (record->wall != 0 && record->wall >= oldest) {
-            fresh.slots[probe(&fresh, record->key)] = *record;
-            fresh.count++;
+        if (record->wall_ms != 0 && record->wall_ms >= oldest_ms) {
+            rebuilt.slots[probe(&rebuilt, record->key)] = *record;
+            rebuilt.count++;
         }
     }
     free(table->slots);
-    *table = fresh;
+    *table = rebuilt;
 }
 
 AqIdRecord *
@@ -68,40 +69,41 @@
         return NULL;
     }
     AqIdRecord *record = &table->slots[probe(table, key)];
-    return record->wall != 0 ? record : NULL;
+    return record->wall_ms != 0 ? record : NULL;
 }
 
 void
 AqIdTable_Put(AqIdTable *table, const uint8_t key[16], uint64_t nonce,
-              int64_t wall)
+              int64_t wall_ms)
 {
-    /* At most 7/8 full, and growth by half: 37 to 55 bytes per id. */
+    /* A table is at most 7/8 full and grows by half: 37 to 55 bytes per id. */
     if ((table->count + 1) * 8 > table->capacity * 7) {
         size_t larger = table->capacity + table->capacity / 2;
         rebuild(table, larger > MIN_CAPACITY ? larger : MIN_CAPACITY, 0);
     }
     AqIdRecord *record = &table->slots[probe(table, key)];
-    if (record->wall == 0) {
+    if (record->wall_ms == 0) {
         table->count++;
         memcpy(record->key, key, 16);
     }
     record->nonce = nonce;
-    record->wall = wall;
+    record->wall_ms = wall_ms;
 }
 
-/* Steps of a probe from one slot to another. */
+/* Returns the number of linear probing steps from one slot to another. */
 static size_t
 distance(const AqIdTable *table, size_t from, size_t to)
 {
     return to >= from ? to - from : to + table->capacity - from;
 }
 
-/* Closes the gap that a removed record leaves in its run of full slots. */
+/* Moves later records of the same cluster back over the removed one, so that
+ * a search for them does not end at a free slot. */
 void
 AqIdTable_Remove(AqIdTable *table, AqIdRecord *record)
 {
     size_t gap = (size_t)(record - table->slots);
-    for (size_t i = next_slot(table, gap); table->slots[i].wall != 0;
+    for (size_t i = next_slot(table, gap); table->slots[i].wall_ms != 0;
          i = next_slot(table, i)) {
         size_t home = home_slot(table, table->slots[i].key);
         if (distance(table, home, i) >= distance(table, gap, i)) {
@@ -114,12 +116,12 @@
 }
 
 void
-AqIdTable_Sweep(AqIdTable *table, int64_t oldest)
+AqIdTable_Sweep(AqIdTable *table, int64_t oldest_ms)
 {
     size_t kept = 0;
     for (size_t i = 0; i < table->capacity; i++) {
-        int64_t wall = table->slots[i].wall;
-        kept += wall != 0 && wall >= oldest;
+        int64_t wall_ms = table->slots[i].wall_ms;
+        kept += wall_ms != 0 && wall_ms >= oldest_ms;
     }
     if (kept == table->count) {
         return;
@@ -129,7 +131,8 @@
         return;
     }
     size_t capacity = kept + kept / 3;
-    rebuild(table, capacity > MIN_CAPACITY ? capacity : MIN_CAPACITY, oldest);
+    rebuild(table, capacity > MIN_CAPACITY ? capacity : MIN_CAPACITY,
+            oldest_ms);
 }
 
 bool
@@ -137,7 +140,7 @@
 {
     size_t count = 0;
     for (size_t i = 0; i < table->capacity; i++) {
-        if (table->slots[i].wall == 0) {
+        if (table->slots[i].wall_ms == 0) {
             continue;
         }
         count++;
--- a/packages/claims/id_table.h
+++ b/packages/claims/id_table.h
@@ -5,31 +5,33 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* Hash table of 16-byte keys with open addressing.  A record is 32 bytes and
- * holds no pointer, because a daemon remembers every id of an hour. */
+/* Hash table with open addressing and 16-byte keys.  A record takes 32 bytes
+ * and holds no pointer, because a daemon keeps every id claimed within the
+ * retention, one hour by default. */
 
 typedef struct {
     uint8_t key[16];
     uint64_t nonce;
-    int64_t wall; /* Unix ms of the claim; 0 marks a free slot */
+    int64_t wall_ms; /* Unix time of the claim; 0 marks a free slot */
 } AqIdRecord;
 
 typedef struct {
     AqIdRecord *slots; /* owned */
-    size_t capacity;
-    size_t count;
+    size_t capacity;   /* slots */
+    size_t count;      /* records */
 } AqIdTable;
 
 void AqIdTable_Clear(AqIdTable *table);
-/* The record of the key, borrowed until the next change; NULL if absent. */
+/* Returns the record of the key, borrowed until the table changes next, or
+ * NULL. */
 AqIdRecord *AqIdTable_Find(const AqIdTable *table, const uint8_t key[16]);
-/* Adds or replaces the record of the key; wall > 0. */
+/* Adds or replaces the record of the key; wall_ms must be > 0. */
 void AqIdTable_Put(AqIdTable *table, const uint8_t key[16], uint64_t nonce,
-                   int64_t wall);
+                   int64_t wall_ms);
 void AqIdTable_Remove(AqIdTable *table, AqIdRecord *record);
-/* Drops all records older than "oldest" and fits the table to the rest. */
-void AqIdTable_Sweep(AqIdTable *table, int64_t oldest);
-/* Whether the count is right and every record can be found. */
+/* Removes all records with a time before oldest_ms and shrinks the table. */
+void AqIdTable_Sweep(AqIdTable *table, int64_t oldest_ms);
+/* Returns whether the record count is right and every record can be found. */
 bool AqIdTable_CheckConsistency(const AqIdTable *table);
 
 #endif
--- a/packages/claims/partition.c
+++ b/packages/claims/partition.c
@@ -5,8 +5,8 @@
 #include <string.h>
 
 enum {
-    /* Pause after a failed store call.  Claims that arrive meanwhile wait at
-     * most this long to hear that the store is down. */
+    /* Delay before the next store call after a failed one.  Claims that arrive
+     * meanwhile wait at most this long until the store is tried again. */
     RETRY_MS = 200
 };
 
@@ -15,11 +15,11 @@
 {
     memset(part, 0, sizeof(*part));
     part->number = number;
-    part->next = 1;
-    part->need = AQ_NEED_ALL;
+    part->next_seq = 1;
+    part->read_need = AQ_NEED_ALL;
     AqList_Init(&part->pending);
     AqList_Init(&part->batch);
-    AqBuffer_Init(&part->value);
+    AqBuffer_Init(&part->batch_value);
 }
 
 static void
@@ -35,7 +35,7 @@
 {
     free_entries(&part->pending);
     free_entries(&part->batch);
-    AqBuffer_Clear(&part->value);
+    AqBuffer_Clear(&part->batch_value);
     AqIdTable_Clear(&part->ids);
     free(part->groups);
 }
@@ -55,7 +55,7 @@
 }
 
 static void
-unqueue(AqPartition *part, AqClaimEntry *entry)
+remove_pending(AqPartition *part, AqClaimEntry *entry)
 {
     AqList_Remove(&entry->link);
     part->pending_count--;
@@ -69,9 +69,10 @@
     AqList_Append(&claims->decided, &entry->link);
 }
 
-/* The verdict on a claim that was not written.  An id that is known to be
- * claimed is a duplicate even when the store cannot confirm it: "not run"
- * would mislead the caller about the first attempt. */
+/* Returns the verdict on a claim that was not written.  An id that is claimed
+ * in the cached log is a duplicate even when the store cannot confirm it:
+ * UNAVAILABLE would tell the caller that the request was not run, which may be
+ * wrong for its first attempt. */
 static AqClaimVerdict
 unwritten_verdict(const AqClaims *claims, const AqPartition *part,
                   const AqClaimEntry *entry, AqTime wall)
@@ -82,20 +83,21 @@
                : AQ_CLAIM_UNAVAILABLE;
 }
 
-/* Claims are pending in the order of their deadlines. */
+/* Decides the pending claims with a deadline of "due" or earlier.  They are
+ * pending in the order of their deadlines. */
 static void
 fail_pending(AqClaims *claims, AqPartition *part, AqTime wall, AqTime due)
 {
     AqList_ForEachSafe(at, after, &part->pending)
     {
         AqClaimEntry *entry = AqList_Entry(at, AqClaimEntry, link);
-        if (!entry->waiting) {
+        if (!entry->awaits_verdict) {
             continue;
         }
         if (entry->deadline > due) {
             break;
         }
-        unqueue(part, entry);
+        remove_pending(part, entry);
         AqPartition_Decide(claims, entry,
                            unwritten_verdict(claims, part, entry, wall));
     }
@@ -108,9 +110,10 @@
     part->not_before = at.now + RETRY_MS;
 }
 
-/* Passes on the verdict and keeps the claim as one that nobody waits for. */
+/* Decides a claim of the batch as UNAVAILABLE.  The entry stays in the batch,
+ * which may have been written already, without awaiting a verdict. */
 static void
-give_up(AqClaims *claims, AqClaimEntry *entry)
+decide_unavailable(AqClaims *claims, AqClaimEntry *entry)
 {
     AqClaimEntry *copy = malloc(sizeof(*copy));
     if (copy == NULL) {
@@ -119,25 +122,29 @@
     *copy = *entry;
     AqList_Init(&copy->link);
     AqPartition_Decide(claims, copy, AQ_CLAIM_UNAVAILABLE);
-    entry->waiting = false;
+    entry->awaits_verdict = false;
 }
 
 static bool
-batch_has_waiting(const AqPartition *part)
+batch_awaits_verdict(const AqPartition *part)
 {
     AqList_ForEach(at, &part->batch)
     {
-        if (AqList_Entry(at, AqClaimEntry, link)->waiting) {
+        if (AqList_Entry(at, AqClaimEntry, link)->awaits_verdict) {
             return true;
         }
     }
     return false;
 }
 
+/* Abandons a batch whose create has no known result if none of its claims
+ * awaits a verdict. */
 static void
-dissolve_if_unwanted(AqClaims *claims, AqPartition *part, AqClockReading at)
+abandon_batch_if_unawaited(AqClaims *claims, AqPartition *part,
+                           AqClockReading at)
 {
-    if (part->in_doubt && part->token == 0 && !batch_has_waiting(part)) {
+    if (part->in_doubt && part->call_token == 0 &&
+        !batch_awaits_verdict(part)) {
         AqPartition_AbandonBatch(claims, part, at);
     }
 }
@@ -149,61 +156,62 @@
     AqList_ForEach(link, &part->batch)
     {
         AqClaimEntry *entry = AqList_Entry(link, AqClaimEntry, link);
-        if (entry->waiting && entry->deadline <= at.now) {
-            give_up(claims, entry);
+        if (entry->awaits_verdict && entry->deadline <= at.now) {
+            decide_unavailable(claims, entry);
         }
     }
-    dissolve_if_unwanted(claims, part, at);
+    abandon_batch_if_unawaited(claims, part, at);
 }
 
 static bool
-is_same_claim(const AqClaimEntry *entry, const AqMsgClaim *claim)
+is_awaited_claim(const AqClaimEntry *entry, const AqMsgClaim *claim)
 {
-    return entry->waiting && entry->data.nonce == claim->nonce &&
+    return entry->awaits_verdict && entry->data.nonce == claim->nonce &&
            memcmp(entry->data.hash, claim->hash, 16) == 0;
 }
 
 void
-AqPartition_Withdraw(AqClaims *claims, AqPartition *part, AqClockReading at,
-                     const AqMsgClaim *claim)
+AqPartition_WithdrawClaim(AqClaims *claims, AqPartition *part,
+                          AqClockReading at, const AqMsgClaim *claim)
 {
     AqList_ForEachSafe(link, after, &part->pending)
     {
         AqClaimEntry *entry = AqList_Entry(link, AqClaimEntry, link);
-        if (is_same_claim(entry, claim)) {
-            unqueue(part, entry);
+        if (is_awaited_claim(entry, claim)) {
+            remove_pending(part, entry);
             AqPartition_Decide(claims, entry, AQ_CLAIM_UNAVAILABLE);
         }
     }
     AqList_ForEach(link, &part->batch)
     {
         AqClaimEntry *entry = AqList_Entry(link, AqClaimEntry, link);
-        if (is_same_claim(entry, claim)) {
-            give_up(claims, entry);
+        if (is_awaited_claim(entry, claim)) {
+            decide_unavailable(claims, entry);
         }
     }
-    dissolve_if_unwanted(claims, part, at);
+    abandon_batch_if_unawaited(claims, part, at);
 }
 
 static void
-forget_batch(AqPartition *part)
+clear_batch(AqPartition *part)
 {
-    AqBuffer_Clear(&part->value);
+    AqBuffer_Clear(&part->batch_value);
     part->in_doubt = false;
-    part->nonce = 0;
-    part->seq = 0;
+    part->batch_nonce = 0;
+    part->batch_seq = 0;
 }
 
+/* Turns a claim that may have been written into an automatic release. */
 static void
-turn_into_release(AqPartition *part, AqClaimEntry *entry, AqTime wall)
+convert_to_release(AqPartition *part, AqClaimEntry *entry, AqTime wall)
 {
     entry->data.op = AQ_BATCH_RELEASE;
-    entry->data.wall = wall;
+    entry->data.wall_ms = wall;
     entry->deadline = AQ_TIME_NEVER;
-    entry->waiting = false;
-    entry->automatic = true;
-    entry->cancelled = entry->shared;
-    part->has_automatic = true;
+    entry->awaits_verdict = false;
+    entry->is_automatic = true;
+    entry->is_cancelled = entry->written_elsewhere;
+    part->may_have_automatic = true;
 }
 
 void
@@ -212,21 +220,22 @@
     for (AqLink *link; (link = AqList_PopFirst(&part->batch)) != NULL;) {
         AqClaimEntry *entry = AqList_Entry(link, AqClaimEntry, link);
         bool is_claim = entry->data.op == AQ_BATCH_CLAIM;
-        if (is_claim && entry->waiting) {
+        if (is_claim && entry->awaits_verdict) {
             AqPartition_Decide(claims, entry, AQ_CLAIM_GRANTED);
         }
-        else if (is_claim && !entry->shared) {
-            turn_into_release(part, entry, at.wall);
+        else if (is_claim && !entry->written_elsewhere) {
+            convert_to_release(part, entry, at.wall);
             AqPartition_Queue(part, entry);
         }
         else {
             free(entry);
         }
     }
-    forget_batch(part);
+    clear_batch(part);
 }
 
-/* Puts the batch before the other pending entries, in its own order. */
+/* Inserts the entries of the batch before the other pending ones, in the same
+ * order. */
 void
 AqPartition_RequeueBatch(AqPartition *part)
 {
@@ -237,8 +246,9 @@
     }
     for (AqLink *at; (at = AqList_PopFirst(&part->batch)) != NULL;) {
         AqClaimEntry *entry = AqList_Entry(at, AqClaimEntry, link);
-        bool unwanted = entry->data.op == AQ_BATCH_CLAIM && !entry->waiting;
-        if (unwanted || entry->cancelled) {
+        bool is_unawaited =
+            entry->data.op == AQ_BATCH_CLAIM && !entry->awaits_verdict;
+        if (is_unawaited || entry->is_cancelled) {
             free(entry);
         }
         else {
@@ -248,7 +258,7 @@
     for (AqLink *at; (at = AqList_PopFirst(&later)) != NULL;) {
         AqList_Append(&part->pending, at);
     }
-    forget_batch(part);
+    clear_batch(part);
 }
 
 void
@@ -258,114 +268,116 @@
     AqList_ForEach(link, &part->batch)
     {
         AqClaimEntry *entry = AqList_Entry(link, AqClaimEntry, link);
-        if (entry->waiting) {
-            give_up(claims, entry);
+        if (entry->awaits_verdict) {
+            decide_unavailable(claims, entry);
         }
         if (entry->data.op == AQ_BATCH_CLAIM) {
-            turn_into_release(part, entry, at.wall);
+            convert_to_release(part, entry, at.wall);
         }
     }
     AqPartition_RequeueBatch(part);
 }
 
-/* What to do with a pending entry when a batch is built. */
+/* Handling of a pending entry while a batch is built. */
 typedef enum {
-    TAKE,
-    LEAVE,         /* an earlier entry of the batch is about the same id */
-    CONFIRM_FIRST, /* claimed as far as known; a release may have followed */
+    ADD_TO_BATCH,
+    KEEP_PENDING, /* the batch has an entry of the same id */
+    READ_FIRST,   /* claimed in the cached log; may be released since */
     REJECT_DUPLICATE,
     REJECT_RELEASED,
-    DROP
-} Choice;
+    DISCARD
+} EntryAction;
 
-static Choice
-choose(const AqClaims *claims, const AqPartition *part, const AqIdTable *taken,
-       AqClaimEntry *entry, AqTime wall)
+static EntryAction
+choose_action(const AqClaims *claims, const AqPartition *part,
+              const AqIdTable *batch_ids, AqClaimEntry *entry, AqTime wall)
 {
     const AqBatchEntry *data = &entry->data;
-    if (AqIdTable_Find(taken, data->hash) != NULL) {
-        return LEAVE;
+    if (AqIdTable_Find(batch_ids, data->hash) != NULL) {
+        return KEEP_PENDING;
     }
     if (data->op == AQ_BATCH_RELEASE) {
-        bool outlived = data->wall + claims->config.retention_ms < wall;
-        return outlived ? DROP : TAKE;
+        bool is_expired = data->wall_ms + claims->config.retention_ms < wall;
+        return is_expired ? DISCARD : ADD_TO_BATCH;
     }
     if (AqPartition_IsReleased(part, data->hash, data->nonce)) {
         return REJECT_RELEASED;
     }
-    /* The same claim, submitted to another daemon before, is written again
-     * rather than granted as found: only a create proves that the log has no
-     * newer claim of the id. */
+    /* If the log has the same claim, because it was submitted to another
+     * daemon before, it is written again rather than granted: only a create
+     * proves that the log has no newer claim of the id. */
     const AqIdRecord *record =
         AqPartition_FindClaim(claims, part, data->hash, wall);
     if (record == NULL || record->nonce == data->nonce) {
-        entry->shared = record != NULL;
-        return TAKE;
+        entry->written_elsewhere = record != NULL;
+        return ADD_TO_BATCH;
     }
-    return part->confirmed >= entry->submitted ? REJECT_DUPLICATE
-                                               : CONFIRM_FIRST;
+    return part->confirmed_at >= entry->submitted_at ? REJECT_DUPLICATE
+                                                     : READ_FIRST;
 }
 
 static void
-carry_out(AqClaims *claims, AqPartition *part, AqClaimEntry *entry,
-          Choice choice)
+apply_action(AqClaims *claims, AqPartition *part, AqClaimEntry *entry,
+             EntryAction action)
 {
-    switch (choice) {
-    case TAKE:
-        unqueue(part, entry);
+    switch (action) {
+    case ADD_TO_BATCH:
+        remove_pending(part, entry);
         AqList_Append(&part->batch, &entry->link);
         break;
     case REJECT_DUPLICATE:
     case REJECT_RELEASED:
-        unqueue(part, entry);
+        remove_pending(part, entry);
         AqPartition_Decide(claims, entry,
-                           choice == REJECT_DUPLICATE ? AQ_CLAIM_DUPLICATE
+                           action == REJECT_DUPLICATE ? AQ_CLAIM_DUPLICATE
                                                       : AQ_CLAIM_UNAVAILABLE);
         break;
-    case DROP:
-        unqueue(part, entry);
+    case DISCARD:
+        remove_pending(part, entry);
         free(entry);
         break;
-    case CONFIRM_FIRST:
-        part->need = AQ_NEED_NEXT;
+    case READ_FIRST:
+        part->read_need = AQ_NEED_NEXT;
         break;
-    case LEAVE:
+    case KEEP_PENDING:
         break;
     }
 }
 
-/* Moves pending entries to the batch and decides the claims that need no
- * write.  Sets part->need when a claim needs a read instead. */
+/* Moves pending entries to the batch, decides the claims that need no write,
+ * and encodes the batch.  Sets part->read_need if a claim needs a read first
+ * and nothing is to be written. */
 static void
 build_batch(AqClaims *claims, AqPartition *part, AqClockReading at)
 {
-    AqIdTable taken = {0};
+    AqIdTable batch_ids = {0};
     size_t count = 0;
     AqList_ForEachSafe(link, after, &part->pending)
     {
         AqClaimEntry *entry = AqList_Entry(link, AqClaimEntry, link);
-        Choice choice = choose(claims, part, &taken, entry, at.wall);
-        if (choice == TAKE && count == AQ_BATCH_MAX_ENTRIES) {
+        EntryAction action =
+            choose_action(claims, part, &batch_ids, entry, at.wall);
+        if (action == ADD_TO_BATCH && count == AQ_BATCH_MAX_ENTRIES) {
             break;
         }
-        if (choice == TAKE) {
-            AqIdTable_Put(&taken, entry->data.hash, 0, 1);
+        if (action == ADD_TO_BATCH) {
+            AqIdTable_Put(&batch_ids, entry->data.hash, 0, 1);
             count++;
         }
-        carry_out(claims, part, entry, choice);
+        apply_action(claims, part, entry, action);
     }
-    AqIdTable_Clear(&taken);
+    AqIdTable_Clear(&batch_ids);
     if (count == 0) {
         return;
     }
-    part->need = AQ_NEED_NOTHING;
-    part->nonce = AqRandom_Next(&claims->random);
-    part->seq = part->next;
-    AqBatch_EncodeHeader(&part->value, count, claims->self, part->nonce,
-                         at.wall);
+    part->read_need = AQ_NEED_NOTHING;
+    part->batch_nonce = AqRandom_Next(&claims->random);
+    part->batch_seq = part->next_seq;
+    AqBatch_EncodeHeader(&part->batch_value, count, claims->self,
+                         part->batch_nonce, at.wall);
     AqList_ForEach(link, &part->batch)
     {
-        AqBatch_EncodeEntry(&part->value,
+        AqBatch_EncodeEntry(&part->batch_value,
                             &AqList_Entry(link, AqClaimEntry, link)->data);
     }
 }
@@ -375,30 +387,31 @@
 {
     char key[64];
     snprintf(key, sizeof(key), "aq/claims/%d/%016llx", part->number,
-             (unsigned long long)part->seq);
+             (unsigned long long)part->batch_seq);
     part->call = AQ_CLAIMS_CREATE;
-    part->token = AqPartition_NewToken(claims, part);
-    part->started = now;
+    part->call_token = AqPartition_NewToken(claims, part);
+    part->call_started_at = now;
     part->write_at = now + claims->config.batch_ms;
     claims->writes++;
-    claims->ops.store_call(claims->context, part->token, part->call, false,
-                           key, part->value.bytes, part->value.size);
+    claims->ops.store_call(claims->context, part->call_token, part->call,
+                           false, key, part->batch_value.bytes,
+                           part->batch_value.size);
 }
 
 void
 AqPartition_Advance(AqClaims *claims, AqPartition *part, AqClockReading at)
 {
     bool idle = AqList_IsEmpty(&part->pending) && AqList_IsEmpty(&part->batch);
-    if (part->token != 0 || at.now < part->not_before || idle) {
+    if (part->call_token != 0 || at.now < part->not_before || idle) {
         return;
     }
     if (AqPartition_IsStale(claims, part, at.now)) {
-        part->need = AQ_NEED_ALL;
+        part->read_need = AQ_NEED_ALL;
     }
-    if (part->need == AQ_NEED_ALL) {
+    if (part->read_need == AQ_NEED_ALL) {
         AqPartition_AbandonBatch(claims, part, at);
     }
-    if (part->need != AQ_NEED_NOTHING) {
+    if (part->read_need != AQ_NEED_NOTHING) {
         AqPartition_StartRead(claims, part, at.now);
         return;
     }
@@ -408,7 +421,7 @@
     if (AqList_IsEmpty(&part->batch)) {
         build_batch(claims, part, at);
     }
-    if (part->need != AQ_NEED_NOTHING) {
+    if (part->read_need != AQ_NEED_NOTHING) {
         part->write_at = at.now + claims->config.batch_ms;
         AqPartition_StartRead(claims, part, at.now);
     }
@@ -417,14 +430,15 @@
     }
 }
 
+/* Handles a successful create of the batch. */
 static void
-created(AqClaims *claims, AqPartition *part, AqClockReading at)
+batch_created(AqClaims *claims, AqPartition *part, AqClockReading at)
 {
-    /* The entries below "seq" may have been deleted since they were read, and
-     * "seq" with them: then this create took the place of a deleted batch,
-     * and newer batches were never read. */
+    /* Since the log was read, batches up to and including batch_seq may have
+     * been written and removed.  The create then reused the key of a removed
+     * batch, and newer batches were never read. */
     if (AqPartition_IsStale(claims, part, at.now)) {
-        part->need = AQ_NEED_ALL;
+        part->read_need = AQ_NEED_ALL;
         AqPartition_AbandonBatch(claims, part, at);
         return;
     }
@@ -432,12 +446,12 @@
     AqList_ForEach(link, &part->batch)
     {
         const AqClaimEntry *entry = AqList_Entry(link, AqClaimEntry, link);
-        AqPartition_Apply(claims, part, &entry->data);
-        newest = entry->data.wall > newest ? entry->data.wall : newest;
+        AqPartition_ApplyEntry(claims, part, &entry->data);
+        newest = entry->data.wall_ms > newest ? entry->data.wall_ms : newest;
     }
-    AqPartition_NoteBatch(claims, part, part->seq, newest, at.now);
-    part->next = part->seq + 1;
-    part->confirmed = part->started;
+    AqPartition_RecordBatch(claims, part, part->batch_seq, newest, at.now);
+    part->next_seq = part->batch_seq + 1;
+    part->confirmed_at = part->call_started_at;
     part->newest_is_own = true;
     AqPartition_GrantBatch(claims, part, at);
 }
@@ -453,14 +467,14 @@
                 (result == AQ_CLAIMS_STORE_UNKNOWN &&
                  (disabled & AQ_CLAIMS_DISABLE_READ_BACK) != 0);
     if (done) {
-        created(claims, part, at);
+        batch_created(claims, part, at);
     }
     else if (result == AQ_CLAIMS_STORE_EXISTS) {
-        part->need = AQ_NEED_NEXT;
+        part->read_need = AQ_NEED_NEXT;
     }
     else if (result == AQ_CLAIMS_STORE_UNKNOWN || part->in_doubt) {
         part->in_doubt = true;
-        part->need = AQ_NEED_NEXT;
+        part->read_need = AQ_NEED_NEXT;
         part->not_before = result == AQ_CLAIMS_STORE_UNKNOWN
                                ? part->not_before
                                : at.now + RETRY_MS;
--- a/packages/claims/partition_check.c
+++ b/packages/claims/partition_check.c
@@ -3,24 +3,24 @@
 #include <string.h>
 
 static bool
-fail(const AqPartition *part, AqError *error, const char *what)
+report_inconsistency(const AqPartition *part, AqError *error, const char *what)
 {
     return AqError_Set(error, AQ_ERR_SYSTEM,
-                       "claim partition %d: %s; restart the daemon, the log "
-                       "in the store is read again",
+                       "claim partition %d: %s; restart the daemon, which "
+                       "reads the log from the store again",
                        part->number, what);
 }
 
 static bool
-entries_belong(const AqPartition *part, const AqLink *list)
+entries_are_valid(const AqPartition *part, const AqLink *list)
 {
     AqList_ForEach(at, list)
     {
         const AqClaimEntry *entry = AqList_Entry(at, AqClaimEntry, link);
-        bool claim = entry->data.op == AQ_BATCH_CLAIM;
+        bool is_claim = entry->data.op == AQ_BATCH_CLAIM;
         if (AqClaims_Partition(entry->data.hash) != part->number ||
-            (!claim && entry->data.op != AQ_BATCH_RELEASE) ||
-            (entry->waiting && !claim)) {
+            (!is_claim && entry->data.op != AQ_BATCH_RELEASE) ||
+            (entry->awaits_verdict && !is_claim)) {
             return false;
         }
     }
@@ -34,16 +34,16 @@
     AqList_ForEach(at, list)
     {
         const AqClaimEntry *entry = AqList_Entry(at, AqClaimEntry, link);
-        if (entry->waiting && entry->deadline < last) {
+        if (entry->awaits_verdict && entry->deadline < last) {
             return false;
         }
-        last = entry->waiting ? entry->deadline : last;
+        last = entry->awaits_verdict ? entry->deadline : last;
     }
     return true;
 }
 
 static bool
-batch_ids_differ(const AqPartition *part)
+batch_ids_are_unique(const AqPartition *part)
 {
     AqIdTable seen = {0};
     bool ok = true;
@@ -67,7 +67,7 @@
     for (size_t i = first; i < part->group_count; i++) {
         uint64_t number = part->groups[i].number;
         if ((i > first && number <= part->groups[i - 1].number) ||
-            number > AqPartition_GroupOf(claims, part->next - 1)) {
+            number > AqPartition_GroupOf(claims, part->next_seq - 1)) {
             return false;
         }
     }
@@ -78,34 +78,46 @@
 AqPartition_CheckConsistency(const AqClaims *claims, const AqPartition *part,
                              AqError *error)
 {
-    bool writing = !AqList_IsEmpty(&part->batch);
+    bool has_batch = !AqList_IsEmpty(&part->batch);
     if (AqList_Length(&part->pending) != part->pending_count) {
-        return fail(part, error, "the count of pending entries is wrong");
+        return report_inconsistency(part, error,
+                                    "the count of pending entries is wrong");
     }
-    if (!entries_belong(part, &part->pending) ||
-        !entries_belong(part, &part->batch)) {
-        return fail(part, error, "an entry belongs elsewhere");
+    if (!entries_are_valid(part, &part->pending) ||
+        !entries_are_valid(part, &part->batch)) {
+        return report_inconsistency(
+            part, error,
+            "an entry is invalid or belongs to another partition");
     }
     if (!deadlines_ascend(&part->pending) || !deadlines_ascend(&part->batch)) {
-        return fail(part, error, "claims are not in order of deadline");
+        return report_inconsistency(part, error,
+                                    "claims are not in order of deadline");
     }
-    if (writing != (part->value.size > 0) || writing != (part->seq != 0)) {
-        return fail(part, error, "a batch and its value do not match");
+    if (has_batch != (part->batch_value.size > 0) ||
+        has_batch != (part->batch_seq != 0)) {
+        return report_inconsistency(part, error,
+                                    "a batch and its value do not match");
     }
-    if (part->in_doubt && !writing) {
-        return fail(part, error, "an empty batch is in doubt");
+    if (part->in_doubt && !has_batch) {
+        return report_inconsistency(
+            part, error, "the create of an empty batch has an unknown result");
     }
-    if (part->token != 0 && part->call == AQ_CLAIMS_CREATE && !writing) {
-        return fail(part, error, "an empty batch is being written");
+    if (part->call_token != 0 && part->call == AQ_CLAIMS_CREATE &&
+        !has_batch) {
+        return report_inconsistency(part, error,
+                                    "an empty batch is being written");
     }
-    if (!batch_ids_differ(part)) {
-        return fail(part, error, "a batch names one id twice");
+    if (!batch_ids_are_unique(part)) {
+        return report_inconsistency(part, error,
+                                    "a batch has two entries of one id");
     }
     if (!groups_ascend(claims, part)) {
-        return fail(part, error, "the batch groups are out of order");
+        return report_inconsistency(part, error,
+                                    "the batch groups are out of order");
     }
-    if (part->next == 0 || !AqIdTable_CheckConsistency(&part->ids)) {
-        return fail(part, error, "the table of ids is damaged");
+    if (part->next_seq == 0 || !AqIdTable_CheckConsistency(&part->ids)) {
+        return report_inconsistency(part, error,
+                                    "the id table is inconsistent");
     }
     return true;
 }
--- a/packages/claims/partition_log.c
+++ b/packages/claims/partition_log.c
@@ -8,19 +8,20 @@
 #include "aq_hash.h"
 
 enum {
-    KEY_DIGITS = 16,
-    /* Reads of 16 batches in a row, then of 256, before the whole partition
-     * is read: at 25 batches a second they cover a gap of about three
-     * minutes. */
+    KEY_DIGITS = 16, /* hexadecimal digits of SEQ in a key */
+    /* To catch up with the log, a partition reads up to 16 batches in each of
+     * NARROW_READS reads, then up to 256 in each of WIDE_READS reads, and then
+     * the whole log.  At 25 batches per second the first two cover a gap of
+     * about three minutes. */
     NARROW_READS = 4,
     WIDE_READS = 16,
-    /* Pause before a removal that failed is tried again, and before a daemon
-     * that may not remove looks again whether it may. */
-    REMOVE_MS = 500,
-    /* A batch is removed a sixteenth of the retention (225 s of 1 h) after
-     * its claims are forgotten, so that clocks which differ by less than
-     * that never base a verdict on a removed batch. */
-    GRACE_SHARE = 16
+    /* Delay before a failed removal is tried again, and before a daemon that
+     * may not remove batches checks again whether it may. */
+    REMOVAL_RETRY_MS = 500,
+    /* A batch is removed a sixteenth of the retention (225 s of 1 h) after its
+     * claims have expired, so that daemons whose wall clocks differ by less
+     * than that never base a verdict on a removed batch. */
+    GRACE_DIVISOR = 16
 };
 
 bool
@@ -28,7 +29,7 @@
                     AqTime now)
 {
     return (claims->config.disabled & AQ_CLAIMS_DISABLE_REREAD) == 0 &&
-           now - part->confirmed >= claims->config.retention_ms / 2;
+           now - part->confirmed_at >= claims->config.retention_ms / 2;
 }
 
 const AqIdRecord *
@@ -36,12 +37,12 @@
                       const uint8_t hash[16], AqTime wall)
 {
     const AqIdRecord *record = AqIdTable_Find(&part->ids, hash);
-    bool in_force =
-        record != NULL && record->wall + claims->config.retention_ms >= wall;
-    return in_force ? record : NULL;
+    bool is_in_force = record != NULL &&
+                       record->wall_ms + claims->config.retention_ms >= wall;
+    return is_in_force ? record : NULL;
 }
 
-/* The key under which a released nonce is remembered. */
+/* Computes the key of a released nonce in the table of ids. */
 static void
 released_key(const uint8_t hash[16], uint64_t nonce, uint8_t key[16])
 {
@@ -60,68 +61,72 @@
     return AqIdTable_Find(&part->ids, key) != NULL;
 }
 
-/* The newest claim of an id replaces older ones: whoever wrote it had read
- * all of them and knew that they were released or outlived. */
+/* The newest claim of an id replaces older ones: its writer had read all of
+ * them and found them released or expired. */
 void
-AqPartition_Apply(const AqClaims *claims, AqPartition *part,
-                  const AqBatchEntry *entry)
+AqPartition_ApplyEntry(const AqClaims *claims, AqPartition *part,
+                       const AqBatchEntry *entry)
 {
     if (entry->op == AQ_BATCH_CLAIM) {
-        AqIdTable_Put(&part->ids, entry->hash, entry->nonce, entry->wall);
+        AqIdTable_Put(&part->ids, entry->hash, entry->nonce, entry->wall_ms);
         return;
     }
     uint8_t key[16];
     AqIdRecord *record = AqIdTable_Find(&part->ids, entry->hash);
-    bool any_nonce =
+    bool ignores_nonce =
         (claims->config.disabled & AQ_CLAIMS_DISABLE_RELEASE_NONCE) != 0;
-    if (record != NULL && (record->nonce == entry->nonce || any_nonce)) {
+    if (record != NULL && (record->nonce == entry->nonce || ignores_nonce)) {
         AqIdTable_Remove(&part->ids, record);
     }
     released_key(entry->hash, entry->nonce, key);
-    AqIdTable_Put(&part->ids, key, entry->nonce, entry->wall);
+    AqIdTable_Put(&part->ids, key, entry->nonce, entry->wall_ms);
 }
 
 static bool
-is_about(const AqClaimEntry *entry, const AqBatchEntry *claim)
+matches_claim(const AqClaimEntry *entry, const AqBatchEntry *claim)
 {
     return entry->data.nonce == claim->nonce &&
            memcmp(entry->data.hash, claim->hash, 16) == 0;
 }
 
+/* Removes the pending automatic releases of the claim. */
 static void
-cancel_pending(AqPartition *part, const AqBatchEntry *claim)
+cancel_pending_releases(AqPartition *part, const AqBatchEntry *claim)
 {
-    part->has_automatic = false;
+    part->may_have_automatic = false;
     AqList_ForEachSafe(link, after, &part->pending)
     {
         AqClaimEntry *entry = AqList_Entry(link, AqClaimEntry, link);
-        if (entry->automatic && is_about(entry, claim)) {
+        if (entry->is_automatic && matches_claim(entry, claim)) {
             AqList_Remove(link);
             part->pending_count--;
             free(entry);
         }
-        else if (entry->automatic) {
-            part->has_automatic = true;
+        else if (entry->is_automatic) {
+            part->may_have_automatic = true;
         }
     }
 }
 
 void
-AqPartition_KeepClaim(AqPartition *part, const AqBatchEntry *claim)
+AqPartition_MarkWrittenElsewhere(AqPartition *part, const AqBatchEntry *claim)
 {
-    if (part->has_automatic) {
-        cancel_pending(part, claim);
+    if (part->may_have_automatic) {
+        cancel_pending_releases(part, claim);
     }
     AqList_ForEach(link, &part->batch)
     {
         AqClaimEntry *entry = AqList_Entry(link, AqClaimEntry, link);
-        bool same = is_about(entry, claim);
-        entry->shared = entry->shared || same;
-        entry->cancelled = entry->cancelled || (same && entry->automatic);
-        part->has_automatic = part->has_automatic || entry->automatic;
+        bool is_same = matches_claim(entry, claim);
+        entry->written_elsewhere = entry->written_elsewhere || is_same;
+        entry->is_cancelled =
+            entry->is_cancelled || (is_same && entry->is_automatic);
+        part->may_have_automatic =
+            part->may_have_automatic || entry->is_automatic;
     }
 }
 
+/* Returns how many hexadecimal digits of SEQ a removal leaves out. */
 static unsigned
 group_digits(const AqClaims *claims)
 {
@@ -135,16 +140,16 @@
 }
 
 void
-AqPartition_NoteBatch(const AqClaims *claims, AqPartition *part, uint64_t seq,
-                      int64_t wall, AqTime now)
+AqPartition_RecordBatch(const AqClaims *claims, AqPartition *part,
+                        uint64_t seq, int64_t wall_ms, AqTime now)
 {
     uint64_t number = AqPartition_GroupOf(claims, seq);
     if (part->group_count > part->group_first &&
         part->groups[part->group_count - 1].number == number) {
         AqBatchGroup *last = &part->groups[part->group_count - 1];
-        last->newest_wall =
-            wall > last->newest_wall ? wall : last->newest_wall;
-        last->seen = now;
+        last->newest_wall_ms =
+            wall_ms > last->newest_wall_ms ? wall_ms : last->newest_wall_ms;
+        last->recorded_at = now;
         return;
     }
     if (part->group_count == part->group_capacity) {
@@ -155,7 +160,7 @@
             abort();
         }
     }
-    part->groups[part->group_count] = (AqBatchGroup){number, wall, now};
+    part->groups[part->group_count] = (AqBatchGroup){number, wall_ms, now};
     part->group_count++;
 }
 
@@ -164,35 +169,37 @@
 {
     char key[64];
     int used = snprintf(key, sizeof(key), "aq/claims/%d/", part->number);
-    unsigned digits = part->catch_up < NARROW_READS ? 1 : 2;
-    part->reads_all = part->need == AQ_NEED_ALL ||
-                      part->catch_up >= NARROW_READS + WIDE_READS;
+    unsigned digits = part->incomplete_reads < NARROW_READS ? 1 : 2;
+    part->reads_all = part->read_need == AQ_NEED_ALL ||
+                      part->incomplete_reads >= NARROW_READS + WIDE_READS;
     if (!part->reads_all) {
         snprintf(key + used, sizeof(key) - (size_t)used, "%0*" PRIx64,
-                 (int)(KEY_DIGITS - digits), part->next >> (4 * digits));
+                 (int)(KEY_DIGITS - digits), part->next_seq >> (4 * digits));
     }
-    part->read_end = ((part->next >> (4 * digits)) + 1) << (4 * digits);
+    part->read_end_seq = ((part->next_seq >> (4 * digits)) + 1)
+                         << (4 * digits);
     part->call = AQ_CLAIMS_READ;
-    part->token = AqPartition_NewToken(claims, part);
-    part->started = now;
+    part->call_token = AqPartition_NewToken(claims, part);
+    part->call_started_at = now;
     claims->reads++;
-    claims->ops.store_call(claims->context, part->token, part->call, true, key,
-                           NULL, 0);
+    claims->ops.store_call(claims->context, part->call_token, part->call, true,
+                           key, NULL, 0);
 }
 
+/* A batch that was read, and its SEQ. */
 typedef struct {
     uint64_t seq;
     const AqClaimsItem *item;
-} Numbered;
+} NumberedItem;
 
 static int
-compare_numbered(const void *a, const void *b)
+compare_seq(const void *a, const void *b)
 {
-    const Numbered *left = a, *right = b;
+    const NumberedItem *left = a, *right = b;
     return (left->seq > right->seq) - (left->seq < right->seq);
 }
 
-/* Reads SEQ from a key of this partition; 0 for any other key. */
+/* Returns the SEQ in a key of this partition, or 0 for any other key. */
 static uint64_t
 parse_key(const AqPartition *part, const char *key)
 {
@@ -209,18 +216,20 @@
     return strtoull(digits, NULL, 16);
 }
 
-/* Applies the batches from "next" on.  Returns false when one cannot be
- * decoded, or when one is missing between others. */
+/* Applies the batches from next_seq on, sorted by SEQ, and sets
+ * *found_own_batch if the batch being written is one of them.  Returns false
+ * if a batch cannot be decoded or if, in a partial read, one is missing
+ * before another. */
 static bool
 apply_items(AqClaims *claims, AqPartition *part, AqTime now,
-            const Numbered *items, size_t count, bool *own)
+            const NumberedItem *items, size_t count, bool *found_own_batch)
 {
     for (size_t i = 0; i < count; i++) {
         AqBatch batch;
-        if (items[i].seq < part->next) {
+        if (items[i].seq < part->next_seq) {
             continue;
         }
-        if (items[i].seq > part->next && !part->reads_all) {
+        if (items[i].seq > part->next_seq && !part->reads_all) {
             return false;
         }
         if (!AqBatch_Decode(items[i].item->value, items[i].item->size, &batch,
@@ -230,26 +239,28 @@
         }
         bool foreign = strcmp(batch.writer, claims->self) != 0;
         for (size_t j = 0; j < batch.count; j++) {
-            AqPartition_Apply(claims, part, &batch.entries[j]);
+            AqPartition_ApplyEntry(claims, part, &batch.entries[j]);
             if (foreign && batch.entries[j].op == AQ_BATCH_CLAIM) {
-                AqPartition_KeepClaim(part, &batch.entries[j]);
+                AqPartition_MarkWrittenElsewhere(part, &batch.entries[j]);
             }
         }
-        AqPartition_NoteBatch(claims, part, items[i].seq, batch.newest_wall,
-                              now);
-        part->next = items[i].seq + 1;
-        part->newest_is_own = part->nonce != 0 && batch.nonce == part->nonce;
-        *own = *own || part->newest_is_own;
+        AqPartition_RecordBatch(claims, part, items[i].seq,
+                                batch.newest_wall_ms, now);
+        part->next_seq = items[i].seq + 1;
+        part->newest_is_own =
+            part->batch_nonce != 0 && batch.nonce == part->batch_nonce;
+        *found_own_batch = *found_own_batch || part->newest_is_own;
         AqBatch_Clear(&batch);
     }
     return true;
 }
 
+/* Sorts the entries of a read by SEQ and applies them; see apply_items. */
 static bool
 apply_result(AqClaims *claims, AqPartition *part, AqTime now,
-             const AqClaimsItem *items, size_t count, bool *own)
+             const AqClaimsItem *items, size_t count, bool *found_own_batch)
 {
-    Numbered *numbered = calloc(count + 1, sizeof(Numbered));
+    NumberedItem *numbered = calloc(count + 1, sizeof(NumberedItem));
     if (numbered == NULL) {
         abort();
     }
@@ -257,57 +268,61 @@
     for (size_t i = 0; i < count; i++) {
         uint64_t seq = parse_key(part, items[i].key);
         if (seq != 0) {
-            numbered[used++] = (Numbered){seq, &items[i]};
+            numbered[used++] = (NumberedItem){seq, &items[i]};
         }
     }
-    qsort(numbered, used, sizeof(Numbered), compare_numbered);
-    bool ok = apply_items(claims, part, now, numbered, used, own);
+    qsort(numbered, used, sizeof(NumberedItem), compare_seq);
+    bool ok = apply_items(claims, part, now, numbered, used, found_own_batch);
     free(numbered);
     return ok;
 }
 
-/* Decides what becomes of a batch once the log around its SEQ was read. */
+/* Grants or requeues the batch being written after the log was read.  It is
+ * requeued once a batch of another writer is known to have its SEQ. */
 static void
-settle_batch(AqClaims *claims, AqPartition *part, AqClockReading at, bool own)
+resolve_batch(AqClaims *claims, AqPartition *part, AqClockReading at,
+              bool found_own_batch)
 {
     if (AqList_IsEmpty(&part->batch)) {
         return;
     }
-    if (own) {
+    if (found_own_batch) {
         AqPartition_GrantBatch(claims, part, at);
     }
-    else if (part->next > part->seq) {
+    else if (part->next_seq > part->batch_seq) {
         AqPartition_RequeueBatch(part);
     }
 }
 
+/* Decides the pending claims after a read that failed or cannot be applied. */
 static void
-read_failed(AqClaims *claims, AqPartition *part, AqClockReading at, bool again)
+handle_read_failure(AqClaims *claims, AqPartition *part, AqClockReading at,
+                    bool requires_full_read)
 {
-    if (again) {
-        part->need = AQ_NEED_ALL;
+    if (requires_full_read) {
+        part->read_need = AQ_NEED_ALL;
     }
     AqPartition_FailPending(claims, part, at);
 }
 
 static void
-read_all_done(AqClaims *claims, AqPartition *part, AqClockReading at,
-              const AqClaimsItem *items, size_t count)
+handle_full_read(AqClaims *claims, AqPartition *part, AqClockReading at,
+                 const AqClaimsItem *items, size_t count)
 {
-    bool own = false;
+    bool found_own_batch = false;
     AqPartition_AbandonBatch(claims, part, at);
     AqIdTable_Clear(&part->ids);
     part->group_first = 0;
     part->group_count = 0;
-    part->next = 1;
+    part->next_seq = 1;
     part->newest_is_own = false;
-    if (!apply_result(claims, part, at.now, items, count, &own)) {
-        read_failed(claims, part, at, true);
+    if (!apply_result(claims, part, at.now, items, count, &found_own_batch)) {
+        handle_read_failure(claims, part, at, true);
         return;
     }
-    part->need = AQ_NEED_NOTHING;
-    part->confirmed = part->started;
-    part->catch_up = 0;
+    part->read_need = AQ_NEED_NOTHING;
+    part->confirmed_at = part->call_started_at;
+    part->incomplete_reads = 0;
 }
 
 void
@@ -319,65 +334,67 @@
         count = 0;
     }
     else if (result != AQ_CLAIMS_STORE_OK) {
-        read_failed(claims, part, at, false);
+        handle_read_failure(claims, part, at, false);
         return;
     }
     if (part->reads_all) {
-        read_all_done(claims, part, at, items, count);
+        handle_full_read(claims, part, at, items, count);
         return;
     }
-    bool own = false;
+    bool found_own_batch = false;
     if (AqPartition_IsStale(claims, part, at.now)) {
-        part->need = AQ_NEED_ALL;
+        part->read_need = AQ_NEED_ALL;
         return;
     }
-    if (!apply_result(claims, part, at.now, items, count, &own)) {
-        read_failed(claims, part, at, true);
+    if (!apply_result(claims, part, at.now, items, count, &found_own_batch)) {
+        handle_read_failure(claims, part, at, true);
         return;
     }
-    if (part->next == part->read_end) {
-        part->catch_up++;
+    if (part->next_seq == part->read_end_seq) {
+        part->incomplete_reads++;
     }
     else {
-        part->need = AQ_NEED_NOTHING;
-        part->confirmed = part->started;
-        part->catch_up = 0;
+        part->read_need = AQ_NEED_NOTHING;
+        part->confirmed_at = part->call_started_at;
+        part->incomplete_reads = 0;
     }
-    settle_batch(claims, part, at, own);
+    resolve_batch(claims, part, at, found_own_batch);
 }
 
-/* Only the writer of the newest batch removes old ones, so that idle daemons
- * do not repeat its calls.  A group must also have been known for more than
- * half of the retention: a daemon that saw SEQ free less than that ago can
- * then rely on SEQ not having been written and removed since, whatever the
- * clocks and pauses of others were. */
+/* Starts the removal of the oldest group if it is due.  Only the writer of the
+ * newest batch removes old ones, so that idle daemons do not repeat its calls.
+ * The group must also have been recorded here for more than half of the
+ * retention: a daemon that read a SEQ as free less than that ago can then rely
+ * on the SEQ not having been written and removed since, regardless of the
+ * clocks and pauses of other daemons. */
 static void
 remove_oldest(AqClaims *claims, AqPartition *part, AqClockReading at)
 {
     AqTime retention = claims->config.retention_ms;
-    part->remove_at = at.now + REMOVE_MS;
+    part->remove_at = at.now + REMOVAL_RETRY_MS;
     if (!part->newest_is_own || part->group_count - part->group_first < 2) {
         return;
     }
     const AqBatchGroup *oldest = &part->groups[part->group_first];
-    AqTime grace = retention / GRACE_SHARE;
-    AqTime outlived =
-        at.now + oldest->newest_wall + retention + grace - at.wall;
-    AqTime known = oldest->seen + retention / 2;
-    AqTime due = outlived > known ? outlived : known;
+    AqTime grace = retention / GRACE_DIVISOR;
+    AqTime expiry_due =
+        at.now + oldest->newest_wall_ms + retention + grace - at.wall;
+    AqTime recorded_due = oldest->recorded_at + retention / 2;
+    AqTime due = expiry_due > recorded_due ? expiry_due : recorded_due;
     if (at.now <= due) {
-        /* The wall clock may be set, so the wait is bounded. */
+        /* The wait is limited because the wall clock may be set. */
         part->remove_at = due < at.now + grace ? due + 1 : at.now + grace;
         return;
     }
     char key[64];
     snprintf(key, sizeof(key), "aq/claims/%d/%0*" PRIx64, part->number,
              (int)(KEY_DIGITS - group_digits(claims)), oldest->number);
-    part->removal = AqPartition_NewToken(claims, part);
-    part->removed = oldest->number;
+    part->removal_token = AqPartition_NewToken(claims, part);
+    part->removal_group = oldest->number;
     claims->writes++;
-    claims->ops.store_call(claims->context, part->removal, AQ_CLAIMS_REMOVE,
-                           claims->config.prefix_removal, key, NULL, 0);
+    claims->ops.store_call(claims->context, part->removal_token,
+                           AQ_CLAIMS_REMOVE, claims->config.prefix_removal,
+                           key, NULL, 0);
 }
 
 void
@@ -385,12 +402,12 @@
                            AqClockReading at)
 {
     AqTime retention = claims->config.retention_ms;
-    if (part->removal == 0 && at.now >= part->remove_at) {
+    if (part->removal_token == 0 && at.now >= part->remove_at) {
         remove_oldest(claims, part, at);
     }
     if (at.now >= part->sweep_at) {
         AqIdTable_Sweep(&part->ids, at.wall - retention);
-        part->sweep_at = at.now + retention / GRACE_SHARE;
+        part->sweep_at = at.now + retention / GRACE_DIVISOR;
     }
 }
 
@@ -398,13 +415,14 @@
 AqPartition_RemoveDone(AqPartition *part, AqTime now,
                        AqClaimsStoreResult result)
 {
-    part->removal = 0;
-    part->remove_at = now + REMOVE_MS;
-    bool gone =
+    part->removal_token = 0;
+    part->remove_at = now + REMOVAL_RETRY_MS;
+    bool is_removed =
         result == AQ_CLAIMS_STORE_OK || result == AQ_CLAIMS_STORE_ABSENT;
-    /* A read of the whole partition may have dropped the group already. */
-    if (!gone || part->group_first == part->group_count ||
-        part->groups[part->group_first].number != part->removed) {
+    /* A read of the whole partition may have removed the group from the list
+     * already. */
+    if (!is_removed || part->group_first == part->group_count ||
+        part->groups[part->group_first].number != part->removal_group) {
         return;
     }
     part->group_first++;
--- a/packages/claims/tests/sim.c
+++ b/packages/claims/tests/sim.c
@@ -7,7 +7,7 @@
 
 typedef struct SimEvent {
     AqTime at;
-    uint64_t order;
+    uint64_t event_order;
     void (*run)(Sim *sim, uint64_t argument);
     uint64_t argument;
 } Event;
@@ -15,7 +15,7 @@
 static bool
 is_before(const Event *a, const Event *b)
 {
-    return a->at != b->at ? a->at < b->at : a->order < b->order;
+    return a->at != b->at ? a->at < b->at : a->event_order < b->event_order;
 }
 
 void
@@ -27,7 +27,7 @@
         sim->heap =
             realloc(sim->heap, sim->heap_capacity * sizeof(*sim->heap));
     }
-    Event event = {at, sim->order++, run, argument};
+    Event event = {at, sim->event_order++, run, argument};
     size_t i = sim->heap_count++;
     for (; i > 0 && is_before(&event, &sim->heap[(i - 1) / 2]);
          i = (i - 1) / 2) {
@@ -76,7 +76,8 @@
     }
 }
 
-/* The monotonic clocks of nodes differ, as those of machines do. */
+/* Returns the monotonic clock of the node.  These clocks differ between nodes,
+ * as those of machines do. */
 static AqTime
 node_now(const SimNode *node)
 {
@@ -91,13 +92,14 @@
 
 static void run_tick(Sim *sim, uint64_t index);
 
-/* Checks the node after a step and schedules its next tick. */
+/* Checks the invariants of the node and schedules its next tick. */
 static void
 after_step(SimNode *node)
 {
     Sim *sim = node->sim;
     AqError error;
-    if (!sim->unchecked && !AqClaims_CheckConsistency(node->claims, &error)) {
+    if (!sim->skips_checks &&
+        !AqClaims_CheckConsistency(node->claims, &error)) {
         Sim_Fail(sim, error.message, (uint64_t)node->index);
     }
     AqTime due = AqClaims_NextTick(node->claims);
@@ -152,16 +154,16 @@
 run_effect(Sim *sim, uint64_t argument)
 {
     SimCall *call = (SimCall *)(uintptr_t)argument;
-    const SimFate *fate = &call->fate;
-    SimStore_Take(sim, call);
-    if (fate->pause_after > 0) {
-        Sim_Pause(sim, call->node->index, fate->pause_after);
+    const SimCallPlan *plan = &call->plan;
+    SimStore_Execute(sim, call);
+    if (plan->pause_after > 0) {
+        Sim_Pause(sim, call->node->index, plan->pause_after);
     }
-    if (fate->restart_after) {
+    if (plan->restart_after) {
         Sim_Restart(sim, call->node->index);
     }
-    AqTime reply = sim->now + fate->reply_ms;
-    if (fate->lost) {
+    AqTime reply = sim->now + plan->reply_ms;
+    if (plan->reply_lost) {
         SimStore_FreeCall(call);
     }
     else {
@@ -181,8 +183,8 @@
 {
     SimNode *node = context;
     Sim *sim = node->sim;
-    SimFate fate = sim->fate(sim, node, kind);
-    if (fate.restart_before) {
+    SimCallPlan plan = sim->plan_call(sim, node, kind);
+    if (plan.restart_before) {
         Sim_At(sim, sim->now, run_restart, (uint64_t)node->index);
         return;
     }
@@ -191,7 +193,7 @@
     call->generation = node->generation;
     call->token = token;
     call->call = kind;
-    call->fate = fate;
+    call->plan = plan;
     unsigned digits = (unsigned)strlen(key + strlen("aq/claims/P/"));
     call->partition = key[strlen("aq/claims/")] - '0';
     call->first = strtoull(key + strlen("aq/claims/P/"), NULL, 16);
@@ -210,12 +212,12 @@
         call->size = size;
     }
     AqTime start = sim->now;
-    if (fate.pause_before > 0) {
-        Sim_Pause(sim, node->index, fate.pause_before);
-        start += fate.pause_before;
+    if (plan.pause_before > 0) {
+        Sim_Pause(sim, node->index, plan.pause_before);
+        start += plan.pause_before;
     }
-    Sim_At(sim, start + fate.effect_ms, run_effect, (uint64_t)(uintptr_t)call);
-    if (fate.lost) {
+    Sim_At(sim, start + plan.effect_ms, run_effect, (uint64_t)(uintptr_t)call);
+    if (plan.reply_lost) {
         SimCall *notice = calloc(1, sizeof(*notice));
         notice->node = node;
         notice->generation = node->generation;
@@ -226,9 +228,9 @@
     }
 }
 
-/* Whether a claim of the same id, other than the request, is in the store.
- * The same claim counts when it was submitted to another node as well, which
- * may have granted it. */
+/* Returns whether the store has a claim of the same id other than that of the
+ * request.  A claim that was submitted to several nodes counts as another one,
+ * since one of the other nodes may have granted it. */
 static bool
 has_other_claim(const Sim *sim, const SimRequest *request)
 {
@@ -245,8 +247,9 @@
     return false;
 }
 
-/* Rules of a grant.  The same claim may be granted by several daemons, also
- * late, after its holder has released it; the holder acts on the first. */
+/* Checks that a granted claim is in the store, in order, and that no other
+ * claim of the id is in force.  Several daemons may grant the same claim, even
+ * after its holder has released it; the holder acts on the first grant. */
 static void
 check_granted(Sim *sim, const SimRequest *request)
 {
@@ -255,9 +258,9 @@
     if (origin->released) {
         return;
     }
-    if (origin->written == 0 || origin->displaced ||
+    if (origin->written == 0 || origin->out_of_order ||
         sim->batches[partition][origin->seq].bytes == NULL) {
-        Sim_Fail(sim, "id was granted without a batch", request->id);
+        Sim_Fail(sim, "id was granted without a stored batch", request->id);
     }
     for (size_t i = 0; i < sim->request_count; i++) {
         const SimRequest *other = &sim->requests[i];
@@ -283,16 +286,17 @@
     request->verdicts++;
     request->verdict = verdict;
     request->decided_at = sim->now;
-    if (request->verdicts > 1 || request->forgotten ||
+    if (request->verdicts > 1 || request->cancelled ||
         request->generation != node->generation) {
-        Sim_Fail(sim, "request got a verdict too many", number);
+        Sim_Fail(sim, "request received more verdicts than expected", number);
     }
-    if (verdict == AQ_CLAIM_GRANTED && !sim->unchecked) {
+    if (verdict == AQ_CLAIM_GRANTED && !sim->skips_checks) {
         check_granted(sim, request);
     }
-    else if (verdict == AQ_CLAIM_DUPLICATE && !sim->unchecked &&
+    else if (verdict == AQ_CLAIM_DUPLICATE && !sim->skips_checks &&
              !has_other_claim(sim, request)) {
-        Sim_Fail(sim, "id is a duplicate of nothing", request->id);
+        Sim_Fail(sim, "id was rejected as duplicate without another claim",
+                 request->id);
     }
     if (sim->decided != NULL) {
         sim->decided(sim, number);
@@ -328,7 +332,7 @@
 }
 
 static bool
-is_call(const Event *event)
+holds_call(const Event *event)
 {
     return event->run == run_reply || event->run == run_effect;
 }
@@ -337,7 +341,7 @@
 Sim_Destroy(Sim *sim)
 {
     for (size_t i = 0; i < sim->heap_count; i++) {
-        if (is_call(&sim->heap[i])) {
+        if (holds_call(&sim->heap[i])) {
             SimStore_FreeCall((SimCall *)(uintptr_t)sim->heap[i].argument);
         }
     }
@@ -433,7 +437,8 @@
     return copy;
 }
 
-/* A paused or restarted node cannot act for an old request. */
+/* Returns the node of the request, or NULL if it is paused or has restarted
+ * since the submit: then it cannot act for the request. */
 static SimNode *
 acting_node(Sim *sim, const SimRequest *request)
 {
@@ -459,14 +464,14 @@
 }
 
 void
-Sim_Forget(Sim *sim, size_t number)
+Sim_Cancel(Sim *sim, size_t number)
 {
     SimRequest *request = &sim->requests[number];
     SimNode *node = acting_node(sim, request);
     if (node == NULL || request->verdicts > 0) {
         return;
     }
-    request->forgotten = true;
-    AqClaims_Forget(node->claims, node_now(node), node_wall(node), number);
+    request->cancelled = true;
+    AqClaims_Cancel(node->claims, node_now(node), node_wall(node), number);
     after_step(node);
 }
--- a/packages/claims/tests/sim_store.c
+++ b/packages/claims/tests/sim_store.c
@@ -15,16 +15,18 @@
     free(call);
 }
 
+/* Checks that a created batch can be decoded, and records the time of its
+ * newest claim and where its claims were written. */
 static void
-note_written(Sim *sim, const SimCall *call, SimBatch *slot)
+record_batch(Sim *sim, const SimCall *call, SimBatch *slot)
 {
     AqBatch batch;
     if (!AqBatch_Decode(call->value, call->size, &batch, NULL)) {
         Sim_Fail(sim, "a batch cannot be decoded", call->first);
         return;
     }
-    slot->newest = batch.newest_wall - SIM_WALL_START;
-    slot->displaced = call->first < sim->newest[call->partition];
+    slot->newest = batch.newest_wall_ms - SIM_WALL_START;
+    slot->out_of_order = call->first < sim->newest[call->partition];
     for (size_t i = 0; i < batch.count; i++) {
         uint64_t nonce = batch.entries[i].nonce;
         if (batch.entries[i].op == AQ_BATCH_CLAIM && nonce > 0 &&
@@ -32,7 +34,7 @@
             SimRequest *request = &sim->requests[nonce - 1];
             request->written++;
             request->seq = call->first;
-            request->displaced = slot->displaced;
+            request->out_of_order = slot->out_of_order;
         }
     }
     AqBatch_Clear(&batch);
@@ -49,7 +51,7 @@
         call->result = AQ_CLAIMS_STORE_EXISTS;
         return;
     }
-    note_written(sim, call, slot);
+    record_batch(sim, call, slot);
     slot->bytes = malloc(call->size);
     memcpy(slot->bytes, call->value, call->size);
     slot->size = call->size;
@@ -59,17 +61,19 @@
     call->result = AQ_CLAIMS_STORE_OK;
 }
 
-/* Removes a range; checks age, order and that the newest batch stays.  A
- * batch that was written below a later SEQ is outside these rules: its claims
- * are never granted (check_granted sees to that), so any daemon may remove it
- * with its group. */
+/* Removes a range of batches.  Checks their age, that older batches were
+ * removed before, and that the newest batch is not removed.  A batch that was
+ * written below a later SEQ is exempt: its claims are never granted, which
+ * check_granted verifies, so any daemon may remove it with its group. */
 static void
 remove_batches(Sim *sim, SimCall *call)
 {
     SimBatch *slots = sim->batches[call->partition];
     for (uint64_t seq = 1; seq < call->first; seq++) {
-        if (slots[seq].bytes != NULL && !slots[seq].displaced) {
-            Sim_Fail(sim, "SEQ outlives a later one", seq);
+        if (slots[seq].bytes != NULL && !slots[seq].out_of_order) {
+            Sim_Fail(sim,
+                     "batch is still stored at the removal of a later SEQ",
+                     seq);
         }
     }
     for (uint64_t seq = call->first;
@@ -80,8 +84,8 @@
         bool young = slots[seq].newest + sim->config.retention_ms >
                      sim->now + sim->max_skew;
         if (seq == sim->newest[call->partition] ||
-            (young && !slots[seq].displaced)) {
-            Sim_Fail(sim, "SEQ was removed too early", seq);
+            (young && !slots[seq].out_of_order)) {
+            Sim_Fail(sim, "batch was removed too early, SEQ", seq);
         }
         free(slots[seq].bytes);
         slots[seq] = (SimBatch){0};
@@ -118,12 +122,12 @@
 }
 
 void
-SimStore_Take(Sim *sim, SimCall *call)
+SimStore_Execute(Sim *sim, SimCall *call)
 {
-    if (call->fate.down) {
+    if (call->plan.is_unavailable) {
         call->result = AQ_CLAIMS_STORE_UNAVAILABLE;
     }
-    else if (call->fate.no_effect) {
+    else if (call->plan.no_effect) {
         call->result = AQ_CLAIMS_STORE_UNKNOWN;
     }
     else if (call->call == AQ_CLAIMS_CREATE) {
--- a/packages/claims/tests/sim_store.h
+++ b/packages/claims/tests/sim_store.h
@@ -4,28 +4,28 @@
 #include "aq_buffer.h"
 #include "sim.h"
 
-/* The store of the simulation: what a call does when it takes effect. */
+/* The simulated store: executes a store call at the time of its effect. */
 
 typedef struct {
-    SimNode *node;
-    int generation;
-    uint64_t token;
+    SimNode *node;  /* that made the call */
+    int generation; /* of the node at that time */
+    uint64_t token; /* of the call, from AqClaims */
     AqClaimsStoreCall call;
-    int partition;
-    uint64_t first; /* SEQ range of the key or prefix */
+    int partition;  /* from the key */
+    uint64_t first; /* SEQ range of the key or prefix, inclusive */
     uint64_t last;
-    char *value; /* owned */
+    char *value; /* owned; of a create */
     size_t size;
-    SimFate fate;
+    SimCallPlan plan;
     AqClaimsStoreResult result;
-    AqBuffer found; /* of a read: values one after another */
-    AqClaimsItem *items;
-    char (*keys)[64];
-    size_t count;
+    AqBuffer found;      /* of a read: the values, concatenated */
+    AqClaimsItem *items; /* owned; of a read: entries found */
+    char (*keys)[64];    /* owned; keys of the items */
+    size_t count;        /* number of items */
 } SimCall;
 
-/* Carries the call out, unless its fate forbids it, and sets its result. */
-void SimStore_Take(Sim *sim, SimCall *call);
+/* Executes the call, unless its plan makes it fail, and sets its result. */
+void SimStore_Execute(Sim *sim, SimCall *call);
 void SimStore_FreeCall(SimCall *call);
 
 #endif
--- a/packages/claims/tests/test_claims.c
+++ b/packages/claims/tests/test_claims.c
@@ -7,16 +7,16 @@
 #include "sim.h"
 
 enum {
-    SECOND = 1000,
+    SECOND = 1000, /* durations in ms */
     MINUTE = 60 * SECOND,
     HOUR = 60 * MINUTE,
-    SEEDS = 320
+    SEEDS = 320 /* runs with random faults */
 };
 
 enum {
-    CHAOS_END = 5 * HOUR,
-    LONG_PAUSE_END = 2 * HOUR + 50 * MINUTE,
-    IDS = 60
+    FAULTS_END = 5 * HOUR, /* no faults or submits from this sim time on */
+    LONG_PAUSE_END = 2 * HOUR + 50 * MINUTE, /* no pauses of 2 h from then */
+    IDS = 60                                 /* request ids in use */
 };
 
 static bool
@@ -32,49 +32,49 @@
     return may_be_long ? 2 * HOUR : MINUTE;
 }
 
-static SimFate
-chaos(Sim *sim, SimNode *node, AqClaimsStoreCall call)
+static SimCallPlan
+plan_random_faults(Sim *sim, SimNode *node, AqClaimsStoreCall call)
 {
     (void)node;
     (void)call;
     AqRandom *random = &sim->random;
-    SimFate fate = {.effect_ms = 1 + (AqTime)AqRandom_Below(random, 20),
-                    .reply_ms = 1 + (AqTime)AqRandom_Below(random, 20)};
-    if (sim->now >= CHAOS_END) {
-        return fate;
+    SimCallPlan plan = {.effect_ms = 1 + (AqTime)AqRandom_Below(random, 20),
+                        .reply_ms = 1 + (AqTime)AqRandom_Below(random, 20)};
+    if (sim->now >= FAULTS_END) {
+        return plan;
     }
     /* Outages of 20 s in every half hour. */
     bool outage = sim->now % (30 * MINUTE) < 20 * SECOND;
     unsigned kind = (unsigned)AqRandom_Below(random, outage ? 120 : 1000);
     if (kind < 30) {
-        fate.effect_ms = (AqTime)AqRandom_Below(random, 900);
+        plan.effect_ms = (AqTime)AqRandom_Below(random, 900);
     }
     else if (kind < 60) {
-        fate.lost = fate.no_effect = true;
+        plan.reply_lost = plan.no_effect = true;
     }
     else if (kind < 90) {
-        fate.lost = true;
+        plan.reply_lost = true;
     }
     else if (kind < 105) {
-        fate.lost = true;
-        fate.effect_ms = (AqTime)AqRandom_Below(random, 5 * SECOND);
+        plan.reply_lost = true;
+        plan.effect_ms = (AqTime)AqRandom_Below(random, 5 * SECOND);
     }
     else if (kind < 120) {
-        fate.down = true;
+        plan.is_unavailable = true;
     }
     else if (kind < 124) {
-        fate.pause_before = random_pause(sim);
+        plan.pause_before = random_pause(sim);
     }
     else if (kind < 128) {
-        fate.pause_after = random_pause(sim);
+        plan.pause_after = random_pause(sim);
     }
     else if (kind < 131) {
-        fate.restart_before = true;
+        plan.restart_before = true;
     }
     else if (kind < 134) {
-        fate.restart_after = true;
+        plan.restart_after = true;
     }
-    return fate;
+    return plan;
 }
 
 static void
@@ -84,17 +84,17 @@
 }
 
 static void
-forget_later(Sim *sim, uint64_t request)
+cancel_later(Sim *sim, uint64_t request)
 {
-    Sim_Forget(sim, request);
+    Sim_Cancel(sim, request);
 }
 
-/* A holder that hears nothing for half a second asks another daemon. */
+/* A holder without a verdict after 500 ms resubmits the claim elsewhere. */
 static void
 resubmit_later(Sim *sim, uint64_t request)
 {
     const SimRequest *first = &sim->requests[request];
-    if (first->verdicts == 0 && !first->forgotten) {
+    if (first->verdicts == 0 && !first->cancelled) {
         Sim_Resubmit(sim, (first->node + 1) % sim->node_count, request);
     }
 }
@@ -122,7 +122,7 @@
         Sim_At(sim, sim->now + 500, resubmit_later, request);
         if (chance(sim, 100)) {
             AqTime wait = (AqTime)AqRandom_Below(&sim->random, 100);
-            Sim_At(sim, sim->now + wait, forget_later, request);
+            Sim_At(sim, sim->now + wait, cancel_later, request);
         }
     }
     if (chance(sim, 10)) {
@@ -130,7 +130,7 @@
                   random_pause(sim));
     }
     AqTime wait = (AqTime)AqRandom_Exponential(&sim->random, 15 * SECOND);
-    if (sim->now + wait < CHAOS_END) {
+    if (sim->now + wait < FAULTS_END) {
         Sim_At(sim, sim->now + wait, submit_random, argument);
     }
 }
@@ -146,18 +146,19 @@
 {
     for (size_t i = 0; i < sim->request_count; i++) {
         const SimRequest *request = &sim->requests[i];
-        int wanted = request->forgotten ? 0 : 1;
-        if (request->verdicts != wanted && !holder_restarted(sim, request)) {
-            Sim_Fail(sim, "request got too few or many verdicts", i);
+        int expected = request->cancelled ? 0 : 1;
+        if (request->verdicts != expected && !holder_restarted(sim, request)) {
+            Sim_Fail(sim, "request received too few or too many verdicts", i);
         }
     }
 }
 
-/* Whether the id may still be claimed: a grant in force, a holder that
- * restarted before it could release, or a claim that two daemons wrote, which
- * neither may release on its own. */
+/* Returns whether one of the first "before" requests may still claim the id:
+ * by a grant in force, because its node restarted before it could release it,
+ * or because two daemons wrote the claim, which neither may release without
+ * its holder. */
 static bool
-may_be_claimed(const Sim *sim, uint64_t id, size_t before)
+may_stay_claimed(const Sim *sim, uint64_t id, size_t before)
 {
     for (size_t i = 0; i < before; i++) {
         const SimRequest *request = &sim->requests[i];
@@ -176,18 +177,18 @@
     return false;
 }
 
-/* Claims every id once more: an id that nobody holds must be free, or an
- * uncertain claim was never released. */
+/* Claims every id once more after the faults.  An id that no request may claim
+ * must be free, else a claim with an unknown result was never released. */
 static void
-check_leaks(Sim *sim)
+check_leaked_claims(Sim *sim)
 {
     size_t before = sim->request_count;
     for (uint64_t id = 0; id < IDS; id++) {
         size_t i = Sim_Submit(sim, (int)(id % 3), id);
         Sim_Run(sim, sim->now + SECOND);
         if (sim->requests[i].verdict != AQ_CLAIM_GRANTED &&
-            !may_be_claimed(sim, id, before)) {
-            Sim_Fail(sim, "id stays claimed for nobody", id);
+            !may_stay_claimed(sim, id, before)) {
+            Sim_Fail(sim, "id stays claimed without a holder", id);
         }
     }
 }
@@ -216,7 +217,7 @@
 }
 
 static void
-run_chaos(uint64_t seed, unsigned disabled, Outcome *outcome)
+run_random_faults(uint64_t seed, unsigned disabled, Outcome *outcome)
 {
     AqClaimsConfig config = {.retention_ms = HOUR,
                              .batch_ms = 40,
@@ -225,7 +226,7 @@
                              .disabled = disabled};
     Sim sim;
     Sim_Create(&sim, seed, 3, &config);
-    sim.fate = chaos;
+    sim.plan_call = plan_random_faults;
     sim.decided = on_decided;
     sim.max_skew = 40 * SECOND;
     for (int i = 0; i < sim.node_count; i++) {
@@ -233,9 +234,9 @@
             (AqTime)AqRandom_Below(&sim.random, 40 * SECOND) - 20 * SECOND;
     }
     Sim_At(&sim, 0, submit_random, 0);
-    Sim_Run(&sim, CHAOS_END + 3 * MINUTE);
+    Sim_Run(&sim, FAULTS_END + 3 * MINUTE);
     check_verdict_counts(&sim);
-    check_leaks(&sim);
+    check_leaked_claims(&sim);
     count_verdicts(&sim, outcome);
     outcome->removed += sim.removed;
     if (sim.failures > 0 && outcome->failures == 0) {
@@ -247,15 +248,16 @@
     Sim_Destroy(&sim);
 }
 
-/* Guards against every broken promise of the log under random faults: an id
- * granted twice, a verdict missing or repeated, a verdict from a removed
- * batch, removal out of order, an uncertain claim that is never released. */
+/* Guards against broken guarantees of the log under random faults: an id
+ * granted twice, a missing or repeated verdict, a verdict from a removed
+ * batch, removal out of order, and a claim with an unknown result that is
+ * never released. */
 static void
 test_random_faults(void)
 {
     Outcome outcome = {0};
     for (uint64_t seed = 1; seed <= SEEDS; seed++) {
-        run_chaos(seed, 0, &outcome);
+        run_random_faults(seed, 0, &outcome);
     }
     printf(" seeds=%d granted=%" PRIu64 " duplicate=%" PRIu64
            " unavailable=%" PRIu64 " removed=%" PRIu64 " failures=%" PRIu64
@@ -263,15 +265,15 @@
            SEEDS, outcome.granted, outcome.duplicate, outcome.unavailable,
            outcome.removed, outcome.failures, outcome.first);
     CU_ASSERT_EQUAL(outcome.failures, 0);
-    /* A run without any of these would prove nothing. */
+    /* The test proves nothing unless each of these happens often. */
     CU_ASSERT_TRUE(outcome.granted > 1000 && outcome.duplicate > 1000 &&
                    outcome.unavailable > 1000 && outcome.removed > 1000);
 }
 
-/* Guards against checks that cannot fail: without each mechanism, the random
- * runs must find an id that is granted twice. */
+/* Guards against checks that cannot fail: with any of these mechanisms
+ * disabled, the random runs must find an id that is granted twice. */
 static void
-test_random_faults_without_mechanisms(void)
+test_random_faults_disabled_mechanisms(void)
 {
     static const struct {
         unsigned disabled;
@@ -286,9 +288,9 @@
         Outcome outcome = {0};
         uint64_t seed = 0;
         while (outcome.double_grants == 0 && seed < SEEDS) {
-            run_chaos(++seed, cases[i].disabled, &outcome);
+            run_random_faults(++seed, cases[i].disabled, &outcome);
         }
-        printf("\n    without %s: granted twice in seed %" PRIu64
+        printf("\n    %s disabled: granted twice in seed %" PRIu64
                "; first failure in %s ",
                cases[i].name, seed, outcome.first);
         CU_ASSERT_TRUE(outcome.double_grants > 0);
@@ -301,7 +303,7 @@
     CU_initialize_registry();
     CU_pSuite suite = CU_add_suite("claims", NULL, NULL);
     CU_ADD_TEST(suite, test_random_faults);
-    CU_ADD_TEST(suite, test_random_faults_without_mechanisms);
+    CU_ADD_TEST(suite, test_random_faults_disabled_mechanisms);
     CU_basic_set_mode(CU_BRM_VERBOSE);
     CU_basic_run_tests();
     unsigned failures = CU_get_number_of_failures();
--- a/packages/claims/tests/test_fault_points.c
+++ b/packages/claims/tests/test_fault_points.c
@@ -6,10 +6,10 @@
 #include "sim.h"
 
 enum {
-    SECOND = 1000,
+    SECOND = 1000, /* durations in ms */
     MINUTE = 60 * SECOND,
     HOUR = 60 * MINUTE,
-    USE_LIMIT = 10 * MINUTE /* the longest deadline of a request */
+    REQUEST_DEADLINE_MS = 10 * MINUTE /* the longest deadline of a request */
 };
 
 enum {
@@ -19,129 +19,133 @@
     UNAVAILABLE = AQ_CLAIM_UNAVAILABLE
 };
 
-/* Node 0 claims id 7 at 0 and meets the fault.  Node 1 claims the same id at
- * "rival_at", node 2 at "later_at".  "uses" counts runs of the request. */
+/* A fault at one point of a claim.  Node 0 claims id 7 at sim time 0, and its
+ * first create fails as planned.  Node 1 claims the same id at competing_at,
+ * node 2 at later_at. */
 typedef struct {
-    const char *fault;
-    const char *moment;
-    SimFate create; /* of the first create of node 0 */
-    AqTime rival_at;
+    const char *fault;       /* for the output */
+    const char *fault_point; /* for the output */
+    SimCallPlan create;      /* of the first create of node 0 */
+    AqTime competing_at;
     AqTime later_at;
-    int verdicts[3];
-    int uses;
-    AqTime outage;    /* of the store, from that create on */
-    AqTime use_pause; /* of node 0 after its verdict */
-    bool use_restart; /* of node 0 after its verdict */
+    int verdicts[3];             /* expected verdicts of nodes 0 to 2 */
+    int executions;              /* expected number, by all nodes */
+    AqTime outage;               /* of the store, from that create on; ms */
+    AqTime pause_after_verdict;  /* of node 0 once its claim is granted; ms */
+    bool restarts_after_verdict; /* node 0 restarts before it executes */
 } FaultCase;
 
 /* clang-format off */
 static const FaultCase fault_cases[] = {
-    {"reply lost", "before the write", {.lost = true, .no_effect = true},
-     5 * SECOND, MINUTE, {GRANTED, DUPLICATE, DUPLICATE}, .uses = 1},
-    {"reply lost", "after the write", {.lost = true, .effect_ms = 2},
-     5 * SECOND, MINUTE, {GRANTED, DUPLICATE, DUPLICATE}, .uses = 1},
+    {"reply lost", "before the write", {.reply_lost = true, .no_effect = true},
+     5 * SECOND, MINUTE, {GRANTED, DUPLICATE, DUPLICATE}, .executions = 1},
+    {"reply lost", "after the write", {.reply_lost = true, .effect_ms = 2},
+     5 * SECOND, MINUTE, {GRANTED, DUPLICATE, DUPLICATE}, .executions = 1},
     {"reply lost", "write after the read-back",
-     {.lost = true, .effect_ms = 1500},
-     5 * SECOND, MINUTE, {GRANTED, DUPLICATE, DUPLICATE}, .uses = 1},
-    {"store down", "before the write", {.down = true},
-     30 * SECOND, MINUTE, {UNAVAILABLE, GRANTED, DUPLICATE}, .uses = 1,
+     {.reply_lost = true, .effect_ms = 1500},
+     5 * SECOND, MINUTE, {GRANTED, DUPLICATE, DUPLICATE}, .executions = 1},
+    {"store down", "before the write", {.is_unavailable = true},
+     30 * SECOND, MINUTE, {UNAVAILABLE, GRANTED, DUPLICATE}, .executions = 1,
      .outage = 20 * SECOND},
-    {"store down", "after the write", {.lost = true, .effect_ms = 2},
-     30 * SECOND, MINUTE, {UNAVAILABLE, GRANTED, DUPLICATE}, .uses = 1,
+    {"store down", "after the write", {.reply_lost = true, .effect_ms = 2},
+     30 * SECOND, MINUTE, {UNAVAILABLE, GRANTED, DUPLICATE}, .executions = 1,
      .outage = 20 * SECOND},
-    {"store down", "after the write, rival meets it",
-     {.lost = true, .effect_ms = 2},
-     10 * SECOND, MINUTE, {UNAVAILABLE, UNAVAILABLE, GRANTED}, .uses = 1,
+    {"store down", "after the write, competing claim as well",
+     {.reply_lost = true, .effect_ms = 2},
+     10 * SECOND, MINUTE, {UNAVAILABLE, UNAVAILABLE, GRANTED}, .executions = 1,
      .outage = 20 * SECOND},
-    {"store down", "between verdict and use", {.effect_ms = 2},
-     30 * SECOND, MINUTE, {GRANTED, DUPLICATE, DUPLICATE}, .uses = 1,
-     .outage = 20 * SECOND, .use_pause = 100},
+    {"store down", "between verdict and execution", {.effect_ms = 2},
+     30 * SECOND, MINUTE, {GRANTED, DUPLICATE, DUPLICATE}, .executions = 1,
+     .outage = 20 * SECOND, .pause_after_verdict = 100},
     {"store slow", "before the write", {.effect_ms = 4000},
-     5 * SECOND, MINUTE, {UNAVAILABLE, GRANTED, DUPLICATE}, .uses = 1},
+     5 * SECOND, MINUTE, {UNAVAILABLE, GRANTED, DUPLICATE}, .executions = 1},
     {"store slow", "before the reply", {.reply_ms = 4000},
-     3 * SECOND, MINUTE, {UNAVAILABLE, DUPLICATE, GRANTED}, .uses = 1},
+     3 * SECOND, MINUTE, {UNAVAILABLE, DUPLICATE, GRANTED}, .executions = 1},
     {"rival", "before the write", {.effect_ms = 50},
-     10, MINUTE, {DUPLICATE, GRANTED, DUPLICATE}, .uses = 1},
+     10, MINUTE, {DUPLICATE, GRANTED, DUPLICATE}, .executions = 1},
     {"rival", "after the write", {.reply_ms = 50},
-     10, MINUTE, {GRANTED, DUPLICATE, DUPLICATE}, .uses = 1},
-    {"rival", "between verdict and use", {.reply_ms = 2},
-     50, MINUTE, {GRANTED, DUPLICATE, DUPLICATE}, .uses = 1,
-     .use_pause = 100},
+     10, MINUTE, {GRANTED, DUPLICATE, DUPLICATE}, .executions = 1},
+    {"rival", "between verdict and execution", {.reply_ms = 2},
+     50, MINUTE, {GRANTED, DUPLICATE, DUPLICATE}, .executions = 1,
+     .pause_after_verdict = 100},
     {"pause 1 min", "before the write", {.pause_before = MINUTE},
-     5 * SECOND, 2 * MINUTE, {UNAVAILABLE, GRANTED, DUPLICATE}, .uses = 1},
+     5 * SECOND, 2 * MINUTE, {UNAVAILABLE, GRANTED, DUPLICATE},
+     .executions = 1},
     {"pause 1 min", "after the write", {.pause_after = MINUTE},
-     5 * SECOND, 2 * MINUTE, {UNAVAILABLE, DUPLICATE, GRANTED}, .uses = 1},
+     5 * SECOND, 2 * MINUTE, {UNAVAILABLE, DUPLICATE, GRANTED},
+     .executions = 1},
     {"pause 1 min", "before the reply",
      {.reply_ms = 100, .pause_after = MINUTE},
-     5 * SECOND, 2 * MINUTE, {UNAVAILABLE, DUPLICATE, GRANTED}, .uses = 1},
-    {"pause 1 min", "between verdict and use", {.effect_ms = 2},
-     5 * SECOND, 2 * MINUTE, {GRANTED, DUPLICATE, DUPLICATE}, .uses = 1,
-     .use_pause = MINUTE},
+     5 * SECOND, 2 * MINUTE, {UNAVAILABLE, DUPLICATE, GRANTED},
+     .executions = 1},
+    {"pause 1 min", "between verdict and execution", {.effect_ms = 2},
+     5 * SECOND, 2 * MINUTE, {GRANTED, DUPLICATE, DUPLICATE}, .executions = 1,
+     .pause_after_verdict = MINUTE},
     {"pause 2 h", "before the write", {.pause_before = 2 * HOUR},
-     5 * SECOND, 3 * HOUR, {UNAVAILABLE, GRANTED, GRANTED}, .uses = 2},
+     5 * SECOND, 3 * HOUR, {UNAVAILABLE, GRANTED, GRANTED}, .executions = 2},
     {"pause 2 h", "after the write", {.pause_after = 2 * HOUR},
      5 * SECOND, 2 * HOUR + MINUTE, {UNAVAILABLE, DUPLICATE, GRANTED},
-     .uses = 1},
+     .executions = 1},
     {"pause 2 h", "before the reply",
      {.reply_ms = 100, .pause_after = 2 * HOUR},
      5 * SECOND, 2 * HOUR + MINUTE, {UNAVAILABLE, DUPLICATE, GRANTED},
-     .uses = 1},
-    {"pause 2 h", "between verdict and use", {.effect_ms = 2},
-     5 * SECOND, 90 * MINUTE, {GRANTED, DUPLICATE, GRANTED}, .uses = 1,
-     .use_pause = 2 * HOUR},
+     .executions = 1},
+    {"pause 2 h", "between verdict and execution", {.effect_ms = 2},
+     5 * SECOND, 90 * MINUTE, {GRANTED, DUPLICATE, GRANTED}, .executions = 1,
+     .pause_after_verdict = 2 * HOUR},
     {"restart", "before the write", {.restart_before = true},
-     5 * SECOND, MINUTE, {NONE, GRANTED, DUPLICATE}, .uses = 1},
+     5 * SECOND, MINUTE, {NONE, GRANTED, DUPLICATE}, .executions = 1},
     {"restart", "after the write", {.restart_after = true},
-     5 * SECOND, MINUTE, {NONE, DUPLICATE, DUPLICATE}, .uses = 0},
+     5 * SECOND, MINUTE, {NONE, DUPLICATE, DUPLICATE}, .executions = 0},
     {"restart", "before the reply", {.reply_ms = 50, .restart_after = true},
-     5 * SECOND, 2 * HOUR, {NONE, DUPLICATE, GRANTED}, .uses = 1},
-    {"restart", "between verdict and use", {.effect_ms = 2},
-     5 * SECOND, MINUTE, {GRANTED, DUPLICATE, DUPLICATE}, .uses = 0,
-     .use_restart = true},
+     5 * SECOND, 2 * HOUR, {NONE, DUPLICATE, GRANTED}, .executions = 1},
+    {"restart", "between verdict and execution", {.effect_ms = 2},
+     5 * SECOND, MINUTE, {GRANTED, DUPLICATE, DUPLICATE}, .executions = 0,
+     .restarts_after_verdict = true},
 };
 /* clang-format on */
 
 typedef struct {
     const FaultCase *fault;
-    const SimFate *create; /* of node 2; NULL for the usual one */
-    AqTime outage_end;
-    bool struck;
-    int uses;
+    const SimCallPlan *create; /* of creates by node 2, or NULL for no fault */
+    AqTime outage_end;         /* sim time */
+    bool is_injected;          /* the first create of node 0 was planned */
+    int executions;            /* of the request so far */
 } FaultRun;
 
-static SimFate
-scripted(Sim *sim, SimNode *node, AqClaimsStoreCall call)
+static SimCallPlan
+plan_scripted_fault(Sim *sim, SimNode *node, AqClaimsStoreCall call)
 {
     FaultRun *run = sim->user;
-    SimFate fate = {.effect_ms = 2, .reply_ms = 2};
-    if (!run->struck && node->index == 0 && call == AQ_CLAIMS_CREATE) {
-        run->struck = true;
+    SimCallPlan plan = {.effect_ms = 2, .reply_ms = 2};
+    if (!run->is_injected && node->index == 0 && call == AQ_CLAIMS_CREATE) {
+        run->is_injected = true;
         run->outage_end = sim->now + run->fault->outage;
         return run->fault->create;
     }
     if (node->index == 2 && call == AQ_CLAIMS_CREATE && run->create != NULL) {
         return *run->create;
     }
-    fate.down = sim->now < run->outage_end;
-    return fate;
+    plan.is_unavailable = sim->now < run->outage_end;
+    return plan;
 }
 
-/* The holder runs the request, unless its deadline has passed or it lost its
- * memory; a request that was not run is released. */
+/* The holder of a grant executes the request, or releases the claim if the
+ * deadline has passed.  It does neither if it has restarted since. */
 static void
-use_grant(Sim *sim, uint64_t request)
+execute_request(Sim *sim, uint64_t request)
 {
     FaultRun *run = sim->user;
     const SimRequest *used = &sim->requests[request];
     const SimNode *node = &sim->nodes[used->node];
     if (node->paused_until > sim->now) {
-        Sim_At(sim, node->paused_until, use_grant, request);
+        Sim_At(sim, node->paused_until, execute_request, request);
     }
     else if (node->generation != used->generation) {
         return;
     }
-    else if (sim->now - used->submitted < USE_LIMIT) {
-        run->uses++;
+    else if (sim->now - used->submitted < REQUEST_DEADLINE_MS) {
+        run->executions++;
     }
     else {
         Sim_Release(sim, request);
@@ -155,10 +159,10 @@
     if (sim->requests[request].verdict != AQ_CLAIM_GRANTED) {
         return;
     }
-    if (request == 0 && run->fault->use_pause > 0) {
-        Sim_Pause(sim, 0, run->fault->use_pause);
+    if (request == 0 && run->fault->pause_after_verdict > 0) {
+        Sim_Pause(sim, 0, run->fault->pause_after_verdict);
     }
-    Sim_At(sim, sim->now + 10, use_grant, request);
+    Sim_At(sim, sim->now + 10, execute_request, request);
 }
 
 static void
@@ -181,13 +185,13 @@
     FaultRun run = {.fault = fault};
     Sim sim;
     Sim_Create(&sim, 5, 3, &config);
-    sim.fate = scripted;
+    sim.plan_call = plan_scripted_fault;
     sim.decided = on_scripted_verdict;
     sim.user = &run;
     Sim_At(&sim, 0, claim_seven, 0);
-    Sim_At(&sim, fault->rival_at, claim_seven, 1);
+    Sim_At(&sim, fault->competing_at, claim_seven, 1);
     Sim_At(&sim, fault->later_at, claim_seven, 2);
-    if (fault->use_restart) {
+    if (fault->restarts_after_verdict) {
         Sim_At(&sim, 12, restart_after_verdict, 0);
     }
     Sim_Run(&sim, 4 * HOUR);
@@ -196,18 +200,18 @@
         const SimRequest *request = &sim.requests[i];
         verdicts[i] = request->verdicts > 0 ? (int)request->verdict : NONE;
     }
-    snprintf(seen, size, "%d %d %d, %d uses, %s", verdicts[0], verdicts[1],
-             verdicts[2], run.uses, sim.failure);
+    snprintf(seen, size, "%d %d %d, %d executions, %s", verdicts[0],
+             verdicts[1], verdicts[2], run.executions, sim.failure);
     bool ok = memcmp(verdicts, fault->verdicts, sizeof(verdicts)) == 0 &&
-              run.uses == fault->uses && sim.failures == 0;
+              run.executions == fault->executions && sim.failures == 0;
     Sim_Destroy(&sim);
     return ok;
 }
 
-/* Guards against a fault at one certain moment that runs a request twice,
- * leaves its id claimed for nobody or answers a wrong verdict. */
+/* Guards against a single fault that makes a request execute twice, leaves its
+ * id claimed without a holder or yields a wrong verdict. */
 static void
-test_faults_at_moments(void)
+test_faults_at_points(void)
 {
     size_t count = sizeof(fault_cases) / sizeof(fault_cases[0]);
     for (size_t i = 0; i < count; i++) {
@@ -215,13 +219,14 @@
         bool ok = run_fault(&fault_cases[i], seen, sizeof(seen));
         if (!ok) {
             printf("\n    %s, %s: %s ", fault_cases[i].fault,
-                   fault_cases[i].moment, seen);
+                   fault_cases[i].fault_point, seen);
         }
         CU_ASSERT_TRUE(ok);
     }
 }
 
-/* Ids whose claims fall into partition 0, in ascending order. */
+/* Returns the request id number "index" of those in partition 0, in ascending
+ * order. */
 static uint64_t
 partition_zero_id(uint64_t index)
 {
@@ -237,19 +242,20 @@
     }
 }
 
-/* SEQ 15 is written with claims that are 2 h old, at 2 h + 0.7 s, because its
- * writer paused before the create.  Node 2 saw that SEQ free at "read_at" and
- * claims at "claim_at" an id that node 1 was granted in SEQ 17 in between. */
+/* The writer of SEQ 15 pauses before the create, which therefore takes effect
+ * at 2 h + 0.7 s, with claims that are 2 h old.  Node 2 reads that SEQ as free
+ * at read_at, node 1 is granted an id in SEQ 17, and node 2 claims the same id
+ * at claim_at. */
 typedef struct {
     AqTime read_at;
     AqTime claim_at;
-    SimFate create; /* of node 2 */
-    AqClaimVerdict verdict;
+    SimCallPlan create;     /* of node 2 */
+    AqClaimVerdict verdict; /* expected for node 2 */
 } LateCase;
 
 static const LateCase late_cases[] = {
-    /* Guards against the removal of a batch by the age of its claims alone:
-     * node 2 would write SEQ 15 again. */
+    /* Guards against removing a batch by the age of its claims alone: node 2
+     * would write SEQ 15 again and grant the id. */
     {2 * HOUR - 10 * MINUTE,
      2 * HOUR + 5 * SECOND,
      {.effect_ms = 2},
@@ -260,10 +266,10 @@
      2 * HOUR + 30 * MINUTE - 1500,
      {.effect_ms = 2600},
      AQ_CLAIM_UNAVAILABLE},
-    /* The same when the reply is lost and the batch is read back. */
+    /* The same if the reply is lost and the batch is read back. */
     {2 * HOUR + 300,
      2 * HOUR + 30 * MINUTE + 200,
-     {.effect_ms = 900, .lost = true},
+     {.effect_ms = 900, .reply_lost = true},
      AQ_CLAIM_UNAVAILABLE},
 };
 
@@ -275,7 +281,7 @@
     FaultRun run = {.fault = &pause, .create = &late->create};
     Sim sim;
     Sim_Create(&sim, 5, 3, &config);
-    sim.fate = scripted;
+    sim.plan_call = plan_scripted_fault;
     sim.user = &run;
     for (uint64_t i = 0; i < 14; i++) {
         Sim_Submit(&sim, 1, partition_zero_id(i));
@@ -283,7 +289,7 @@
     }
     Sim_Submit(&sim, 0, partition_zero_id(14));
     Sim_Run(&sim, late->read_at);
-    Sim_Forget(&sim, Sim_Submit(&sim, 2, partition_zero_id(15)));
+    Sim_Cancel(&sim, Sim_Submit(&sim, 2, partition_zero_id(15)));
     Sim_Run(&sim, 2 * HOUR + 3 * SECOND);
     size_t first = Sim_Submit(&sim, 1, partition_zero_id(16));
     Sim_Run(&sim, late->claim_at);
@@ -296,7 +302,8 @@
     return verdict;
 }
 
-/* Guards against a grant in a SEQ that had been written and removed. */
+/* Guards against a grant in a batch whose SEQ had already been used by a batch
+ * that was removed since. */
 static void
 test_late_write_of_old_claims(void)
 {
@@ -310,8 +317,8 @@
 main(void)
 {
     CU_initialize_registry();
-    CU_pSuite suite = CU_add_suite("claims moments", NULL, NULL);
-    CU_ADD_TEST(suite, test_faults_at_moments);
+    CU_pSuite suite = CU_add_suite("claims fault points", NULL, NULL);
+    CU_ADD_TEST(suite, test_faults_at_points);
     CU_ADD_TEST(suite, test_late_write_of_old_claims);
     CU_basic_set_mode(CU_BRM_VERBOSE);
     CU_basic_run_tests();
--- a/packages/claims/tests/test_parts.c
+++ b/packages/claims/tests/test_parts.c
@@ -5,13 +5,13 @@
 #include "id_table.h"
 #include "sim.h"
 
-static SimFate
-steady(Sim *sim, SimNode *node, AqClaimsStoreCall call)
+static SimCallPlan
+plan_steady_call(Sim *sim, SimNode *node, AqClaimsStoreCall call)
 {
     (void)node;
     uint64_t *calls = sim->user;
     calls[call]++;
-    return (SimFate){.effect_ms = 2, .reply_ms = 2};
+    return (SimCallPlan){.effect_ms = 2, .reply_ms = 2};
 }
 
 static void
@@ -21,7 +21,7 @@
                              .store_timeout_ms = 1000};
     memset(calls, 0, 3 * sizeof(calls[0]));
     Sim_Create(sim, 3, nodes, &config);
-    sim->fate = steady;
+    sim->plan_call = plan_steady_call;
     sim->user = calls;
 }
 
@@ -35,7 +35,8 @@
 static void
 encode_sample(AqBuffer *out, size_t count)
 {
-    AqBatchEntry entry = {.op = AQ_BATCH_CLAIM, .nonce = 1 << 20, .wall = 9};
+    AqBatchEntry entry = {
+        .op = AQ_BATCH_CLAIM, .nonce = 1 << 20, .wall_ms = 9};
     strcpy(entry.holder, "entry-1");
     AqBatch_EncodeHeader(out, count, "entry-2", UINT64_MAX, 7);
     for (size_t i = 0; i < count; i++) {
@@ -44,8 +45,8 @@
     }
 }
 
-/* Guards against a decoder that reads past the value, accepts a cut one or
- * trusts an announced length. */
+/* Guards against a decoder that reads past the end of the value, accepts a
+ * truncated one or trusts an announced length. */
 static void
 test_batch_decode(void)
 {
@@ -57,7 +58,7 @@
     CU_ASSERT_TRUE(AqBatch_Decode(good.bytes, good.size, &batch, &error));
     CU_ASSERT_EQUAL(batch.count, 20);
     CU_ASSERT_EQUAL(batch.nonce, UINT64_MAX);
-    CU_ASSERT_EQUAL(batch.newest_wall, 9);
+    CU_ASSERT_EQUAL(batch.newest_wall_ms, 9);
     CU_ASSERT_STRING_EQUAL(batch.entries[19].holder, "entry-1");
     CU_ASSERT_EQUAL(batch.entries[19].hash[1], 19);
     AqBatch_Clear(&batch);
@@ -70,7 +71,7 @@
     AqBuffer_Append(&good, "", 1);
     CU_ASSERT_FALSE(AqBatch_Decode(good.bytes, good.size, &batch, &error));
     CU_ASSERT_EQUAL(error.kind, AQ_ERR_PROTOCOL);
-    /* Any single changed byte is decoded or refused, without a fault. */
+    /* A value with one changed byte is decoded or rejected without a crash. */
     for (size_t i = 0; i + 1 < good.size; i++) {
         for (int change = 1; change < 256; change += 17) {
             good.bytes[i] = (char)(good.bytes[i] ^ change);
@@ -83,8 +84,8 @@
     AqBuffer_Clear(&good);
 }
 
-/* Guards against a table that loses records when it grows, closes a gap or
- * is swept. */
+/* Guards against a table that loses records when it grows, when a record is
+ * removed or when old ones are swept. */
 static void
 test_id_table(void)
 {
@@ -98,7 +99,7 @@
     for (int step = 0; step < 20000; step++) {
         uint64_t k = AqRandom_Below(&random, KEYS);
         uint8_t key[16] = {0};
-        /* Few different slots, so that runs of full slots are long. */
+        /* Keys share few home slots, so that clusters of records are long. */
         key[15] = (uint8_t)(k % 16);
         memcpy(key, &k, sizeof(k));
         AqIdRecord *record = AqIdTable_Find(&table, key);
@@ -123,15 +124,15 @@
     AqIdTable_Clear(&table);
 }
 
-/* Guards against a daemon that needs one write for each batch that it has
- * missed when it becomes the owner again. */
+/* Guards against a daemon that, when it becomes the owner of a partition
+ * again, tries one create for each batch that it has not read. */
 static void
 test_catch_up(void)
 {
     Sim sim;
     uint64_t calls[3];
     start(&sim, 2, calls);
-    sim.unchecked = true; /* each check would go over thousands of ids */
+    sim.skips_checks = true; /* each check would visit thousands of ids */
     Sim_Submit(&sim, 1, 0);
     for (uint64_t id = 0; id < 8000; id++) {
         Sim_Submit(&sim, 0, id);
@@ -148,8 +149,8 @@
     Sim_Destroy(&sim);
 }
 
-/* Guards against a duplicate verdict from old memory when another daemon has
- * released the claim. */
+/* Guards against a duplicate verdict from a stale cached log after another
+ * daemon has released the claim. */
 static void
 test_released_elsewhere(void)
 {
@@ -171,8 +172,8 @@
     Sim_Destroy(&sim);
 }
 
-/* Guards against a claim that is written after its release: it would hold the
- * id for nobody until the retention ends. */
+/* Guards against a claim that is written after its release: the id would stay
+ * claimed without a holder until the retention ends. */
 static void
 test_release_before_claim(void)
 {
@@ -195,8 +196,8 @@
     Sim_Destroy(&sim);
 }
 
-/* Guards against an unbounded queue: claims beyond one batch are refused and
- * still get their verdict. */
+/* Guards against an unbounded queue: claims beyond the capacity of a batch
+ * must be refused as UNAVAILABLE, and none may stay without a verdict. */
 static void
 test_overload(void)
 {
@@ -206,7 +207,7 @@
     Sim sim;
     uint64_t calls[3];
     start(&sim, 1, calls);
-    sim.unchecked = true;
+    sim.skips_checks = true;
     for (uint64_t id = 0; id < CLAIMS; id++) {
         Sim_Submit(&sim, 0, id);
     }
@@ -222,8 +223,8 @@
     Sim_Destroy(&sim);
 }
 
-/* Guards against a damaged batch that is passed over: the claims in it are
- * not known, so nothing in its partition may be granted. */
+/* Guards against skipping a damaged batch: the claims in it are unknown, so
+ * nothing in its partition may be granted. */
 static void
 test_damaged_batch(void)
 {
--- a/packages/daemon/claim_client.c
+++ b/packages/daemon/claim_client.c
@@ -294,7 +294,7 @@
                    &msg);
     }
     else {
-        AqClaims_Forget(client->claims, AqLoop_Now(client->daemon->loop),
+        AqClaims_Cancel(client->claims, AqLoop_Now(client->daemon->loop),
                         AqClock_ReadWall(), request);
     }
     g_hash_table_remove(client->own, &request);
