--- a/packages/claims/tests/test_parts.c
+++ b/packages/claims/tests/test_log.c
@@ -246,7 +246,7 @@
 main(void)
 {
     CU_initialize_registry();
-    CU_pSuite suite = CU_add_suite("claims parts", NULL, NULL);
+    CU_pSuite suite = CU_add_suite("claims log", NULL, NULL);
     CU_ADD_TEST(suite, test_batch_decode);
     CU_ADD_TEST(suite, test_id_table);
     CU_ADD_TEST(suite, test_catch_up);
