--- a/packages/claims/Include/aq_claims.h
+++ b/packages/claims/Include/aq_claims.h
@@ -9,14 +9,18 @@
 #include "aq_error.h"
 #include "aq_wire.h"
 
-/* At-most-once log of claimed request ids.  Design page, section 4.4.  Does no
- * I/O: starts store calls through AqClaimsOps.store_call, receives their
- * results through AqClaims_StoreDone and reports verdicts through
+/* At-most-once log of claimed request ids, kept in the store.  A claim records
+ * that a request id is taken, before a daemon starts a non-idempotent request
+ * with that id; a release frees the id again.  Design page, section 4.4.  Does
+ * no I/O: starts store calls through AqClaimsOps.store_call, receives their
+ * results through AqClaims_StoreDone and reports verdicts on claims through
  * AqClaimsOps.decided. */
 
 enum {
-    AQ_CLAIM_PARTITIONS = 8, /* independent logs, selected by the hash */
-    AQ_CLAIM_BATCH_MS = 40   /* default of AqClaimsConfig.batch_ms */
+    AQ_CLAIM_PARTITIONS = 8, /* independent claim logs; the hash of a request
+                              * id selects one of them */
+    AQ_CLAIM_BATCH_MS = 40   /* default minimum time between two batch writes
+                              * (AqClaimsConfig.batch_ms) */
 };
 
 typedef struct AqClaims AqClaims;
@@ -29,48 +33,54 @@
 
 typedef struct {
     /* Starts a store call.  READ reads one key or, with "is_prefix", all
-     * entries whose keys start with "key"; CREATE writes "value" if the key
-     * is absent; REMOVE deletes the key or, with "is_prefix" (see
-     * prefix_removal), all keys that start with "key".
-     * "key" and "value" are borrowed for the call.  The result must be passed
-     * to AqClaims_StoreDone with the same "token", exactly once. */
+     * entries whose keys start with "key"; CREATE writes "value" if the store
+     * has no such key; REMOVE deletes the key or, with "is_prefix" (used only
+     * if AqClaimsConfig.prefix_removal is set), all keys that start with
+     * "key".  "key" and "value" are borrowed until this function returns.  The
+     * result of the store call must be passed to AqClaims_StoreDone with the
+     * same "token", exactly once. */
     void (*store_call)(void *context, uint64_t token, AqClaimsStoreCall call,
                        bool is_prefix, const char *key, const void *value,
                        size_t size);
-    /* Reports the verdict on the claim that was submitted with the number
-     * "request". */
+    /* Reports the verdict on the claim that was submitted to AqClaims_Submit
+     * with the number "request". */
     void (*decided)(void *context, uint64_t request, AqClaimVerdict verdict);
 } AqClaimsOps;
 
-/* Bits that disable one mechanism each, so that a test can show which failure
- * the mechanism prevents.  Zero outside of tests. */
+/* Bits that disable one mechanism of the claim log each, so that a test can
+ * show which failure the mechanism prevents.  No bit is set outside of
+ * tests. */
 typedef enum {
-    /* Treats a create as successful although its key existed, as if writes
-     * were unconditional. */
+    /* Treats the create of a batch as successful although its key existed, as
+     * if store writes were unconditional. */
     AQ_CLAIMS_DISABLE_CREATE_ONLY = 1,
-    /* Treats a create without a reply as successful. */
+    /* Treats the create of a batch as successful although its reply was lost,
+     * instead of reading the batch back. */
     AQ_CLAIMS_DISABLE_READ_BACK = 2,
-    /* Does not read the log again when the last call that confirmed its end
-     * is older than half of the retention. */
+    /* Does not read the log of a partition again when the last store call that
+     * confirmed the end of this log is older than half of the retention. */
     AQ_CLAIMS_DISABLE_REREAD = 4,
-    /* Lets a release remove a claim of its id with any nonce. */
+    /* Lets a release remove the claim of its request id even if the claim has
+     * another nonce than the release. */
     AQ_CLAIMS_DISABLE_RELEASE_NONCE = 8
 } AqClaimsDisabled;
 
-/* Settings.  A time of 0 or less selects the default. */
+/* Settings of a claim log.  A time of 0 or less selects the default. */
 typedef struct {
-    AqTime retention_ms;     /* how long a claim blocks its id; default
-                              * 3600000 */
-    AqTime batch_ms;         /* minimum time between two batch writes to a
-                              * partition; default AQ_CLAIM_BATCH_MS */
-    AqTime store_timeout_ms; /* timeout of one store call, default 1000; a
-                              * claim waits at most three times as long */
-    bool prefix_removal;     /* the store can delete by key prefix: 16 old
-                              * batches are removed with one call */
-    unsigned disabled;       /* AqClaimsDisabled bits, for tests only */
+    AqTime retention_ms; /* how long a claim blocks its request id, from the
+                          * time recorded in the claim; default 3600000 */
+    AqTime batch_ms; /* minimum time between the starts of two batch writes to
+                      * a partition; default AQ_CLAIM_BATCH_MS */
+    /* Timeout of one store call; default 1000.  A claim without a verdict
+     * after three times this time is decided, but never as GRANTED. */
+    AqTime store_timeout_ms;
+    bool prefix_removal; /* the store can delete by key prefix, so that one
+                          * store call removes 16 old batches instead of one */
+    unsigned disabled;   /* AqClaimsDisabled bits, for tests only */
 } AqClaimsConfig;
 
-/* One key read from the store and its value; both are borrowed. */
+/* One entry read from the store; its key and value are borrowed until
+ * AqClaims_StoreDone returns. */
 typedef struct {
     const char *key;
     const void *value;
@@ -79,69 +89,83 @@
 
 typedef enum {
     AQ_CLAIMS_STORE_OK,
-    AQ_CLAIMS_STORE_ABSENT,      /* READ, REMOVE: no such key */
-    AQ_CLAIMS_STORE_EXISTS,      /* CREATE: the key existed, nothing written */
-    AQ_CLAIMS_STORE_UNAVAILABLE, /* failed, certainly without effect */
-    AQ_CLAIMS_STORE_UNKNOWN      /* may or may not have had an effect */
+    AQ_CLAIMS_STORE_ABSENT, /* READ, REMOVE: the store has no such key */
+    /* CREATE: the key existed, so nothing was written. */
+    AQ_CLAIMS_STORE_EXISTS,
+    AQ_CLAIMS_STORE_UNAVAILABLE, /* the store call failed, certainly without
+                                  * effect on the store */
+    AQ_CLAIMS_STORE_UNKNOWN /* the store call may or may not have had an effect
+                             * on the store */
 } AqClaimsStoreResult;
 
-/* Returns a new instance, to be freed with AqClaims_Destroy.  "self" is the
- * name of this daemon, "context" is passed to the ops, and "seed" feeds the
- * generator of batch nonces. */
+/* Returns a new claim log, to be freed with AqClaims_Destroy.  "self" is the
+ * name of this daemon, "context" is the first argument of the functions in
+ * "ops", and "seed" feeds the generator of batch nonces. */
 AqClaims *AqClaims_Create(const char *self, const AqClaimsConfig *config,
                           const AqClaimsOps *ops, void *context,
                           uint64_t seed);
 void AqClaims_Destroy(AqClaims *claims);
 
-/* Computes the 16-byte hash of a request id within its service. */
+/* Computes the 16-byte hash that identifies a request id of a service in the
+ * claim log. */
 void AqClaims_Hash(const char *service, const char *request_id,
                    uint8_t hash[16]);
-/* Returns the partition that holds the claims with this hash. */
+/* Returns the number (from 0) of the log partition that holds the claims with
+ * this request id hash. */
 int AqClaims_Partition(const uint8_t hash[16]);
 
-/* Submits a claim of claim->holder, which is this daemon or a peer.
- * "decided" is called later (from AqClaims_StoreDone or AqClaims_Tick) with
- * the number "request", unless AqClaims_Cancel is called before.  "now" is the
- * monotonic clock, wall_ms Unix time in ms (> 0).  The same claim may be
- * submitted to several daemons, with the same nonce, and each may grant it:
- * the holder must act on the first verdict for a nonce only, and must ignore
- * a grant that arrives later than half of the retention after the first
- * submit. */
+/* Submits a claim of the request id with the hash claim->hash for
+ * claim->holder, the daemon that is to run the request: this daemon or a peer.
+ * AqClaimsOps.decided is called later (from AqClaims_StoreDone or
+ * AqClaims_Tick) with the number "request", unless AqClaims_Cancel is called
+ * before.  "now" is the monotonic clock, wall_ms Unix time in ms (> 0).  The
+ * same claim may be submitted to several daemons, with the same nonce, and
+ * each of these may grant the claim: the holder must act on the first verdict
+ * for a nonce only, and must ignore a grant that arrives later than half of
+ * the retention after the first submit. */
 void AqClaims_Submit(AqClaims *claims, AqTime now, AqTime wall_ms,
                      uint64_t request, const AqMsgClaim *claim);
-/* Queues a release of a claim that was granted or may have been written.  The
- * write is retried until it succeeds or the retention has passed. */
+/* Queues a release of a claim that was granted or may have been written to the
+ * store, to free its request id.  The store write of the release is retried
+ * until it succeeds or the retention has passed since this function was
+ * called. */
 void AqClaims_Release(AqClaims *claims, AqTime now, AqTime wall_ms,
                       const AqMsgClaim *claim);
-/* Cancels a submitted claim: no verdict is reported.  A claim that may have
- * been written is released. */
+/* Cancels the claim that was submitted with the number "request": no verdict
+ * on the claim is reported.  If this daemon may have written the claim to the
+ * store, and no other daemon did, a release of the claim is queued. */
 void AqClaims_Cancel(AqClaims *claims, AqTime now, AqTime wall_ms,
                      uint64_t request);
 
-/* Handles the result of the store call "token".  READ passes the "count"
- * entries that it found, in any order, borrowed for the call. */
+/* Handles the result of the store call "token".  The result of a READ comes
+ * with the "count" entries that the READ found, in any order, borrowed until
+ * this function returns. */
 void AqClaims_StoreDone(AqClaims *claims, AqTime now, AqTime wall_ms,
                         uint64_t token, AqClaimsStoreResult result,
                         const AqClaimsItem *items, size_t count);
 
 /* Starts the store calls that are due, decides claims whose deadline has
- * passed, and removes batches and ids older than the retention. */
+ * passed, and removes batches from the store and request ids from memory once
+ * they are older than the retention. */
 void AqClaims_Tick(AqClaims *claims, AqTime now, AqTime wall_ms);
 /* Returns the monotonic time at which AqClaims_Tick must be called next, or
  * AQ_TIME_NEVER. */
 AqTime AqClaims_NextTick(const AqClaims *claims);
 
-/* Returns the number of claimed ids and released nonces in memory. */
+/* Returns the number of claimed request ids and of nonces of released claims
+ * in memory. */
 size_t AqClaims_RecordCount(const AqClaims *claims);
-/* Returns the memory used by these records, the batches and the pending
- * entries, in bytes. */
+/* Returns the memory of the claim log in bytes: claimed request ids, released
+ * nonces, the lists of stored batches, and the claims and releases still to be
+ * written. */
 size_t AqClaims_MemoryBytes(const AqClaims *claims);
-/* Return the number of store calls since the start; removals count as
- * writes. */
+/* Return the number of writes (creates and removals) and of reads started in
+ * the store since AqClaims_Create. */
 uint64_t AqClaims_Writes(const AqClaims *claims);
 uint64_t AqClaims_Reads(const AqClaims *claims);
-/* Returns how often a batch was read that could not be decoded.  Its partition
- * decides claims as UNAVAILABLE until the batch is repaired or deleted. */
+/* Returns how often a batch was read from the store that could not be decoded.
+ * The partition of such a batch decides claims as UNAVAILABLE, or as DUPLICATE
+ * if the id is known to be claimed, until the batch is repaired or deleted. */
 uint64_t AqClaims_BadBatches(const AqClaims *claims);
 
 /* Returns false and sets *error if an invariant of the claim log is broken. */
--- a/packages/claims/batch.c
+++ b/packages/claims/batch.c
@@ -6,7 +6,8 @@
 
 enum {
     ENTRY_FIELDS = 5,
-    MIN_ENTRY_BYTES = 23 /* empty holder, all numbers of one byte */
+    MIN_ENTRY_BYTES = 23 /* encoded size of an entry with an empty holder and
+                          * all numbers of one byte */
 };
 
 static int
@@ -45,8 +46,8 @@
 
 /* Reads the few msgpack types that a batch contains.  The unpacker of
  * msgpack-c allocates an array of the announced length before it has read the
- * elements, so that a value of five bytes could make it allocate 100 GB; this
- * reader allocates nothing. */
+ * elements, so that a store value of five bytes could make it allocate 100 GB;
+ * this reader allocates nothing. */
 typedef struct {
     const uint8_t *at;
     size_t left;
--- a/packages/claims/batch.h
+++ b/packages/claims/batch.h
@@ -9,17 +9,17 @@
 #include "aq_error.h"
 #include "aq_wire.h"
 
-/* Format of a batch of claims and releases in the store: msgpack
- * [[op, id hash, holder, nonce, wall ms]...].  The first element is a header
- * with op 0, a zero hash, the writer and nonce of the batch, and the time of
- * writing. */
+/* Format of a batch of claims and releases of request ids in the store:
+ * msgpack [[op, id hash, holder, nonce, Unix time in ms]...].  The first
+ * element is a header with op 0, a zero hash, the daemon that wrote the batch
+ * in place of the holder, the nonce of the batch, and the time of writing. */
 
 enum {
     AQ_BATCH_HEADER = 0,
     AQ_BATCH_CLAIM = 1,
     AQ_BATCH_RELEASE = 2,
-    /* 4,096 entries of at most 105 bytes keep a batch below the 1 MB limit
-     * of a store value. */
+    /* 4,096 entries of at most 105 bytes keep a batch below the 1 MB limit of
+     * a store value. */
     AQ_BATCH_MAX_ENTRIES = 4096
 };
 
@@ -34,18 +34,22 @@
 typedef struct {
     char writer[AQ_WIRE_MAX_NAME];
     uint64_t nonce;
-    int64_t newest_wall_ms; /* latest time in the header and all entries */
-    AqBatchEntry *entries;  /* owned; without the header */
+    /* Latest Unix time in the header and the entries of the batch. */
+    int64_t newest_wall_ms;
+    AqBatchEntry *entries; /* owned; the claims and releases of the batch,
+                            * without its header */
     size_t count;
 } AqBatch;
 
-/* Appends the header of a batch; "count" entries must follow. */
+/* Appends the header of a batch to *out; exactly "count" entries must be
+ * appended after the header. */
 void AqBatch_EncodeHeader(AqBuffer *out, size_t count, const char *writer,
                           uint64_t nonce, int64_t wall_ms);
 void AqBatch_EncodeEntry(AqBuffer *out, const AqBatchEntry *entry);
 
 /* Decodes a batch into *batch, to be freed with AqBatch_Clear.  Returns false
- * and sets AQ_ERR_PROTOCOL if the bytes do not have exactly this format. */
+ * and sets AQ_ERR_PROTOCOL if the bytes are not exactly one batch in the
+ * format that AqBatch_EncodeHeader and AqBatch_EncodeEntry write. */
 bool AqBatch_Decode(const void *bytes, size_t size, AqBatch *batch,
                     AqError *error);
 void AqBatch_Clear(AqBatch *batch);
--- a/packages/claims/bench/bench_claims.c
+++ b/packages/claims/bench/bench_claims.c
@@ -6,21 +6,23 @@
 #include "sim.h"
 
 /* Measures the claim log in virtual time: store calls per claimed request and
- * added latency, with claims routed to the owner of the partition, with claims
- * submitted where the request arrives, and with one write per request as the
- * baseline.  Prints one line per rate and scheme. */
+ * the latency that the claim adds to a request, with claims sent to the daemon
+ * that owns the partition, with claims submitted where the request arrives,
+ * and with one write per request as the baseline.  Prints one line per rate
+ * and scheme. */
 
 enum {
-    SEEDS = 20, /* runs per rate and scheme */
+    SEEDS = 20, /* simulation runs per rate and scheme */
     DAEMONS = 9,
     STORE_HALF_MS = 2, /* half of the 4 ms that a store call takes */
-    /* Short, so that removals are part of the measured time. */
+    /* Short, so that removals of batches are part of the measured time. */
     RETENTION_MS = 60000,
-    WARM_UP_MS = 70000,     /* start of the measured time */
-    END_MS = 130000,        /* end of the measured time */
-    MAX_LATENCY_MS = 20000, /* last bucket of the histogram */
-    MEMORY_IDS = 1000000,   /* ids claimed by measure_memory */
-    MEMORY_BATCH = 40       /* of them per batch */
+    WARM_UP_MS = 70000,     /* sim time at which the measured time starts */
+    END_MS = 130000,        /* sim time at which the measured time ends */
+    MAX_LATENCY_MS = 20000, /* last bucket of the latency histogram, which also
+                             * counts all longer ones */
+    MEMORY_IDS = 1000000,   /* request ids claimed by measure_memory */
+    MEMORY_BATCH = 40       /* request ids per batch in measure_memory */
 };
 
 typedef enum {
@@ -37,16 +39,20 @@
 
 typedef struct {
     Scheme scheme;
-    double interval_ms;     /* mean time between requests */
-    double next_arrival_at; /* sim time of the next request */
-    uint64_t measured;      /* claims decided */
+    double interval_ms; /* mean time between the arrivals of two requests */
+    double next_arrival_at; /* sim time at which the next request arrives */
+    uint64_t measured; /* number of decided claims that were submitted in the
+                        * measured time */
     uint64_t granted;
-    uint64_t writes; /* creates and removals */
+    /* Number of store creates and removals in the measured time. */
+    uint64_t writes;
     uint64_t reads;
     uint64_t creates;
-    uint64_t histogram[MAX_LATENCY_MS + 1]; /* claims by latency in ms */
-    AqTime *round_trips; /* owned; network time to the owner and back, by
-                          * request, in ms */
+    /* Number of measured claims, by latency in ms. */
+    uint64_t histogram[MAX_LATENCY_MS + 1];
+    /* Owned; network time of a claim to the owner of its partition and back,
+     * in ms; index: see run_seed. */
+    AqTime *round_trips;
 } Bench;
 
 static SimCallPlan
@@ -120,10 +126,10 @@
     }
 }
 
-/* Runs one seed of a scheme.  round_trips is filled by request id but read by
- * request number, which follows the order of submits; with routing this is not
- * the order of arrival.  The sum of the latencies is not affected, as the
- * round trips are drawn independently. */
+/* Runs one simulation with the seed.  bench->round_trips is filled by request
+ * id but read by request number, which follows the order of submits; with
+ * routing this is not the order of arrival.  The sum of the latencies is not
+ * affected, as the round trips are drawn independently. */
 static void
 run_seed(Bench *bench, uint64_t seed)
 {
@@ -145,8 +151,8 @@
     Sim_Destroy(&sim);
 }
 
-/* Computes the baseline: one create of 4 ms for each request and one removal
- * after the retention. */
+/* Computes the figures of the baseline: one create of 4 ms for each request
+ * and one removal after the retention. */
 static void
 run_baseline(Bench *bench, double rate)
 {
--- a/packages/claims/claims.c
+++ b/packages/claims/claims.c
@@ -9,9 +9,10 @@
 enum {
     DEFAULT_RETENTION_MS = 3600 * 1000,
     DEFAULT_STORE_TIMEOUT_MS = 1000,
-    /* Store timeouts until the deadline of a claim.  If the reply to its
-     * create is lost, the claim needs that timeout, a read and a second create
-     * before it is decided. */
+    /* Number of store timeouts from the submit to the deadline of a claim.  If
+     * the reply to the create of the claim's batch is lost, the claim needs
+     * the timeout of that create, a read and a second create before it is
+     * decided. */
     CALLS_PER_CLAIM = 3
 };
 
@@ -110,7 +111,7 @@
     AqPartition_Queue(part, new_entry(claim, AQ_BATCH_RELEASE, at));
 }
 
-/* Reports the verdicts on all decided claims. */
+/* Reports the verdicts on all decided claims through AqClaimsOps.decided. */
 static void
 deliver_verdicts(AqClaims *claims)
 {
@@ -154,8 +155,8 @@
     AqPartition_Advance(claims, part, at);
 }
 
-/* Returns the claim in the list that was submitted with this number and still
- * awaits a verdict, or NULL. */
+/* Returns the claim in the list that was submitted with the number "request"
+ * and still awaits a verdict, or NULL. */
 static AqClaimEntry *
 find_request(AqLink *list, uint64_t request)
 {
@@ -169,8 +170,10 @@
     return NULL;
 }
 
-/* Cancels a claim that was decided but whose verdict was not reported yet, and
- * queues a release if it was granted.  Returns false if there is none. */
+/* Cancels the claim submitted with the number "request" if the claim was
+ * decided but its verdict was not reported yet, and queues a release of the
+ * claim if it was granted and no other daemon wrote it.  Returns false if
+ * there is no such claim. */
 static bool
 cancel_decided(AqClaims *claims, AqClockReading at, uint64_t request)
 {
@@ -235,8 +238,8 @@
     if (token == 0 || token != part->call_token) {
         return;
     }
-    /* A reply that is handled after a long pause of this process must not
-     * grant a claim whose deadline has passed. */
+    /* A store reply that is handled after a long pause of this process must
+     * not grant a claim whose deadline has passed. */
     AqPartition_Expire(claims, part, at);
     part->call_token = 0;
     if (part->call == AQ_CLAIMS_READ) {
@@ -269,8 +272,8 @@
     return a < b ? a : b;
 }
 
-/* Returns the deadline of the first claim that awaits a verdict, which is the
- * earliest one. */
+/* Returns the deadline of the first claim in the list that awaits a verdict,
+ * which is the earliest such deadline, or AQ_TIME_NEVER. */
 static AqTime
 first_deadline(const AqLink *list)
 {
--- a/packages/claims/id_table.c
+++ b/packages/claims/id_table.c
@@ -4,7 +4,8 @@
 #include <string.h>
 
 enum {
-    MIN_CAPACITY = 64 /* slots */
+    /* Minimum number of slots of a table that is not empty. */
+    MIN_CAPACITY = 64
 };
 
 void
@@ -31,7 +32,8 @@
     return i + 1 < table->capacity ? i + 1 : 0;
 }
 
-/* Returns the slot of the key, or the free slot where it belongs. */
+/* Returns the position in table->slots of the record with the key, or of the
+ * free slot where a record with the key belongs. */
 static size_t
 probe(const AqIdTable *table, const uint8_t key[16])
 {
@@ -43,7 +45,8 @@
     return i;
 }
 
-/* Moves all records with a time of oldest_ms or later to a new table. */
+/* Replaces table->slots by an array of "capacity" slots and keeps only the
+ * records whose wall_ms (Unix time) is oldest_ms or later. */
 static void
 rebuild(AqIdTable *table, size_t capacity, int64_t oldest_ms)
 {
@@ -76,7 +79,8 @@
 AqIdTable_Put(AqIdTable *table, const uint8_t key[16], uint64_t nonce,
               int64_t wall_ms)
 {
-    /* A table is at most 7/8 full and grows by half: 37 to 55 bytes per id. */
+    /* A table is at most 7/8 full and grows by half: 37 to 55 bytes per
+     * record. */
     if ((table->count + 1) * 8 > table->capacity * 7) {
         size_t larger = table->capacity + table->capacity / 2;
         rebuild(table, larger > MIN_CAPACITY ? larger : MIN_CAPACITY, 0);
@@ -97,8 +101,9 @@
     return to >= from ? to - from : to + table->capacity - from;
 }
 
-/* Moves later records of the same cluster back over the removed one, so that
- * a search for them does not end at a free slot. */
+/* Moves later records of the same cluster (adjoining used slots) back over the
+ * removed record, so that a search for one of these records does not end at a
+ * free slot. */
 void
 AqIdTable_Remove(AqIdTable *table, AqIdRecord *record)
 {
--- a/packages/claims/id_table.h
+++ b/packages/claims/id_table.h
@@ -6,19 +6,20 @@
 #include <stdint.h>
 
 /* Hash table with open addressing and 16-byte keys.  A record takes 32 bytes
- * and holds no pointer, because a daemon keeps every id claimed within the
- * retention, one hour by default. */
+ * and holds no pointer, because a daemon keeps every request id claimed within
+ * the retention, one hour by default, in memory. */
 
 typedef struct {
     uint8_t key[16];
     uint64_t nonce;
-    int64_t wall_ms; /* Unix time of the claim; 0 marks a free slot */
+    /* Unix time of the claim or release; 0 marks a free slot. */
+    int64_t wall_ms;
 } AqIdRecord;
 
 typedef struct {
     AqIdRecord *slots; /* owned */
-    size_t capacity;   /* slots */
-    size_t count;      /* records */
+    size_t capacity;   /* number of slots */
+    size_t count;      /* number of records */
 } AqIdTable;
 
 void AqIdTable_Clear(AqIdTable *table);
@@ -29,9 +30,11 @@
 void AqIdTable_Put(AqIdTable *table, const uint8_t key[16], uint64_t nonce,
                    int64_t wall_ms);
 void AqIdTable_Remove(AqIdTable *table, AqIdRecord *record);
-/* Removes all records with a time before oldest_ms and shrinks the table. */
+/* Removes all records whose wall_ms is below oldest_ms (Unix time) and shrinks
+ * the table. */
 void AqIdTable_Sweep(AqIdTable *table, int64_t oldest_ms);
-/* Returns whether the record count is right and every record can be found. */
+/* Returns whether table->count is right and at most 7/8 of the capacity, and
+ * every record can be found by its key. */
 bool AqIdTable_CheckConsistency(const AqIdTable *table);
 
 #endif
--- a/packages/claims/partition.c
+++ b/packages/claims/partition.c
@@ -5,8 +5,9 @@
 #include <string.h>
 
 enum {
-    /* Delay before the next store call after a failed one.  Claims that arrive
-     * meanwhile wait at most this long until the store is tried again. */
+    /* Delay of a partition's next read or create after a store call failed or
+     * a read could not be applied.  Claims that arrive during the delay wait
+     * at most this long until the store is called again. */
     RETRY_MS = 200
 };
 
@@ -69,10 +70,11 @@
     AqList_Append(&claims->decided, &entry->link);
 }
 
-/* Returns the verdict on a claim that was not written.  An id that is claimed
- * in the cached log is a duplicate even when the store cannot confirm it:
- * UNAVAILABLE would tell the caller that the request was not run, which may be
- * wrong for its first attempt. */
+/* Returns the verdict on a claim that was not written to the store.  If its
+ * request id is claimed in the cached log, the verdict is DUPLICATE even when
+ * the store cannot confirm the older claim: UNAVAILABLE would tell the caller
+ * that the request was not run, which may be wrong for the first attempt of
+ * the request. */
 static AqClaimVerdict
 unwritten_verdict(const AqClaims *claims, const AqPartition *part,
                   const AqClaimEntry *entry, AqTime wall)
@@ -83,8 +85,9 @@
                : AQ_CLAIM_UNAVAILABLE;
 }
 
-/* Decides the pending claims with a deadline of "due" or earlier.  They are
- * pending in the order of their deadlines. */
+/* Decides the pending claims of the partition whose deadline is "due" or
+ * earlier, as UNAVAILABLE or DUPLICATE.  Claims are pending in the order of
+ * their deadlines. */
 static void
 fail_pending(AqClaims *claims, AqPartition *part, AqTime wall, AqTime due)
 {
@@ -110,8 +113,9 @@
     part->not_before = at.now + RETRY_MS;
 }
 
-/* Decides a claim of the batch as UNAVAILABLE.  The entry stays in the batch,
- * which may have been written already, without awaiting a verdict. */
+/* Decides a claim of the batch being written as UNAVAILABLE.  "entry" stays in
+ * the batch, which may be in the store already, but no longer awaits a
+ * verdict. */
 static void
 decide_unavailable(AqClaims *claims, AqClaimEntry *entry)
 {
@@ -137,8 +141,8 @@
     return false;
 }
 
-/* Abandons a batch whose create has no known result if none of its claims
- * awaits a verdict. */
+/* Abandons part->batch if a create of this batch had no known result, no read
+ * or create is in flight, and none of its claims awaits a verdict. */
 static void
 abandon_batch_if_unawaited(AqClaims *claims, AqPartition *part,
                            AqClockReading at)
@@ -201,7 +205,8 @@
     part->batch_seq = 0;
 }
 
-/* Turns a claim that may have been written into an automatic release. */
+/* Turns a claim that may have been written to the store into a release of this
+ * claim that is marked as automatic (queued by this daemon itself). */
 static void
 convert_to_release(AqPartition *part, AqClaimEntry *entry, AqTime wall)
 {
@@ -234,8 +239,9 @@
     clear_batch(part);
 }
 
-/* Inserts the entries of the batch before the other pending ones, in the same
- * order. */
+/* Inserts the entries of part->batch before the entries in part->pending, in
+ * the same order.  Claims that no longer await a verdict and cancelled
+ * releases are freed instead. */
 void
 AqPartition_RequeueBatch(AqPartition *part)
 {
@@ -278,11 +284,12 @@
     AqPartition_RequeueBatch(part);
 }
 
-/* Handling of a pending entry while a batch is built. */
+/* What is done with a pending claim or release while a batch is built. */
 typedef enum {
     ADD_TO_BATCH,
-    KEEP_PENDING, /* the batch has an entry of the same id */
-    READ_FIRST,   /* claimed in the cached log; may be released since */
+    KEEP_PENDING, /* the batch has an entry of the same request id */
+    READ_FIRST,   /* the request id is claimed in the cached log, but may have
+                   * been released in the store since */
     REJECT_DUPLICATE,
     REJECT_RELEASED,
     DISCARD
@@ -303,9 +310,10 @@
     if (AqPartition_IsReleased(part, data->hash, data->nonce)) {
         return REJECT_RELEASED;
     }
-    /* If the log has the same claim, because it was submitted to another
-     * daemon before, it is written again rather than granted: only a create
-     * proves that the log has no newer claim of the id. */
+    /* If the cached log has the same claim, because it was submitted to
+     * another daemon before, the claim is written again rather than granted at
+     * once: only a create proves that the stored log has no newer claim of the
+     * request id. */
     const AqIdRecord *record =
         AqPartition_FindClaim(claims, part, data->hash, wall);
     if (record == NULL || record->nonce == data->nonce) {
@@ -344,9 +352,9 @@
     }
 }
 
-/* Moves pending entries to the batch, decides the claims that need no write,
- * and encodes the batch.  Sets part->read_need if a claim needs a read first
- * and nothing is to be written. */
+/* Moves pending claims and releases to part->batch, decides the claims that
+ * need no write, and encodes the batch.  Sets part->read_need if a claim needs
+ * a read of the log first and nothing is to be written. */
 static void
 build_batch(AqClaims *claims, AqPartition *part, AqClockReading at)
 {
@@ -430,13 +438,13 @@
     }
 }
 
-/* Handles a successful create of the batch. */
+/* Handles a successful create of part->batch in the store. */
 static void
 batch_created(AqClaims *claims, AqPartition *part, AqClockReading at)
 {
-    /* Since the log was read, batches up to and including batch_seq may have
-     * been written and removed.  The create then reused the key of a removed
-     * batch, and newer batches were never read. */
+    /* Since this daemon last read the log, other daemons may have written and
+     * removed batches up to and including batch_seq.  In that case the create
+     * reused the key of a removed batch, and newer batches were never read. */
     if (AqPartition_IsStale(claims, part, at.now)) {
         part->read_need = AQ_NEED_ALL;
         AqPartition_AbandonBatch(claims, part, at);
--- a/packages/claims/partition_log.c
+++ b/packages/claims/partition_log.c
@@ -8,19 +8,21 @@
 #include "aq_hash.h"
 
 enum {
-    KEY_DIGITS = 16, /* hexadecimal digits of SEQ in a key */
-    /* To catch up with the log, a partition reads up to 16 batches in each of
-     * NARROW_READS reads, then up to 256 in each of WIDE_READS reads, and then
-     * the whole log.  At 25 batches per second the first two cover a gap of
-     * about three minutes. */
+    KEY_DIGITS = 16, /* hexadecimal digits of a batch's sequence number (SEQ)
+                      * in a store key */
+    /* To catch up with the log in the store, a partition reads up to 16
+     * batches in each of NARROW_READS reads, then up to 256 in each of
+     * WIDE_READS reads, and then the whole log.  At 25 batches per second the
+     * narrow and wide reads together cover a gap of about three minutes. */
     NARROW_READS = 4,
     WIDE_READS = 16,
-    /* Delay before a failed removal is tried again, and before a daemon that
-     * may not remove batches checks again whether it may. */
+    /* Delay before a failed removal of batches is tried again, and before a
+     * daemon that may not remove batches, as it did not write the newest
+     * batch, checks again whether it may. */
     REMOVAL_RETRY_MS = 500,
     /* A batch is removed a sixteenth of the retention (225 s of 1 h) after its
      * claims have expired, so that daemons whose wall clocks differ by less
-     * than that never base a verdict on a removed batch. */
+     * than this sixteenth never base a verdict on a removed batch. */
     GRACE_DIVISOR = 16
 };
 
@@ -42,7 +44,8 @@
     return is_in_force ? record : NULL;
 }
 
-/* Computes the key of a released nonce in the table of ids. */
+/* Computes the key under which AqPartition.ids records that the claim with
+ * this request id hash and nonce was released. */
 static void
 released_key(const uint8_t hash[16], uint64_t nonce, uint8_t key[16])
 {
@@ -61,8 +64,9 @@
     return AqIdTable_Find(&part->ids, key) != NULL;
 }
 
-/* The newest claim of an id replaces older ones: its writer had read all of
- * them and found them released or expired. */
+/* The newest claim of a request id replaces older claims of the id: the daemon
+ * that wrote the newest claim had read the older ones and found them released
+ * or expired. */
 void
 AqPartition_ApplyEntry(const AqClaims *claims, AqPartition *part,
                        const AqBatchEntry *entry)
@@ -89,7 +93,8 @@
            memcmp(entry->data.hash, claim->hash, 16) == 0;
 }
 
-/* Removes the pending automatic releases of the claim. */
+/* Removes the automatic releases of the claim (queued by this daemon itself)
+ * from part->pending. */
 static void
 cancel_pending_releases(AqPartition *part, const AqBatchEntry *claim)
 {
@@ -126,7 +131,8 @@
     }
 }
 
-/* Returns how many hexadecimal digits of SEQ a removal leaves out. */
+/* Returns how many hexadecimal digits of a batch's sequence number (SEQ) the
+ * key of a removal omits. */
 static unsigned
 group_digits(const AqClaims *claims)
 {
@@ -186,7 +192,7 @@
                            key, NULL, 0);
 }
 
-/* A batch that was read, and its SEQ. */
+/* A batch that was read from the store, and its sequence number (SEQ). */
 typedef struct {
     uint64_t seq;
     const AqClaimsItem *item;
@@ -199,7 +205,8 @@
     return (left->seq > right->seq) - (left->seq < right->seq);
 }
 
-/* Returns the SEQ in a key of this partition, or 0 for any other key. */
+/* Returns the batch sequence number (SEQ) in a store key of this partition, or
+ * 0 for any other key. */
 static uint64_t
 parse_key(const AqPartition *part, const char *key)
 {
@@ -216,10 +223,10 @@
     return strtoull(digits, NULL, 16);
 }
 
-/* Applies the batches from next_seq on, sorted by SEQ, and sets
- * *found_own_batch if the batch being written is one of them.  Returns false
- * if a batch cannot be decoded or if, in a partial read, one is missing
- * before another. */
+/* Applies the batches in "items", sorted by sequence number (SEQ), to the
+ * cached log, from part->next_seq on, and sets *found_own_batch if the batch
+ * being written is one of them.  Returns false if a batch cannot be decoded or
+ * if, in a read of a part of the log, a SEQ is missing before a later one. */
 static bool
 apply_items(AqClaims *claims, AqPartition *part, AqTime now,
             const NumberedItem *items, size_t count, bool *found_own_batch)
@@ -255,7 +262,9 @@
     return true;
 }
 
-/* Sorts the entries of a read by SEQ and applies them; see apply_items. */
+/* Sorts the store entries of a read by batch sequence number (SEQ) and applies
+ * them to the cached log; sets *found_own_batch and returns false as
+ * apply_items does. */
 static bool
 apply_result(AqClaims *claims, AqPartition *part, AqTime now,
              const AqClaimsItem *items, size_t count, bool *found_own_batch)
@@ -277,8 +286,9 @@
     return ok;
 }
 
-/* Grants or requeues the batch being written after the log was read.  It is
- * requeued once a batch of another writer is known to have its SEQ. */
+/* Grants or requeues the claims of the batch being written after the log was
+ * read: grants them if the read found this batch, and requeues them if another
+ * batch is known to have the same sequence number (SEQ). */
 static void
 resolve_batch(AqClaims *claims, AqPartition *part, AqClockReading at,
               bool found_own_batch)
@@ -294,7 +304,9 @@
     }
 }
 
-/* Decides the pending claims after a read that failed or cannot be applied. */
+/* Decides the pending claims as UNAVAILABLE or DUPLICATE after a read of the
+ * log that failed or cannot be applied.  With requires_full_read, the next
+ * read covers the whole log. */
 static void
 handle_read_failure(AqClaims *claims, AqPartition *part, AqClockReading at,
                     bool requires_full_read)
@@ -361,11 +373,12 @@
     resolve_batch(claims, part, at, found_own_batch);
 }
 
-/* Starts the removal of the oldest group if it is due.  Only the writer of the
- * newest batch removes old ones, so that idle daemons do not repeat its calls.
- * The group must also have been recorded here for more than half of the
- * retention: a daemon that read a SEQ as free less than that ago can then rely
- * on the SEQ not having been written and removed since, regardless of the
+/* Starts the removal of the oldest batch group from the store if it is due.
+ * Only the daemon that wrote the newest batch removes old ones, so that idle
+ * daemons do not repeat the same store calls.  The group must also have been
+ * recorded by this daemon for more than half of the retention: a daemon that
+ * read a sequence number (SEQ) as free more recently than that can then rely
+ * on this SEQ not having been written and removed since, regardless of the
  * clocks and pauses of other daemons. */
 static void
 remove_oldest(AqClaims *claims, AqPartition *part, AqClockReading at)
@@ -382,7 +395,8 @@
     AqTime recorded_due = oldest->recorded_at + retention / 2;
     AqTime due = expiry_due > recorded_due ? expiry_due : recorded_due;
     if (at.now <= due) {
-        /* The wait is limited because the wall clock may be set. */
+        /* The wait until the removal is next considered is limited to the
+         * grace time because the wall clock may be set. */
         part->remove_at = due < at.now + grace ? due + 1 : at.now + grace;
         return;
     }
@@ -419,7 +433,7 @@
     part->remove_at = now + REMOVAL_RETRY_MS;
     bool is_removed =
         result == AQ_CLAIMS_STORE_OK || result == AQ_CLAIMS_STORE_ABSENT;
-    /* A read of the whole partition may have removed the group from the list
+    /* A read of the whole log may have removed the group from part->groups
      * already. */
     if (!is_removed || part->group_first == part->group_count ||
         part->groups[part->group_first].number != part->removal_group) {
--- a/packages/claims/tests/sim.c
+++ b/packages/claims/tests/sim.c
@@ -77,7 +77,7 @@
 }
 
 /* Returns the monotonic clock of the node.  These clocks differ between nodes,
- * as those of machines do. */
+ * as monotonic clocks of machines do. */
 static AqTime
 node_now(const SimNode *node)
 {
@@ -92,7 +92,8 @@
 
 static void run_tick(Sim *sim, uint64_t index);
 
-/* Checks the invariants of the node and schedules its next tick. */
+/* Checks the invariants of the node's claim log and schedules its next
+ * tick. */
 static void
 after_step(SimNode *node)
 {
@@ -228,9 +229,9 @@
     }
 }
 
-/* Returns whether the store has a claim of the same id other than that of the
- * request.  A claim that was submitted to several nodes counts as another one,
- * since one of the other nodes may have granted it. */
+/* Returns whether the store has a claim of the same request id other than that
+ * of the request.  A claim that was submitted to several nodes counts as
+ * another claim, since one of the other nodes may have granted it. */
 static bool
 has_other_claim(const Sim *sim, const SimRequest *request)
 {
@@ -247,9 +248,11 @@
     return false;
 }
 
-/* Checks that a granted claim is in the store, in order, and that no other
- * claim of the id is in force.  Several daemons may grant the same claim, even
- * after its holder has released it; the holder acts on the first grant. */
+/* Checks that the granted claim of the request is in the store, in a batch
+ * created in the order of sequence numbers (SEQ), and that no other granted
+ * claim of its request id is in force.  A claim that its holder has released
+ * is not checked: several daemons may grant the same claim, even after the
+ * release; the holder acts on the first grant. */
 static void
 check_granted(Sim *sim, const SimRequest *request)
 {
@@ -437,8 +440,8 @@
     return copy;
 }
 
-/* Returns the node of the request, or NULL if it is paused or has restarted
- * since the submit: then it cannot act for the request. */
+/* Returns the node of the request, or NULL if this node is paused or has
+ * restarted since the submit and so cannot release or cancel the claim. */
 static SimNode *
 acting_node(Sim *sim, const SimRequest *request)
 {
--- a/packages/claims/tests/sim_store.c
+++ b/packages/claims/tests/sim_store.c
@@ -15,8 +15,8 @@
     free(call);
 }
 
-/* Checks that a created batch can be decoded, and records the time of its
- * newest claim and where its claims were written. */
+/* Checks that a created batch can be decoded, and records the latest time in
+ * the batch in *slot, and where its claims were written in sim->requests. */
 static void
 record_batch(Sim *sim, const SimCall *call, SimBatch *slot)
 {
@@ -61,10 +61,12 @@
     call->result = AQ_CLAIMS_STORE_OK;
 }
 
-/* Removes a range of batches.  Checks their age, that older batches were
- * removed before, and that the newest batch is not removed.  A batch that was
- * written below a later SEQ is exempt: its claims are never granted, which
- * check_granted verifies, so any daemon may remove it with its group. */
+/* Removes the batches from call->first to call->last from the simulated store.
+ * Checks that the batches are old enough, that older batches were removed
+ * before, and that the newest batch is not removed.  A batch that was created
+ * below a later sequence number (SEQ) is exempt from the checks of age and
+ * order: its claims are never granted, which check_granted verifies, so any
+ * daemon may remove this batch with its group. */
 static void
 remove_batches(Sim *sim, SimCall *call)
 {
--- a/packages/claims/tests/sim_store.h
+++ b/packages/claims/tests/sim_store.h
@@ -4,27 +4,32 @@
 #include "aq_buffer.h"
 #include "sim.h"
 
-/* The simulated store: executes a store call at the time of its effect. */
+/* The simulated store of the claim log: executes a store call at the sim time
+ * at which the call is to take effect. */
 
 typedef struct {
-    SimNode *node;  /* that made the call */
-    int generation; /* of the node at that time */
-    uint64_t token; /* of the call, from AqClaims */
+    SimNode *node;  /* the node that made the store call */
+    int generation; /* SimNode.generation of the node when it made the store
+                     * call */
+    uint64_t token; /* token of the store call, from AqClaims */
     AqClaimsStoreCall call;
-    int partition;  /* from the key */
-    uint64_t first; /* SEQ range of the key or prefix, inclusive */
-    uint64_t last;
-    char *value; /* owned; of a create */
+    int partition;  /* partition of the claim log in the key */
+    uint64_t first; /* lowest batch sequence number (SEQ) that the key or
+                     * prefix covers */
+    uint64_t last;  /* highest batch sequence number (SEQ) that the key or
+                     * prefix covers */
+    char *value;    /* owned; the value to write, of a create */
     size_t size;
     SimCallPlan plan;
     AqClaimsStoreResult result;
-    AqBuffer found;      /* of a read: the values, concatenated */
-    AqClaimsItem *items; /* owned; of a read: entries found */
-    char (*keys)[64];    /* owned; keys of the items */
+    AqBuffer found;      /* of a read: the values found, concatenated */
+    AqClaimsItem *items; /* owned; of a read: the entries found */
+    char (*keys)[64];    /* owned; of a read: keys of the items */
     size_t count;        /* number of items */
 } SimCall;
 
-/* Executes the call, unless its plan makes it fail, and sets its result. */
+/* Executes the store call "call", unless call->plan makes it fail, and sets
+ * call->result. */
 void SimStore_Execute(Sim *sim, SimCall *call);
 void SimStore_FreeCall(SimCall *call);
 
--- a/packages/claims/tests/test_claims.c
+++ b/packages/claims/tests/test_claims.c
@@ -15,8 +15,9 @@
 
 enum {
     FAULTS_END = 5 * HOUR, /* no faults or submits from this sim time on */
-    LONG_PAUSE_END = 2 * HOUR + 50 * MINUTE, /* no pauses of 2 h from then */
-    IDS = 60                                 /* request ids in use */
+    /* No pauses of 2 h from this sim time on. */
+    LONG_PAUSE_END = 2 * HOUR + 50 * MINUTE,
+    IDS = 60 /* number of different request ids in use */
 };
 
 static bool
@@ -43,7 +44,8 @@
     if (sim->now >= FAULTS_END) {
         return plan;
     }
-    /* Outages of 20 s in every half hour. */
+    /* An outage of the store, 20 s in every half hour: each store call is
+     * slow, fails or loses its reply. */
     bool outage = sim->now % (30 * MINUTE) < 20 * SECOND;
     unsigned kind = (unsigned)AqRandom_Below(random, outage ? 120 : 1000);
     if (kind < 30) {
@@ -89,7 +91,8 @@
     Sim_Cancel(sim, request);
 }
 
-/* A holder without a verdict after 500 ms resubmits the claim elsewhere. */
+/* Resubmits a claim without a verdict to another node.  Runs 500 ms after the
+ * claim was submitted. */
 static void
 resubmit_later(Sim *sim, uint64_t request)
 {
@@ -153,10 +156,11 @@
     }
 }
 
-/* Returns whether one of the first "before" requests may still claim the id:
- * by a grant in force, because its node restarted before it could release it,
- * or because two daemons wrote the claim, which neither may release without
- * its holder. */
+/* Returns whether a claim of one of the first "before" requests may still
+ * block the request id "id": because the claim was granted and not released,
+ * because its node restarted before it could release the claim, or because two
+ * daemons wrote the claim, which neither may release without the claim's
+ * holder. */
 static bool
 may_stay_claimed(const Sim *sim, uint64_t id, size_t before)
 {
@@ -177,8 +181,9 @@
     return false;
 }
 
-/* Claims every id once more after the faults.  An id that no request may claim
- * must be free, else a claim with an unknown result was never released. */
+/* Claims every request id once more after the faults have ended.  An id that
+ * no earlier claim may block must be granted, else a claim with an unknown
+ * result was never released. */
 static void
 check_leaked_claims(Sim *sim)
 {
@@ -248,10 +253,10 @@
     Sim_Destroy(&sim);
 }
 
-/* Guards against broken guarantees of the log under random faults: an id
+/* Guards against broken guarantees of the claim log under random faults: an id
  * granted twice, a missing or repeated verdict, a verdict from a removed
- * batch, removal out of order, and a claim with an unknown result that is
- * never released. */
+ * batch, removal of batches out of order, and a claim with an unknown result
+ * that is never released. */
 static void
 test_random_faults(void)
 {
@@ -265,13 +270,15 @@
            SEEDS, outcome.granted, outcome.duplicate, outcome.unavailable,
            outcome.removed, outcome.failures, outcome.first);
     CU_ASSERT_EQUAL(outcome.failures, 0);
-    /* The test proves nothing unless each of these happens often. */
+    /* The test proves nothing unless each kind of verdict and removals of
+     * batches occur often. */
     CU_ASSERT_TRUE(outcome.granted > 1000 && outcome.duplicate > 1000 &&
                    outcome.unavailable > 1000 && outcome.removed > 1000);
 }
 
-/* Guards against checks that cannot fail: with any of these mechanisms
- * disabled, the random runs must find an id that is granted twice. */
+/* Guards against checks that cannot fail: with any one mechanism of
+ * AqClaimsDisabled disabled, the random runs must find a request id that is
+ * granted twice. */
 static void
 test_random_faults_disabled_mechanisms(void)
 {
--- a/packages/claims/tests/test_fault_points.c
+++ b/packages/claims/tests/test_fault_points.c
@@ -9,7 +9,8 @@
     SECOND = 1000, /* durations in ms */
     MINUTE = 60 * SECOND,
     HOUR = 60 * MINUTE,
-    REQUEST_DEADLINE_MS = 10 * MINUTE /* the longest deadline of a request */
+    REQUEST_DEADLINE_MS = 10 * MINUTE /* time after the submit of a request
+                                       * during which it may be executed */
 };
 
 enum {
@@ -19,20 +20,26 @@
     UNAVAILABLE = AQ_CLAIM_UNAVAILABLE
 };
 
-/* A fault at one point of a claim.  Node 0 claims id 7 at sim time 0, and its
- * first create fails as planned.  Node 1 claims the same id at competing_at,
- * node 2 at later_at. */
+/* A fault at one point in the course of a claim.  Node 0 claims request id 7
+ * at sim time 0, and its first create of a batch has the fault "create".  Node
+ * 1 claims the same id at competing_at, node 2 at later_at. */
 typedef struct {
-    const char *fault;       /* for the output */
-    const char *fault_point; /* for the output */
-    SimCallPlan create;      /* of the first create of node 0 */
+    const char *fault;       /* name of the fault, for the output */
+    const char *fault_point; /* name of the point at which the fault occurs,
+                              * for the output */
+    /* Delays and faults of the first create that node 0 makes. */
+    SimCallPlan create;
     AqTime competing_at;
     AqTime later_at;
-    int verdicts[3];             /* expected verdicts of nodes 0 to 2 */
-    int executions;              /* expected number, by all nodes */
-    AqTime outage;               /* of the store, from that create on; ms */
-    AqTime pause_after_verdict;  /* of node 0 once its claim is granted; ms */
-    bool restarts_after_verdict; /* node 0 restarts before it executes */
+    int verdicts[3]; /* expected verdicts on the claims of nodes 0 to 2 */
+    int executions;  /* expected number of executions of the request, by all
+                      * nodes */
+    AqTime outage; /* outage of the store, from the first create of node 0 on;
+                    * ms */
+    AqTime pause_after_verdict;  /* pause of node 0 once its claim is granted;
+                                  * ms */
+    bool restarts_after_verdict; /* node 0 restarts between its grant and the
+                                  * execution */
 } FaultCase;
 
 /* clang-format off */
@@ -107,10 +114,13 @@
 
 typedef struct {
     const FaultCase *fault;
-    const SimCallPlan *create; /* of creates by node 2, or NULL for no fault */
-    AqTime outage_end;         /* sim time */
-    bool is_injected;          /* the first create of node 0 was planned */
-    int executions;            /* of the request so far */
+    /* Delays and faults of creates by node 2, or NULL for none. */
+    const SimCallPlan *create;
+    AqTime outage_end; /* sim time at which the outage of the store ends */
+    bool is_injected;  /* node 0 has made its first create, which got the
+                        * planned fault */
+    /* Number of executions of the request so far, by all nodes. */
+    int executions;
 } FaultRun;
 
 static SimCallPlan
@@ -130,8 +140,9 @@
     return plan;
 }
 
-/* The holder of a grant executes the request, or releases the claim if the
- * deadline has passed.  It does neither if it has restarted since. */
+/* Executes a granted request on its node, or releases the claim once
+ * REQUEST_DEADLINE_MS have passed since the submit.  Waits while the node is
+ * paused; does nothing if the node has restarted since the submit. */
 static void
 execute_request(Sim *sim, uint64_t request)
 {
@@ -225,8 +236,8 @@
     }
 }
 
-/* Returns the request id number "index" of those in partition 0, in ascending
- * order. */
+/* Returns the request id at the position "index" (from 0) among those of
+ * partition 0, in ascending order. */
 static uint64_t
 partition_zero_id(uint64_t index)
 {
@@ -242,31 +253,36 @@
     }
 }
 
-/* The writer of SEQ 15 pauses before the create, which therefore takes effect
- * at 2 h + 0.7 s, with claims that are 2 h old.  Node 2 reads that SEQ as free
- * at read_at, node 1 is granted an id in SEQ 17, and node 2 claims the same id
- * at claim_at. */
+/* Node 0 pauses before its create of the batch with the sequence number (SEQ)
+ * 15, which therefore takes effect at the sim time 2 h + 0.7 s, with claims
+ * that are 2 h old.  Node 2 reads that SEQ as free at read_at, node 1 is
+ * granted an id in the batch with SEQ 17, and node 2 claims the same id at
+ * claim_at. */
 typedef struct {
     AqTime read_at;
     AqTime claim_at;
-    SimCallPlan create;     /* of node 2 */
-    AqClaimVerdict verdict; /* expected for node 2 */
+    SimCallPlan create;     /* delays and faults of creates by node 2 */
+    AqClaimVerdict verdict; /* expected verdict on the claim of node 2 */
 } LateCase;
 
 static const LateCase late_cases[] = {
     /* Guards against removing a batch by the age of its claims alone: node 2
-     * would write SEQ 15 again and grant the id. */
+     * would create the batch with sequence number (SEQ) 15 again and grant the
+     * id that node 1 was granted. */
     {2 * HOUR - 10 * MINUTE,
      2 * HOUR + 5 * SECOND,
      {.effect_ms = 2},
      AQ_CLAIM_DUPLICATE},
     /* Guards against a create that starts less than half of the retention
-     * after the read and takes effect after SEQ 15 was removed. */
+     * after node 2 read the log and takes effect after the batch with sequence
+     * number (SEQ) 15 was removed. */
     {2 * HOUR - SECOND,
      2 * HOUR + 30 * MINUTE - 1500,
      {.effect_ms = 2600},
      AQ_CLAIM_UNAVAILABLE},
-    /* The same if the reply is lost and the batch is read back. */
+    /* Guards against a grant of a batch that node 2 creates after the batch
+     * with sequence number (SEQ) 15 was removed, if the reply to that create
+     * is lost and the created batch is read back. */
     {2 * HOUR + 300,
      2 * HOUR + 30 * MINUTE + 200,
      {.effect_ms = 900, .reply_lost = true},
@@ -302,8 +318,8 @@
     return verdict;
 }
 
-/* Guards against a grant in a batch whose SEQ had already been used by a batch
- * that was removed since. */
+/* Guards against a grant in a batch whose sequence number (SEQ) had already
+ * been used by a batch that was removed since. */
 static void
 test_late_write_of_old_claims(void)
 {
--- a/packages/claims/tests/test_log.c
+++ b/packages/claims/tests/test_log.c
@@ -45,8 +45,8 @@
     }
 }
 
-/* Guards against a decoder that reads past the end of the value, accepts a
- * truncated one or trusts an announced length. */
+/* Guards against a decoder of batches that reads past the end of the value,
+ * accepts a truncated value or trusts a length announced in the value. */
 static void
 test_batch_decode(void)
 {
@@ -84,8 +84,8 @@
     AqBuffer_Clear(&good);
 }
 
-/* Guards against a table that loses records when it grows, when a record is
- * removed or when old ones are swept. */
+/* Guards against an id table that loses records when it grows, when a record
+ * is removed or when old records are swept. */
 static void
 test_id_table(void)
 {
@@ -125,14 +125,15 @@
 }
 
 /* Guards against a daemon that, when it becomes the owner of a partition
- * again, tries one create for each batch that it has not read. */
+ * again, tries one create for each stored batch that it has not read. */
 static void
 test_catch_up(void)
 {
     Sim sim;
     uint64_t calls[3];
     start(&sim, 2, calls);
-    sim.skips_checks = true; /* each check would visit thousands of ids */
+    /* Each check of invariants would visit thousands of ids. */
+    sim.skips_checks = true;
     Sim_Submit(&sim, 1, 0);
     for (uint64_t id = 0; id < 8000; id++) {
         Sim_Submit(&sim, 0, id);
@@ -172,8 +173,8 @@
     Sim_Destroy(&sim);
 }
 
-/* Guards against a claim that is written after its release: the id would stay
- * claimed without a holder until the retention ends. */
+/* Guards against a claim that is written to the store after its release: the
+ * request id would stay claimed without a holder until the retention ends. */
 static void
 test_release_before_claim(void)
 {
@@ -196,8 +197,9 @@
     Sim_Destroy(&sim);
 }
 
-/* Guards against an unbounded queue: claims beyond the capacity of a batch
- * must be refused as UNAVAILABLE, and none may stay without a verdict. */
+/* Guards against an unbounded queue: pending claims beyond the capacity of a
+ * batch must be refused as UNAVAILABLE, and no claim may stay without a
+ * verdict. */
 static void
 test_overload(void)
 {
