--- a/packages/claims/Include/aq_claims.h
+++ b/packages/claims/Include/aq_claims.h
@@ -17,10 +17,10 @@
  * AqClaimsOps.decided. */
 
 enum {
-    AQ_CLAIM_PARTITIONS = 8, /* independent claim logs; the hash of a request
-                              * id selects one of them */
-    AQ_CLAIM_BATCH_MS = 40   /* default minimum time between two batch writes
-                              * (AqClaimsConfig.batch_ms) */
+    AQ_CLAIM_PARTITIONS = 8, /* number of partitions of the claim log, which
+                              * do not depend on each other; the hash of a
+                              * request id selects one */
+    AQ_CLAIM_BATCH_MS = 40   /* default of AqClaimsConfig.batch_ms */
 };
 
 typedef struct AqClaims AqClaims;
@@ -47,32 +47,35 @@
     void (*decided)(void *context, uint64_t request, AqClaimVerdict verdict);
 } AqClaimsOps;
 
-/* Bits that disable one mechanism of the claim log each, so that a test can
- * show which failure the mechanism prevents.  No bit is set outside of
- * tests. */
+/* Bits of AqClaimsConfig.disabled that disable one mechanism of AqClaims each,
+ * so that a test can show which failure the mechanism prevents.  No bit is set
+ * outside of tests. */
 typedef enum {
-    /* Treats the create of a batch as successful although its key existed, as
-     * if store writes were unconditional. */
+    /* Treats the create of a batch as successful although the store already
+     * had the key and wrote nothing, as if store writes were unconditional. */
     AQ_CLAIMS_DISABLE_CREATE_ONLY = 1,
-    /* Treats the create of a batch as successful although its reply was lost,
-     * instead of reading the batch back. */
+    /* Treats the create of a batch as successful although the reply of the
+     * store was lost, instead of reading the batch back from the store. */
     AQ_CLAIMS_DISABLE_READ_BACK = 2,
-    /* Does not read the log of a partition again when the last store call that
-     * confirmed the end of this log is older than half of the retention. */
+    /* Does not read the log of a partition from the store again as a whole
+     * when the last store call that proved that the store has no batch after
+     * those in memory started half of the retention ago or earlier. */
     AQ_CLAIMS_DISABLE_REREAD = 4,
     /* Lets a release remove the claim of its request id even if the claim has
      * another nonce than the release. */
     AQ_CLAIMS_DISABLE_RELEASE_NONCE = 8
 } AqClaimsDisabled;
 
-/* Settings of a claim log.  A time of 0 or less selects the default. */
+/* Settings of an AqClaims; times are in ms.  A time of 0 or less selects the
+ * default. */
 typedef struct {
     AqTime retention_ms; /* how long a claim blocks its request id, from the
-                          * time recorded in the claim; default 3600000 */
+                          * Unix time recorded in the claim; default 3600000 */
     AqTime batch_ms; /* minimum time between the starts of two batch writes to
                       * a partition; default AQ_CLAIM_BATCH_MS */
-    /* Timeout of one store call; default 1000.  A claim without a verdict
-     * after three times this time is decided, but never as GRANTED. */
+    /* Timeout of one store call; default 1000.  A claim that has no verdict
+     * three such timeouts after its AqClaims_Submit call is decided as
+     * UNAVAILABLE or DUPLICATE, never as GRANTED. */
     AqTime store_timeout_ms;
     bool prefix_removal; /* the store can delete by key prefix, so that one
                           * store call removes 16 old batches instead of one */
@@ -98,7 +101,7 @@
                              * on the store */
 } AqClaimsStoreResult;
 
-/* Returns a new claim log, to be freed with AqClaims_Destroy.  "self" is the
+/* Returns a new AqClaims, to be freed with AqClaims_Destroy.  "self" is the
  * name of this daemon, "context" is the first argument of the functions in
  * "ops", and "seed" feeds the generator of batch nonces. */
 AqClaims *AqClaims_Create(const char *self, const AqClaimsConfig *config,
@@ -106,8 +109,8 @@
                           uint64_t seed);
 void AqClaims_Destroy(AqClaims *claims);
 
-/* Computes the 16-byte hash that identifies a request id of a service in the
- * claim log. */
+/* Computes the 16-byte hash that identifies a request id of a service in
+ * claims and releases, in memory and in the store. */
 void AqClaims_Hash(const char *service, const char *request_id,
                    uint8_t hash[16]);
 /* Returns the number (from 0) of the log partition that holds the claims with
@@ -115,14 +118,15 @@
 int AqClaims_Partition(const uint8_t hash[16]);
 
 /* Submits a claim of the request id with the hash claim->hash for
- * claim->holder, the daemon that is to run the request: this daemon or a peer.
- * AqClaimsOps.decided is called later (from AqClaims_StoreDone or
- * AqClaims_Tick) with the number "request", unless AqClaims_Cancel is called
- * before.  "now" is the monotonic clock, wall_ms Unix time in ms (> 0).  The
- * same claim may be submitted to several daemons, with the same nonce, and
- * each of these may grant the claim: the holder must act on the first verdict
- * for a nonce only, and must ignore a grant that arrives later than half of
- * the retention after the first submit. */
+ * claim->holder, the daemon that is to run the request: this daemon or a
+ * peer.  AqClaimsOps.decided is called later (from AqClaims_StoreDone or
+ * AqClaims_Tick) with the same "request", a number that the caller chooses,
+ * unless AqClaims_Cancel is called before.  "now" is the monotonic clock,
+ * wall_ms Unix time in ms (> 0).  The same claim may be submitted to
+ * several daemons, with the same nonce, and each of these may grant the
+ * claim: the holder must act on the first verdict for a nonce only, and
+ * must ignore a grant that arrives later than half of the retention after
+ * the first submit. */
 void AqClaims_Submit(AqClaims *claims, AqTime now, AqTime wall_ms,
                      uint64_t request, const AqMsgClaim *claim);
 /* Queues a release of a claim that was granted or may have been written to the
@@ -144,23 +148,23 @@
                         uint64_t token, AqClaimsStoreResult result,
                         const AqClaimsItem *items, size_t count);
 
-/* Starts the store calls that are due, decides claims whose deadline has
- * passed, and removes batches from the store and request ids from memory once
- * they are older than the retention. */
+/* Starts the store calls that are due, decides claims that have no verdict
+ * three store timeouts after their submit, and removes batches from the store
+ * and request ids from memory once they are older than the retention. */
 void AqClaims_Tick(AqClaims *claims, AqTime now, AqTime wall_ms);
 /* Returns the monotonic time at which AqClaims_Tick must be called next, or
- * AQ_TIME_NEVER. */
+ * AQ_TIME_NEVER if nothing is due without another call. */
 AqTime AqClaims_NextTick(const AqClaims *claims);
 
 /* Returns the number of claimed request ids and of nonces of released claims
  * in memory. */
 size_t AqClaims_RecordCount(const AqClaims *claims);
-/* Returns the memory of the claim log in bytes: claimed request ids, released
- * nonces, the lists of stored batches, and the claims and releases still to be
- * written. */
+/* Returns the memory that "claims" uses, in bytes: for claimed request ids,
+ * nonces of released claims, the lists of stored batches, and the claims and
+ * releases still to be written to the store. */
 size_t AqClaims_MemoryBytes(const AqClaims *claims);
-/* Return the number of writes (creates and removals) and of reads started in
- * the store since AqClaims_Create. */
+/* AqClaims_Writes returns the number of store creates and removals, and
+ * AqClaims_Reads that of store reads, started since AqClaims_Create. */
 uint64_t AqClaims_Writes(const AqClaims *claims);
 uint64_t AqClaims_Reads(const AqClaims *claims);
 /* Returns how often a batch was read from the store that could not be decoded.
@@ -168,7 +172,8 @@
  * if the id is known to be claimed, until the batch is repaired or deleted. */
 uint64_t AqClaims_BadBatches(const AqClaims *claims);
 
-/* Returns false and sets *error if an invariant of the claim log is broken. */
+/* Returns false and sets *error if an invariant of the data in "claims" is
+ * broken. */
 bool AqClaims_CheckConsistency(const AqClaims *claims, AqError *error);
 
 #endif
--- a/packages/claims/batch.h
+++ b/packages/claims/batch.h
@@ -12,7 +12,8 @@
 /* Format of a batch of claims and releases of request ids in the store:
  * msgpack [[op, id hash, holder, nonce, Unix time in ms]...].  The first
  * element is a header with op 0, a zero hash, the daemon that wrote the batch
- * in place of the holder, the nonce of the batch, and the time of writing. */
+ * in place of the holder, the nonce of the batch, and the Unix time in ms at
+ * which the batch was encoded. */
 
 enum {
     AQ_BATCH_HEADER = 0,
@@ -27,14 +28,14 @@
     int op;
     uint8_t hash[16];
     uint64_t nonce;
-    int64_t wall_ms; /* Unix time of the claim or release, > 0 */
+    int64_t wall_ms; /* Unix time of the claim or release in ms, > 0 */
     char holder[AQ_WIRE_MAX_NAME];
 } AqBatchEntry;
 
 typedef struct {
     char writer[AQ_WIRE_MAX_NAME];
     uint64_t nonce;
-    /* Latest Unix time in the header and the entries of the batch. */
+    /* Latest Unix time in the header and the entries of the batch, in ms. */
     int64_t newest_wall_ms;
     AqBatchEntry *entries; /* owned; the claims and releases of the batch,
                             * without its header */
--- a/packages/claims/bench/bench_claims.c
+++ b/packages/claims/bench/bench_claims.c
@@ -8,21 +8,24 @@
 /* Measures the claim log in virtual time: store calls per claimed request and
  * the latency that the claim adds to a request, with claims sent to the daemon
  * that owns the partition, with claims submitted where the request arrives,
- * and with one write per request as the baseline.  Prints one line per rate
- * and scheme. */
+ * and with one write per request as the baseline.  Prints one line per
+ * request rate and Scheme. */
 
 enum {
-    SEEDS = 20, /* simulation runs per rate and scheme */
+    SEEDS = 20, /* number of simulation runs per rate and scheme */
     DAEMONS = 9,
     STORE_HALF_MS = 2, /* half of the 4 ms that a store call takes */
-    /* Short, so that removals of batches are part of the measured time. */
+    /* Short, so that batches are removed in the measured time. */
     RETENTION_MS = 60000,
     WARM_UP_MS = 70000,     /* sim time at which the measured time starts */
     END_MS = 130000,        /* sim time at which the measured time ends */
-    MAX_LATENCY_MS = 20000, /* last bucket of the latency histogram, which also
-                             * counts all longer ones */
-    MEMORY_IDS = 1000000,   /* request ids claimed by measure_memory */
-    MEMORY_BATCH = 40       /* request ids per batch in measure_memory */
+    MAX_LATENCY_MS = 20000, /* latency of the last bucket of
+                             * Bench.histogram, which also counts all longer
+                             * latencies */
+    MEMORY_IDS = 1000000,   /* number of request ids that measure_memory
+                             * claims */
+    MEMORY_BATCH = 40       /* number of request ids per batch in
+                             * measure_memory */
 };
 
 typedef enum {
@@ -39,19 +42,22 @@
 
 typedef struct {
     Scheme scheme;
-    double interval_ms; /* mean time between the arrivals of two requests */
+    double interval_ms; /* mean time between the arrivals of two consecutive
+                         * requests */
     double next_arrival_at; /* sim time at which the next request arrives */
-    uint64_t measured; /* number of decided claims that were submitted in the
-                        * measured time */
+    uint64_t measured;      /* number of decided claims that were submitted in
+                             * the measured time (WARM_UP_MS to END_MS) */
     uint64_t granted;
-    /* Number of store creates and removals in the measured time. */
+    /* Number of store creates and removals in the measured time (WARM_UP_MS to
+     * END_MS). */
     uint64_t writes;
     uint64_t reads;
     uint64_t creates;
-    /* Number of measured claims, by latency in ms. */
+    /* Number of measured claims, indexed by their latency in ms. */
     uint64_t histogram[MAX_LATENCY_MS + 1];
-    /* Owned; network time of a claim to the owner of its partition and back,
-     * in ms; index: see run_seed. */
+    /* Owned; network time of each claim to the daemon that owns the claim's
+     * partition and back, in ms.  Written at the index of the request id, but
+     * read at the index of the claim in Sim.requests. */
     AqTime *round_trips;
 } Bench;
 
@@ -126,10 +132,12 @@
     }
 }
 
-/* Runs one simulation with the seed.  bench->round_trips is filled by request
- * id but read by request number, which follows the order of submits; with
- * routing this is not the order of arrival.  The sum of the latencies is not
- * affected, as the round trips are drawn independently. */
+/* Runs one simulation with the seed.  bench->round_trips is written at the
+ * index of the request id, which follows the order of arrivals, but read at
+ * the index of the claim in Sim.requests, which follows the order of submits.
+ * The orders differ if claims are sent to the owner of their partition.  The
+ * sum of the latencies is not affected, as the round trips are drawn
+ * independently. */
 static void
 run_seed(Bench *bench, uint64_t seed)
 {
@@ -151,8 +159,8 @@
     Sim_Destroy(&sim);
 }
 
-/* Computes the figures of the baseline: one create of 4 ms for each request
- * and one removal after the retention. */
+/* Sets the results in *bench for the baseline, without a simulation: one
+ * create of 4 ms for each request and one removal after the retention. */
 static void
 run_baseline(Bench *bench, double rate)
 {
@@ -163,8 +171,8 @@
     bench->histogram[2 * STORE_HALF_MS] = bench->measured;
 }
 
-/* Returns the latency, in ms, at the given share (0 to 1) of the measured
- * claims. */
+/* Returns the latency, in ms, that the given share (0 to 1) of the measured
+ * claims do not exceed. */
 static int
 percentile(const Bench *bench, double share)
 {
@@ -230,9 +238,9 @@
     (void)verdict;
 }
 
-/* Measures the memory per claimed id, in bytes, while the table of one
- * partition grows to one million ids, as at 278 claims per second for an
- * hour. */
+/* Measures the memory of AqClaims per claimed id, in bytes, while the id table
+ * of one partition grows to one million ids, as at 278 claims per second for
+ * an hour. */
 static void
 measure_memory(void)
 {
--- a/packages/claims/claims.c
+++ b/packages/claims/claims.c
@@ -156,7 +156,7 @@
 }
 
 /* Returns the claim in the list that was submitted with the number "request"
- * and still awaits a verdict, or NULL. */
+ * and whose verdict was not reported yet, or NULL. */
 static AqClaimEntry *
 find_request(AqLink *list, uint64_t request)
 {
@@ -273,7 +273,8 @@
 }
 
 /* Returns the deadline of the first claim in the list that awaits a verdict,
- * which is the earliest such deadline, or AQ_TIME_NEVER. */
+ * which is the earliest such deadline, or AQ_TIME_NEVER if no claim awaits a
+ * verdict. */
 static AqTime
 first_deadline(const AqLink *list)
 {
@@ -287,8 +288,8 @@
     return AQ_TIME_NEVER;
 }
 
-/* Returns the monotonic time at which the partition needs its next tick, or
- * AQ_TIME_NEVER. */
+/* Returns the monotonic time at which the partition needs its next
+ * AqClaims_Tick call, or AQ_TIME_NEVER if nothing is due. */
 static AqTime
 partition_due(const AqPartition *part)
 {
--- a/packages/claims/partition.c
+++ b/packages/claims/partition.c
@@ -85,9 +85,9 @@
                : AQ_CLAIM_UNAVAILABLE;
 }
 
-/* Decides the pending claims of the partition whose deadline is "due" or
- * earlier, as UNAVAILABLE or DUPLICATE.  Claims are pending in the order of
- * their deadlines. */
+/* Decides the pending claims of the partition whose deadline is the monotonic
+ * time "due" or earlier, as UNAVAILABLE or DUPLICATE.  part->pending has
+ * claims in the order of their deadlines. */
 static void
 fail_pending(AqClaims *claims, AqPartition *part, AqTime wall, AqTime due)
 {
@@ -142,7 +142,8 @@
 }
 
 /* Abandons part->batch if a create of this batch had no known result, no read
- * or create is in flight, and none of its claims awaits a verdict. */
+ * or create of the partition is in flight, and no claim of this batch awaits a
+ * verdict. */
 static void
 abandon_batch_if_unawaited(AqClaims *claims, AqPartition *part,
                            AqClockReading at)
@@ -287,9 +288,11 @@
 /* What is done with a pending claim or release while a batch is built. */
 typedef enum {
     ADD_TO_BATCH,
-    KEEP_PENDING, /* the batch has an entry of the same request id */
-    READ_FIRST,   /* the request id is claimed in the cached log, but may have
-                   * been released in the store since */
+    KEEP_PENDING, /* the batch being built has an entry of the same request
+                   * id */
+    READ_FIRST,   /* the request id is claimed in the cached log, but may
+                   * have been released in the store since the log was last
+                   * read */
     REJECT_DUPLICATE,
     REJECT_RELEASED,
     DISCARD
@@ -444,7 +447,8 @@
 {
     /* Since this daemon last read the log, other daemons may have written and
      * removed batches up to and including batch_seq.  In that case the create
-     * reused the key of a removed batch, and newer batches were never read. */
+     * reused the key of a removed batch, and this daemon never read the
+     * batches after that key. */
     if (AqPartition_IsStale(claims, part, at.now)) {
         part->read_need = AQ_NEED_ALL;
         AqPartition_AbandonBatch(claims, part, at);
--- a/packages/claims/partition.h
+++ b/packages/claims/partition.h
@@ -31,32 +31,38 @@
 typedef struct {
     AqLink link;
     AqBatchEntry data; /* the claim or release as written to the store */
-    /* Claim: the number that was passed to AqClaims_Submit. */
+    /* Number that was passed as "request" to AqClaims_Submit; not used for a
+     * release. */
     uint64_t request;
     AqTime submitted_at; /* monotonic time of the AqClaims_Submit or
                           * AqClaims_Release call */
-    /* Claim: monotonic time at which the claim is decided, but not granted, if
-     * it has no verdict by then; AQ_TIME_NEVER for a release. */
+    /* Monotonic time at which a claim is decided, but not granted, if it has
+     * no verdict by then; AQ_TIME_NEVER for a release. */
     AqTime deadline;
-    bool awaits_verdict;    /* claim: its verdict must still be reported */
-    bool written_elsewhere; /* claim: another daemon wrote the same claim to
-                             * the store as well */
-    /* Release: queued by this daemon itself, as it may have written the claim
-     * although no grant of the claim was reported. */
+    bool awaits_verdict;    /* the entry is a claim whose verdict must still
+                             * be reported */
+    bool written_elsewhere; /* the entry is a claim that another daemon
+                             * wrote to the store as well */
+    /* The entry is a release that this daemon queued without an
+     * AqClaims_Release call, as it may have written the released claim to the
+     * store although it reported no grant of this claim. */
     bool is_automatic;
-    /* Automatic release in the batch being written: freed instead of queued
-     * again if the batch is not written, as another daemon wrote the claim. */
+    /* The entry is an automatic release in the batch being written, and
+     * another daemon wrote the claim to be released: the entry is freed
+     * instead of queued again if the batch is not written. */
     bool is_cancelled;
-    /* Verdict on a claim, set once the claim is decided. */
+    /* Verdict on the claim, set once the claim is decided. */
     AqClaimVerdict verdict;
 } AqClaimEntry;
 
-/* Stored batches of a partition that one store call removes together. */
+/* Group of stored batches of a partition that one store call removes
+ * together. */
 typedef struct {
     /* Sequence number (SEQ) of the group's only batch or, with
      * AqClaimsConfig.prefix_removal, SEQ / 16 of each batch of the group. */
     uint64_t number;
-    int64_t newest_wall_ms; /* latest Unix time in any batch of the group */
+    int64_t newest_wall_ms; /* latest Unix time in any batch of the group,
+                             * in ms */
     AqTime recorded_at; /* monotonic time when this daemon last read or wrote a
                          * batch of the group */
 } AqBatchGroup;
@@ -71,41 +77,45 @@
 
 typedef struct {
     int number;
-    /* Claims by the hash of their request id, and nonces of released claims by
-     * the hash of request id hash and nonce. */
+    /* The cached log: claims by the hash of their request id, and nonces of
+     * released claims by a hash of request id hash and nonce. */
     AqIdTable ids;
-    /* Owned; groups of stored batches, by ascending number. */
+    /* Owned; the groups of stored batches, in ascending order of
+     * AqBatchGroup.number. */
     AqBatchGroup *groups;
     size_t group_first; /* position in "groups" of the first group not removed
                          * from the store yet */
-    size_t group_count; /* length of "groups", including the removed ones at
-                         * its start */
-    size_t group_capacity; /* allocated length of "groups" */
-    uint64_t next_seq; /* lowest batch sequence number (SEQ) not in the cached
-                        * log */
+    size_t group_count; /* number of groups in "groups", including those at
+                         * the start that were removed from the store
+                         * already */
+    size_t group_capacity; /* number of groups that "groups" has memory for */
+    uint64_t next_seq; /* one more than the highest batch sequence number (SEQ)
+                        * in the cached log; 1 if this log is empty */
     /* Monotonic start time of the last store call that proved that the store
-     * has no batch from next_seq on. */
+     * had no batch with a sequence number (SEQ) of next_seq or higher. */
     AqTime confirmed_at;
-    bool newest_is_own; /* this daemon, since its start, wrote the newest batch
-                         * known to it */
+    bool newest_is_own; /* this daemon wrote, since its start, the newest
+                         * batch of the partition that it knows */
     AqReadNeed read_need;
-    unsigned incomplete_reads; /* consecutive reads that may not have reached
-                                * the end of the log */
+    unsigned incomplete_reads; /* number of consecutive reads that may not
+                                * have reached the end of the log in the
+                                * store */
 
-    AqLink pending; /* list of the AqClaimEntry not in a batch yet, in order of
-                     * arrival */
-    size_t pending_count; /* length of "pending" */
+    AqLink pending; /* list of the AqClaimEntry that are in no batch yet, in
+                     * order of arrival */
+    size_t pending_count; /* number of entries in "pending" */
     /* An automatic release (AqClaimEntry.is_automatic) may be in "pending" or
      * "batch". */
     bool may_have_automatic;
     AqLink batch; /* list of the AqClaimEntry of the batch being written; empty
-                   * if none is */
+                   * while no batch is being written */
     /* The batch being written, encoded as a store value. */
     AqBuffer batch_value;
-    uint64_t batch_nonce; /* nonce that identifies the batch being written when
-                           * it is read back; 0 for none */
-    uint64_t batch_seq; /* sequence number (SEQ) of the batch being written; 0
-                         * for none */
+    uint64_t batch_nonce; /* nonce that identifies the batch being written
+                           * when it is read back; 0 while no batch is being
+                           * written */
+    uint64_t batch_seq;   /* sequence number (SEQ) of the batch being written;
+                           * 0 while no batch is being written */
     bool in_doubt; /* a create of the batch being written had no known result:
                     * the batch may be in the store */
 
@@ -117,14 +127,15 @@
     uint64_t read_end_seq; /* first batch sequence number (SEQ) after those
                             * that the read in flight covers */
     AqTime call_started_at;
-    AqTime not_before; /* earliest monotonic time of the next read or create,
-                        * set after a failed one */
-    /* Earliest monotonic time of the next create of a batch. */
+    AqTime not_before; /* earliest monotonic time of the next read or create
+                        * of the partition, set after a failed one */
+    /* Earliest monotonic time of the next create of a batch of the
+     * partition. */
     AqTime write_at;
 
     uint64_t removal_token; /* token of the removal in flight; 0 for none */
-    uint64_t removal_group; /* number of the batch group that the removal in
-                             * flight removes */
+    uint64_t removal_group; /* AqBatchGroup.number of the group that the
+                             * removal in flight removes */
     AqTime remove_at; /* earliest monotonic time of the next removal of a batch
                        * group */
     AqTime sweep_at;  /* monotonic time at which expired records are next
@@ -135,13 +146,17 @@
     char self[AQ_WIRE_MAX_NAME]; /* name of this daemon */
     AqClaimsConfig config;
     AqClaimsOps ops;
-    void *context; /* first argument of the ops */
+    void *context; /* first argument of the functions in "ops" */
     AqRandom random;
-    uint64_t last_token; /* number of store calls started; their tokens are
-                          * derived from it */
-    uint64_t writes;     /* number of store creates and removals started */
-    uint64_t reads;      /* number of store reads started */
-    /* Number of batches read that could not be decoded. */
+    uint64_t last_token; /* number of store calls started since
+                          * AqClaims_Create; the token of each is derived
+                          * from this number */
+    uint64_t writes;     /* number of store creates and removals started
+                          * since AqClaims_Create */
+    uint64_t reads;      /* number of store reads started since
+                          * AqClaims_Create */
+    /* Number of times that a batch read from the store could not be
+     * decoded. */
     uint64_t bad_batches;
     AqLink decided; /* list of AqClaimEntry whose verdict is still to be
                      * reported */
@@ -150,25 +165,28 @@
 
 /* Monotonic clock and wall clock at the time of one event. */
 typedef struct {
-    AqTime now;  /* time of the monotonic clock */
+    AqTime now;  /* time of the monotonic clock in ms */
     AqTime wall; /* time of the wall clock: Unix time in ms */
 } AqClockReading;
 
-/* Defined in partition.c: the writing of claims and releases to the store. */
+/* The functions from here on write claims and releases to the store; they are
+ * defined in partition.c. */
 void AqPartition_Init(AqPartition *part, int number);
 void AqPartition_Clear(AqPartition *part);
 /* Appends a claim or release to part->pending and takes ownership of
  * "entry". */
 void AqPartition_Queue(AqPartition *part, AqClaimEntry *entry);
-/* Queues "entry", a claim that is in no list, for the report of this verdict,
- * and takes ownership of "entry". */
+/* Sets the verdict on the claim "entry", which is in no list, appends the
+ * claim to claims->decided for its report, and takes ownership of "entry". */
 void AqPartition_Decide(AqClaims *claims, AqClaimEntry *entry,
                         AqClaimVerdict verdict);
-/* Starts the partition's next store read or create if one is due. */
+/* Starts the partition's next store read or create if claims or releases are
+ * to be written, no read or create is in flight, and the delay before the call
+ * has passed. */
 void AqPartition_Advance(AqClaims *claims, AqPartition *part,
                          AqClockReading at);
-/* Decides the claims of the partition whose deadline has passed, as
- * UNAVAILABLE or DUPLICATE and never as GRANTED. */
+/* Decides the claims of the partition whose deadline (AqClaimEntry.deadline)
+ * has passed, as UNAVAILABLE or DUPLICATE and never as GRANTED. */
 void AqPartition_Expire(AqClaims *claims, AqPartition *part,
                         AqClockReading at);
 /* Decides "claim", which its holder releases, as UNAVAILABLE if the claim
@@ -176,8 +194,9 @@
 void AqPartition_WithdrawClaim(AqClaims *claims, AqPartition *part,
                                AqClockReading at, const AqMsgClaim *claim);
 /* Decides all pending claims of the partition as UNAVAILABLE or DUPLICATE, and
- * delays its next read or create, after a store call failed or a read could
- * not be applied. */
+ * delays the partition's next read or create by RETRY_MS of partition.c.
+ * Called after a store call failed or a read could not be applied to the
+ * cached log. */
 void AqPartition_FailPending(AqClaims *claims, AqPartition *part,
                              AqClockReading at);
 /* Grants the claims of part->batch, which is known to be in the store.  A
@@ -189,29 +208,34 @@
  * batch.  The claims among them must not be in the store, nor be written there
  * by a create that is still in flight. */
 void AqPartition_RequeueBatch(AqPartition *part);
-/* Gives up part->batch, which may be in the store: decides its claims as
- * UNAVAILABLE and queues releases of the claims that no other daemon wrote. */
+/* Stops writing part->batch, which may be in the store: decides the claims of
+ * this batch as UNAVAILABLE, queues releases of those that no other daemon
+ * wrote, and makes the releases of the batch that are not cancelled pending
+ * again. */
 void AqPartition_AbandonBatch(AqClaims *claims, AqPartition *part,
                               AqClockReading at);
-/* Marks "claim" as written by another daemon, and cancels releases of the
- * claim that this daemon queued automatically: the other daemon may have
- * granted the claim, so only the claim's holder may release it. */
+/* Marks "claim" in part->batch as written by another daemon, and cancels
+ * releases of the claim that this daemon queued automatically: the other
+ * daemon may have granted the claim, so only the claim's holder may release
+ * it. */
 void AqPartition_MarkWrittenElsewhere(AqPartition *part,
                                       const AqBatchEntry *claim);
 void AqPartition_CreateDone(AqClaims *claims, AqPartition *part,
                             AqClockReading at, AqClaimsStoreResult result);
 
-/* Defined in partition_log.c: the cached log of a partition, reads of the log
- * from the store, and the removal of old batches and records. */
+/* The functions from here to AqPartition_RemoveDone are about the cached log
+ * of a partition, reads of the log from the store, and the removal of old
+ * batches and records; they are defined in partition_log.c. */
 
 /* Returns whether the cached log of the partition must be read again as a
- * whole, because the end of the log was last confirmed half of the retention
- * ago or earlier. */
+ * whole, because the last store call that proved that the store has no batch
+ * after those in the cached log (AqPartition.confirmed_at) started half of the
+ * retention before "now" or earlier, by the monotonic clock. */
 bool AqPartition_IsStale(const AqClaims *claims, const AqPartition *part,
                          AqTime now);
 /* Returns the claim in the cached log whose request id has this hash and which
- * is in force (neither released nor expired) at the Unix time "wall", or NULL.
- * The claim is borrowed until part->ids changes. */
+ * is in force (neither released nor expired) at the Unix time "wall" in ms, or
+ * NULL if there is none.  The claim is borrowed until part->ids changes. */
 const AqIdRecord *AqPartition_FindClaim(const AqClaims *claims,
                                         const AqPartition *part,
                                         const uint8_t hash[16], AqTime wall);
@@ -222,19 +246,24 @@
 /* Applies a claim or release that is in a stored batch to the cached log. */
 void AqPartition_ApplyEntry(const AqClaims *claims, AqPartition *part,
                             const AqBatchEntry *entry);
-/* Adds the stored batch with the sequence number "seq", whose latest Unix time
- * is wall_ms, to its group in part->groups.  "now" is monotonic. */
+/* Adds the stored batch with the sequence number "seq" to part->groups, whose
+ * groups are batches that one store call removes together.  wall_ms is the
+ * latest Unix time in the batch (in its header, claims and releases), "now"
+ * the monotonic time at which this daemon read or wrote the batch. */
 void AqPartition_RecordBatch(const AqClaims *claims, AqPartition *part,
                              uint64_t seq, int64_t wall_ms, AqTime now);
-/* Returns the number of the batch group (see AqBatchGroup) that the batch with
- * the sequence number "seq" belongs to. */
+/* Returns the number (AqBatchGroup.number) of the group of batches, removed
+ * together by one store call, that the batch with the sequence number "seq"
+ * belongs to. */
 uint64_t AqPartition_GroupOf(const AqClaims *claims, uint64_t seq);
 void AqPartition_StartRead(AqClaims *claims, AqPartition *part, AqTime now);
 void AqPartition_ReadDone(AqClaims *claims, AqPartition *part,
                           AqClockReading at, AqClaimsStoreResult result,
                           const AqClaimsItem *items, size_t count);
-/* Starts the removal of the oldest batch group from the store and removes
- * expired records from part->ids, each if due. */
+/* Starts the removal of the oldest batch group from the store once
+ * part->remove_at has come and the claims in the group expired a sixteenth of
+ * the retention ago, and removes expired records from part->ids once
+ * part->sweep_at has come. */
 void AqPartition_ApplyRetention(AqClaims *claims, AqPartition *part,
                                 AqClockReading at);
 void AqPartition_RemoveDone(AqPartition *part, AqTime now,
@@ -243,7 +272,8 @@
 /* Returns a token for a new store call; the token modulo AQ_CLAIM_PARTITIONS
  * is the number of the partition. */
 uint64_t AqPartition_NewToken(AqClaims *claims, const AqPartition *part);
-/* Returns false and sets *error if an invariant of the partition is broken. */
+/* Returns false and sets *error if an invariant of the data in "part" is
+ * broken. */
 bool AqPartition_CheckConsistency(const AqClaims *claims,
                                   const AqPartition *part, AqError *error);
 
--- a/packages/claims/partition_log.c
+++ b/packages/claims/partition_log.c
@@ -8,8 +8,8 @@
 #include "aq_hash.h"
 
 enum {
-    KEY_DIGITS = 16, /* hexadecimal digits of a batch's sequence number (SEQ)
-                      * in a store key */
+    KEY_DIGITS = 16, /* number of hexadecimal digits of a batch's sequence
+                      * number (SEQ) in a store key */
     /* To catch up with the log in the store, a partition reads up to 16
      * batches in each of NARROW_READS reads, then up to 256 in each of
      * WIDE_READS reads, and then the whole log.  At 25 batches per second the
@@ -93,8 +93,8 @@
            memcmp(entry->data.hash, claim->hash, 16) == 0;
 }
 
-/* Removes the automatic releases of the claim (queued by this daemon itself)
- * from part->pending. */
+/* Removes from part->pending the releases of the claim that this daemon queued
+ * without an AqClaims_Release call, and frees them. */
 static void
 cancel_pending_releases(AqPartition *part, const AqBatchEntry *claim)
 {
@@ -224,9 +224,10 @@
 }
 
 /* Applies the batches in "items", sorted by sequence number (SEQ), to the
- * cached log, from part->next_seq on, and sets *found_own_batch if the batch
- * being written is one of them.  Returns false if a batch cannot be decoded or
- * if, in a read of a part of the log, a SEQ is missing before a later one. */
+ * cached log, from part->next_seq on, and sets *found_own_batch to true if the
+ * batch being written is one of them.  Returns false if a batch cannot be
+ * decoded or if, in a read of a part of the log, a SEQ is missing before a
+ * later one. */
 static bool
 apply_items(AqClaims *claims, AqPartition *part, AqTime now,
             const NumberedItem *items, size_t count, bool *found_own_batch)
@@ -263,8 +264,9 @@
 }
 
 /* Sorts the store entries of a read by batch sequence number (SEQ) and applies
- * them to the cached log; sets *found_own_batch and returns false as
- * apply_items does. */
+ * them to the cached log.  Sets *found_own_batch to true if the batch being
+ * written is one of them.  Returns false if a batch cannot be decoded or if,
+ * in a read of a part of the log, a SEQ is missing before a later one. */
 static bool
 apply_result(AqClaims *claims, AqPartition *part, AqTime now,
              const AqClaimsItem *items, size_t count, bool *found_own_batch)
@@ -373,13 +375,14 @@
     resolve_batch(claims, part, at, found_own_batch);
 }
 
-/* Starts the removal of the oldest batch group from the store if it is due.
- * Only the daemon that wrote the newest batch removes old ones, so that idle
- * daemons do not repeat the same store calls.  The group must also have been
- * recorded by this daemon for more than half of the retention: a daemon that
- * read a sequence number (SEQ) as free more recently than that can then rely
- * on this SEQ not having been written and removed since, regardless of the
- * clocks and pauses of other daemons. */
+/* Starts the removal of the oldest batch group from the store once a sixteenth
+ * of the retention has passed since its claims expired.  Only the daemon that
+ * wrote the newest batch removes old ones, so that idle daemons do not repeat
+ * the same store calls.  The group must also have been recorded by this daemon
+ * for more than half of the retention: a daemon that read a sequence number
+ * (SEQ) as free more recently than that can then rely on this SEQ not having
+ * been written and removed since, regardless of the clocks and pauses of other
+ * daemons. */
 static void
 remove_oldest(AqClaims *claims, AqPartition *part, AqClockReading at)
 {
@@ -395,8 +398,9 @@
     AqTime recorded_due = oldest->recorded_at + retention / 2;
     AqTime due = expiry_due > recorded_due ? expiry_due : recorded_due;
     if (at.now <= due) {
-        /* The wait until the removal is next considered is limited to the
-         * grace time because the wall clock may be set. */
+        /* The wait until the removal of the oldest batch group is next
+         * considered is at most a sixteenth of the retention, because the wall
+         * clock may be set forward meanwhile. */
         part->remove_at = due < at.now + grace ? due + 1 : at.now + grace;
         return;
     }
@@ -433,8 +437,9 @@
     part->remove_at = now + REMOVAL_RETRY_MS;
     bool is_removed =
         result == AQ_CLAIMS_STORE_OK || result == AQ_CLAIMS_STORE_ABSENT;
-    /* A read of the whole log may have removed the group from part->groups
-     * already. */
+    /* A read of the whole log that ended after the removal was started may
+     * have replaced part->groups, so that the removed group is no longer its
+     * first. */
     if (!is_removed || part->group_first == part->group_count ||
         part->groups[part->group_first].number != part->removal_group) {
         return;
--- a/packages/claims/tests/sim.c
+++ b/packages/claims/tests/sim.c
@@ -76,8 +76,8 @@
     }
 }
 
-/* Returns the monotonic clock of the node.  These clocks differ between nodes,
- * as monotonic clocks of machines do. */
+/* Returns the time of the node's monotonic clock in ms.  These clocks differ
+ * between nodes, as monotonic clocks of machines do. */
 static AqTime
 node_now(const SimNode *node)
 {
@@ -92,8 +92,8 @@
 
 static void run_tick(Sim *sim, uint64_t index);
 
-/* Checks the invariants of the node's claim log and schedules its next
- * tick. */
+/* Checks the invariants of the node's AqClaims, unless the sim skips checks,
+ * and schedules the next AqClaims_Tick call of the node. */
 static void
 after_step(SimNode *node)
 {
@@ -229,9 +229,9 @@
     }
 }
 
-/* Returns whether the store has a claim of the same request id other than that
- * of the request.  A claim that was submitted to several nodes counts as
- * another claim, since one of the other nodes may have granted it. */
+/* Returns whether a stored batch has another claim of the same request id than
+ * the claim of "request".  A claim that was submitted to several nodes counts
+ * as another claim, since one of the other nodes may have granted it. */
 static bool
 has_other_claim(const Sim *sim, const SimRequest *request)
 {
--- a/packages/claims/tests/sim_store.c
+++ b/packages/claims/tests/sim_store.c
@@ -15,8 +15,11 @@
     free(call);
 }
 
-/* Checks that a created batch can be decoded, and records the latest time in
- * the batch in *slot, and where its claims were written in sim->requests. */
+/* Checks that a created batch can be decoded.  Sets in *slot the latest time
+ * in the header, claims and releases of the batch, as sim time, and whether a
+ * batch with a higher sequence number (SEQ) was created before.  Counts the
+ * create, and sets the SEQ of the batch, in the SimRequest of each claim in
+ * the batch. */
 static void
 record_batch(Sim *sim, const SimCall *call, SimBatch *slot)
 {
@@ -61,12 +64,13 @@
     call->result = AQ_CLAIMS_STORE_OK;
 }
 
-/* Removes the batches from call->first to call->last from the simulated store.
- * Checks that the batches are old enough, that older batches were removed
- * before, and that the newest batch is not removed.  A batch that was created
- * below a later sequence number (SEQ) is exempt from the checks of age and
- * order: its claims are never granted, which check_granted verifies, so any
- * daemon may remove this batch with its group. */
+/* Removes the batches from call->first to call->last from the simulated
+ * store.  Checks that the retention less sim->max_skew has passed since the
+ * latest time in each batch, that older batches were removed before, and that
+ * the newest batch is not removed.  A batch that was created below a later
+ * sequence number (SEQ) is exempt from the checks of age and order: its claims
+ * are never granted, which check_granted verifies, so any daemon may remove
+ * this batch with its group. */
 static void
 remove_batches(Sim *sim, SimCall *call)
 {
--- a/packages/claims/tests/sim_store.h
+++ b/packages/claims/tests/sim_store.h
@@ -11,21 +11,24 @@
     SimNode *node;  /* the node that made the store call */
     int generation; /* SimNode.generation of the node when it made the store
                      * call */
-    uint64_t token; /* token of the store call, from AqClaims */
+    uint64_t token; /* token that AqClaims gave the store call */
     AqClaimsStoreCall call;
-    int partition;  /* partition of the claim log in the key */
+    int partition;  /* number of the claim log partition in the key of the
+                     * store call */
     uint64_t first; /* lowest batch sequence number (SEQ) that the key or
-                     * prefix covers */
+                     * key prefix of the store call covers */
     uint64_t last;  /* highest batch sequence number (SEQ) that the key or
-                     * prefix covers */
-    char *value;    /* owned; the value to write, of a create */
+                     * key prefix of the store call covers */
+    char *value;    /* owned; value that a create writes; NULL for another
+                     * call */
     size_t size;
     SimCallPlan plan;
     AqClaimsStoreResult result;
-    AqBuffer found;      /* of a read: the values found, concatenated */
-    AqClaimsItem *items; /* owned; of a read: the entries found */
-    char (*keys)[64];    /* owned; of a read: keys of the items */
-    size_t count;        /* number of items */
+    AqBuffer found;      /* values that a read found, concatenated in the
+                          * order of "items" */
+    AqClaimsItem *items; /* owned; store entries that a read found */
+    char (*keys)[64];    /* owned; keys of the store entries in "items" */
+    size_t count;        /* number of store entries in "items" */
 } SimCall;
 
 /* Executes the store call "call", unless call->plan makes it fail, and sets
--- a/packages/claims/tests/test_claims.c
+++ b/packages/claims/tests/test_claims.c
@@ -7,17 +7,18 @@
 #include "sim.h"
 
 enum {
-    SECOND = 1000, /* durations in ms */
+    SECOND = 1000, /* unit of the durations below: ms */
     MINUTE = 60 * SECOND,
     HOUR = 60 * MINUTE,
-    SEEDS = 320 /* runs with random faults */
+    SEEDS = 320 /* number of runs with random faults, with the seeds 1 to
+                 * SEEDS */
 };
 
 enum {
     FAULTS_END = 5 * HOUR, /* no faults or submits from this sim time on */
     /* No pauses of 2 h from this sim time on. */
     LONG_PAUSE_END = 2 * HOUR + 50 * MINUTE,
-    IDS = 60 /* number of different request ids in use */
+    IDS = 60 /* number of different request ids that the test claims */
 };
 
 static bool
@@ -158,9 +159,9 @@
 
 /* Returns whether a claim of one of the first "before" requests may still
  * block the request id "id": because the claim was granted and not released,
- * because its node restarted before it could release the claim, or because two
- * daemons wrote the claim, which neither may release without the claim's
- * holder. */
+ * because the node of the claim restarted and so may never have released the
+ * claim, or because two daemons wrote the claim, which neither may release
+ * without the claim's holder. */
 static bool
 may_stay_claimed(const Sim *sim, uint64_t id, size_t before)
 {
@@ -182,8 +183,8 @@
 }
 
 /* Claims every request id once more after the faults have ended.  An id that
- * no earlier claim may block must be granted, else a claim with an unknown
- * result was never released. */
+ * no earlier claim may block must be granted, else an earlier claim was never
+ * released after the result of its create was unknown. */
 static void
 check_leaked_claims(Sim *sim)
 {
@@ -254,9 +255,10 @@
 }
 
 /* Guards against broken guarantees of the claim log under random faults: an id
- * granted twice, a missing or repeated verdict, a verdict from a removed
- * batch, removal of batches out of order, and a claim with an unknown result
- * that is never released. */
+ * granted twice, a missing or repeated verdict, a grant of a claim whose batch
+ * was removed from the store, a DUPLICATE verdict on an id of which no stored
+ * batch has another claim, removal of batches out of order, and a claim that
+ * is never released after the result of its create was unknown. */
 static void
 test_random_faults(void)
 {
@@ -277,8 +279,8 @@
 }
 
 /* Guards against checks that cannot fail: with any one mechanism of
- * AqClaimsDisabled disabled, the random runs must find a request id that is
- * granted twice. */
+ * AqClaimsDisabled disabled, the runs with random faults must find a request
+ * id that is granted twice. */
 static void
 test_random_faults_disabled_mechanisms(void)
 {
--- a/packages/claims/tests/test_fault_points.c
+++ b/packages/claims/tests/test_fault_points.c
@@ -6,11 +6,12 @@
 #include "sim.h"
 
 enum {
-    SECOND = 1000, /* durations in ms */
+    SECOND = 1000, /* unit of the durations below: ms */
     MINUTE = 60 * SECOND,
     HOUR = 60 * MINUTE,
-    REQUEST_DEADLINE_MS = 10 * MINUTE /* time after the submit of a request
-                                       * during which it may be executed */
+    REQUEST_DEADLINE_MS = 10 * MINUTE /* time after the submit of a
+                                       * request's claim during which the
+                                       * request may be executed */
 };
 
 enum {
@@ -22,7 +23,8 @@
 
 /* A fault at one point in the course of a claim.  Node 0 claims request id 7
  * at sim time 0, and its first create of a batch has the fault "create".  Node
- * 1 claims the same id at competing_at, node 2 at later_at. */
+ * 1 claims the same id at the sim time competing_at, node 2 at the sim time
+ * later_at. */
 typedef struct {
     const char *fault;       /* name of the fault, for the output */
     const char *fault_point; /* name of the point at which the fault occurs,
@@ -34,12 +36,12 @@
     int verdicts[3]; /* expected verdicts on the claims of nodes 0 to 2 */
     int executions;  /* expected number of executions of the request, by all
                       * nodes */
-    AqTime outage; /* outage of the store, from the first create of node 0 on;
-                    * ms */
-    AqTime pause_after_verdict;  /* pause of node 0 once its claim is granted;
-                                  * ms */
-    bool restarts_after_verdict; /* node 0 restarts between its grant and the
-                                  * execution */
+    AqTime outage;   /* duration of the store's outage, which starts after the
+                      * first create that node 0 makes; ms */
+    AqTime pause_after_verdict;  /* duration of the pause of node 0 once its
+                                  * claim is granted; ms */
+    bool restarts_after_verdict; /* node 0 restarts between the grant of its
+                                  * claim and the execution of the request */
 } FaultCase;
 
 /* clang-format off */
@@ -114,11 +116,12 @@
 
 typedef struct {
     const FaultCase *fault;
-    /* Delays and faults of creates by node 2, or NULL for none. */
+    /* Delays and faults of the creates that node 2 makes; NULL for delays of 2
+     * ms and no faults but the outage. */
     const SimCallPlan *create;
     AqTime outage_end; /* sim time at which the outage of the store ends */
     bool is_injected;  /* node 0 has made its first create, which got the
-                        * planned fault */
+                        * fault FaultCase.create */
     /* Number of executions of the request so far, by all nodes. */
     int executions;
 } FaultRun;
@@ -140,9 +143,10 @@
     return plan;
 }
 
-/* Executes a granted request on its node, or releases the claim once
- * REQUEST_DEADLINE_MS have passed since the submit.  Waits while the node is
- * paused; does nothing if the node has restarted since the submit. */
+/* Executes a request on the node that its claim was granted to, or releases
+ * the claim once REQUEST_DEADLINE_MS have passed since the submit.  Waits
+ * while the node is paused; does nothing if the node has restarted since the
+ * submit. */
 static void
 execute_request(Sim *sim, uint64_t request)
 {
@@ -219,8 +223,8 @@
     return ok;
 }
 
-/* Guards against a single fault that makes a request execute twice, leaves its
- * id claimed without a holder or yields a wrong verdict. */
+/* Guards against a single fault that makes a request execute twice, leaves the
+ * request id claimed without a holder or yields a wrong verdict. */
 static void
 test_faults_at_points(void)
 {
@@ -255,13 +259,14 @@
 
 /* Node 0 pauses before its create of the batch with the sequence number (SEQ)
  * 15, which therefore takes effect at the sim time 2 h + 0.7 s, with claims
- * that are 2 h old.  Node 2 reads that SEQ as free at read_at, node 1 is
- * granted an id in the batch with SEQ 17, and node 2 claims the same id at
- * claim_at. */
+ * that are 2 h old.  Node 2 reads that SEQ as free at the sim time read_at,
+ * node 1 is granted an id in the batch with SEQ 17, and node 2 claims the same
+ * id at the sim time claim_at. */
 typedef struct {
     AqTime read_at;
     AqTime claim_at;
-    SimCallPlan create;     /* delays and faults of creates by node 2 */
+    SimCallPlan create;     /* delays and faults of the creates that node 2
+                             * makes */
     AqClaimVerdict verdict; /* expected verdict on the claim of node 2 */
 } LateCase;
 
--- a/packages/claims/tests/test_log.c
+++ b/packages/claims/tests/test_log.c
@@ -84,8 +84,8 @@
     AqBuffer_Clear(&good);
 }
 
-/* Guards against an id table that loses records when it grows, when a record
- * is removed or when old records are swept. */
+/* Guards against an id table that loses records when it grows, when another
+ * record is removed or when AqIdTable_Sweep removes old records. */
 static void
 test_id_table(void)
 {
@@ -99,7 +99,8 @@
     for (int step = 0; step < 20000; step++) {
         uint64_t k = AqRandom_Below(&random, KEYS);
         uint8_t key[16] = {0};
-        /* Keys share few home slots, so that clusters of records are long. */
+        /* The searches for the keys start at few different slots, so that many
+         * adjoining slots are used. */
         key[15] = (uint8_t)(k % 16);
         memcpy(key, &k, sizeof(k));
         AqIdRecord *record = AqIdTable_Find(&table, key);
@@ -132,7 +133,8 @@
     Sim sim;
     uint64_t calls[3];
     start(&sim, 2, calls);
-    /* Each check of invariants would visit thousands of ids. */
+    /* The checks of invariants after each step would take too long, as each
+     * visits thousands of ids. */
     sim.skips_checks = true;
     Sim_Submit(&sim, 1, 0);
     for (uint64_t id = 0; id < 8000; id++) {
@@ -150,8 +152,8 @@
     Sim_Destroy(&sim);
 }
 
-/* Guards against a duplicate verdict from a stale cached log after another
- * daemon has released the claim. */
+/* Guards against a DUPLICATE verdict that a daemon bases on a cached log from
+ * before the older claim of the request id was released by another daemon. */
 static void
 test_released_elsewhere(void)
 {
@@ -225,8 +227,8 @@
     Sim_Destroy(&sim);
 }
 
-/* Guards against skipping a damaged batch: the claims in it are unknown, so
- * nothing in its partition may be granted. */
+/* Guards against skipping a stored batch that cannot be decoded: the claims in
+ * this batch are unknown, so no claim in its partition may be granted. */
 static void
 test_damaged_batch(void)
 {
