--- a/packages/claims/tests/test_parts.c
+++ b/packages/claims/tests/test_log.c
@@ -5,13 +5,13 @@
 #include "id_table.h"
 #include "sim.h"
 
-static SimFate
-steady(Sim *sim, SimNode *node, AqClaimsStoreCall call)
+static SimCallPlan
+plan_steady_call(Sim *sim, SimNode *node, AqClaimsStoreCall call)
 {
     (void)node;
     uint64_t *calls = sim->user;
     calls[call]++;
-    return (SimFate){.effect_ms = 2, .reply_ms = 2};
+    return (SimCallPlan){.effect_ms = 2, .reply_ms = 2};
 }
 
 static void
@@ -21,7 +21,7 @@
                              .store_timeout_ms = 1000};
     memset(calls, 0, 3 * sizeof(calls[0]));
     Sim_Create(sim, 3, nodes, &config);
-    sim->fate = steady;
+    sim->plan_call = plan_steady_call;
     sim->user = calls;
 }
 
@@ -35,7 +35,8 @@
 static void
 encode_sample(AqBuffer *out, size_t count)
 {
-    AqBatchEntry entry = {.op = AQ_BATCH_CLAIM, .nonce = 1 << 20, .wall = 9};
+    AqBatchEntry entry = {
+        .op = AQ_BATCH_CLAIM, .nonce = 1 << 20, .wall_ms = 9};
     strcpy(entry.holder, "entry-1");
     AqBatch_EncodeHeader(out, count, "entry-2", UINT64_MAX, 7);
     for (size_t i = 0; i < count; i++) {
@@ -44,8 +45,8 @@
     }
 }
 
-/* Guards against a decoder that reads past the value, accepts a cut one or
- * trusts an announced length. */
+/* Guards against a decoder of batches that reads past the end of the value,
+ * accepts a truncated value or trusts a length announced in the value. */
 static void
 test_batch_decode(void)
 {
@@ -57,7 +58,7 @@
     CU_ASSERT_TRUE(AqBatch_Decode(good.bytes, good.size, &batch, &error));
     CU_ASSERT_EQUAL(batch.count, 20);
     CU_ASSERT_EQUAL(batch.nonce, UINT64_MAX);
-    CU_ASSERT_EQUAL(batch.newest_wall, 9);
+    CU_ASSERT_EQUAL(batch.newest_wall_ms, 9);
     CU_ASSERT_STRING_EQUAL(batch.entries[19].holder, "entry-1");
     CU_ASSERT_EQUAL(batch.entries[19].hash[1], 19);
     AqBatch_Clear(&batch);
@@ -70,7 +71,7 @@
     AqBuffer_Append(&good, "", 1);
     CU_ASSERT_FALSE(AqBatch_Decode(good.bytes, good.size, &batch, &error));
     CU_ASSERT_EQUAL(error.kind, AQ_ERR_PROTOCOL);
-    /* Any single changed byte is decoded or refused, without a fault. */
+    /* A value with one changed byte is decoded or rejected without a crash. */
     for (size_t i = 0; i + 1 < good.size; i++) {
         for (int change = 1; change < 256; change += 17) {
             good.bytes[i] = (char)(good.bytes[i] ^ change);
@@ -83,8 +84,8 @@
     AqBuffer_Clear(&good);
 }
 
-/* Guards against a table that loses records when it grows, closes a gap or
- * is swept. */
+/* Guards against an id table that loses records when it grows, when another
+ * record is removed or when AqIdTable_Sweep removes old records. */
 static void
 test_id_table(void)
 {
@@ -98,7 +99,8 @@
     for (int step = 0; step < 20000; step++) {
         uint64_t k = AqRandom_Below(&random, KEYS);
         uint8_t key[16] = {0};
-        /* Few different slots, so that runs of full slots are long. */
+        /* The searches for the keys start at few different slots, so that many
+         * adjoining slots are used. */
         key[15] = (uint8_t)(k % 16);
         memcpy(key, &k, sizeof(k));
         AqIdRecord *record = AqIdTable_Find(&table, key);
@@ -123,15 +125,17 @@
     AqIdTable_Clear(&table);
 }
 
-/* Guards against a daemon that needs one write for each batch that it has
- * missed when it becomes the owner again. */
+/* Guards against a daemon that, when it becomes the owner of a partition
+ * again, tries one create for each stored batch that it has not read. */
 static void
 test_catch_up(void)
 {
     Sim sim;
     uint64_t calls[3];
     start(&sim, 2, calls);
-    sim.unchecked = true; /* each check would go over thousands of ids */
+    /* The checks of invariants after each step would take too long, as each
+     * visits thousands of ids. */
+    sim.skips_checks = true;
     Sim_Submit(&sim, 1, 0);
     for (uint64_t id = 0; id < 8000; id++) {
         Sim_Submit(&sim, 0, id);
@@ -148,8 +152,8 @@
     Sim_Destroy(&sim);
 }
 
-/* Guards against a duplicate verdict from old memory when another daemon has
- * released the claim. */
+/* Guards against a DUPLICATE verdict that a daemon bases on a cached log from
+ * before the older claim of the request id was released by another daemon. */
 static void
 test_released_elsewhere(void)
 {
@@ -171,8 +175,8 @@
     Sim_Destroy(&sim);
 }
 
-/* Guards against a claim that is written after its release: it would hold the
- * id for nobody until the retention ends. */
+/* Guards against a claim that is written to the store after its release: the
+ * request id would stay claimed without a holder until the retention ends. */
 static void
 test_release_before_claim(void)
 {
@@ -195,8 +199,9 @@
     Sim_Destroy(&sim);
 }
 
-/* Guards against an unbounded queue: claims beyond one batch are refused and
- * still get their verdict. */
+/* Guards against an unbounded queue: pending claims beyond the capacity of a
+ * batch must be refused as UNAVAILABLE, and no claim may stay without a
+ * verdict. */
 static void
 test_overload(void)
 {
@@ -206,7 +211,7 @@
     Sim sim;
     uint64_t calls[3];
     start(&sim, 1, calls);
-    sim.unchecked = true;
+    sim.skips_checks = true;
     for (uint64_t id = 0; id < CLAIMS; id++) {
         Sim_Submit(&sim, 0, id);
     }
@@ -222,8 +227,8 @@
     Sim_Destroy(&sim);
 }
 
-/* Guards against a damaged batch that is passed over: the claims in it are
- * not known, so nothing in its partition may be granted. */
+/* Guards against skipping a stored batch that cannot be decoded: the claims in
+ * this batch are unknown, so no claim in its partition may be granted. */
 static void
 test_damaged_batch(void)
 {
@@ -245,7 +250,7 @@
 main(void)
 {
     CU_initialize_registry();
-    CU_pSuite suite = CU_add_suite("claims parts", NULL, NULL);
+    CU_pSuite suite = CU_add_suite("claims log", NULL, NULL);
     CU_ADD_TEST(suite, test_batch_decode);
     CU_ADD_TEST(suite, test_id_table);
     CU_ADD_TEST(suite, test_catch_up);
