--- a/packages/router/attempt.c
+++ b/packages/router/attempt.c
@@ -9,9 +9,9 @@
     return ms > AQ_ATTEMPT_TIMEOUT_MIN_MS ? ms : AQ_ATTEMPT_TIMEOUT_MIN_MS;
 }
 
-/* Returns when an attempt that starts now times out.  Only idempotent requests
- * time out before their deadline, since they can be retried: after half of the
- * remaining time at the latest. */
+/* Returns when an attempt of the request that starts now times out.  Only
+ * idempotent requests time out before their deadline, since they can be
+ * retried: after half of the time left until the deadline at the latest. */
 static AqTime
 timeout_at(const AqRouter *router, AqTime now, const AqRouterRequest *r)
 {
@@ -37,7 +37,8 @@
     r->started_at = now;
     r->tried[r->attempts % AQ_TRIED_MAX] = ep->number;
     /* A non-idempotent request cannot be retried after a dead connection, and
-     * the attempt before a retry may have failed because of one. */
+     * the attempt before a retry may have failed because of a dead
+     * connection. */
     r->fresh_connection = (!r->idempotent || r->attempts > 0) &&
                           AqRouter_IsEnabled(router, AQ_ROUTER_DISABLE_SILENT);
     router->stats.attempts++;
@@ -56,7 +57,8 @@
     router->ops.start_attempt(router->context, &attempt);
 }
 
-/* Removes the attempt in flight from the request and releases its slot. */
+/* Removes the request's attempt in flight from the request and releases the
+ * slot of the attempt. */
 static void
 end_attempt(AqRouter *router, AqRouterRequest *r)
 {
@@ -83,8 +85,8 @@
     return not_sent;
 }
 
-/* Whether the attempt's endpoint has neither been removed nor been moved to
- * another service since the attempt started. */
+/* Whether the endpoint of the request's attempt in flight has neither been
+ * removed nor been moved to another service since the attempt started. */
 static bool
 is_same_endpoint(const AqRouterRequest *r)
 {
@@ -92,7 +94,9 @@
            r->tried[(r->attempts - 1) % AQ_TRIED_MAX] == r->endpoint->number;
 }
 
-/* Records the outcome of the attempt in flight for its endpoint. */
+/* Records for the endpoint of the request's attempt in flight whether the
+ * attempt failed, unless the endpoint was removed or moved to another
+ * service. */
 static void
 record_endpoint_outcome(AqRouter *router, AqTime now, const AqRouterRequest *r,
                         bool failed)
@@ -115,7 +119,8 @@
            AqRouterService_HasEndpoint(router, r->service);
 }
 
-/* Schedules a retry; returns false if the request must be finished instead. */
+/* Schedules a retry of the request; returns false if the request must be
+ * finished instead. */
 static bool
 schedule_retry(AqRouter *router, AqTime now, AqRouterRequest *r)
 {
@@ -136,8 +141,8 @@
 {
     AqTime elapsed = now - r->started_at;
     /* A short deadline does not show that the endpoint has failed: a timeout
-     * counts as a failure only after the time in which 95% of the requests
-     * get a response. */
+     * counts as a failure of the endpoint only after the service's p95
+     * response time. */
     bool failed = elapsed >= r->service->p95_ms;
     bool detects_silence =
         r->idempotent && AqRouter_IsEnabled(router, AQ_ROUTER_DISABLE_SILENT);
@@ -152,10 +157,12 @@
         router->stats.silent++;
         r->unknown_reason = AQ_REASON_SILENT;
         AqRouterMean_Add(&r->service->slot_time, elapsed);
-        /* Timeouts on dead idle connections must not raise the p95, which
-         * limits how long such connections stay undetected.  Timeouts of a
-         * service that has become slower must raise it, or every attempt
-         * would time out from then on; fresh connections tell them apart. */
+        /* Timeouts on dead idle connections must not raise the p95 response
+         * time, which limits how long such connections stay undetected.
+         * Timeouts of a service that has become slower must raise it, or every
+         * attempt would time out from then on.  A timeout on a fresh
+         * connection is certainly not due to a dead idle one, so only such
+         * timeouts are added. */
         if (r->fresh_connection) {
             AqRouterService_AddLatency(r->service, elapsed);
         }
@@ -169,14 +176,16 @@
     }
 }
 
-/* Adds the time and the outcome of the attempt to the statistics. */
+/* Adds the response time of the request's attempt to the means of its service
+ * and endpoint, and whether the attempt failed to the outcomes of the
+ * endpoint. */
 static void
 record_result(AqRouter *router, AqTime now, const AqRouterRequest *r,
               AqAttemptResult result)
 {
     bool ran = result == AQ_ATTEMPT_ANSWERED || result == AQ_ATTEMPT_TOO_LARGE;
     if (ran) {
-        /* Failures do not count as samples, so that an endpoint that fails
+        /* Failed attempts add no response time, so that an endpoint that fails
          * immediately does not appear to be fast. */
         AqTime elapsed = now - r->started_at;
         AqRouterMean_Add(&r->service->slot_time, elapsed);
@@ -209,7 +218,7 @@
         }
         break;
     case AQ_ATTEMPT_TOO_LARGE:
-        /* Not retried: the next response would be as large. */
+        /* The request is not retried: the next response would be as large. */
         r->may_have_run = true;
         r->unknown_reason = AQ_REASON_TOO_LARGE;
         AqRouterRequest_Fail(router, r, AQ_REASON_TOO_LARGE);
--- a/packages/router/bench/bench_router.c
+++ b/packages/router/bench/bench_router.c
@@ -3,15 +3,16 @@
 #include "tests/sim.h"
 
 /* Measures the router on virtual time, with all mechanisms and with some of
- * them disabled.  Prints the mean over the seeds, with the minimum and the
- * maximum in brackets.  The figures depend on the simulation only, not on the
- * machine. */
+ * them disabled.  Prints each figure as the mean over the seeds, with the
+ * minimum and the maximum in brackets.  The figures depend on the simulation
+ * only, not on the machine. */
 
 enum {
     SEEDS = 20,
-    SLOTS = 8,      /* per endpoint */
-    MEAN_MS = 100,  /* mean service time */
-    LOAD_MS = 20000 /* for how long requests arrive */
+    SLOTS = 8,     /* slots per endpoint */
+    MEAN_MS = 100, /* mean service time */
+    /* For how long requests arrive in measure_overload. */
+    LOAD_MS = 20000
 };
 
 typedef struct {
@@ -41,8 +42,9 @@
            summary->max);
 }
 
-/* Submits requests for "ms" ms, as a Poisson process with a mean of "per_ms"
- * requests per ms.  Each has a deadline after "timeout_ms" ms. */
+/* Submits requests for "ms" ms of virtual time, as a Poisson process with a
+ * mean of "per_ms" requests per ms.  The deadline of each request is
+ * "timeout_ms" ms after its submission. */
 static void
 run_load(Sim *sim, double per_ms, AqTime ms, AqTime timeout_ms)
 {
@@ -57,14 +59,16 @@
     }
 }
 
-/* A configuration that is measured. */
+/* Router configuration to measure, with its name in the output. */
 typedef struct {
     const char *name;
     unsigned disabled; /* AQ_ROUTER_DISABLE_* bits */
 } Variant;
 
-/* Measures the goodput, how long refused requests waited, and the attempts per
- * completed request, at "load" times the capacity. */
+/* Measures, with requests arriving at "load" times the capacity of the
+ * endpoints: the goodput, i.e. requests completed while others arrive, as a
+ * share of that capacity; the mean time from submission to refusal, in ms; and
+ * the attempts per completed request. */
 static void
 measure_overload(const Variant *variant, int load)
 {
@@ -105,7 +109,8 @@
 }
 
 /* Measures the attempts per request and the share of completed requests in the
- * 5 s after a third of the endpoints fails at 60% load. */
+ * 5 s after a third of the endpoints gets the fault, at 60% load.  A load of
+ * 100% is the capacity of all endpoints. */
 static void
 measure_loss(const Variant *variant, SimFault fault, const char *fault_name)
 {
@@ -139,9 +144,10 @@
     printf("\n");
 }
 
-/* Measures how many requests are not completed, and how many after more than
- * 1 s, when the open connections of a third of the endpoints get no responses
- * any more at 50% load. */
+/* Measures how many requests are not completed, and how many are completed
+ * after more than 1 s, when the open connections of a third of the endpoints
+ * get no responses any more at 50% load, i.e. half the capacity of all
+ * endpoints. */
 static void
 measure_silent(const Variant *variant)
 {
--- a/packages/router/check.c
+++ b/packages/router/check.c
@@ -1,9 +1,10 @@
 #include "router_private.h"
 
-/* Requests of one service by state, counted from AqRouter.requests. */
+/* Numbers of waiting requests of one service by state, counted from
+ * AqRouter.requests. */
 typedef struct {
-    int live;    /* queued with AQ_PRIORITY_LIVE */
-    int archive; /* queued with AQ_PRIORITY_ARCHIVE */
+    int live;    /* queued requests of AQ_PRIORITY_LIVE */
+    int archive; /* queued requests of AQ_PRIORITY_ARCHIVE */
     int claiming;
 } Waiting;
 
--- a/packages/router/eject.c
+++ b/packages/router/eject.c
@@ -3,10 +3,10 @@
 #include "router_private.h"
 
 enum {
-    /* Other endpoints are preferred for 1 s per consecutive failure: failed
-     * requests end early, so the endpoint would appear to be the least loaded
-     * one.  The time limit lets it get requests again also at low load, so
-     * that its recovery is noticed. */
+    /* For 1 s per consecutive failure of an endpoint, other endpoints are
+     * preferred: failed requests end early, so the failing endpoint would
+     * appear to be the least loaded one.  The time limit lets the endpoint get
+     * requests again also at low load, so that its recovery is noticed. */
     SUSPECT_MS_PER_FAILURE = 1000
 };
 
@@ -35,7 +35,8 @@
     return n;
 }
 
-/* Returns the ejected endpoint whose ejection ends first, or NULL. */
+/* Returns the ejected endpoint of the service whose ejection ends first, or
+ * NULL if none is ejected. */
 static AqEndpoint *
 next_ejection_to_end(const AqRouter *router, const AqService *service)
 {
@@ -91,7 +92,8 @@
     ep->trial_attempt = 0;
 }
 
-/* Ejects the endpoint, for twice as long as the last time up to a maximum. */
+/* Ejects the endpoint: for eject_initial_ms at first, for twice as long as the
+ * last time after that, up to eject_max_ms. */
 static void
 eject_endpoint(AqRouter *router, AqTime now, AqEndpoint *ep)
 {
@@ -106,7 +108,9 @@
     router->stats.ejections++;
 }
 
-/* Ejects the endpoint if it failed often enough and the limit allows it. */
+/* Ejects the endpoint if enough of its requests or health checks failed and
+ * fewer endpoints of its service are ejected than AqRouterEject_Limit
+ * allows. */
 static void
 eject_if_due(AqRouter *router, AqTime now, AqEndpoint *ep)
 {
@@ -131,8 +135,9 @@
     if (ep->recent_count < AQ_EJECT_WINDOW_COUNT) {
         ep->recent_count++;
     }
-    /* The endpoint has recovered when less than half of a full window failed;
-     * its next ejection has the initial length again. */
+    /* The endpoint has recovered when less than half of a full window of
+     * outcomes are failures; its next ejection has the initial length
+     * again. */
     if (ep->recent_count == AQ_EJECT_WINDOW_COUNT &&
         2 * recent_failures(ep) < AQ_EJECT_WINDOW_COUNT) {
         ep->eject_last_ms = 0;
@@ -144,7 +149,8 @@
                      uint64_t attempt, bool failed)
 {
     if (ep->ejected) {
-        /* Attempts that started before the ejection do not count. */
+        /* Of an ejected endpoint, only the trial counts, not an attempt that
+         * started before the ejection. */
         if (ep->trial_attempt == attempt) {
             ep->trial_attempt = 0;
             if (failed) {
@@ -175,9 +181,9 @@
 AqRouterEject_TrialDue(const AqRouter *router, AqTime now,
                        const AqEndpoint *ep, const AqRouterRequest *r)
 {
-    /* A trial is a caller's request, which it puts at risk: so it must be a
-     * first attempt, which can still be retried, and a non-idempotent request
-     * also needs a health check that has passed. */
+    /* A trial puts a caller's request at risk.  So the trial must be the first
+     * attempt of the request, which can still be retried, and a non-idempotent
+     * request also needs a health check passed since the ejection. */
     return ep->ejected && ep->trial_attempt == 0 && now >= ep->eject_until &&
            ep->health_failures == 0 && ep->in_use < ep->slots &&
            r->attempts == 0 && (r->idempotent || ep->healthy_since_eject) &&
@@ -193,8 +199,8 @@
     if (ep == NULL || ep->removed) {
         return;
     }
-    /* A passed check does not end an ejection: an endpoint that fails every
-     * request may still pass its health check. */
+    /* A passed health check does not end an ejection: an endpoint that fails
+     * every request may still pass its health check. */
     if (healthy) {
         ep->health_failures = 0;
         ep->healthy_since_eject = true;
--- a/packages/router/endpoint.c
+++ b/packages/router/endpoint.c
@@ -24,10 +24,10 @@
 }
 
 /* Returns the expected time, in ms, until the endpoint has completed one more
- * request beside those in flight.  The mean of the service replaces an expired
- * mean of the endpoint: otherwise an endpoint that was the slowest would get
- * no requests at low load, and no sample would show that it has become faster.
- */
+ * request beside those in flight.  The mean response time of the service
+ * replaces an expired mean of the endpoint: otherwise an endpoint that was the
+ * slowest would get no requests at low load, and no sample would show that it
+ * has become faster. */
 static double
 expected_completion_ms(AqTime now, const AqEndpoint *ep)
 {
@@ -37,8 +37,9 @@
     return (ep->in_use + 1) * (mean < 1.0 ? 1.0 : mean) / ep->slots;
 }
 
-/* Returns the endpoint that is expected to complete one more request earlier;
- * one without recent failures comes first. */
+/* Returns that one of two endpoints which is expected to complete one more
+ * request earlier; one without recent failures comes before one with recent
+ * failures. */
 static AqEndpoint *
 preferred_endpoint(AqTime now, AqEndpoint *a, AqEndpoint *b)
 {
@@ -51,9 +52,10 @@
                                                                            : a;
 }
 
-/* Returns an endpoint drawn uniformly from those with a free slot that are
- * neither ejected nor "excluded" (may be NULL); with "untried", from those
- * among them that the request has not tried.  NULL if there is none. */
+/* Returns an endpoint of the request's service, drawn uniformly from those
+ * with a free slot that are neither ejected nor "excluded" (may be NULL); with
+ * "untried", from those among them that the request has not tried.  Returns
+ * NULL if there is no such endpoint. */
 static AqEndpoint *
 sample_endpoint(AqRouter *router, const AqRouterRequest *r,
                 const AqEndpoint *excluded, bool untried)
@@ -76,7 +78,8 @@
     return sampled;
 }
 
-/* Returns an endpoint that the request may be the trial of, or NULL. */
+/* Returns an ejected endpoint that is due for a trial and whose trial the
+ * request may be, or NULL if there is none. */
 static AqEndpoint *
 find_trial_endpoint(const AqRouter *router, AqTime now,
                     const AqRouterRequest *r)
@@ -91,7 +94,8 @@
     return NULL;
 }
 
-/* Ends ejections by time alone, if trials are disabled. */
+/* Ends the ejections of the service whose time is over, without a trial;
+ * called if trials are disabled. */
 static void
 end_expired_ejections(AqTime now, const AqService *service)
 {
@@ -160,8 +164,9 @@
     return ep == NULL || ep->removed ? NULL : ep;
 }
 
-/* Updates what depends on the endpoints and slots of the service after any of
- * them changed, and fails its waiting requests if no endpoint is left. */
+/* Does what follows a change of the service's endpoints or slots: updates
+ * no_slots_since, ends ejections above the limit, makes a sweep of the queues
+ * due, and fails the waiting requests if no endpoint accepts requests. */
 static void
 slots_changed(AqRouter *router, AqTime now, AqService *service)
 {
@@ -188,7 +193,8 @@
         ep->removed = true;
     }
     if (ep->removed) {
-        /* New, or added again while earlier requests are still in flight. */
+        /* The endpoint is new, or is added again while attempts from before
+         * its removal are still in flight. */
         ep->removed = false;
         ep->leaving = false;
         ep->slots = 0;
--- a/packages/router/queue.c
+++ b/packages/router/queue.c
@@ -89,9 +89,10 @@
 }
 
 /* Returns the time, in ms, that a request which had to wait should have left
- * when it starts: twice the mean, which 86% of exponentially distributed
- * service times do not exceed, and twice that for an idempotent request, since
- * its attempt may use only half of the remaining time. */
+ * before its deadline when it starts: twice the mean time in a slot, which 86%
+ * of exponentially distributed service times do not exceed, and twice that for
+ * an idempotent request, since its attempt may use only half of the time
+ * left. */
 static AqTime
 required_service_ms(const AqService *service, bool idempotent)
 {
@@ -121,7 +122,8 @@
     }
     AqTime wait = AqRouterQueue_ExpectedWait(router, service, spec->priority);
     /* The expected wait is raised by half, so that later estimates, which
-     * vary, do not make the sweep fail requests that were admitted. */
+     * vary, do not make AqRouterQueue_Sweep fail requests that were
+     * admitted. */
     AqTime needed =
         wait + wait / 2 + required_service_ms(service, spec->idempotent);
     if (wait > 0 && needed > spec->deadline - now) {
@@ -140,8 +142,10 @@
                r->deadline;
 }
 
-/* Fails requests of the queue that cannot start in time.  "position" is the
- * number of requests ahead of the first one, less the free slots. */
+/* Fails the requests of the queue that are not expected to complete before
+ * their deadlines.  "position" is the number of requests that start before the
+ * first one of this queue, minus the free slots of the service; "ms_per_start"
+ * is the expected time between two starts. */
 static void
 sweep_queue(AqRouter *router, AqTime now, const AqLink *queue, int position,
             double ms_per_start)
--- a/packages/router/request.c
+++ b/packages/router/request.c
@@ -1,6 +1,7 @@
 #include "router_private.h"
 
-/* Removes the request from all tables; it must not be RUNNING. */
+/* Removes the request from all tables of the router; the request must not be
+ * in the state AQ_REQUEST_RUNNING. */
 static void
 unlink_request(AqRouter *router, AqRouterRequest *r)
 {
@@ -51,8 +52,9 @@
     g_free(r);
 }
 
-/* Returns the delay that is suggested to the caller, in ms: the expected wait
- * if the service is overloaded, a fixed one otherwise. */
+/* Returns the delay, in ms, after which the caller may submit the request
+ * again: the expected wait for a slot if "reason" is an overload of the
+ * service, a fixed delay otherwise. */
 static AqTime
 retry_after(const AqRouter *router, const AqRouterRequest *r, AqReason reason)
 {
@@ -98,7 +100,8 @@
     }
 }
 
-/* Returns why a new request is refused, or AQ_REASON_NONE. */
+/* Returns why a new request is refused, or AQ_REASON_NONE if it is
+ * admitted. */
 static AqReason
 check_admission(const AqRouter *router, AqTime now, const AqService *service,
                 const AqRequestSpec *spec)
@@ -145,8 +148,8 @@
     AqRouterBudget_Earn(router, r->service);
     if (!r->idempotent &&
         AqRouter_IsEnabled(router, AQ_ROUTER_DISABLE_CLAIM)) {
-        /* The next tick requests the claim, since the caller has the
-         * request's number only after this call has returned. */
+        /* The next AqRouter_Tick requests the claim, since the daemon has the
+         * request's number only after AqRouter_Submit has returned. */
         r->state = AQ_REQUEST_CLAIMING;
         r->service->claiming++;
         AqRouterTimers_Set(router, r, now);
@@ -182,7 +185,8 @@
     if (r == NULL || r->state != AQ_REQUEST_CLAIMING || !r->claim_requested) {
         return;
     }
-    r->claim_requested = false; /* forget_claim no longer applies */
+    /* The claim is no longer pending, so forget_claim must not be called. */
+    r->claim_requested = false;
     if (result == AQ_ROUTER_CLAIM_GRANTED) {
         r->claimed = true;
         r->service->claiming--;
@@ -209,7 +213,8 @@
         AqRouterRequest_Fail(router, r, AQ_REASON_DEADLINE);
     }
     else if (r->state == AQ_REQUEST_BACKOFF) {
-        /* It was queued before, so it goes to the front. */
+        /* The request was queued before, so it goes to the front of its
+         * queue. */
         AqRouterQueue_Push(router, r, true);
     }
     else if (r->state == AQ_REQUEST_CLAIMING) {
--- a/packages/router/router.c
+++ b/packages/router/router.c
@@ -79,9 +79,9 @@
     router->stopping = true;
 }
 
-/* Returns the next request of the service that can start now, and its endpoint
- * in "ep"; NULL if there is none.  Fails requests on the way that have too
- * little time left. */
+/* Returns the next queued request of the service that can start now, and its
+ * endpoint in "ep"; NULL if there is none.  Fails requests found before it in
+ * the queue that have too little time left until their deadlines. */
 static AqRouterRequest *
 next_start(AqRouter *router, AqTime now, const AqService *service,
            AqEndpoint **ep)
@@ -102,7 +102,8 @@
     return NULL;
 }
 
-/* Starts queued requests until no request or no free slot is left. */
+/* Starts queued requests of the service until no request or no free slot is
+ * left. */
 static void
 start_queued_requests(AqRouter *router, AqTime now, const AqService *service)
 {
--- a/packages/router/router_private.h
+++ b/packages/router/router_private.h
@@ -7,130 +7,170 @@
 #include "aq_random.h"
 #include "aq_router.h"
 
-/* Data structures and functions shared by the sources of this package. */
+/* Data structures and functions shared by the sources of the router. */
 
 enum {
     /* Consecutive failures, of requests or of health checks, that eject an
      * endpoint (design page, section 12). */
     AQ_EJECT_CONSECUTIVE_FAILURES = 5,
-    /* Last outcomes of an endpoint over which its failure rate is computed: it
-     * is ejected when more than half of them failed (section 5.3). */
+    /* Number of last attempt outcomes of an endpoint over which its failure
+     * rate is computed: with so many recorded, it is ejected when more than
+     * half of them are failures (section 5.3). */
     AQ_EJECT_WINDOW_COUNT = 20,
-    /* Latencies kept per service to compute the p95: enough for six values
-     * above it. */
+    /* Last response times kept per service to compute the 95th percentile
+     * (p95): enough for six values above it. */
     AQ_LATENCY_SAMPLES = 128,
-    /* Mean and p95 of a service without samples (design page, section 12). */
+    /* Mean time in a slot and p95 response time assumed for a service without
+     * samples (design page, section 12). */
     AQ_DEFAULT_MEAN_MS = 100,
     AQ_DEFAULT_P95_MS = 1000,
-    /* Lower bound of the limit that the p95 sets for the attempt timeout
-     * (design page, section 5.3). */
+    /* Least time without a response after which an attempt of an idempotent
+     * request times out, however short the service's p95 response time (design
+     * page, section 5.3).  A near deadline may shorten it. */
     AQ_ATTEMPT_TIMEOUT_MIN_MS = 250,
-    /* Suggested to callers when the expected wait is not the reason of the
-     * refusal or cannot be computed. */
+    /* Delay suggested to the caller of a refused request when the expected
+     * wait is not the reason of the refusal or cannot be computed. */
     AQ_DEFAULT_RETRY_AFTER_MS = 1000,
-    /* An endpoint's mean latency expires at this age of its last sample.
+    /* An endpoint's mean latency expires when its last sample is this old.
      * Short enough to detect that an endpoint has become faster, and long
-     * enough that the slowest one gets few requests at low load. */
+     * enough that the slowest endpoint gets few requests at low load. */
     AQ_LATENCY_MAX_AGE_MS = 10000,
-    /* Interval in which the deadlines of queued requests are compared with
-     * the expected wait. */
+    /* Interval between two sweeps of a service's queues, which fail the
+     * requests that are not expected to complete before their deadlines. */
     AQ_SWEEP_INTERVAL_MS = 100,
     /* Number of last attempts per request whose endpoints are recorded, so
-     * that retries prefer others. */
+     * that retries prefer other endpoints. */
     AQ_TRIED_MAX = 4
 };
 
 typedef struct AqEndpoint AqEndpoint;
 typedef struct AqService AqService;
 
-/* Moving average: the mean of up to 64 samples, exponentially weighted with
- * 1/64 after that. */
+/* Moving average of times in ms: the plain mean of up to 64 samples; after
+ * that, each new sample has the weight 1/64. */
 typedef struct {
     double ms;
-    uint64_t count; /* samples added so far */
+    uint64_t count; /* samples added to the mean so far */
 } AqRouterMean;
 
 struct AqEndpoint {
     char *name;
-    /* Unique and never reused, unlike the address.  An endpoint that is moved
-     * or added again gets a new one. */
+    /* Identifies the endpoint within the router and is never reused, unlike
+     * the address of its AqEndpoint.  An endpoint that is moved to another
+     * service or added again gets a new number. */
     uint64_t number;
     AqService *service;
-    int slots;  /* concurrent attempts allowed */
-    int in_use; /* attempts in flight */
+    int slots;  /* attempts allowed in flight on the endpoint */
+    int in_use; /* attempts in flight on the endpoint */
     bool leaving;
-    bool removed;           /* freed when in_use is 0 */
-    AqTime last_latency_at; /* when the last sample of latency was added */
-    AqRouterMean latency; /* of responses below 500, too large ones included */
-
-    int consecutive_failures; /* of requests, since the last success */
-    int health_failures;      /* of health checks, since the last passed one */
-    /* Ring buffer of the last outcomes, true for a failure. */
+    /* The endpoint was removed; it is freed when in_use is 0. */
+    bool removed;
+    /* When the last sample was added to "latency". */
+    AqTime last_latency_at;
+    /* Mean response time of the endpoint, in ms: of responses with a status
+     * below 500 and of those over the size limit. */
+    AqRouterMean latency;
+
+    /* Failed attempts on the endpoint since the last successful one or
+     * ejection. */
+    int consecutive_failures;
+    /* Failed health checks of the endpoint since the last passed one. */
+    int health_failures;
+    /* Ring buffer of the outcomes of the last attempts on the endpoint; true
+     * for a failed attempt. */
     bool recent_failed[AQ_EJECT_WINDOW_COUNT];
-    int recent_count;     /* valid entries of recent_failed */
-    int recent_next;      /* index that the next outcome is written to */
-    AqTime suspect_until; /* until then other endpoints are preferred */
+    int recent_count; /* number of valid entries of recent_failed */
+    int recent_next;  /* array index in recent_failed to write next */
+    /* Until this time, other endpoints are preferred because attempts on this
+     * one have failed. */
+    AqTime suspect_until;
     bool ejected;
-    bool healthy_since_eject; /* the last health check since then passed */
-    AqTime eject_until;       /* when a trial may start */
-    AqTime eject_last_ms;   /* length of the last ejection; 0 after recovery */
-    uint64_t trial_attempt; /* number of the attempt that is the trial, or 0 */
+    /* The last health check passed and was done after the last ejection. */
+    bool healthy_since_eject;
+    /* Earliest time of the trial request whose success ends the ejection. */
+    AqTime eject_until;
+    /* Length of the endpoint's last ejection; 0 after the endpoint has
+     * recovered. */
+    AqTime eject_last_ms;
+    /* Number of the attempt in flight that is the endpoint's trial, or 0. */
+    uint64_t trial_attempt;
 };
 
 struct AqService {
     AqLink link;
     char *name;
-    GPtrArray *endpoints;      /* AqEndpoint, owned by AqRouter.endpoints */
-    AqLink live;               /* queue of AqRouterRequest.queue_link */
-    AqLink archive;            /* the same for AQ_PRIORITY_ARCHIVE */
-    int live_count;            /* length of live */
-    int archive_count;         /* length of archive */
-    int claiming;              /* requests in state AQ_REQUEST_CLAIMING */
-    unsigned contended_starts; /* starts while both priorities waited */
-    double retry_tokens;       /* balance of the retry budget */
-    AqRouterMean slot_time;    /* how long an attempt occupies its slot */
-    AqTime latencies[AQ_LATENCY_SAMPLES]; /* ring buffer, ms */
-    size_t latency_count;                 /* samples added so far */
-    AqTime p95_ms;                        /* of latencies */
-    AqTime next_sweep_at;                 /* when AqRouterQueue_Sweep is due */
-    AqTime no_slots_since; /* AQ_TIME_NEVER while there are slots */
+    GPtrArray *endpoints; /* AqEndpoint, owned by AqRouter.endpoints */
+    /* Queue of AQ_PRIORITY_LIVE requests, linked by
+     * AqRouterRequest.queue_link. */
+    AqLink live;
+    /* Queue of AQ_PRIORITY_ARCHIVE requests, linked by
+     * AqRouterRequest.queue_link. */
+    AqLink archive;
+    int live_count;    /* number of requests in the queue "live" */
+    int archive_count; /* number of requests in the queue "archive" */
+    /* Number of the service's requests in the state AQ_REQUEST_CLAIMING. */
+    int claiming;
+    /* Attempts started while both live and archive requests were queued. */
+    unsigned contended_starts;
+    double retry_tokens; /* retry tokens left; each retry costs one */
+    /* Mean time, in ms, for which an attempt occupies its slot. */
+    AqRouterMean slot_time;
+    /* Ring buffer of the last response times of the service, in ms. */
+    AqTime latencies[AQ_LATENCY_SAMPLES];
+    size_t latency_count; /* samples added to "latencies" so far */
+    AqTime p95_ms;        /* 95th percentile of "latencies" */
+    /* When AqRouterQueue_Sweep is due for the service. */
+    AqTime next_sweep_at;
+    /* Since when no endpoint that accepts requests has slots; AQ_TIME_NEVER
+     * while one has. */
+    AqTime no_slots_since;
 };
 
 typedef enum {
-    AQ_REQUEST_REFUSED,  /* not admitted; the next tick finishes it */
-    AQ_REQUEST_CLAIMING, /* waits for its claim */
-    AQ_REQUEST_QUEUED,   /* waits for a slot */
-    AQ_REQUEST_BACKOFF,  /* waits for the time of its retry */
-    AQ_REQUEST_RUNNING   /* an attempt is in flight */
+    /* The request was not admitted; the next AqRouter_Tick reports the
+     * outcome. */
+    AQ_REQUEST_REFUSED,
+    /* The request waits for the result of the claim on its request id. */
+    AQ_REQUEST_CLAIMING,
+    AQ_REQUEST_QUEUED,  /* the request waits for a free slot */
+    AQ_REQUEST_BACKOFF, /* the request waits until its retry is due */
+    AQ_REQUEST_RUNNING  /* an attempt of the request is in flight */
 } AqRequestState;
 
 typedef struct {
     uint64_t id;        /* number returned by AqRouter_Submit */
-    AqService *service; /* NULL if the name is unknown */
+    AqService *service; /* NULL if the service name is unknown */
     bool idempotent;
     AqPriority priority;
     AqTime deadline;
     AqRequestState state;
-    AqLink link;              /* in AqRouter.requests */
-    AqLink queue_link;        /* in AqService.live or .archive */
-    bool queued_without_slot; /* no slot was free for it when it was queued */
-    AqTime timer_at;          /* when the timer is due */
-    size_t timer_index;       /* in AqRouter.timers; SIZE_MAX if not there */
-
-    AqReason refusal_reason; /* in state AQ_REQUEST_REFUSED */
-    AqTime retry_after_ms;   /* in state AQ_REQUEST_REFUSED */
-
-    bool claim_requested; /* AqRouterOps.claim was called and has no result */
-    bool claimed;         /* the claim was granted */
-    bool may_have_run;    /* an endpoint may have executed an attempt */
-    AqReason unknown_reason; /* why the outcome would be unknown, or NONE */
-    int attempts;            /* started so far */
-    /* Ring buffer of AqEndpoint.number, one per attempt. */
+    AqLink link;       /* list link in AqRouter.requests */
+    AqLink queue_link; /* list link in AqService.live or .archive */
+    /* No slot was free for the request when it was queued. */
+    bool queued_without_slot;
+    AqTime timer_at; /* when the request's timer is due */
+    /* Array index in AqRouter.timers; SIZE_MAX if the request has no timer. */
+    size_t timer_index;
+
+    AqReason refusal_reason; /* set in the state AQ_REQUEST_REFUSED only */
+    AqTime retry_after_ms;   /* set in the state AQ_REQUEST_REFUSED only */
+
+    /* AqRouterOps.claim was called for the request and has no result yet. */
+    bool claim_requested;
+    bool claimed;      /* the claim on the request id was granted */
+    bool may_have_run; /* an endpoint may have executed the request */
+    /* Reason to report with AQ_OUTCOME_UNKNOWN unless the deadline is the
+     * reason; AQ_REASON_NONE if nothing made the outcome unknown. */
+    AqReason unknown_reason;
+    int attempts; /* attempts of the request started so far */
+    /* Ring buffer with the AqEndpoint.number of each of the request's last
+     * attempts. */
     uint64_t tried[AQ_TRIED_MAX];
-    uint64_t attempt;      /* number of the attempt in flight, or 0 */
-    AqEndpoint *endpoint;  /* of the attempt in flight, or NULL */
-    AqTime started_at;     /* of the last attempt */
-    bool fresh_connection; /* the last attempt must not reuse a connection */
+    uint64_t attempt;     /* number of the attempt in flight, or 0 */
+    AqEndpoint *endpoint; /* endpoint of the attempt in flight, or NULL */
+    AqTime started_at;    /* when the request's last attempt started */
+    /* The request's last attempt must not reuse an idle connection. */
+    bool fresh_connection;
 } AqRouterRequest;
 
 struct AqRouter {
@@ -138,19 +178,23 @@
     AqRouterOps ops;
     void *context;
     AqRandom random;
-    AqTime now;    /* argument of the last call */
-    bool fresh;    /* the configuration is certainly in force */
+    AqTime now; /* "now" of the last call of a router function */
+    /* The daemon's configuration is certainly in force (AqRouter_SetFresh). */
+    bool fresh;
     bool stopping; /* AqRouter_Stop was called */
-    bool work_due; /* an attempt may be able to start since the last tick */
+    /* Since the last AqRouter_Tick, a change may allow an attempt to start. */
+    bool work_due;
     uint64_t last_request;  /* highest request number used so far */
     uint64_t last_attempt;  /* highest attempt number used so far */
     uint64_t last_endpoint; /* highest AqEndpoint.number used so far */
     int in_flight;          /* attempts in flight on all endpoints */
-    AqLink services;        /* AqService.link */
-    AqLink requests;        /* AqRouterRequest.link, all requests by age */
+    AqLink services;        /* list of AqService, by AqService.link */
+    /* All unfinished requests, oldest first, linked by
+     * AqRouterRequest.link. */
+    AqLink requests;
     GHashTable *by_id;      /* request number -> AqRouterRequest, owned */
     GHashTable *by_attempt; /* attempt number -> AqRouterRequest, not owned */
-    GHashTable *endpoints;  /* name -> AqEndpoint, owned */
+    GHashTable *endpoints;  /* endpoint name -> AqEndpoint, owned */
     GPtrArray *timers;      /* binary heap of AqRouterRequest by timer_at */
     AqRouterStats stats;
 };
@@ -164,11 +208,12 @@
 
 /* ---- timers.c: one timer per request ------------------------------------ */
 
-/* Sets the request's timer, or moves it. */
+/* Sets the request's timer to timer_at, in place of a time set before. */
 void AqRouterTimers_Set(AqRouter *router, AqRouterRequest *r, AqTime timer_at);
 /* Removes the request's timer, if it has one. */
 void AqRouterTimers_Remove(AqRouter *router, AqRouterRequest *r);
-/* Returns the request whose timer is due first, or NULL. */
+/* Returns the request whose timer is due first, or NULL if no request has a
+ * timer. */
 AqRouterRequest *AqRouterTimers_First(const AqRouter *router);
 
 /* ---- service.c: services and their statistics --------------------------- */
@@ -180,126 +225,146 @@
 void AqRouterService_Destroy(AqService *service);
 /* Adds a sample of "ms" milliseconds to the moving average. */
 void AqRouterMean_Add(AqRouterMean *mean, AqTime ms);
-/* Adds a latency sample and updates the p95. */
+/* Adds a response time of "ms" milliseconds to the service's samples, from
+ * which its p95_ms is computed. */
 void AqRouterService_AddLatency(AqService *service, AqTime ms);
-/* Returns the mean time for which an attempt occupies its slot. */
+/* Returns the mean time, in ms, for which an attempt of the service occupies
+ * its slot. */
 double AqRouterService_MeanMs(const AqService *service);
-/* Return the total and the free slots of the endpoints that accept requests
- * and are not ejected. */
+/* Returns the number of slots, free or in use, of the service's endpoints that
+ * accept requests and are not ejected. */
 int AqRouterService_Slots(const AqRouter *router, const AqService *service);
+/* Returns the number of free slots of the service's endpoints that accept
+ * requests and are not ejected. */
 int AqRouterService_FreeSlots(const AqRouter *router,
                               const AqService *service);
-/* Whether any endpoint accepts requests, be it ejected or without slots. */
+/* Whether any endpoint of the service accepts requests, even if that endpoint
+ * is ejected or has no slots. */
 bool AqRouterService_HasEndpoint(const AqRouter *router,
                                  const AqService *service);
-/* Updates no_slots_since after a change of endpoints or slots. */
+/* Updates AqService.no_slots_since after a change of the service's endpoints
+ * or of their slots. */
 void AqRouterService_UpdateNoSlots(AqRouter *router, AqService *service,
                                    AqTime now);
 
 /* ---- endpoint.c: endpoints and the choice of one ------------------------ */
 
-/* Whether new attempts may start on the endpoint, apart from slots and
- * ejection: it is neither removed nor leaving. */
+/* Whether new attempts may start on the endpoint, apart from free slots and
+ * ejection: the endpoint is neither removed nor leaving. */
 bool AqRouterEndpoint_AcceptsRequests(const AqRouter *router,
                                       const AqEndpoint *ep);
-/* Returns the endpoint for the request's next attempt, or NULL if none has a
- * free slot: one that is due for a trial, or the better of two drawn at
- * random. */
+/* Returns the endpoint for the request's next attempt, or NULL if no endpoint
+ * has a free slot: one that is due for a trial request or, of two drawn at
+ * random, the one expected to complete the request earlier. */
 AqEndpoint *AqRouterEndpoint_Choose(AqRouter *router, AqTime now,
                                     const AqRouterRequest *r);
-/* Releases the slot of an attempt that has ended.  Frees the endpoint if it is
- * removed and this was its last attempt. */
+/* Releases the slot of an attempt on the endpoint that has ended.  Frees the
+ * endpoint if it is removed and this was its last attempt. */
 void AqRouterEndpoint_ReleaseSlot(AqRouter *router, AqEndpoint *ep);
 /* Frees an AqEndpoint; a GDestroyNotify. */
 void AqRouterEndpoint_Destroy(void *endpoint);
 
 /* ---- eject.c: failures, ejection and trials ----------------------------- */
 
-/* Records the outcome of an attempt, which may eject the endpoint or, when the
- * attempt is its trial, end or renew the ejection. */
+/* Records whether an attempt on the endpoint failed.  This may eject the
+ * endpoint or, when the attempt is its trial, end or renew the ejection. */
 void AqRouterEject_Record(AqRouter *router, AqTime now, AqEndpoint *ep,
                           uint64_t attempt, bool failed);
-/* Clears the failures and the ejection of an endpoint that is new in its
- * service. */
+/* Clears the recorded failures and the ejection of an endpoint that is new in
+ * its service. */
 void AqRouterEject_Reset(AqEndpoint *ep);
-/* Whether the endpoint is due for a trial and the request may serve as it. */
+/* Whether the endpoint is due for a trial, which may end its ejection, and the
+ * request may be used as that trial. */
 bool AqRouterEject_TrialDue(const AqRouter *router, AqTime now,
                             const AqEndpoint *ep, const AqRouterRequest *r);
-/* Return how many endpoints of the service may be ejected, and how many are;
- * only endpoints that accept requests count. */
+/* Returns how many endpoints of the service may be ejected at a time: a share
+ * of those that accept requests. */
 int AqRouterEject_Limit(const AqRouter *router, const AqService *service);
+/* Returns how many endpoints of the service are ejected, counting only those
+ * that accept requests. */
 int AqRouterEject_Count(const AqRouter *router, const AqService *service);
-/* Ends ejections above the limit, which falls with the number of endpoints;
- * those that are over soonest end first. */
+/* Ends ejections of the service's endpoints above AqRouterEject_Limit, which
+ * falls with the number of endpoints; the ejections that would be over soonest
+ * end first. */
 void AqRouterEject_EnforceLimit(AqRouter *router, const AqService *service);
 
 /* ---- budget.c: retry tokens and backoff --------------------------------- */
 
-/* Adds the tokens that one new request earns. */
+/* Adds the retry tokens that one new request earns to those of the service. */
 void AqRouterBudget_Earn(const AqRouter *router, AqService *service);
-/* Takes a token for a retry; returns false if there is none. */
+/* Takes one retry token of the service; returns false if none is left. */
 bool AqRouterBudget_Spend(AqRouter *router, AqService *service);
-/* Returns the delay before the retry that follows this many attempts, in
- * ms. */
+/* Returns the delay, in ms, before the retry of a request that follows its
+ * first "attempts" attempts. */
 AqTime AqRouterBudget_Backoff(AqRouter *router, int attempts);
 
 /* ---- queue.c: queued requests and admission ----------------------------- */
 
-/* Returns the number of queued requests of both priorities. */
+/* Returns the number of queued requests of the service, live and archive. */
 int AqRouterQueue_Count(const AqService *service);
-/* Queues the request, at the front if "first" is true. */
+/* Queues the request until a slot is free, at the front of the queue of its
+ * priority if "first" is true. */
 void AqRouterQueue_Push(AqRouter *router, AqRouterRequest *r, bool first);
-/* Removes the request from its queue, with its timer. */
+/* Removes the request from its queue and removes its timer. */
 void AqRouterQueue_Remove(AqRouter *router, AqRouterRequest *r);
-/* Returns the request to start next or, if "other" is true, the first one of
- * the other priority; NULL if there is none.  Removes nothing. */
+/* Returns the queued request of the service to start next or, if "other" is
+ * true, the first queued one of the other priority; NULL if that queue is
+ * empty.  Removes nothing. */
 AqRouterRequest *AqRouterQueue_Next(const AqRouter *router,
                                     const AqService *service, bool other);
-/* Counts a start, which decides when the archive is next; call it before the
- * request leaves its queue. */
+/* Counts an attempt start of the service if both live and archive requests are
+ * queued; the count decides when an archive request is next.  Call this before
+ * the started request leaves its queue. */
 void AqRouterQueue_CountStart(AqService *service);
-/* Returns how long a new request would wait for a slot, in ms; 0 if one is
- * free for it. */
+/* Returns how long a new request of this priority would wait for a slot, in
+ * ms; 0 if a slot is free for it, AQ_DEFAULT_RETRY_AFTER_MS if the service has
+ * no slots. */
 AqTime AqRouterQueue_ExpectedWait(const AqRouter *router,
                                   const AqService *service,
                                   AqPriority priority);
-/* Returns why a new request is refused, or AQ_REASON_NONE. */
+/* Returns why a new request to the service is refused, or AQ_REASON_NONE if it
+ * is admitted. */
 AqReason AqRouterQueue_Admit(const AqRouter *router, AqTime now,
                              const AqService *service,
                              const AqRequestSpec *spec);
-/* Whether a request that had to wait has too little time left to start. */
+/* Whether the request had to wait for a slot and has too little time left
+ * before its deadline to start now. */
 bool AqRouterQueue_TooLate(const AqRouter *router, AqTime now,
                            const AqRouterRequest *r);
-/* Fails queued requests that cannot start in time, and all requests that wait
- * for a service which has had no slot for slot_wait_ms. */
+/* Fails the service's queued requests that are not expected to complete before
+ * their deadlines, and all its waiting requests when it has had no slot for
+ * slot_wait_ms. */
 void AqRouterQueue_Sweep(AqRouter *router, AqTime now, AqService *service);
 
 /* ---- request.c: submission and outcome of requests ---------------------- */
 
-/* Handles the expired timer of a request. */
+/* Handles the expired timer of a request: depending on the request's state,
+ * times out its attempt, fails it, queues it or requests its claim. */
 void AqRouterRequest_OnTimer(AqRouter *router, AqTime now, AqRouterRequest *r);
-/* Reports the request's outcome and frees the request. */
+/* Reports the request's outcome and frees the request.  "attempt" is the
+ * number of the attempt whose response the caller gets, or 0. */
 void AqRouterRequest_Finish(AqRouter *router, AqRouterRequest *r,
                             const AqOutcome *outcome, uint64_t attempt);
-/* Finishes a request that has no attempt in flight, without a response: as not
- * run if that is certain, as unknown otherwise. */
+/* Finishes a request that has no attempt in flight, without a response: with
+ * AQ_OUTCOME_NOT_RUN if it certainly did not run, with AQ_OUTCOME_UNKNOWN
+ * otherwise. */
 void AqRouterRequest_Fail(AqRouter *router, AqRouterRequest *r,
                           AqReason reason);
-/* Fails the requests of the service, or of all if it is NULL, that have no
- * attempt in flight and are not refused already. */
+/* Fails the requests of the service, or of all services if "service" is NULL,
+ * that have no attempt in flight and are not refused already. */
 void AqRouterRequest_FailWaiting(AqRouter *router, const AqService *service,
                                  AqReason reason);
 
 /* ---- attempt.c: starts, results, timeouts and retries ------------------- */
 
-/* Starts an attempt of a queued request on the endpoint. */
+/* Starts an attempt of the queued request on the endpoint. */
 void AqRouterAttempt_Start(AqRouter *router, AqTime now, AqRouterRequest *r,
                            AqEndpoint *ep);
-/* Cancels the attempt in flight, which has timed out, and retries or fails the
- * request. */
+/* Cancels the request's attempt in flight, which has timed out, and retries or
+ * fails the request. */
 void AqRouterAttempt_Timeout(AqRouter *router, AqTime now, AqRouterRequest *r);
-/* Cancels the attempt in flight and releases its slot.  Returns whether
- * certainly no byte of it was sent. */
+/* Cancels the request's attempt in flight and releases its slot.  Returns
+ * whether certainly no byte of the request was sent. */
 bool AqRouterAttempt_Cancel(AqRouter *router, AqRouterRequest *r);
 
 #endif
--- a/packages/router/service.c
+++ b/packages/router/service.c
@@ -4,11 +4,13 @@
 #include "router_private.h"
 
 enum {
-    /* A new sample has at least the weight 1/64.  A smaller weight would make
-     * the expected wait vary less, but follow a change of the service time
-     * more slowly. */
+    /* A new sample has at least the weight 1/64 in a moving average.  A
+     * smaller weight would make the expected wait vary less, but follow a
+     * change of the service time more slowly. */
     MEAN_WINDOW_SAMPLES = 64,
-    P95_INTERVAL_SAMPLES = 8 /* the p95 is computed after so many samples */
+    /* With all samples present, the p95 response time of a service is computed
+     * again after so many new ones. */
+    P95_INTERVAL_SAMPLES = 8
 };
 
 AqService *
@@ -134,8 +136,8 @@
 void
 AqRouterService_UpdateNoSlots(AqRouter *router, AqService *service, AqTime now)
 {
-    /* The slots of an ejected endpoint count: it returns by a trial, for which
-     * requests must be admitted. */
+    /* The slots of an ejected endpoint count as slots of the service: the
+     * ejection ends by a trial, for which requests must be admitted. */
     for (guint i = 0; i < service->endpoints->len; i++) {
         const AqEndpoint *ep = g_ptr_array_index(service->endpoints, i);
         if (AqRouterEndpoint_AcceptsRequests(router, ep) && ep->slots > 0) {
--- a/packages/router/tests/sim.c
+++ b/packages/router/tests/sim.c
@@ -26,8 +26,9 @@
     }
 }
 
-/* Uses an idle connection if there is one, each with the same probability.
- * Sets "silent" if it is one that gets no response. */
+/* Takes an idle connection to the endpoint if there is one, each with the same
+ * probability.  If so, sets "silent" to whether no response arrives on the
+ * connection. */
 static void
 use_idle_connection(Sim *sim, SimEndpoint *ep, bool *silent)
 {
@@ -39,7 +40,8 @@
     *(*silent ? &ep->idle_silent : &ep->idle) -= 1;
 }
 
-/* Decides the result of a starting attempt and when it is reported. */
+/* Decides the result of a starting attempt and when that result is
+ * reported. */
 static void
 plan_result(Sim *sim, SimEndpoint *ep, SimAttempt *attempt, bool fresh)
 {
@@ -70,7 +72,8 @@
     }
 }
 
-/* Counts the rules that a start of the request on the endpoint violates. */
+/* Counts the rules that a start of the request on the endpoint now
+ * violates. */
 static void
 check_start(Sim *sim, const SimRequest *r, const SimEndpoint *ep)
 {
@@ -105,7 +108,8 @@
     g_array_append_val(sim->open_attempts, started->attempt);
 }
 
-/* Ends an attempt, which the endpoint may have executed if "ran" is true. */
+/* Ends the attempt with this number, which the endpoint may have executed if
+ * "ran" is true. */
 static void
 close_attempt(Sim *sim, uint64_t number, bool ran)
 {
@@ -308,8 +312,8 @@
 }
 
 /* Returns when the next result of an attempt or claim is due, AQ_TIME_NEVER if
- * none is.  Sets the number of the attempt or the request, and the other one
- * to 0. */
+ * none is due.  Sets "attempt" or "request" to the number of the attempt or of
+ * the claiming request, and the other one to 0. */
 static AqTime
 next_event(const Sim *sim, uint64_t *attempt, uint64_t *request)
 {
--- a/packages/router/tests/sim.h
+++ b/packages/router/tests/sim.h
@@ -16,23 +16,28 @@
 };
 
 typedef enum {
-    SIM_OK,         /* responds after the service time */
-    SIM_FAIL,       /* responds with status 500 after 1 ms */
-    SIM_REFUSE,     /* responds with Aq-Not-Run after 1 ms */
-    SIM_NO_CONNECT, /* refuses the connection after 1 ms */
-    SIM_CUT,        /* closes the connection after 1 ms */
-    SIM_DEAD        /* accepts the connection, but never responds */
+    SIM_OK,         /* the endpoint responds after its service time */
+    SIM_FAIL,       /* the endpoint responds with status 500 after 1 ms */
+    SIM_REFUSE,     /* the endpoint responds with Aq-Not-Run after 1 ms */
+    SIM_NO_CONNECT, /* the endpoint refuses the connection after 1 ms */
+    SIM_CUT,        /* the endpoint closes the connection after 1 ms */
+    SIM_DEAD /* the endpoint accepts the connection, but never responds */
 } SimFault;
 
-/* Violations that are counted. */
+/* Violations of the router's rules, which Sim.violations counts. */
 typedef enum {
     SIM_FINISHED_TWICE,
     SIM_SLOTS_EXCEEDED,
-    SIM_STARTED_ON_LEAVING, /* or on a removed endpoint */
+    /* An attempt started on a leaving or removed endpoint. */
+    SIM_STARTED_ON_LEAVING,
     SIM_STARTED_NOT_FRESH,
-    SIM_STARTED_UNCLAIMED, /* non-idempotent, without a granted claim */
-    SIM_STARTED_AGAIN,     /* non-idempotent, may have run before */
-    SIM_FALSE_NOT_RUN,     /* or its claim released, though it may have run */
+    /* A non-idempotent request started without a granted claim. */
+    SIM_STARTED_UNCLAIMED,
+    /* A non-idempotent request started again though it may have run. */
+    SIM_STARTED_AGAIN,
+    /* A request was reported as not run, or its claim was released, though it
+     * may have run. */
+    SIM_FALSE_NOT_RUN,
     SIM_RULE_COUNT
 } SimRule;
 
@@ -40,40 +45,45 @@
     char name[16];
     SimFault fault;
     double mean_ms; /* mean service time */
-    /* Service times are mean_ms if true, exponentially distributed if not. */
+    /* The service times of the endpoint are mean_ms if true, exponentially
+     * distributed with this mean if not. */
     bool fixed_time;
-    bool unavailable; /* leaving or removed */
+    bool unavailable; /* the endpoint is leaving or removed */
     int slots;
-    int in_use;      /* attempts in flight */
-    int max_in_use;  /* maximum of in_use so far */
-    int starts;      /* attempts started so far */
-    int idle;        /* idle connections that work */
-    int idle_silent; /* idle connections that get no response */
+    int in_use;     /* attempts in flight on the endpoint */
+    int max_in_use; /* maximum of in_use so far; tests may reset it to 0 */
+    /* Attempts started on this endpoint so far; tests may reset it to 0. */
+    int starts;
+    int idle; /* idle connections to the endpoint that work */
+    /* Idle connections to the endpoint on which no response arrives. */
+    int idle_silent;
 } SimEndpoint;
 
 typedef struct {
-    uint64_t request; /* number */
-    int endpoint;     /* index in Sim.endpoints */
+    uint64_t request; /* number of the request */
+    int endpoint;     /* array index in Sim.endpoints */
     bool in_flight;
-    bool fresh;        /* AqAttempt.fresh_connection */
+    /* The attempt must not reuse an idle connection. */
+    bool fresh;
     bool sent;         /* bytes of the request may have been sent */
-    AqTime started;    /* when it started */
-    AqTime timeout_at; /* AqAttempt.timeout_at */
-    AqTime due; /* when Sim_Run reports the result; may be AQ_TIME_NEVER */
-    AqAttemptResult result; /* the result that is reported then */
+    AqTime started;    /* when the attempt started */
+    AqTime timeout_at; /* when the router will cancel the attempt */
+    /* When Sim_Run reports the result of the attempt; may be AQ_TIME_NEVER. */
+    AqTime due;
+    AqAttemptResult result; /* result that Sim_Run reports for the attempt */
 } SimAttempt;
 
 typedef struct {
     bool idempotent;
     AqPriority priority;
-    uint64_t key;     /* request id of the caller */
-    AqTime submitted; /* when it was submitted */
+    uint64_t key;     /* request id from the caller, to be claimed */
+    AqTime submitted; /* when the request was submitted */
     AqTime finished_at;
-    int finishes; /* calls of AqRouterOps.finish */
+    int finishes; /* calls of AqRouterOps.finish for the request */
     AqOutcome outcome;
-    int starts;   /* attempts started */
-    int runs;     /* attempts that may have run */
-    bool claimed; /* has a granted claim */
+    int starts;   /* attempts of the request started */
+    int runs;     /* attempts of the request that may have run */
+    bool claimed; /* the claim on "key" is granted */
     bool claim_pending;
     AqTime claim_due; /* when Sim_Run reports the claim's result */
 } SimRequest;
@@ -83,49 +93,58 @@
     AqTime now;
     AqRandom random;
     AqRouterConfig config;
-    bool manual;     /* the test reports results and claims, not Sim_Run */
+    /* The test reports the results of attempts and claims, not Sim_Run. */
+    bool manual;
     bool fresh;      /* last argument of Sim_SetFresh */
-    AqTime claim_ms; /* duration of a claim */
+    AqTime claim_ms; /* time from a claim to its result */
     SimEndpoint endpoints[SIM_MAX_ENDPOINTS];
-    GArray *requests;         /* SimRequest; number n is at index n - 1 */
-    GArray *attempts;         /* SimAttempt; number n is at index n - 1 */
-    GArray *open_attempts;    /* uint64_t: numbers of attempts in flight */
-    GArray *pending_claims;   /* uint64_t: numbers of claiming requests */
-    GHashTable *claimed_keys; /* SimRequest.key, as uint64_t */
-    int closed_idle_count;    /* idle connections closed by the router */
-    int violations[SIM_RULE_COUNT]; /* by SimRule */
+    GArray *requests;      /* SimRequest; number n at array index n - 1 */
+    GArray *attempts;      /* SimAttempt; number n at array index n - 1 */
+    GArray *open_attempts; /* uint64_t: numbers of attempts in flight */
+    /* uint64_t: numbers of requests whose claim is pending. */
+    GArray *pending_claims;
+    GHashTable *claimed_keys;       /* SimRequest.key, as uint64_t */
+    int closed_idle_count;          /* idle connections closed by the router */
+    int violations[SIM_RULE_COUNT]; /* number of violations by SimRule */
 } Sim;
 
-/* Sets the default configuration, with the AQ_ROUTER_DISABLE_* bits of
- * "disabled"; a test may change sim->config before Sim_Start. */
+/* Initializes "sim" with the default router configuration and the
+ * AQ_ROUTER_DISABLE_* bits of "disabled"; a test may change sim->config before
+ * Sim_Start. */
 void Sim_Init(Sim *sim, uint64_t seed, unsigned disabled);
 /* Creates the router with sim->config and "endpoints" working endpoints "e0",
- * "e1", ... of the service "s", each with "slots" slots. */
+ * "e1", ... of the service "s", each with "slots" slots and the mean service
+ * time "mean_ms". */
 void Sim_Start(Sim *sim, int endpoints, int slots, double mean_ms);
 void Sim_Clear(Sim *sim);
 
-/* Submits a request that times out in timeout_ms; returns its number. */
+/* Submits a request whose deadline is timeout_ms from now; returns its
+ * number. */
 uint64_t Sim_Submit(Sim *sim, bool idempotent, AqPriority priority,
                     AqTime timeout_ms, uint64_t key);
 void Sim_SetSlots(Sim *sim, int endpoint, int slots);
 void Sim_SetLeaving(Sim *sim, int endpoint, bool leaving);
 void Sim_SetFresh(Sim *sim, bool fresh);
-/* From now on, nothing arrives on the connections that are open to the
- * endpoint. */
+/* From now on, no response arrives on the connections that are open to the
+ * endpoint, idle or with an attempt. */
 void Sim_SilenceConnections(Sim *sim, int endpoint);
-/* Reports the result of an attempt or of a claim now. */
+/* Reports the result of the attempt with this number to the router now. */
 void Sim_Report(Sim *sim, uint64_t number, AqAttemptResult result);
+/* Reports the result of the request's claim to the router now. */
 void Sim_ReportClaim(Sim *sim, uint64_t request, AqRouterClaim result);
-/* Advances the time by "ms" and handles all events that are due until then. */
+/* Advances the virtual time by "ms" ms; reports the results and performs the
+ * calls of AqRouter_Tick that are due until then. */
 void Sim_Run(Sim *sim, AqTime ms);
 
-/* Return the record of a request or attempt by its number; it is valid until
- * the next one is added. */
+/* Returns the record of the request with this number; the pointer is valid
+ * until the next Sim_Submit. */
 SimRequest *Sim_Request(const Sim *sim, uint64_t request);
+/* Returns the record of the attempt with this number; the pointer is valid
+ * until the next attempt starts. */
 SimAttempt *Sim_Attempt(const Sim *sim, uint64_t attempt);
-/* Total number of violations. */
+/* Returns the number of violations of all rules together. */
 int Sim_Violations(const Sim *sim);
-/* Number of requests with AQ_OUTCOME_COMPLETED. */
+/* Returns the number of requests finished with AQ_OUTCOME_COMPLETED. */
 int Sim_Completed(const Sim *sim);
 
 #endif
--- a/packages/router/tests/test_ejection.c
+++ b/packages/router/tests/test_ejection.c
@@ -3,7 +3,8 @@
 #include "sim.h"
 #include "test_router.h"
 
-/* Starts four endpoints, so that one may be ejected; only e0 has slots. */
+/* Starts four endpoints, of which one (30%, rounded down) may be ejected; only
+ * e0 has slots. */
 static void
 start_with_one_usable(Sim *sim, unsigned disabled)
 {
@@ -12,7 +13,8 @@
     Sim_SetSlots(sim, 0, 8);
 }
 
-/* Sends one request to e0 per letter: F makes it fail, any other succeed. */
+/* Sends one request to e0 per letter of "outcomes": F makes the request fail,
+ * any other letter makes it succeed. */
 static void
 send_outcomes(Sim *sim, const char *outcomes)
 {
@@ -23,8 +25,8 @@
     }
 }
 
-/* Guards against an ejection for scattered failures, and against none for an
- * endpoint that fails more than half of its requests. */
+/* Guards against ejecting an endpoint for scattered failures, and against not
+ * ejecting one that fails more than half of its requests. */
 void
 test_ejection_thresholds(void)
 {
@@ -35,9 +37,11 @@
         {"FFFF", false},
         {"FFFFF", true},
         {"FFFFSFFFF", false},
-        {"FFSFFSFFSFFSFFSFFSF", false}, /* 13 of 19: too few outcomes */
+        /* 13 failures of 19, too few outcomes: the window has 20. */
+        {"FFSFFSFFSFFSFFSFFSF", false},
         {"FFSFFSFFSFFSFFSFFSFF", true},
-        {"FSFSFSFSFSFSFSFSFSFSFSFS", false}, /* half, not more */
+        /* Half of the last 20 outcomes are failures, not more. */
+        {"FSFSFSFSFSFSFSFSFSFSFSFS", false},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
         Sim sim;
@@ -48,7 +52,8 @@
     }
 }
 
-/* Submits requests until the next attempt starts on e0; returns the time. */
+/* Submits requests until the next attempt starts on e0; returns the virtual
+ * time, in ms, after that start.  Gives up after 10000 requests. */
 static AqTime
 run_until_next_start(Sim *sim)
 {
@@ -60,7 +65,8 @@
     return sim->now;
 }
 
-/* Submits requests until e0 is ejected. */
+/* Submits requests until e0 is ejected; the test ends if e0 is not ejected
+ * after 20 attempts. */
 static void
 run_until_ejected(Sim *sim)
 {
@@ -71,7 +77,8 @@
 }
 
 /* Guards against too frequent trials of an endpoint that keeps failing, and
- * against a long ejection of one that has recovered in between. */
+ * against a long ejection of an endpoint that has recovered since its last
+ * ejection. */
 void
 test_ejection_time_doubles(void)
 {
@@ -114,7 +121,8 @@
     AqRouter_HealthDone(sim.router, sim.now, "e0", true);
     sim.endpoints[0].fault = SIM_FAIL;
     Sim_Run(&sim, 6000);
-    /* This trial fails, so that e0 is ejected again. */
+    /* This request is a trial of e0, which fails, so that e0 is ejected
+     * again. */
     Sim_Submit(&sim, true, AQ_PRIORITY_LIVE, 1000, 0);
     Sim_Run(&sim, 11000);
     CU_ASSERT_EQUAL(sim.endpoints[0].starts, 1);
@@ -128,8 +136,8 @@
     Sim_Clear(&sim);
 }
 
-/* Guards against failures of attempts that an endpoint started in one service
- * and that count in another, to which it was moved before they ended. */
+/* Guards against counting failed attempts on an endpoint that has been moved
+ * to another service since they started. */
 void
 test_move_resets_failures(void)
 {
@@ -154,8 +162,8 @@
     }
 }
 
-/* Guards against an endpoint that is preferred because it fails fast and so
- * appears to be idle, while it is not ejected. */
+/* Guards against an endpoint that, while ejection is disabled, is preferred
+ * because it fails fast and so appears to be idle. */
 void
 test_failing_is_not_preferred(void)
 {
@@ -172,8 +180,9 @@
     Sim_Clear(&sim);
 }
 
-/* Guards against a backoff that does not double or exceeds its maximum, and
- * against a retry on an endpoint already tried while there are others. */
+/* Guards against a delay before a retry that does not double or exceeds its
+ * maximum, and against a retry on an endpoint that the request has already
+ * tried while there are others. */
 void
 test_backoff(void)
 {
@@ -200,8 +209,8 @@
     Sim_Clear(&sim);
 }
 
-/* Guards against ejecting an endpoint because of requests whose deadlines are
- * shorter than the usual latency of its service. */
+/* Guards against ejecting an endpoint because of timeouts of requests whose
+ * deadlines are shorter than the usual latency of its service. */
 void
 test_short_deadlines_eject_nothing(void)
 {
--- a/packages/router/tests/test_mechanisms.c
+++ b/packages/router/tests/test_mechanisms.c
@@ -3,11 +3,12 @@
 #include "sim.h"
 #include "test_router.h"
 
-/* Each scenario runs a simulation and returns whether its property holds.  It
- * must hold with all mechanisms and must not hold with one of them disabled,
- * which shows that the scenario detects a fault of that mechanism. */
+/* Each scenario runs a simulation and returns whether the scenario's property
+ * holds.  The property must hold with all mechanisms enabled and must not hold
+ * with the tested one disabled, which shows that the scenario detects a fault
+ * of that mechanism. */
 
-/* Guards against a queue that grows without bound. */
+/* Guards against a queue of requests that grows without bound. */
 static bool
 queue_is_bounded(Sim *sim)
 {
@@ -24,8 +25,8 @@
 }
 
 /* Guards against a request that is kept until near its deadline, although the
- * expected wait shows at submission that it cannot start in time, and against
- * a refusal whose retry_after_ms is not that wait. */
+ * expected wait shows at submission that the request cannot start in time, and
+ * against a refusal whose retry_after_ms is much less than that wait. */
 static bool
 unmeetable_deadline_is_refused_at_once(Sim *sim)
 {
@@ -67,7 +68,8 @@
 }
 
 /* Guards against a choice of endpoints that ignores their latency: a uniform
- * choice gives the slow one of ten a tenth of the starts. */
+ * choice gives the slow one of ten a tenth of the starts, twice as many as
+ * this test allows. */
 static bool
 slow_endpoint_gets_less(Sim *sim)
 {
@@ -138,7 +140,8 @@
            sim->violations[SIM_FALSE_NOT_RUN] == 0;
 }
 
-/* Guards against retries that multiply the load of an outage. */
+/* Guards against retries that multiply the load on endpoints which all
+ * fail. */
 static bool
 retries_are_bounded(Sim *sim)
 {
@@ -196,7 +199,7 @@
 }
 
 /* Guards against requests to an endpoint whose health checks fail, and against
- * a trial before a check passes again. */
+ * a trial of that endpoint before a health check passes again. */
 static bool
 unhealthy_endpoint_is_ejected(Sim *sim)
 {
@@ -217,7 +220,7 @@
 }
 
 /* Guards against ejecting all endpoints of a service whose requests fail on
- * each of them. */
+ * each endpoint. */
 static bool
 ejected_share_is_bounded(Sim *sim)
 {
@@ -238,8 +241,8 @@
     return most == 3;
 }
 
-/* Guards against an endpoint that gets requests on all its slots after its
- * ejection, although it is still dead. */
+/* Guards against an endpoint that gets requests on all its slots after the
+ * time of its ejection, although the endpoint is still dead. */
 static bool
 ejected_endpoint_returns_by_one_trial(Sim *sim)
 {
@@ -260,7 +263,8 @@
            sim->endpoints[0].max_in_use == 1;
 }
 
-/* Guards against requests that wait for a response on a dead connection. */
+/* Guards against requests that wait until their deadlines for a response on a
+ * dead connection. */
 static bool
 silent_connections_are_detected(Sim *sim)
 {
@@ -276,8 +280,8 @@
     return Sim_Completed(sim) == 1000 && sim->endpoints[0].idle_silent == 0;
 }
 
-/* Guards against new requests to a VM that drains, and against aborting those
- * in flight there. */
+/* Guards against new requests to a leaving endpoint, and against aborting
+ * requests in flight on that endpoint. */
 static bool
 leaving_endpoint_gets_no_new_requests(Sim *sim)
 {
@@ -294,7 +298,8 @@
            Sim_Completed(sim) == 300;
 }
 
-/* Guards against serving with a configuration that may be out of date. */
+/* Guards against starting requests while the daemon's configuration may be out
+ * of date. */
 static bool
 not_fresh_starts_nothing(Sim *sim)
 {
@@ -312,7 +317,7 @@
 }
 
 /* Guards against accepting requests while the daemon stops, and against losing
- * those accepted before. */
+ * requests accepted before. */
 static bool
 stop_finishes_accepted_requests(Sim *sim)
 {
@@ -329,8 +334,11 @@
 
 static const struct {
     const char *name;
-    unsigned bit;    /* the mechanism that the scenario tests */
-    unsigned always; /* disabled in both runs, to isolate that mechanism */
+    /* AQ_ROUTER_DISABLE_* bit of the mechanism that the scenario tests. */
+    unsigned bit;
+    /* AQ_ROUTER_DISABLE_* bits set in both runs of the scenario, so that only
+     * the tested mechanism makes a difference. */
+    unsigned always;
     bool (*holds)(Sim *sim);
 } scenarios[] = {
     {"queue limit", AQ_ROUTER_DISABLE_QUEUE_LIMIT, 0, queue_is_bounded},
@@ -359,7 +367,8 @@
     {"stop", AQ_ROUTER_DISABLE_STOP, 0, stop_finishes_accepted_requests},
 };
 
-/* Runs a scenario with these mechanisms disabled; returns whether it holds. */
+/* Runs scenario i with the AQ_ROUTER_DISABLE_* bits of "disabled"; returns
+ * whether the scenario's property holds. */
 static bool
 run_scenario(size_t i, unsigned disabled, uint64_t seed)
 {
@@ -373,7 +382,7 @@
 }
 
 /* Guards against mechanisms that have no effect: runs each scenario with all
- * mechanisms enabled and with the one that it tests disabled. */
+ * mechanisms enabled and with the mechanism that it tests disabled. */
 void
 test_mechanisms(void)
 {
--- a/packages/router/tests/test_outcomes.c
+++ b/packages/router/tests/test_outcomes.c
@@ -8,23 +8,23 @@
 typedef enum {
     CLAIMING,
     QUEUED,
-    CONNECTING, /* an attempt is in flight, nothing has been sent */
-    SENT,       /* an attempt is in flight, bytes may have been sent */
-    BACKOFF,    /* after an attempt that did not run */
-    BACKOFF_CUT /* after an attempt that may have run */
+    CONNECTING, /* an attempt is in flight, no byte of it was sent */
+    SENT,       /* an attempt is in flight, bytes of it may have been sent */
+    BACKOFF,    /* before a retry, after an attempt that did not run */
+    BACKOFF_CUT /* before a retry, after an attempt that may have run */
 } RequestStage;
 
-/* Fault that is injected. */
+/* Fault that a case injects into request 1 or its environment. */
 typedef enum {
-    /* Results that attempt 1 reports. */
+    /* Results reported for attempt 1, equal to AqAttemptResult. */
     NOT_SENT = AQ_ATTEMPT_NOT_SENT,
     REFUSED = AQ_ATTEMPT_REFUSED,
     FAILED = AQ_ATTEMPT_FAILED,
     CUT = AQ_ATTEMPT_CUT,
     TOO_LARGE = AQ_ATTEMPT_TOO_LARGE,
-    /* Faults outside the attempt. */
-    NO_REPLY = 100, /* no claim result, slot or response arrives */
-    CANCELLED,      /* by the caller */
+    /* Faults that are not a result of attempt 1. */
+    NO_REPLY = 100, /* the request gets no claim result, slot or response */
+    CANCELLED,      /* the caller cancels the request */
     NOT_FRESH,
     LEAVING, /* all endpoints leave */
     REMOVED, /* all endpoints are removed */
@@ -45,10 +45,11 @@
     RequestStage stage;
     Fault fault;
     int idempotent;
-    int kind;   /* expected AqOutcomeKind */
-    int reason; /* expected AqReason */
-    int starts; /* expected number of attempts */
-    int runs;   /* expected number of attempts that may have run */
+    int kind;   /* expected AqOutcomeKind of request 1 */
+    int reason; /* expected AqReason of request 1 */
+    int starts; /* expected number of attempts of request 1 */
+    /* Expected number of attempts of request 1 that may have run. */
+    int runs;
 } cases[] = {
     {CLAIMING, CLAIM_DUPLICATE, NON_IDEMPOTENT, UNKNOWN, AQ_REASON_DUPLICATE,
      0, 0},
@@ -108,7 +109,8 @@
     {BACKOFF_CUT, STOPPED, IDEMPOTENT, COMPLETED, AQ_REASON_NONE, 2, 2},
 };
 
-/* Submits request 1 and runs it to the stage. */
+/* Starts two endpoints, submits request 1 and runs until the request is in the
+ * stage. */
 static void
 advance_to_stage(Sim *sim, RequestStage stage, bool idempotent)
 {
@@ -133,7 +135,7 @@
     }
 }
 
-/* Injects the fault into request 1, or into its attempt 1. */
+/* Injects the fault into request 1, its attempt 1 or the whole simulation. */
 static void
 inject_fault(Sim *sim, Fault fault)
 {
@@ -168,8 +170,8 @@
     }
 }
 
-/* Runs for 5 s and lets all claims and attempts succeed, except those that get
- * no reply because of NO_REPLY. */
+/* Runs for 5 s of virtual time and lets all claims and attempts succeed,
+ * except that with NO_REPLY the claim and attempt 1 get no result. */
 static void
 run_to_completion(Sim *sim, Fault fault)
 {
@@ -224,15 +226,23 @@
 {
     static const struct {
         bool idempotent;
-        int samples; /* requests of 10 ms completed before */
+        /* Requests with a service time of 10 ms completed before the one whose
+         * timeout is checked. */
+        int samples;
         AqTime deadline_ms;
-        AqTime expected_ms;
+        AqTime expected_timeout_ms;
     } rows[] = {
-        {true, 0, 1000, 500},    /* half of the remaining time */
-        {true, 0, 600000, 4000}, /* four times the assumed p95 of 1 s */
-        {true, 50, 600000, 250}, /* the lower bound */
-        {true, 50, 300, 150},    /* half of the remaining time */
-        {false, 50, 2000, 2000}, /* no retry: until the deadline */
+        /* The attempt times out after half of the 1000 ms to the deadline. */
+        {true, 0, 1000, 500},
+        /* The attempt times out after four times the default p95 of 1 s. */
+        {true, 0, 600000, 4000},
+        /* The attempt times out after 250 ms, the lower bound for four times
+         * the p95 response time. */
+        {true, 50, 600000, 250},
+        /* The attempt times out after half of the 300 ms to the deadline. */
+        {true, 50, 300, 150},
+        /* The attempt times out at the deadline, as it cannot be retried. */
+        {false, 50, 2000, 2000},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
         Sim sim;
@@ -248,14 +258,15 @@
                    rows[i].deadline_ms, 1);
         Sim_Run(&sim, 1);
         const SimAttempt *last = Sim_Attempt(&sim, sim.attempts->len);
-        CU_ASSERT_EQUAL(last->timeout_at - last->started, rows[i].expected_ms);
+        CU_ASSERT_EQUAL(last->timeout_at - last->started,
+                        rows[i].expected_timeout_ms);
         CU_ASSERT_EQUAL(last->fresh, !rows[i].idempotent);
         Sim_Clear(&sim);
     }
 }
 
 /* Guards against refusing a request with a short deadline although a slot is
- * free, because the tick runs a few milliseconds after the submission. */
+ * free, because AqRouter_Tick runs a few milliseconds after the submission. */
 void
 test_short_deadline_starts(void)
 {
@@ -298,8 +309,8 @@
     }
 }
 
-/* Guards against requests that are kept until near their deadline after most
- * slots of the service were taken away. */
+/* Guards against requests that are kept until near their deadline although
+ * most slots of the service were taken away before. */
 void
 test_lost_slots_fail_queued_requests(void)
 {
@@ -314,7 +325,8 @@
     Sim_SetSlots(&sim, 0, 1);
     Sim_SetSlots(&sim, 1, 0);
     Sim_Run(&sim, 1);
-    /* One slot serves about 30 requests in the remaining 3 s. */
+    /* The one slot left serves about 30 requests in the 3 s until their
+     * deadlines. */
     CU_ASSERT_TRUE(AqRouter_Queued(sim.router, "s") <= 30);
     CU_ASSERT_TRUE(AqRouter_Queued(sim.router, "s") > 10);
     Sim_Clear(&sim);
@@ -322,7 +334,7 @@
 
 /* Guards against a wrong expected wait.  With one slot and 100 ms per request,
  * a request is admitted if its deadline leaves 1.5 x 100 ms for each place in
- * the queue plus 400 ms. */
+ * the queue, its own included, plus 400 ms. */
 void
 test_admission_margin(void)
 {
@@ -392,7 +404,7 @@
 }
 
 /* Guards against refusing live requests because of queued archive requests: of
- * the 40 of the archive, only a few start before a live request. */
+ * the 40 archive requests, only a few start before a given live request. */
 void
 test_archive_does_not_delay_live(void)
 {
@@ -403,13 +415,14 @@
         Sim_Submit(&sim, true, i < 40 ? AQ_PRIORITY_ARCHIVE : AQ_PRIORITY_LIVE,
                    i < 40 ? 60000 : 5000, 0);
     }
-    /* With the default mean of 100 ms, 20 live and 2 archive requests ahead
-     * need 1.5 x 2.2 s + 0.4 s; 60 ahead would need 9.4 s. */
+    /* With the default mean of 100 ms in a slot, 20 live and 2 archive
+     * requests ahead need 1.5 x 2.2 s + 0.4 s, less than the deadline of 5 s;
+     * 60 requests ahead would need 9.4 s. */
     CU_ASSERT_EQUAL(AqRouter_Queued(sim.router, "s"), 60);
     Sim_Submit(&sim, true, AQ_PRIORITY_ARCHIVE, 5000, 0);
     CU_ASSERT_EQUAL(AqRouter_Queued(sim.router, "s"), 60);
     /* A deadline of 5 s allows 30 requests ahead.  With one archive start per
-     * 7 live starts, these are 27 live and 3 of the archive: the 29th live
+     * 7 live starts, these are 27 live and 3 archive requests: the 29th live
      * request is refused. */
     for (int i = 0; i < 20; i++) {
         Sim_Submit(&sim, true, AQ_PRIORITY_LIVE, 5000, 0);
--- a/packages/router/tests/test_random.c
+++ b/packages/router/tests/test_random.c
@@ -6,7 +6,7 @@
 
 enum {
     SEEDS = 300,
-    STEPS = 600, /* random calls per seed */
+    STEPS = 600, /* calls of step_once per seed */
     ENDPOINTS = 7
 };
 
@@ -16,15 +16,15 @@
     return AqRandom_Below(&sim->random, bound);
 }
 
-/* Returns a random element. */
+/* Returns a random element of "values". */
 static uint64_t
 any_of(Sim *sim, const GArray *values)
 {
     return g_array_index(values, uint64_t, below(sim, values->len));
 }
 
-/* Returns a random result that is possible for the attempt: NOT_SENT if and
- * only if no byte was sent. */
+/* Returns a random result that is possible for the attempt:
+ * AQ_ATTEMPT_NOT_SENT if and only if no byte of the request was sent. */
 static AqAttemptResult
 any_result(Sim *sim, uint64_t attempt)
 {
@@ -37,7 +37,8 @@
                : AQ_ATTEMPT_NOT_SENT;
 }
 
-/* Changes a random endpoint. */
+/* Removes, adds or moves a random endpoint, or changes its slots or whether it
+ * is leaving. */
 static void
 change_endpoint(Sim *sim)
 {
@@ -49,7 +50,8 @@
         AqRouter_RemoveEndpoint(sim->router, sim->now, ep->name);
         break;
     case 1:
-        /* Moves it to another service, adds it again, or changes nothing. */
+        /* Moves the endpoint to another service, adds it again, or leaves it
+         * where it is. */
         AqRouter_SetEndpoint(sim->router, sim->now, ep->name,
                              below(sim, 4) == 0 ? "other" : "s");
         Sim_SetLeaving(sim, e, false);
@@ -63,7 +65,8 @@
     }
 }
 
-/* Changes the freshness of the daemon or, in the last quarter, stops it. */
+/* Sets at random whether the daemon's configuration is fresh or, in the last
+ * quarter of the STEPS calls, may stop the router. */
 static void
 change_daemon(Sim *sim, int step)
 {
@@ -75,7 +78,8 @@
     }
 }
 
-/* Performs one random call. */
+/* Makes one random change: a request, a result, a cancellation, a change of
+ * the endpoints or the daemon, or an advance of the time. */
 static void
 step_once(Sim *sim, int step)
 {
@@ -120,8 +124,8 @@
     }
 }
 
-/* Ends all claims and attempts, runs for 10 s, and returns the number of
- * requests that were not finished exactly once. */
+/* Ends all claims and attempts, runs for 10 s of virtual time, and returns the
+ * number of requests that were not finished exactly once. */
 static int
 count_unfinished(Sim *sim)
 {
@@ -143,7 +147,8 @@
     return n;
 }
 
-/* Makes random calls; returns whether no rule was violated. */
+/* Makes STEPS random changes in a new simulation; returns whether no rule was
+ * violated. */
 static bool
 run_seed(uint64_t seed, unsigned disabled)
 {
@@ -152,7 +157,8 @@
     AqError_Clear(&error);
     Sim_Init(&sim, seed, disabled);
     sim.manual = true;
-    /* Settings that cause more refusals, retries and trials. */
+    /* These settings cause more refusals, retries and trials than the
+     * defaults. */
     sim.config.queue_limit = 20;
     sim.config.retry_burst = 40;
     sim.config.eject_initial_ms = 500;
@@ -186,7 +192,8 @@
     for (uint64_t seed = 1; seed <= SEEDS; seed++) {
         CU_ASSERT_TRUE(run_seed(seed, 0));
     }
-    /* The same checks must fail when a rule is disabled. */
+    /* The same checks must fail for more than half of 20 seeds when one of
+     * these mechanisms is disabled. */
     static const unsigned rules[] = {
         AQ_ROUTER_DISABLE_CLAIM,
         AQ_ROUTER_DISABLE_RETRY_RULE,
--- a/packages/router/timers.c
+++ b/packages/router/timers.c
@@ -1,7 +1,8 @@
 #include "router_private.h"
 
-/* A binary heap ordered by timer_at.  Requests are created with the
- * timer_index SIZE_MAX, which marks a request that is not in the heap. */
+/* AqRouter.timers is a binary heap of requests, the earliest timer_at at the
+ * root.  Requests are created with the timer_index SIZE_MAX, which marks a
+ * request that is not in the heap. */
 
 static AqRouterRequest *
 at(const AqRouter *router, size_t i)
@@ -9,7 +10,7 @@
     return g_ptr_array_index(router->timers, i);
 }
 
-/* Stores the request at index i of the heap. */
+/* Stores the request at array index i of the timer heap. */
 static void
 place(AqRouter *router, AqRouterRequest *r, size_t i)
 {
@@ -17,7 +18,8 @@
     r->timer_index = i;
 }
 
-/* Moves the request towards the root until its parent is not later. */
+/* Moves the request towards the root of the timer heap until the timer of its
+ * parent is not due later. */
 static void
 sift_up(AqRouter *router, AqRouterRequest *r)
 {
@@ -29,7 +31,8 @@
     place(router, r, i);
 }
 
-/* Moves the request away from the root until no child is earlier. */
+/* Moves the request away from the root of the timer heap until no timer of its
+ * children is due earlier. */
 static void
 sift_down(AqRouter *router, AqRouterRequest *r)
 {
