--- a/packages/router/Include/aq_router.h
+++ b/packages/router/Include/aq_router.h
@@ -8,12 +8,13 @@
 #include "aq_clock.h"
 #include "aq_error.h"
 
-/* Schedules requests to endpoints: decides when and where each attempt runs,
- * whether it is retried, and which outcome the request gets.  Performs no I/O:
- * the daemon implements attempts, claims and the delivery of outcomes as
- * AqRouterOps, and reports their results by calling the functions below.  All
- * times are milliseconds of the daemon's monotonic clock, passed as "now".
- * Design page, section 5.3. */
+/* Schedules requests to endpoints: decides when and on which endpoint each
+ * attempt of a request runs, whether the request is retried, and which outcome
+ * it gets.  Performs no I/O: the daemon implements attempts, claims and the
+ * delivery of outcomes as AqRouterOps, and reports the results of attempts and
+ * claims by calling the functions below.  All times are milliseconds of the
+ * daemon's monotonic clock, passed as "now".  See docs/design.md, section
+ * 5.3. */
 
 typedef struct AqRouter AqRouter;
 
@@ -85,9 +86,10 @@
 
 typedef struct {
     uint64_t request;     /* number returned by AqRouter_Submit */
-    uint64_t attempt;     /* number of the attempt, unique within the router */
+    uint64_t attempt;     /* id of the attempt, unique within the router */
     const char *endpoint; /* name of the endpoint, owned by the router */
-    bool fresh_connection; /* the attempt must not reuse an idle connection */
+    /* The attempt must open a new connection rather than reuse an idle one. */
+    bool fresh_connection;
     /* When the router will call cancel_attempt if the attempt is still in
      * flight. */
     AqTime timeout_at;
@@ -126,7 +128,7 @@
 
 /* Bits of AqRouterConfig.disabled, one per mechanism; each comment says what
  * happens when the bit is set.  For measurements and tests only: with any of
- * them set, the rules of the design page, section 5.3, do not hold. */
+ * these bits set, the rules in docs/design.md, section 5.3, do not hold. */
 enum {
     /* The queues of requests are unbounded. */
     AQ_ROUTER_DISABLE_QUEUE_LIMIT = 1 << 0,
@@ -148,7 +150,8 @@
     AQ_ROUTER_DISABLE_EJECTION = 1 << 9, /* no endpoint is ejected */
     /* All endpoints of a service may be ejected at a time. */
     AQ_ROUTER_DISABLE_EJECTION_SHARE = 1 << 10,
-    /* Ejections end when their time is over, without a trial request. */
+    /* Ejections end when their time is over; no single request first has to
+     * find out whether the endpoint works again. */
     AQ_ROUTER_DISABLE_TRIAL = 1 << 11,
     /* Attempts time out only at the deadline of their request, may always
      * reuse an idle connection, and a timeout leaves idle connections open. */
@@ -171,8 +174,8 @@
     int max_attempts;
     /* Retry tokens that a service earns per admitted request. */
     double retry_ratio;
-    /* Maximum and initial number of a service's retry tokens; a retry costs
-     * one. */
+    /* Maximum and initial number of a service's retry tokens; each retry of a
+     * request uses up one. */
     double retry_burst;
     /* The delay before a retry is random, from 0 to an upper bound: that is
      * backoff_initial_ms for the first retry of a request and doubles with
@@ -196,7 +199,7 @@
     unsigned disabled;
 } AqRouterConfig;
 
-/* Sets all fields to the defaults of the design page. */
+/* Sets all fields to the defaults given in docs/design.md, section 12. */
 void AqRouterConfig_Init(AqRouterConfig *config);
 
 /* Creates a router without endpoints; free it with AqRouter_Destroy.  "config"
@@ -280,8 +283,8 @@
                           void (*visit)(void *context, const char *service),
                           void *context);
 /* Whether the endpoint is ejected: too many of its requests or health checks
- * have failed, and it gets no request but a trial request when the time of the
- * ejection is over. */
+ * have failed, and it gets no request until, after the time of the ejection,
+ * one request finds out whether it works again. */
 bool AqRouter_IsEjected(const AqRouter *router, const char *endpoint);
 
 /* Counters since AqRouter_Create. */
@@ -293,7 +296,9 @@
     uint64_t completed;      /* requests with AQ_OUTCOME_COMPLETED */
     uint64_t not_run;        /* requests with AQ_OUTCOME_NOT_RUN */
     uint64_t unknown;        /* requests with AQ_OUTCOME_UNKNOWN */
-    /* Ejections of endpoints, also those renewed after a failed trial. */
+    /* Ejections of endpoints.  An ejection counts again each time it is
+     * renewed because the one request that tried the endpoint again (its
+     * trial) failed. */
     uint64_t ejections;
     /* Attempts that timed out after bytes of the request may have been
      * sent. */
--- a/packages/router/attempt.c
+++ b/packages/router/attempt.c
@@ -1,7 +1,7 @@
 #include "router_private.h"
 
 /* Returns how long, in ms, an attempt may go without a response before its
- * connection is assumed to be dead (design page, section 5.3). */
+ * connection is assumed to be dead (docs/design.md, section 5.3). */
 static AqTime
 max_silence_ms(const AqService *service)
 {
@@ -140,9 +140,9 @@
 AqRouterAttempt_Timeout(AqRouter *router, AqTime now, AqRouterRequest *r)
 {
     AqTime elapsed = now - r->started_at;
-    /* A short deadline does not show that the endpoint has failed: a timeout
-     * counts as a failure of the endpoint only after the service's p95
-     * response time. */
+    /* A timeout due to a short deadline does not show that the endpoint has
+     * failed: it counts as a failure of the endpoint only if the attempt took
+     * at least the 95th percentile of the service's response times. */
     bool failed = elapsed >= r->service->p95_ms;
     bool detects_silence =
         r->idempotent && AqRouter_IsEnabled(router, AQ_ROUTER_DISABLE_SILENT);
@@ -157,12 +157,12 @@
         router->stats.silent++;
         r->unknown_reason = AQ_REASON_SILENT;
         AqRouterMean_Add(&r->service->slot_time, elapsed);
-        /* Timeouts on dead idle connections must not raise the p95 response
-         * time, which limits how long such connections stay undetected.
-         * Timeouts of a service that has become slower must raise it, or every
-         * attempt would time out from then on.  A timeout on a fresh
-         * connection is certainly not due to a dead idle one, so only such
-         * timeouts are added. */
+        /* Timeouts on dead idle connections must not raise the 95th percentile
+         * of the service's response times, which limits how long such
+         * connections stay undetected.  Timeouts of a service that has become
+         * slower must raise it, or every attempt would time out from then on.
+         * A timeout on a newly opened connection is certainly not due to a
+         * dead idle one, so only such timeouts are added. */
         if (r->fresh_connection) {
             AqRouterService_AddLatency(r->service, elapsed);
         }
@@ -218,7 +218,8 @@
         }
         break;
     case AQ_ATTEMPT_TOO_LARGE:
-        /* The request is not retried: the next response would be as large. */
+        /* The endpoint's response is over the size limit.  The request is not
+         * retried, since the next response would be as large. */
         r->may_have_run = true;
         r->unknown_reason = AQ_REASON_TOO_LARGE;
         AqRouterRequest_Fail(router, r, AQ_REASON_TOO_LARGE);
--- a/packages/router/bench/bench_router.c
+++ b/packages/router/bench/bench_router.c
@@ -10,8 +10,9 @@
 enum {
     SEEDS = 20,
     SLOTS = 8,     /* slots per endpoint */
-    MEAN_MS = 100, /* mean service time */
-    /* For how long requests arrive in measure_overload. */
+    MEAN_MS = 100, /* mean service time of each endpoint */
+    /* For how long, in ms of virtual time, requests arrive in
+     * measure_overload. */
     LOAD_MS = 20000
 };
 
@@ -62,7 +63,8 @@
 /* Router configuration to measure, with its name in the output. */
 typedef struct {
     const char *name;
-    unsigned disabled; /* AQ_ROUTER_DISABLE_* bits */
+    /* AQ_ROUTER_DISABLE_* bits that are set in this configuration. */
+    unsigned disabled;
 } Variant;
 
 /* Measures, with requests arriving at "load" times the capacity of the
--- a/packages/router/budget.c
+++ b/packages/router/budget.c
@@ -37,7 +37,7 @@
     if (!AqRouter_IsEnabled(router, AQ_ROUTER_DISABLE_JITTER)) {
         return bound;
     }
-    /* Full jitter: any delay from 0 to the bound, so that requests which
-     * failed at the same time are not retried at the same time. */
+    /* A random delay from 0 to the bound, so that requests which failed at the
+     * same time are not retried at the same time. */
     return (AqTime)AqRandom_Below(&router->random, (uint64_t)bound + 1);
 }
--- a/packages/router/eject.c
+++ b/packages/router/eject.c
@@ -92,8 +92,9 @@
     ep->trial_attempt = 0;
 }
 
-/* Ejects the endpoint: for eject_initial_ms at first, for twice as long as the
- * last time after that, up to eject_max_ms. */
+/* Ejects the endpoint: for eject_initial_ms if this is its first ejection or
+ * it has recovered since the last one, else for twice as long as the last
+ * time, up to eject_max_ms. */
 static void
 eject_endpoint(AqRouter *router, AqTime now, AqEndpoint *ep)
 {
@@ -135,9 +136,9 @@
     if (ep->recent_count < AQ_EJECT_WINDOW_COUNT) {
         ep->recent_count++;
     }
-    /* The endpoint has recovered when less than half of a full window of
-     * outcomes are failures; its next ejection has the initial length
-     * again. */
+    /* The endpoint has recovered when AQ_EJECT_WINDOW_COUNT outcomes are
+     * recorded and less than half of them are failures; its next ejection then
+     * has the initial length again. */
     if (ep->recent_count == AQ_EJECT_WINDOW_COUNT &&
         2 * recent_failures(ep) < AQ_EJECT_WINDOW_COUNT) {
         ep->eject_last_ms = 0;
@@ -149,7 +150,8 @@
                      uint64_t attempt, bool failed)
 {
     if (ep->ejected) {
-        /* Of an ejected endpoint, only the trial counts, not an attempt that
+        /* While the endpoint is ejected, only its trial (the one request that
+         * finds out whether it works again) counts, not an attempt that
          * started before the ejection. */
         if (ep->trial_attempt == attempt) {
             ep->trial_attempt = 0;
@@ -181,9 +183,10 @@
 AqRouterEject_TrialDue(const AqRouter *router, AqTime now,
                        const AqEndpoint *ep, const AqRouterRequest *r)
 {
-    /* A trial puts a caller's request at risk.  So the trial must be the first
-     * attempt of the request, which can still be retried, and a non-idempotent
-     * request also needs a health check passed since the ejection. */
+    /* A trial is a caller's request that finds out whether the ejected
+     * endpoint works again, and it may fail.  So it must be the first attempt
+     * of the request, which can still be retried, and a non-idempotent request
+     * also needs a health check of the endpoint passed since the ejection. */
     return ep->ejected && ep->trial_attempt == 0 && now >= ep->eject_until &&
            ep->health_failures == 0 && ep->in_use < ep->slots &&
            r->attempts == 0 && (r->idempotent || ep->healthy_since_eject) &&
--- a/packages/router/endpoint.c
+++ b/packages/router/endpoint.c
@@ -78,8 +78,9 @@
     return sampled;
 }
 
-/* Returns an ejected endpoint that is due for a trial and whose trial the
- * request may be, or NULL if there is none. */
+/* Returns an ejected endpoint that is due for a trial, i.e. one request to
+ * find out whether it works again, and on which this request may be the trial;
+ * NULL if there is none. */
 static AqEndpoint *
 find_trial_endpoint(const AqRouter *router, AqTime now,
                     const AqRouterRequest *r)
@@ -94,8 +95,9 @@
     return NULL;
 }
 
-/* Ends the ejections of the service whose time is over, without a trial;
- * called if trials are disabled. */
+/* Ends the ejections of the service's endpoints whose time is over, with no
+ * request to find out whether the endpoint works again; called if
+ * AQ_ROUTER_DISABLE_TRIAL is set. */
 static void
 end_expired_ejections(AqTime now, const AqService *service)
 {
@@ -164,9 +166,11 @@
     return ep == NULL || ep->removed ? NULL : ep;
 }
 
-/* Does what follows a change of the service's endpoints or slots: updates
- * no_slots_since, ends ejections above the limit, makes a sweep of the queues
- * due, and fails the waiting requests if no endpoint accepts requests. */
+/* Called after a change of the service's endpoints or slots.  Updates
+ * no_slots_since and ends the ejections beyond the number of endpoints that
+ * may be ejected at a time.  Makes AqRouterQueue_Sweep due, which fails queued
+ * requests that can no longer complete in time.  Fails all waiting requests if
+ * no endpoint accepts requests. */
 static void
 slots_changed(AqRouter *router, AqTime now, AqService *service)
 {
--- a/packages/router/router_private.h
+++ b/packages/router/router_private.h
@@ -11,22 +11,24 @@
 
 enum {
     /* Consecutive failures, of requests or of health checks, that eject an
-     * endpoint (design page, section 12). */
+     * endpoint (docs/design.md, section 12). */
     AQ_EJECT_CONSECUTIVE_FAILURES = 5,
     /* Number of last attempt outcomes of an endpoint over which its failure
-     * rate is computed: with so many recorded, it is ejected when more than
-     * half of them are failures (section 5.3). */
+     * rate is computed: with so many recorded, the endpoint is ejected when
+     * more than half of them are failures (docs/design.md, section 5.3). */
     AQ_EJECT_WINDOW_COUNT = 20,
     /* Last response times kept per service to compute the 95th percentile
      * (p95): enough for six values above it. */
     AQ_LATENCY_SAMPLES = 128,
-    /* Mean time in a slot and p95 response time assumed for a service without
-     * samples (design page, section 12). */
+    /* Mean time for which an attempt occupies a slot, and 95th percentile of
+     * the response time, assumed for a service without samples; both in ms
+     * (docs/design.md, section 12). */
     AQ_DEFAULT_MEAN_MS = 100,
     AQ_DEFAULT_P95_MS = 1000,
     /* Least time without a response after which an attempt of an idempotent
-     * request times out, however short the service's p95 response time (design
-     * page, section 5.3).  A near deadline may shorten it. */
+     * request times out, even if four times the 95th percentile of the
+     * service's response times is shorter (docs/design.md, section 5.3).  A
+     * near deadline of the request may shorten it. */
     AQ_ATTEMPT_TIMEOUT_MIN_MS = 250,
     /* Delay suggested to the caller of a refused request when the expected
      * wait is not the reason of the refusal or cannot be computed. */
@@ -87,12 +89,15 @@
     bool ejected;
     /* The last health check passed and was done after the last ejection. */
     bool healthy_since_eject;
-    /* Earliest time of the trial request whose success ends the ejection. */
+    /* When the ejection's time is over.  From then on, one request may be sent
+     * to the endpoint; its success ends the ejection. */
     AqTime eject_until;
     /* Length of the endpoint's last ejection; 0 after the endpoint has
      * recovered. */
     AqTime eject_last_ms;
-    /* Number of the attempt in flight that is the endpoint's trial, or 0. */
+    /* Id of the attempt in flight that is the endpoint's trial, i.e. the one
+     * request that an ejected endpoint gets to find out whether it works
+     * again; 0 if there is none. */
     uint64_t trial_attempt;
 };
 
@@ -112,7 +117,7 @@
     int claiming;
     /* Attempts started while both live and archive requests were queued. */
     unsigned contended_starts;
-    double retry_tokens; /* retry tokens left; each retry costs one */
+    double retry_tokens; /* retry tokens left; each retry uses up one */
     /* Mean time, in ms, for which an attempt occupies its slot. */
     AqRouterMean slot_time;
     /* Ring buffer of the last response times of the service, in ms. */
@@ -152,8 +157,12 @@
     /* Array index in AqRouter.timers; SIZE_MAX if the request has no timer. */
     size_t timer_index;
 
-    AqReason refusal_reason; /* set in the state AQ_REQUEST_REFUSED only */
-    AqTime retry_after_ms;   /* set in the state AQ_REQUEST_REFUSED only */
+    /* Why the request was not admitted; set in the state AQ_REQUEST_REFUSED
+     * only. */
+    AqReason refusal_reason;
+    /* Delay suggested to the caller before submitting again; set in the state
+     * AQ_REQUEST_REFUSED only. */
+    AqTime retry_after_ms;
 
     /* AqRouterOps.claim was called for the request and has no result yet. */
     bool claim_requested;
@@ -166,10 +175,11 @@
     /* Ring buffer with the AqEndpoint.number of each of the request's last
      * attempts. */
     uint64_t tried[AQ_TRIED_MAX];
-    uint64_t attempt;     /* number of the attempt in flight, or 0 */
+    uint64_t attempt;     /* id of the attempt in flight, or 0 */
     AqEndpoint *endpoint; /* endpoint of the attempt in flight, or NULL */
     AqTime started_at;    /* when the request's last attempt started */
-    /* The request's last attempt must not reuse an idle connection. */
+    /* The request's last attempt must open a new connection rather than reuse
+     * an idle one. */
     bool fresh_connection;
 } AqRouterRequest;
 
@@ -178,14 +188,15 @@
     AqRouterOps ops;
     void *context;
     AqRandom random;
-    AqTime now; /* "now" of the last call of a router function */
-    /* The daemon's configuration is certainly in force (AqRouter_SetFresh). */
+    AqTime now; /* argument "now" of the last call that passed one */
+    /* The daemon's configuration is certainly still in force, as last set with
+     * AqRouter_SetFresh. */
     bool fresh;
     bool stopping; /* AqRouter_Stop was called */
     /* Since the last AqRouter_Tick, a change may allow an attempt to start. */
     bool work_due;
     uint64_t last_request;  /* highest request number used so far */
-    uint64_t last_attempt;  /* highest attempt number used so far */
+    uint64_t last_attempt;  /* highest attempt id used so far */
     uint64_t last_endpoint; /* highest AqEndpoint.number used so far */
     int in_flight;          /* attempts in flight on all endpoints */
     AqLink services;        /* list of AqService, by AqService.link */
@@ -193,13 +204,14 @@
      * AqRouterRequest.link. */
     AqLink requests;
     GHashTable *by_id;      /* request number -> AqRouterRequest, owned */
-    GHashTable *by_attempt; /* attempt number -> AqRouterRequest, not owned */
+    GHashTable *by_attempt; /* attempt id -> AqRouterRequest, not owned */
     GHashTable *endpoints;  /* endpoint name -> AqEndpoint, owned */
     GPtrArray *timers;      /* binary heap of AqRouterRequest by timer_at */
     AqRouterStats stats;
 };
 
-/* Whether the mechanism, given as its AQ_ROUTER_DISABLE_* bit, is in use. */
+/* Whether the mechanism, given as its AQ_ROUTER_DISABLE_* bit, is in use, i.e.
+ * that bit is not set in AqRouterConfig.disabled. */
 static inline bool
 AqRouter_IsEnabled(const AqRouter *router, unsigned mechanism)
 {
@@ -253,9 +265,10 @@
  * ejection: the endpoint is neither removed nor leaving. */
 bool AqRouterEndpoint_AcceptsRequests(const AqRouter *router,
                                       const AqEndpoint *ep);
-/* Returns the endpoint for the request's next attempt, or NULL if no endpoint
- * has a free slot: one that is due for a trial request or, of two drawn at
- * random, the one expected to complete the request earlier. */
+/* Returns the endpoint for the request's next attempt, or NULL if none can
+ * take it: an ejected endpoint that is due to be tried again with this request
+ * or, of two endpoints drawn at random from those with a free slot, the one
+ * expected to complete the request earlier. */
 AqEndpoint *AqRouterEndpoint_Choose(AqRouter *router, AqTime now,
                                     const AqRouterRequest *r);
 /* Releases the slot of an attempt on the endpoint that has ended.  Frees the
@@ -267,14 +280,16 @@
 /* ---- eject.c: failures, ejection and trials ----------------------------- */
 
 /* Records whether an attempt on the endpoint failed.  This may eject the
- * endpoint or, when the attempt is its trial, end or renew the ejection. */
+ * endpoint.  If the attempt is the trial of an ejected endpoint, i.e. the one
+ * request that finds out whether it works again, success ends the ejection and
+ * failure renews it. */
 void AqRouterEject_Record(AqRouter *router, AqTime now, AqEndpoint *ep,
                           uint64_t attempt, bool failed);
 /* Clears the recorded failures and the ejection of an endpoint that is new in
  * its service. */
 void AqRouterEject_Reset(AqEndpoint *ep);
-/* Whether the endpoint is due for a trial, which may end its ejection, and the
- * request may be used as that trial. */
+/* Whether the endpoint is ejected and due for a trial, i.e. one request to
+ * find out whether it works again, and this request may be the trial. */
 bool AqRouterEject_TrialDue(const AqRouter *router, AqTime now,
                             const AqEndpoint *ep, const AqRouterRequest *r);
 /* Returns how many endpoints of the service may be ejected at a time: a share
@@ -341,8 +356,9 @@
 /* Handles the expired timer of a request: depending on the request's state,
  * times out its attempt, fails it, queues it or requests its claim. */
 void AqRouterRequest_OnTimer(AqRouter *router, AqTime now, AqRouterRequest *r);
-/* Reports the request's outcome and frees the request.  "attempt" is the
- * number of the attempt whose response the caller gets, or 0. */
+/* Reports the request's outcome to the daemon and frees the request.
+ * "attempt" is the id of the attempt whose response the caller gets; 0 if the
+ * caller gets none. */
 void AqRouterRequest_Finish(AqRouter *router, AqRouterRequest *r,
                             const AqOutcome *outcome, uint64_t attempt);
 /* Finishes a request that has no attempt in flight, without a response: with
--- a/packages/router/service.c
+++ b/packages/router/service.c
@@ -8,8 +8,9 @@
      * smaller weight would make the expected wait vary less, but follow a
      * change of the service time more slowly. */
     MEAN_WINDOW_SAMPLES = 64,
-    /* With all samples present, the p95 response time of a service is computed
-     * again after so many new ones. */
+    /* Once AQ_LATENCY_SAMPLES response times of a service are recorded, their
+     * 95th percentile (p95) is computed again each time that so many have been
+     * added. */
     P95_INTERVAL_SAMPLES = 8
 };
 
@@ -137,7 +138,8 @@
 AqRouterService_UpdateNoSlots(AqRouter *router, AqService *service, AqTime now)
 {
     /* The slots of an ejected endpoint count as slots of the service: the
-     * ejection ends by a trial, for which requests must be admitted. */
+     * ejection ends when a request to the endpoint succeeds, for which
+     * requests must be admitted. */
     for (guint i = 0; i < service->endpoints->len; i++) {
         const AqEndpoint *ep = g_ptr_array_index(service->endpoints, i);
         if (AqRouterEndpoint_AcceptsRequests(router, ep) && ep->slots > 0) {
--- a/packages/router/tests/sim.c
+++ b/packages/router/tests/sim.c
@@ -26,9 +26,9 @@
     }
 }
 
-/* Takes an idle connection to the endpoint if there is one, each with the same
- * probability.  If so, sets "silent" to whether no response arrives on the
- * connection. */
+/* Takes one of the idle connections to the endpoint, drawn uniformly, if there
+ * is one.  If so, sets "silent" to whether a request on this connection gets
+ * no response. */
 static void
 use_idle_connection(Sim *sim, SimEndpoint *ep, bool *silent)
 {
@@ -108,8 +108,8 @@
     g_array_append_val(sim->open_attempts, started->attempt);
 }
 
-/* Ends the attempt with this number, which the endpoint may have executed if
- * "ran" is true. */
+/* Ends the attempt with the id "number"; "ran" is whether the endpoint may
+ * have executed the attempt's request. */
 static void
 close_attempt(Sim *sim, uint64_t number, bool ran)
 {
@@ -312,8 +312,8 @@
 }
 
 /* Returns when the next result of an attempt or claim is due, AQ_TIME_NEVER if
- * none is due.  Sets "attempt" or "request" to the number of the attempt or of
- * the claiming request, and the other one to 0. */
+ * none is due.  Sets "attempt" to the attempt's id or "request" to the number
+ * of the request whose claim it is, and the other one to 0. */
 static AqTime
 next_event(const Sim *sim, uint64_t *attempt, uint64_t *request)
 {
--- a/packages/router/tests/sim.h
+++ b/packages/router/tests/sim.h
@@ -8,23 +8,25 @@
 
 /* Simulated environment of a router on virtual time, for tests and benchmarks.
  * Implements AqRouterOps with endpoints, their connections and a claim log,
- * records which attempts were executed, and counts violations of the router's
- * rules. */
+ * records which attempts were executed, and counts the violations of each rule
+ * in SimRule. */
 
 enum {
     SIM_MAX_ENDPOINTS = 12
 };
 
 typedef enum {
-    SIM_OK,         /* the endpoint responds after its service time */
-    SIM_FAIL,       /* the endpoint responds with status 500 after 1 ms */
-    SIM_REFUSE,     /* the endpoint responds with Aq-Not-Run after 1 ms */
+    SIM_OK,   /* the endpoint responds after its service time */
+    SIM_FAIL, /* the endpoint responds with status 500 after 1 ms */
+    /* The endpoint responds with the header Aq-Not-Run after 1 ms. */
+    SIM_REFUSE,
     SIM_NO_CONNECT, /* the endpoint refuses the connection after 1 ms */
     SIM_CUT,        /* the endpoint closes the connection after 1 ms */
     SIM_DEAD /* the endpoint accepts the connection, but never responds */
 } SimFault;
 
-/* Violations of the router's rules, which Sim.violations counts. */
+/* Rules of the router, each named after its violation; Sim.violations counts
+ * the violations of each. */
 typedef enum {
     SIM_FINISHED_TWICE,
     SIM_SLOTS_EXCEEDED,
@@ -44,7 +46,7 @@
 typedef struct {
     char name[16];
     SimFault fault;
-    double mean_ms; /* mean service time */
+    double mean_ms; /* mean service time of the endpoint */
     /* The service times of the endpoint are mean_ms if true, exponentially
      * distributed with this mean if not. */
     bool fixed_time;
@@ -54,16 +56,17 @@
     int max_in_use; /* maximum of in_use so far; tests may reset it to 0 */
     /* Attempts started on this endpoint so far; tests may reset it to 0. */
     int starts;
-    int idle; /* idle connections to the endpoint that work */
-    /* Idle connections to the endpoint on which no response arrives. */
+    int idle; /* idle connections on which a request gets a response */
+    /* Idle connections to the endpoint that seem usable, but on which a
+     * request gets no response. */
     int idle_silent;
 } SimEndpoint;
 
 typedef struct {
-    uint64_t request; /* number of the request */
+    uint64_t request; /* number of the request that the attempt belongs to */
     int endpoint;     /* array index in Sim.endpoints */
     bool in_flight;
-    /* The attempt must not reuse an idle connection. */
+    /* The attempt must open a new connection rather than reuse an idle one. */
     bool fresh;
     bool sent;         /* bytes of the request may have been sent */
     AqTime started;    /* when the attempt started */
@@ -95,17 +98,22 @@
     AqRouterConfig config;
     /* The test reports the results of attempts and claims, not Sim_Run. */
     bool manual;
-    bool fresh;      /* last argument of Sim_SetFresh */
+    bool fresh;      /* the daemon's configuration is fresh (Sim_SetFresh) */
     AqTime claim_ms; /* time from a claim to its result */
     SimEndpoint endpoints[SIM_MAX_ENDPOINTS];
-    GArray *requests;      /* SimRequest; number n at array index n - 1 */
-    GArray *attempts;      /* SimAttempt; number n at array index n - 1 */
-    GArray *open_attempts; /* uint64_t: numbers of attempts in flight */
+    /* SimRequest; the request with number n at array index n - 1. */
+    GArray *requests;
+    /* SimAttempt; the attempt with id n at array index n - 1. */
+    GArray *attempts;
+    GArray *open_attempts; /* uint64_t: ids of attempts in flight */
     /* uint64_t: numbers of requests whose claim is pending. */
     GArray *pending_claims;
-    GHashTable *claimed_keys;       /* SimRequest.key, as uint64_t */
-    int closed_idle_count;          /* idle connections closed by the router */
-    int violations[SIM_RULE_COUNT]; /* number of violations by SimRule */
+    /* Set of uint64_t: the SimRequest.key of each claim granted and not
+     * released. */
+    GHashTable *claimed_keys;
+    int closed_idle_count; /* idle connections closed by the router */
+    /* How often the router violated each rule in SimRule. */
+    int violations[SIM_RULE_COUNT];
 } Sim;
 
 /* Initializes "sim" with the default router configuration and the
@@ -125,24 +133,27 @@
 void Sim_SetSlots(Sim *sim, int endpoint, int slots);
 void Sim_SetLeaving(Sim *sim, int endpoint, bool leaving);
 void Sim_SetFresh(Sim *sim, bool fresh);
-/* From now on, no response arrives on the connections that are open to the
- * endpoint, idle or with an attempt. */
+/* From now on, requests on the connections now open to the endpoint, idle ones
+ * and those of attempts in flight, get no response. */
 void Sim_SilenceConnections(Sim *sim, int endpoint);
-/* Reports the result of the attempt with this number to the router now. */
+/* Reports "result" to the router now, as that of the attempt with the id
+ * "number". */
 void Sim_Report(Sim *sim, uint64_t number, AqAttemptResult result);
-/* Reports the result of the request's claim to the router now. */
+/* Reports "result" to the router now, as that of the request's claim. */
 void Sim_ReportClaim(Sim *sim, uint64_t request, AqRouterClaim result);
-/* Advances the virtual time by "ms" ms; reports the results and performs the
- * calls of AqRouter_Tick that are due until then. */
+/* Advances the virtual time by "ms" ms.  Reports the results of attempts and
+ * claims that are due until then, and calls AqRouter_Tick whenever it is
+ * due. */
 void Sim_Run(Sim *sim, AqTime ms);
 
 /* Returns the record of the request with this number; the pointer is valid
  * until the next Sim_Submit. */
 SimRequest *Sim_Request(const Sim *sim, uint64_t request);
-/* Returns the record of the attempt with this number; the pointer is valid
- * until the next attempt starts. */
+/* Returns the record of the attempt with this id; the pointer is valid until
+ * the next attempt starts. */
 SimAttempt *Sim_Attempt(const Sim *sim, uint64_t attempt);
-/* Returns the number of violations of all rules together. */
+/* Returns the sum of Sim.violations: how often the router has violated any of
+ * the rules in SimRule. */
 int Sim_Violations(const Sim *sim);
 /* Returns the number of requests finished with AQ_OUTCOME_COMPLETED. */
 int Sim_Completed(const Sim *sim);
--- a/packages/router/tests/test_ejection.c
+++ b/packages/router/tests/test_ejection.c
@@ -37,7 +37,8 @@
         {"FFFF", false},
         {"FFFFF", true},
         {"FFFFSFFFF", false},
-        /* 13 failures of 19, too few outcomes: the window has 20. */
+        /* 13 of 19 outcomes are failures, but the failure rate counts only
+         * once 20 outcomes are recorded. */
         {"FFSFFSFFSFFSFFSFFSF", false},
         {"FFSFFSFFSFFSFFSFFSFF", true},
         /* Half of the last 20 outcomes are failures, not more. */
@@ -76,9 +77,9 @@
     CU_ASSERT_TRUE_FATAL(AqRouter_IsEjected(sim->router, "e0"));
 }
 
-/* Guards against too frequent trials of an endpoint that keeps failing, and
- * against a long ejection of an endpoint that has recovered since its last
- * ejection. */
+/* Guards against sending requests too often to an ejected endpoint that keeps
+ * failing, to find out whether it works again, and against a long ejection of
+ * an endpoint that has recovered since its last ejection. */
 void
 test_ejection_time_doubles(void)
 {
@@ -107,8 +108,9 @@
     Sim_Clear(&sim);
 }
 
-/* Guards against a non-idempotent request as the trial of an endpoint that has
- * not passed a health check since its ejection. */
+/* Guards against sending a non-idempotent request to an ejected endpoint, to
+ * find out whether it works again, before it has passed a health check since
+ * its ejection. */
 void
 test_trial_of_non_idempotent(void)
 {
@@ -121,8 +123,8 @@
     AqRouter_HealthDone(sim.router, sim.now, "e0", true);
     sim.endpoints[0].fault = SIM_FAIL;
     Sim_Run(&sim, 6000);
-    /* This request is a trial of e0, which fails, so that e0 is ejected
-     * again. */
+    /* This request finds out whether the ejected e0 works again.  It fails, so
+     * that e0 is ejected again. */
     Sim_Submit(&sim, true, AQ_PRIORITY_LIVE, 1000, 0);
     Sim_Run(&sim, 11000);
     CU_ASSERT_EQUAL(sim.endpoints[0].starts, 1);
--- a/packages/router/tests/test_mechanisms.c
+++ b/packages/router/tests/test_mechanisms.c
@@ -3,10 +3,10 @@
 #include "sim.h"
 #include "test_router.h"
 
-/* Each scenario runs a simulation and returns whether the scenario's property
- * holds.  The property must hold with all mechanisms enabled and must not hold
- * with the tested one disabled, which shows that the scenario detects a fault
- * of that mechanism. */
+/* Each scenario runs a simulation and returns whether the property that the
+ * scenario checks holds.  The property must hold with all mechanisms enabled
+ * and must not hold with the tested one disabled, which shows that the
+ * scenario detects a fault of that mechanism. */
 
 /* Guards against a queue of requests that grows without bound. */
 static bool
@@ -47,7 +47,7 @@
 }
 
 /* Guards against live requests that wait behind archive requests, and against
- * starvation of the archive. */
+ * archive requests that never start while live requests are queued. */
 static bool
 live_starts_first(Sim *sim)
 {
@@ -198,8 +198,9 @@
            AqRouter_IsEjected(sim->router, "e0");
 }
 
-/* Guards against requests to an endpoint whose health checks fail, and against
- * a trial of that endpoint before a health check passes again. */
+/* Guards against requests to an endpoint whose health checks fail, also
+ * against the one request that tries an ejected endpoint again, until a health
+ * check passes. */
 static bool
 unhealthy_endpoint_is_ejected(Sim *sim)
 {
--- a/packages/router/tests/test_outcomes.c
+++ b/packages/router/tests/test_outcomes.c
@@ -8,10 +8,11 @@
 typedef enum {
     CLAIMING,
     QUEUED,
-    CONNECTING, /* an attempt is in flight, no byte of it was sent */
-    SENT,       /* an attempt is in flight, bytes of it may have been sent */
-    BACKOFF,    /* before a retry, after an attempt that did not run */
-    BACKOFF_CUT /* before a retry, after an attempt that may have run */
+    CONNECTING, /* an attempt is in flight, no byte of the request was sent */
+    /* An attempt is in flight, bytes of the request may have been sent. */
+    SENT,
+    BACKOFF,    /* waiting for a retry after an attempt that did not run */
+    BACKOFF_CUT /* waiting for a retry after an attempt that may have run */
 } RequestStage;
 
 /* Fault that a case injects into request 1 or its environment. */
@@ -234,14 +235,16 @@
     } rows[] = {
         /* The attempt times out after half of the 1000 ms to the deadline. */
         {true, 0, 1000, 500},
-        /* The attempt times out after four times the default p95 of 1 s. */
+        /* The attempt times out after four times 1 s, the 95th percentile of
+         * the response time assumed for a service without samples. */
         {true, 0, 600000, 4000},
-        /* The attempt times out after 250 ms, the lower bound for four times
-         * the p95 response time. */
+        /* The attempt times out after 250 ms, the least timeout: four times
+         * the 95th percentile of the response times is shorter. */
         {true, 50, 600000, 250},
         /* The attempt times out after half of the 300 ms to the deadline. */
         {true, 50, 300, 150},
-        /* The attempt times out at the deadline, as it cannot be retried. */
+        /* The attempt times out at the deadline, as the request is not
+         * idempotent and cannot be retried. */
         {false, 50, 2000, 2000},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
@@ -281,8 +284,9 @@
 }
 
 /* Guards against a service that never completes a request again after it has
- * become slower than its attempt timeout: no completed request raises the p95,
- * from which the timeout is computed. */
+ * become slower than the timeout of its attempts: no completed request raises
+ * the 95th percentile of its response times, from which that timeout is
+ * computed. */
 void
 test_slower_service_recovers(void)
 {
@@ -415,15 +419,16 @@
         Sim_Submit(&sim, true, i < 40 ? AQ_PRIORITY_ARCHIVE : AQ_PRIORITY_LIVE,
                    i < 40 ? 60000 : 5000, 0);
     }
-    /* With the default mean of 100 ms in a slot, 20 live and 2 archive
-     * requests ahead need 1.5 x 2.2 s + 0.4 s, less than the deadline of 5 s;
-     * 60 requests ahead would need 9.4 s. */
+    /* With the default mean of 100 ms in a slot, a live request with 20 live
+     * and 2 archive requests to start before it needs 1.5 x 2.2 s + 0.4 s,
+     * less than its deadline of 5 s; with 60 requests before it, it would need
+     * 9.4 s. */
     CU_ASSERT_EQUAL(AqRouter_Queued(sim.router, "s"), 60);
     Sim_Submit(&sim, true, AQ_PRIORITY_ARCHIVE, 5000, 0);
     CU_ASSERT_EQUAL(AqRouter_Queued(sim.router, "s"), 60);
-    /* A deadline of 5 s allows 30 requests ahead.  With one archive start per
-     * 7 live starts, these are 27 live and 3 archive requests: the 29th live
-     * request is refused. */
+    /* A live request with a deadline of 5 s is admitted with up to 30 requests
+     * to start before it.  With one archive start per 7 live starts, these are
+     * 27 live and 3 archive requests: the 29th live request is refused. */
     for (int i = 0; i < 20; i++) {
         Sim_Submit(&sim, true, AQ_PRIORITY_LIVE, 5000, 0);
     }
--- a/packages/router/tests/test_random.c
+++ b/packages/router/tests/test_random.c
@@ -66,7 +66,7 @@
 }
 
 /* Sets at random whether the daemon's configuration is fresh or, in the last
- * quarter of the STEPS calls, may stop the router. */
+ * quarter of the STEPS calls of step_once, may stop the router. */
 static void
 change_daemon(Sim *sim, int step)
 {
@@ -147,8 +147,9 @@
     return n;
 }
 
-/* Makes STEPS random changes in a new simulation; returns whether no rule was
- * violated. */
+/* Makes STEPS random changes in a new simulation.  Returns whether no rule in
+ * SimRule was violated, the router's tables stayed consistent and every
+ * request was finished exactly once. */
 static bool
 run_seed(uint64_t seed, unsigned disabled)
 {
@@ -157,8 +158,8 @@
     AqError_Clear(&error);
     Sim_Init(&sim, seed, disabled);
     sim.manual = true;
-    /* These settings cause more refusals, retries and trials than the
-     * defaults. */
+    /* These settings cause more refused requests, retries and requests that
+     * try an ejected endpoint again than the default settings. */
     sim.config.queue_limit = 20;
     sim.config.retry_burst = 40;
     sim.config.eject_initial_ms = 500;
@@ -192,7 +193,7 @@
     for (uint64_t seed = 1; seed <= SEEDS; seed++) {
         CU_ASSERT_TRUE(run_seed(seed, 0));
     }
-    /* The same checks must fail for more than half of 20 seeds when one of
+    /* run_seed must return false for more than half of 20 seeds when one of
      * these mechanisms is disabled. */
     static const unsigned rules[] = {
         AQ_ROUTER_DISABLE_CLAIM,
