--- a/packages/router/Include/aq_router.h
+++ b/packages/router/Include/aq_router.h
@@ -35,7 +35,7 @@
 typedef enum {
     /* The caller gets the response of the last attempt. */
     AQ_OUTCOME_COMPLETED,
-    AQ_OUTCOME_NOT_RUN, /* certain that no endpoint executed the request */
+    AQ_OUTCOME_NOT_RUN, /* certainly no endpoint executed the request */
     AQ_OUTCOME_UNKNOWN  /* an endpoint may have executed the request */
 } AqOutcomeKind;
 
@@ -45,8 +45,8 @@
     /* The deadline has passed, or the request is not expected to complete
      * before it. */
     AQ_REASON_DEADLINE,
-    /* The service has no endpoint with slots, or the last attempt made no
-     * connection to its endpoint. */
+    /* The service has no endpoint with slots, or the request's last attempt
+     * could not connect to its endpoint. */
     AQ_REASON_NO_ENDPOINT,
     AQ_REASON_NO_SERVICE, /* the service name is unknown */
     AQ_REASON_NOT_FRESH,  /* the daemon's configuration may be out of date */
@@ -58,7 +58,9 @@
     AQ_REASON_CUT,
     /* The attempt timed out after bytes of the request may have been sent. */
     AQ_REASON_SILENT,
-    AQ_REASON_REFUSED,   /* the last endpoint tried did not run the request */
+    /* The endpoint of the request's last attempt responded that it did not run
+     * the request. */
+    AQ_REASON_REFUSED,
     AQ_REASON_TOO_LARGE, /* the endpoint's response is over the size limit */
     AQ_REASON_STOPPING   /* the request was submitted after AqRouter_Stop */
 } AqReason;
@@ -167,24 +169,24 @@
 };
 
 typedef struct {
-    /* Maximum of requests per service that wait for a claim or a slot; with so
-     * many, new ones are refused with AQ_REASON_QUEUE_FULL. */
+    /* Maximum number of a service's requests that wait for a claim or a slot.
+     * While so many wait, new ones are refused with AQ_REASON_QUEUE_FULL. */
     int queue_limit;
-    /* After so many attempts, a request is not retried. */
+    /* Maximum number of attempts of a request, its retries included. */
     int max_attempts;
     /* Retry tokens that a service earns per admitted request. */
     double retry_ratio;
     /* Maximum and initial number of a service's retry tokens; each retry of a
      * request uses up one. */
     double retry_burst;
-    /* The delay before a retry is random, from 0 to an upper bound: that is
-     * backoff_initial_ms for the first retry of a request and doubles with
+    /* The delay before a retry is random, from 0 to an upper bound.  The bound
+     * is backoff_initial_ms for the first retry of a request and doubles with
      * each further one, up to backoff_max_ms. */
     AqTime backoff_initial_ms;
     AqTime backoff_max_ms;
-    /* While both live and archive requests of a service are queued, one
-     * attempt start in this many is of an archive request.  A value below 2
-     * counts as 2. */
+    /* While both live and archive requests of a service are queued, one of
+     * every archive_start_interval attempts is started for an archive
+     * request.  A value below 2 counts as 2. */
     int archive_start_interval;
     /* Percentage of a service's endpoints that may be ejected at a time. */
     int max_ejected_percent;
@@ -209,8 +211,9 @@
                           void *context, uint64_t seed);
 void AqRouter_Destroy(AqRouter *router);
 
-/* Adds an endpoint to the service, with 0 slots, or moves it there from
- * another service with the slots it has.  The names are copied. */
+/* Adds an endpoint with 0 slots to the service.  An endpoint of another
+ * service is moved to this service and keeps its number of slots.  The names
+ * are copied. */
 void AqRouter_SetEndpoint(AqRouter *router, AqTime now, const char *endpoint,
                           const char *service);
 /* Removes an endpoint: no new attempt starts on it; attempts in flight
@@ -262,9 +265,9 @@
 /* Performs what is due at "now": times out attempts, requests claims, queues
  * retries, fails or refuses requests, and starts attempts. */
 void AqRouter_Tick(AqRouter *router, AqTime now);
-/* Returns when AqRouter_Tick must be called next: the "now" of the last call,
- * i.e. at once, if an attempt may be able to start already; AQ_TIME_NEVER if
- * nothing is due without a further call. */
+/* Returns when AqRouter_Tick must be called next; AQ_TIME_NEVER if nothing is
+ * due until another function is called.  If an attempt may be able to start at
+ * once, returns the "now" of the last call. */
 AqTime AqRouter_NextTick(const AqRouter *router);
 
 /* Returns the number of attempts in flight on the endpoint; 0 if its name is
@@ -275,16 +278,16 @@
 /* Returns the number of queued requests of the service, live and archive; 0 if
  * its name is unknown. */
 int AqRouter_Queued(const AqRouter *router, const char *service);
-/* Returns the number of free slots of the service's endpoints, without
- * ejected, leaving and removed ones; 0 if the service name is unknown. */
+/* Returns the number of free slots of the service, without the slots of
+ * ejected, leaving and removed endpoints; 0 if the service name is unknown. */
 int AqRouter_FreeSlots(const AqRouter *router, const char *service);
 /* Calls "visit" for each service that has endpoints. */
 void AqRouter_EachService(const AqRouter *router,
                           void (*visit)(void *context, const char *service),
                           void *context);
-/* Whether the endpoint is ejected: too many of its requests or health checks
- * have failed, and it gets no request until, after the time of the ejection,
- * one request finds out whether it works again. */
+/* Whether the endpoint is ejected because too many of its requests or health
+ * checks failed.  An ejected endpoint gets no requests; after the time of the
+ * ejection, one request finds out whether it works again. */
 bool AqRouter_IsEjected(const AqRouter *router, const char *endpoint);
 
 /* Counters since AqRouter_Create. */
--- a/packages/router/attempt.c
+++ b/packages/router/attempt.c
@@ -9,9 +9,9 @@
     return ms > AQ_ATTEMPT_TIMEOUT_MIN_MS ? ms : AQ_ATTEMPT_TIMEOUT_MIN_MS;
 }
 
-/* Returns when an attempt of the request that starts now times out.  Only
- * idempotent requests time out before their deadline, since they can be
- * retried: after half of the time left until the deadline at the latest. */
+/* Returns when an attempt that starts now times out.  An idempotent request
+ * can be retried, so its attempt times out after half of the time left until
+ * the deadline at the latest; other attempts time out at the deadline. */
 static AqTime
 timeout_at(const AqRouter *router, AqTime now, const AqRouterRequest *r)
 {
@@ -36,9 +36,9 @@
     r->endpoint = ep;
     r->started_at = now;
     r->tried[r->attempts % AQ_TRIED_MAX] = ep->number;
-    /* A non-idempotent request cannot be retried after a dead connection, and
-     * the attempt before a retry may have failed because of a dead
-     * connection. */
+    /* Non-idempotent requests and retries open a new connection, since an idle
+     * one may be dead: a non-idempotent request could not be retried, and the
+     * attempt before a retry may have failed on a dead connection. */
     r->fresh_connection = (!r->idempotent || r->attempts > 0) &&
                           AqRouter_IsEnabled(router, AQ_ROUTER_DISABLE_SILENT);
     router->stats.attempts++;
@@ -85,8 +85,8 @@
     return not_sent;
 }
 
-/* Whether the endpoint of the request's attempt in flight has neither been
- * removed nor been moved to another service since the attempt started. */
+/* Returns false if the endpoint of the request's attempt in flight was removed
+ * or moved to another service since the attempt started. */
 static bool
 is_same_endpoint(const AqRouterRequest *r)
 {
@@ -94,9 +94,9 @@
            r->tried[(r->attempts - 1) % AQ_TRIED_MAX] == r->endpoint->number;
 }
 
-/* Records for the endpoint of the request's attempt in flight whether the
- * attempt failed, unless the endpoint was removed or moved to another
- * service. */
+/* Records in the outcomes of the endpoint whether the request's attempt in
+ * flight failed, unless the endpoint was removed or moved to another service
+ * since the attempt started. */
 static void
 record_endpoint_outcome(AqRouter *router, AqTime now, const AqRouterRequest *r,
                         bool failed)
@@ -176,9 +176,9 @@
     }
 }
 
-/* Adds the response time of the request's attempt to the means of its service
- * and endpoint, and whether the attempt failed to the outcomes of the
- * endpoint. */
+/* Records in the outcomes of the endpoint whether the request's attempt
+ * failed.  If it did not fail, adds its response time to the means of the
+ * service and of the endpoint. */
 static void
 record_result(AqRouter *router, AqTime now, const AqRouterRequest *r,
               AqAttemptResult result)
--- a/packages/router/bench/bench_router.c
+++ b/packages/router/bench/bench_router.c
@@ -148,7 +148,7 @@
 
 /* Measures how many requests are not completed, and how many are completed
  * after more than 1 s, when the open connections of a third of the endpoints
- * get no responses any more at 50% load, i.e. half the capacity of all
+ * get no responses any more.  The load is 50%, i.e. half the capacity of all
  * endpoints. */
 static void
 measure_silent(const Variant *variant)
--- a/packages/router/check.c
+++ b/packages/router/check.c
@@ -1,6 +1,6 @@
 #include "router_private.h"
 
-/* Numbers of waiting requests of one service by state, counted from
+/* For one service, how many requests wait in each state, counted from
  * AqRouter.requests. */
 typedef struct {
     int live;    /* queued requests of AQ_PRIORITY_LIVE */
--- a/packages/router/eject.c
+++ b/packages/router/eject.c
@@ -3,10 +3,11 @@
 #include "router_private.h"
 
 enum {
-    /* For 1 s per consecutive failure of an endpoint, other endpoints are
-     * preferred: failed requests end early, so the failing endpoint would
-     * appear to be the least loaded one.  The time limit lets the endpoint get
-     * requests again also at low load, so that its recovery is noticed. */
+    /* After a failed attempt on an endpoint, other endpoints are preferred for
+     * 1 s per consecutive failure: failed requests end early, so the failing
+     * endpoint would appear to be the least loaded one.  The time limit lets
+     * the endpoint get requests again also at low load, so that its recovery
+     * is noticed. */
     SUSPECT_MS_PER_FAILURE = 1000
 };
 
@@ -92,9 +93,8 @@
     ep->trial_attempt = 0;
 }
 
-/* Ejects the endpoint: for eject_initial_ms if this is its first ejection or
- * it has recovered since the last one, else for twice as long as the last
- * time, up to eject_max_ms. */
+/* Ejects the endpoint for eject_initial_ms.  If it has not recovered since its
+ * last ejection, ejects it for twice as long as then, up to eject_max_ms. */
 static void
 eject_endpoint(AqRouter *router, AqTime now, AqEndpoint *ep)
 {
--- a/packages/router/endpoint.c
+++ b/packages/router/endpoint.c
@@ -10,7 +10,8 @@
             !AqRouter_IsEnabled(router, AQ_ROUTER_DISABLE_LEAVING));
 }
 
-/* Whether one of the request's recorded attempts ran on the endpoint. */
+/* Whether one of the request's last AQ_TRIED_MAX attempts started on the
+ * endpoint. */
 static bool
 was_tried(const AqRouterRequest *r, const AqEndpoint *ep)
 {
@@ -37,9 +38,9 @@
     return (ep->in_use + 1) * (mean < 1.0 ? 1.0 : mean) / ep->slots;
 }
 
-/* Returns that one of two endpoints which is expected to complete one more
- * request earlier; one without recent failures comes before one with recent
- * failures. */
+/* If only one of the two endpoints has recent failures, returns the other
+ * one.  Otherwise returns the one that is expected to complete one more
+ * request earlier. */
 static AqEndpoint *
 preferred_endpoint(AqTime now, AqEndpoint *a, AqEndpoint *b)
 {
@@ -52,10 +53,10 @@
                                                                            : a;
 }
 
-/* Returns an endpoint of the request's service, drawn uniformly from those
- * with a free slot that are neither ejected nor "excluded" (may be NULL); with
- * "untried", from those among them that the request has not tried.  Returns
- * NULL if there is no such endpoint. */
+/* Draws an endpoint of the request's service uniformly from those that accept
+ * requests, have a free slot and are not ejected; NULL if there is none.
+ * Never draws "excluded" (may be NULL) nor, if "untried" is true, an endpoint
+ * that the request has tried. */
 static AqEndpoint *
 sample_endpoint(AqRouter *router, const AqRouterRequest *r,
                 const AqEndpoint *excluded, bool untried)
@@ -78,9 +79,10 @@
     return sampled;
 }
 
-/* Returns an ejected endpoint that is due for a trial, i.e. one request to
- * find out whether it works again, and on which this request may be the trial;
- * NULL if there is none. */
+/* Returns an ejected endpoint of the request's service on which the request is
+ * allowed to be the trial now; NULL if there is none.  A trial is the one
+ * request that, after the time of the ejection, finds out whether the endpoint
+ * works again. */
 static AqEndpoint *
 find_trial_endpoint(const AqRouter *router, AqTime now,
                     const AqRouterRequest *r)
@@ -95,8 +97,8 @@
     return NULL;
 }
 
-/* Ends the ejections of the service's endpoints whose time is over, with no
- * request to find out whether the endpoint works again; called if
+/* Ends the service's ejections whose time is over, although no request has
+ * found out whether the endpoint works again.  Called only if
  * AQ_ROUTER_DISABLE_TRIAL is set. */
 static void
 end_expired_ejections(AqTime now, const AqService *service)
@@ -167,10 +169,10 @@
 }
 
 /* Called after a change of the service's endpoints or slots.  Updates
- * no_slots_since and ends the ejections beyond the number of endpoints that
- * may be ejected at a time.  Makes AqRouterQueue_Sweep due, which fails queued
- * requests that can no longer complete in time.  Fails all waiting requests if
- * no endpoint accepts requests. */
+ * no_slots_since, and ends ejections if more endpoints are ejected than may be
+ * at a time.  Makes AqRouterQueue_Sweep due, which fails queued requests that
+ * can no longer complete in time.  Fails all waiting requests if no endpoint
+ * accepts requests. */
 static void
 slots_changed(AqRouter *router, AqTime now, AqService *service)
 {
--- a/packages/router/queue.c
+++ b/packages/router/queue.c
@@ -88,11 +88,11 @@
     return (AqTime)ceil(ms);
 }
 
-/* Returns the time, in ms, that a request which had to wait should have left
- * before its deadline when it starts: twice the mean time in a slot, which 86%
- * of exponentially distributed service times do not exceed, and twice that for
- * an idempotent request, since its attempt may use only half of the time
- * left. */
+/* Returns the time, in ms, that must be left before the deadline of a request
+ * when it starts after a wait.  That is twice the mean time in a slot, which
+ * 86% of exponentially distributed service times do not exceed; for an
+ * idempotent request twice as much, since its attempt may use only half of the
+ * time left. */
 static AqTime
 required_service_ms(const AqService *service, bool idempotent)
 {
--- a/packages/router/router.c
+++ b/packages/router/router.c
@@ -79,9 +79,9 @@
     router->stopping = true;
 }
 
-/* Returns the next queued request of the service that can start now, and its
- * endpoint in "ep"; NULL if there is none.  Fails requests found before it in
- * the queue that have too little time left until their deadlines. */
+/* Returns the next queued request of the service that can start now and stores
+ * the endpoint for it in "ep"; NULL if there is none.  Fails the requests
+ * before it in the queue with too little time left until their deadlines. */
 static AqRouterRequest *
 next_start(AqRouter *router, AqTime now, const AqService *service,
            AqEndpoint **ep)
--- a/packages/router/router_private.h
+++ b/packages/router/router_private.h
@@ -10,28 +10,31 @@
 /* Data structures and functions shared by the sources of the router. */
 
 enum {
-    /* Consecutive failures, of requests or of health checks, that eject an
-     * endpoint (docs/design.md, section 12). */
+    /* An endpoint is ejected after this many consecutive failed attempts, or
+     * after this many consecutive failed health checks (docs/design.md,
+     * section 12). */
     AQ_EJECT_CONSECUTIVE_FAILURES = 5,
-    /* Number of last attempt outcomes of an endpoint over which its failure
-     * rate is computed: with so many recorded, the endpoint is ejected when
-     * more than half of them are failures (docs/design.md, section 5.3). */
+    /* The failure rate of an endpoint is computed over this many of its last
+     * attempts.  Once so many are recorded, the endpoint is ejected when more
+     * than half of them failed (docs/design.md, section 5.3). */
     AQ_EJECT_WINDOW_COUNT = 20,
     /* Last response times kept per service to compute the 95th percentile
      * (p95): enough for six values above it. */
     AQ_LATENCY_SAMPLES = 128,
-    /* Mean time for which an attempt occupies a slot, and 95th percentile of
-     * the response time, assumed for a service without samples; both in ms
-     * (docs/design.md, section 12). */
+    /* Mean time for which an attempt occupies a slot, assumed for a service
+     * without samples (docs/design.md, section 12). */
     AQ_DEFAULT_MEAN_MS = 100,
+    /* 95th percentile of the response time, assumed for a service without
+     * samples (docs/design.md, section 12). */
     AQ_DEFAULT_P95_MS = 1000,
-    /* Least time without a response after which an attempt of an idempotent
-     * request times out, even if four times the 95th percentile of the
-     * service's response times is shorter (docs/design.md, section 5.3).  A
-     * near deadline of the request may shorten it. */
+    /* Least timeout of an attempt of an idempotent request, used when four
+     * times the 95th percentile of the service's response times is shorter
+     * (docs/design.md, section 5.3).  A near deadline of the request may make
+     * the timeout shorter still. */
     AQ_ATTEMPT_TIMEOUT_MIN_MS = 250,
-    /* Delay suggested to the caller of a refused request when the expected
-     * wait is not the reason of the refusal or cannot be computed. */
+    /* Delay, in ms, suggested to the caller of a refused request before
+     * submitting it again.  Used when the refusal is not due to the expected
+     * wait or that wait cannot be computed. */
     AQ_DEFAULT_RETRY_AFTER_MS = 1000,
     /* An endpoint's mean latency expires when its last sample is this old.
      * Short enough to detect that an endpoint has become faster, and long
@@ -40,8 +43,8 @@
     /* Interval between two sweeps of a service's queues, which fail the
      * requests that are not expected to complete before their deadlines. */
     AQ_SWEEP_INTERVAL_MS = 100,
-    /* Number of last attempts per request whose endpoints are recorded, so
-     * that retries prefer other endpoints. */
+    /* For this many last attempts of a request, the router records the
+     * endpoint, so that retries prefer other endpoints. */
     AQ_TRIED_MAX = 4
 };
 
@@ -62,42 +65,44 @@
      * service or added again gets a new number. */
     uint64_t number;
     AqService *service;
-    int slots;  /* attempts allowed in flight on the endpoint */
+    int slots;  /* maximum of attempts in flight on the endpoint */
     int in_use; /* attempts in flight on the endpoint */
     bool leaving;
     /* The endpoint was removed; it is freed when in_use is 0. */
     bool removed;
     /* When the last sample was added to "latency". */
     AqTime last_latency_at;
-    /* Mean response time of the endpoint, in ms: of responses with a status
-     * below 500 and of those over the size limit. */
+    /* Mean response time of the endpoint, in ms, over its responses with a
+     * status below 500 and its responses over the size limit. */
     AqRouterMean latency;
 
-    /* Failed attempts on the endpoint since the last successful one or
-     * ejection. */
+    /* Failed attempts on the endpoint since its last successful attempt or its
+     * last ejection. */
     int consecutive_failures;
-    /* Failed health checks of the endpoint since the last passed one. */
+    /* Failed health checks of the endpoint since its last passed one. */
     int health_failures;
     /* Ring buffer of the outcomes of the last attempts on the endpoint; true
      * for a failed attempt. */
     bool recent_failed[AQ_EJECT_WINDOW_COUNT];
     int recent_count; /* number of valid entries of recent_failed */
     int recent_next;  /* array index in recent_failed to write next */
-    /* Until this time, other endpoints are preferred because attempts on this
-     * one have failed. */
+    /* Until this time, the router prefers other endpoints, because attempts on
+     * this endpoint have failed. */
     AqTime suspect_until;
     bool ejected;
-    /* The last health check passed and was done after the last ejection. */
+    /* The endpoint passed its last health check, and that check was made after
+     * the endpoint's last ejection. */
     bool healthy_since_eject;
-    /* When the ejection's time is over.  From then on, one request may be sent
-     * to the endpoint; its success ends the ejection. */
+    /* When the time of the endpoint's ejection is over.  From then on, one
+     * request may be sent to the endpoint; the success of that request ends
+     * the ejection. */
     AqTime eject_until;
-    /* Length of the endpoint's last ejection; 0 after the endpoint has
-     * recovered. */
+    /* Length, in ms, of the endpoint's last ejection; 0 if the endpoint was
+     * never ejected or has recovered, i.e. since then less than half of its
+     * last AQ_EJECT_WINDOW_COUNT attempts failed. */
     AqTime eject_last_ms;
-    /* Id of the attempt in flight that is the endpoint's trial, i.e. the one
-     * request that an ejected endpoint gets to find out whether it works
-     * again; 0 if there is none. */
+    /* Id of the attempt in flight that finds out whether the ejected endpoint
+     * works again (the trial); 0 if no trial is in flight. */
     uint64_t trial_attempt;
 };
 
@@ -115,10 +120,13 @@
     int archive_count; /* number of requests in the queue "archive" */
     /* Number of the service's requests in the state AQ_REQUEST_CLAIMING. */
     int claiming;
-    /* Attempts started while both live and archive requests were queued. */
+    /* Attempts of this service's requests that started while requests of both
+     * priorities, live and archive, were queued in the service. */
     unsigned contended_starts;
-    double retry_tokens; /* retry tokens left; each retry uses up one */
-    /* Mean time, in ms, for which an attempt occupies its slot. */
+    /* Retry tokens that the service has left; each retry uses up one. */
+    double retry_tokens;
+    /* Mean time, in ms, for which an attempt of the service's requests
+     * occupies its slot. */
     AqRouterMean slot_time;
     /* Ring buffer of the last response times of the service, in ms. */
     AqTime latencies[AQ_LATENCY_SAMPLES];
@@ -126,8 +134,8 @@
     AqTime p95_ms;        /* 95th percentile of "latencies" */
     /* When AqRouterQueue_Sweep is due for the service. */
     AqTime next_sweep_at;
-    /* Since when no endpoint that accepts requests has slots; AQ_TIME_NEVER
-     * while one has. */
+    /* Time since which none of the service's endpoints that accept requests
+     * has had slots; AQ_TIME_NEVER while one of them has slots. */
     AqTime no_slots_since;
 };
 
@@ -171,9 +179,9 @@
     /* Reason to report with AQ_OUTCOME_UNKNOWN unless the deadline is the
      * reason; AQ_REASON_NONE if nothing made the outcome unknown. */
     AqReason unknown_reason;
-    int attempts; /* attempts of the request started so far */
-    /* Ring buffer with the AqEndpoint.number of each of the request's last
-     * attempts. */
+    int attempts; /* attempts of the request that have started */
+    /* Ring buffer that holds, for each of the request's last attempts, the
+     * AqEndpoint.number of the endpoint on which it started. */
     uint64_t tried[AQ_TRIED_MAX];
     uint64_t attempt;     /* id of the attempt in flight, or 0 */
     AqEndpoint *endpoint; /* endpoint of the attempt in flight, or NULL */
@@ -188,25 +196,27 @@
     AqRouterOps ops;
     void *context;
     AqRandom random;
-    AqTime now; /* argument "now" of the last call that passed one */
+    /* Argument "now" of the last call to the router that had this argument. */
+    AqTime now;
     /* The daemon's configuration is certainly still in force, as last set with
      * AqRouter_SetFresh. */
     bool fresh;
     bool stopping; /* AqRouter_Stop was called */
-    /* Since the last AqRouter_Tick, a change may allow an attempt to start. */
+    /* A change since the last AqRouter_Tick may allow an attempt to start. */
     bool work_due;
     uint64_t last_request;  /* highest request number used so far */
     uint64_t last_attempt;  /* highest attempt id used so far */
     uint64_t last_endpoint; /* highest AqEndpoint.number used so far */
     int in_flight;          /* attempts in flight on all endpoints */
-    AqLink services;        /* list of AqService, by AqService.link */
+    AqLink services;        /* AqService list, linked by AqService.link */
     /* All unfinished requests, oldest first, linked by
      * AqRouterRequest.link. */
     AqLink requests;
     GHashTable *by_id;      /* request number -> AqRouterRequest, owned */
     GHashTable *by_attempt; /* attempt id -> AqRouterRequest, not owned */
     GHashTable *endpoints;  /* endpoint name -> AqEndpoint, owned */
-    GPtrArray *timers;      /* binary heap of AqRouterRequest by timer_at */
+    /* Binary heap of AqRouterRequest, the earliest timer_at at the root. */
+    GPtrArray *timers;
     AqRouterStats stats;
 };
 
@@ -230,7 +240,7 @@
 
 /* ---- service.c: services and their statistics --------------------------- */
 
-/* Returns the service of this name, or NULL. */
+/* Returns the service of this name, or NULL if there is none. */
 AqService *AqRouterService_Find(const AqRouter *router, const char *name);
 /* Returns the service of this name, which is created if necessary. */
 AqService *AqRouterService_Ensure(AqRouter *router, const char *name);
@@ -265,14 +275,15 @@
  * ejection: the endpoint is neither removed nor leaving. */
 bool AqRouterEndpoint_AcceptsRequests(const AqRouter *router,
                                       const AqEndpoint *ep);
-/* Returns the endpoint for the request's next attempt, or NULL if none can
- * take it: an ejected endpoint that is due to be tried again with this request
- * or, of two endpoints drawn at random from those with a free slot, the one
+/* Returns the endpoint for the request's next attempt, or NULL if no endpoint
+ * can take it.  An ejected endpoint comes first if the request is allowed to
+ * find out whether it works again.  Otherwise two endpoints with a free slot
+ * are drawn at random: one without recent failures is preferred, then the one
  * expected to complete the request earlier. */
 AqEndpoint *AqRouterEndpoint_Choose(AqRouter *router, AqTime now,
                                     const AqRouterRequest *r);
-/* Releases the slot of an attempt on the endpoint that has ended.  Frees the
- * endpoint if it is removed and this was its last attempt. */
+/* Releases the slot of an ended attempt on the endpoint.  Frees the endpoint
+ * if it was removed and no other attempt on it is in flight. */
 void AqRouterEndpoint_ReleaseSlot(AqRouter *router, AqEndpoint *ep);
 /* Frees an AqEndpoint; a GDestroyNotify. */
 void AqRouterEndpoint_Destroy(void *endpoint);
@@ -288,48 +299,51 @@
 /* Clears the recorded failures and the ejection of an endpoint that is new in
  * its service. */
 void AqRouterEject_Reset(AqEndpoint *ep);
-/* Whether the endpoint is ejected and due for a trial, i.e. one request to
- * find out whether it works again, and this request may be the trial. */
+/* Whether the request "r" is allowed to be the trial of the ejected endpoint
+ * now.  A trial is the one request that, after the time of the ejection, finds
+ * out whether the endpoint works again. */
 bool AqRouterEject_TrialDue(const AqRouter *router, AqTime now,
                             const AqEndpoint *ep, const AqRouterRequest *r);
-/* Returns how many endpoints of the service may be ejected at a time: a share
- * of those that accept requests. */
+/* Returns how many endpoints of the service may be ejected at a time:
+ * max_ejected_percent of the endpoints that accept requests, rounded down. */
 int AqRouterEject_Limit(const AqRouter *router, const AqService *service);
 /* Returns how many endpoints of the service are ejected, counting only those
  * that accept requests. */
 int AqRouterEject_Count(const AqRouter *router, const AqService *service);
-/* Ends ejections of the service's endpoints above AqRouterEject_Limit, which
- * falls with the number of endpoints; the ejections that would be over soonest
- * end first. */
+/* Ends ejections in the service until no more than AqRouterEject_Limit are
+ * left, since that limit falls with the number of endpoints.  The ejections
+ * with the least time left end first. */
 void AqRouterEject_EnforceLimit(AqRouter *router, const AqService *service);
 
 /* ---- budget.c: retry tokens and backoff --------------------------------- */
 
-/* Adds the retry tokens that one new request earns to those of the service. */
+/* Adds to the service's retry tokens the number that one admitted request
+ * earns. */
 void AqRouterBudget_Earn(const AqRouter *router, AqService *service);
 /* Takes one retry token of the service; returns false if none is left. */
 bool AqRouterBudget_Spend(AqRouter *router, AqService *service);
-/* Returns the delay, in ms, before the retry of a request that follows its
- * first "attempts" attempts. */
+/* Returns the delay, in ms, before the next retry of a request of which
+ * "attempts" attempts have started so far. */
 AqTime AqRouterBudget_Backoff(AqRouter *router, int attempts);
 
 /* ---- queue.c: queued requests and admission ----------------------------- */
 
 /* Returns the number of queued requests of the service, live and archive. */
 int AqRouterQueue_Count(const AqService *service);
-/* Queues the request until a slot is free, at the front of the queue of its
- * priority if "first" is true. */
+/* Adds the request to the queue of its priority, where it waits for a free
+ * slot: at the front if "first" is true, at the end otherwise. */
 void AqRouterQueue_Push(AqRouter *router, AqRouterRequest *r, bool first);
 /* Removes the request from its queue and removes its timer. */
 void AqRouterQueue_Remove(AqRouter *router, AqRouterRequest *r);
-/* Returns the queued request of the service to start next or, if "other" is
- * true, the first queued one of the other priority; NULL if that queue is
- * empty.  Removes nothing. */
+/* Returns the queued request of the service that is to start next; NULL if
+ * none is queued.  If "other" is true, returns the first queued request of the
+ * other priority instead, or NULL if that queue is empty.  The request stays
+ * in its queue. */
 AqRouterRequest *AqRouterQueue_Next(const AqRouter *router,
                                     const AqService *service, bool other);
-/* Counts an attempt start of the service if both live and archive requests are
- * queued; the count decides when an archive request is next.  Call this before
- * the started request leaves its queue. */
+/* Call this before the started request leaves its queue.  Counts the start in
+ * AqService.contended_starts if both live and archive requests of the service
+ * are queued; that count decides when an archive request starts next. */
 void AqRouterQueue_CountStart(AqService *service);
 /* Returns how long a new request of this priority would wait for a slot, in
  * ms; 0 if a slot is free for it, AQ_DEFAULT_RETRY_AFTER_MS if the service has
@@ -347,8 +361,8 @@
 bool AqRouterQueue_TooLate(const AqRouter *router, AqTime now,
                            const AqRouterRequest *r);
 /* Fails the service's queued requests that are not expected to complete before
- * their deadlines, and all its waiting requests when it has had no slot for
- * slot_wait_ms. */
+ * their deadlines.  If the service has had no slots for slot_wait_ms, fails
+ * all its waiting requests. */
 void AqRouterQueue_Sweep(AqRouter *router, AqTime now, AqService *service);
 
 /* ---- request.c: submission and outcome of requests ---------------------- */
@@ -366,8 +380,8 @@
  * otherwise. */
 void AqRouterRequest_Fail(AqRouter *router, AqRouterRequest *r,
                           AqReason reason);
-/* Fails the requests of the service, or of all services if "service" is NULL,
- * that have no attempt in flight and are not refused already. */
+/* Fails the requests that have no attempt in flight and are not refused
+ * already: those of "service", or of all services if "service" is NULL. */
 void AqRouterRequest_FailWaiting(AqRouter *router, const AqService *service,
                                  AqReason reason);
 
--- a/packages/router/service.c
+++ b/packages/router/service.c
@@ -9,8 +9,8 @@
      * change of the service time more slowly. */
     MEAN_WINDOW_SAMPLES = 64,
     /* Once AQ_LATENCY_SAMPLES response times of a service are recorded, their
-     * 95th percentile (p95) is computed again each time that so many have been
-     * added. */
+     * 95th percentile (p95) is computed again after every P95_INTERVAL_SAMPLES
+     * new response times. */
     P95_INTERVAL_SAMPLES = 8
 };
 
@@ -137,9 +137,9 @@
 void
 AqRouterService_UpdateNoSlots(AqRouter *router, AqService *service, AqTime now)
 {
-    /* The slots of an ejected endpoint count as slots of the service: the
-     * ejection ends when a request to the endpoint succeeds, for which
-     * requests must be admitted. */
+    /* The slots of an ejected endpoint count as slots of the service.  Its
+     * ejection ends only when a request to the endpoint succeeds, so requests
+     * must be admitted. */
     for (guint i = 0; i < service->endpoints->len; i++) {
         const AqEndpoint *ep = g_ptr_array_index(service->endpoints, i);
         if (AqRouterEndpoint_AcceptsRequests(router, ep) && ep->slots > 0) {
--- a/packages/router/tests/sim.c
+++ b/packages/router/tests/sim.c
@@ -26,9 +26,8 @@
     }
 }
 
-/* Takes one of the idle connections to the endpoint, drawn uniformly, if there
- * is one.  If so, sets "silent" to whether a request on this connection gets
- * no response. */
+/* If the endpoint has idle connections, takes one drawn uniformly and sets
+ * "silent" to whether a request on this connection gets no response. */
 static void
 use_idle_connection(Sim *sim, SimEndpoint *ep, bool *silent)
 {
@@ -72,8 +71,8 @@
     }
 }
 
-/* Counts the rules that a start of the request on the endpoint now
- * violates. */
+/* Counts in Sim.violations each rule that is violated if an attempt of the
+ * request starts on the endpoint now. */
 static void
 check_start(Sim *sim, const SimRequest *r, const SimEndpoint *ep)
 {
@@ -311,9 +310,9 @@
     AqRouter_ClaimDone(sim->router, sim->now, request, result);
 }
 
-/* Returns when the next result of an attempt or claim is due, AQ_TIME_NEVER if
- * none is due.  Sets "attempt" to the attempt's id or "request" to the number
- * of the request whose claim it is, and the other one to 0. */
+/* Returns when the next result of an attempt or claim is due, or AQ_TIME_NEVER
+ * if none is due.  Sets "attempt" to the id of that attempt, or "request" to
+ * the number of the request with that claim, and the other one to 0. */
 static AqTime
 next_event(const Sim *sim, uint64_t *attempt, uint64_t *request)
 {
--- a/packages/router/tests/sim.h
+++ b/packages/router/tests/sim.h
@@ -56,7 +56,8 @@
     int max_in_use; /* maximum of in_use so far; tests may reset it to 0 */
     /* Attempts started on this endpoint so far; tests may reset it to 0. */
     int starts;
-    int idle; /* idle connections on which a request gets a response */
+    /* Idle connections to the endpoint on which a request gets a response. */
+    int idle;
     /* Idle connections to the endpoint that seem usable, but on which a
      * request gets no response. */
     int idle_silent;
@@ -84,7 +85,7 @@
     AqTime finished_at;
     int finishes; /* calls of AqRouterOps.finish for the request */
     AqOutcome outcome;
-    int starts;   /* attempts of the request started */
+    int starts;   /* attempts of the request that have started */
     int runs;     /* attempts of the request that may have run */
     bool claimed; /* the claim on "key" is granted */
     bool claim_pending;
@@ -96,9 +97,12 @@
     AqTime now;
     AqRandom random;
     AqRouterConfig config;
-    /* The test reports the results of attempts and claims, not Sim_Run. */
+    /* The test, rather than Sim_Run, reports the results of attempts and
+     * claims. */
     bool manual;
-    bool fresh;      /* the daemon's configuration is fresh (Sim_SetFresh) */
+    /* The daemon's configuration is certainly still in force, as last set with
+     * Sim_SetFresh. */
+    bool fresh;
     AqTime claim_ms; /* time from a claim to its result */
     SimEndpoint endpoints[SIM_MAX_ENDPOINTS];
     /* SimRequest; the request with number n at array index n - 1. */
@@ -133,13 +137,13 @@
 void Sim_SetSlots(Sim *sim, int endpoint, int slots);
 void Sim_SetLeaving(Sim *sim, int endpoint, bool leaving);
 void Sim_SetFresh(Sim *sim, bool fresh);
-/* From now on, requests on the connections now open to the endpoint, idle ones
- * and those of attempts in flight, get no response. */
+/* From now on, requests get no response on those connections to the endpoint
+ * that are open now, whether idle or used by attempts in flight. */
 void Sim_SilenceConnections(Sim *sim, int endpoint);
-/* Reports "result" to the router now, as that of the attempt with the id
- * "number". */
+/* Reports to the router now that the attempt with the id "number" ended with
+ * "result". */
 void Sim_Report(Sim *sim, uint64_t number, AqAttemptResult result);
-/* Reports "result" to the router now, as that of the request's claim. */
+/* Reports to the router now that the request's claim ended with "result". */
 void Sim_ReportClaim(Sim *sim, uint64_t request, AqRouterClaim result);
 /* Advances the virtual time by "ms" ms.  Reports the results of attempts and
  * claims that are due until then, and calls AqRouter_Tick whenever it is
--- a/packages/router/tests/test_ejection.c
+++ b/packages/router/tests/test_ejection.c
@@ -66,8 +66,8 @@
     return sim->now;
 }
 
-/* Submits requests until e0 is ejected; the test ends if e0 is not ejected
- * after 20 attempts. */
+/* Submits requests until e0 is ejected.  Fails the test if e0 is not ejected
+ * after 20 attempts on it. */
 static void
 run_until_ejected(Sim *sim)
 {
@@ -78,8 +78,8 @@
 }
 
 /* Guards against sending requests too often to an ejected endpoint that keeps
- * failing, to find out whether it works again, and against a long ejection of
- * an endpoint that has recovered since its last ejection. */
+ * failing, to find out whether it works again.  Also guards against a long
+ * ejection of an endpoint that has recovered since its last ejection. */
 void
 test_ejection_time_doubles(void)
 {
@@ -108,9 +108,9 @@
     Sim_Clear(&sim);
 }
 
-/* Guards against sending a non-idempotent request to an ejected endpoint, to
- * find out whether it works again, before it has passed a health check since
- * its ejection. */
+/* Guards against a non-idempotent request as the one that finds out whether an
+ * ejected endpoint works again, unless the endpoint has passed a health check
+ * since its ejection. */
 void
 test_trial_of_non_idempotent(void)
 {
@@ -138,8 +138,8 @@
     Sim_Clear(&sim);
 }
 
-/* Guards against counting failed attempts on an endpoint that has been moved
- * to another service since they started. */
+/* Guards against counting a failed attempt as a failure of its endpoint if the
+ * endpoint was moved to another service after the attempt had started. */
 void
 test_move_resets_failures(void)
 {
@@ -182,9 +182,9 @@
     Sim_Clear(&sim);
 }
 
-/* Guards against a delay before a retry that does not double or exceeds its
- * maximum, and against a retry on an endpoint that the request has already
- * tried while there are others. */
+/* Guards against a delay that does not double with each retry or exceeds its
+ * maximum.  Also guards against a retry on an endpoint that the request has
+ * already tried while there are others. */
 void
 test_backoff(void)
 {
--- a/packages/router/tests/test_mechanisms.c
+++ b/packages/router/tests/test_mechanisms.c
@@ -25,8 +25,9 @@
 }
 
 /* Guards against a request that is kept until near its deadline, although the
- * expected wait shows at submission that the request cannot start in time, and
- * against a refusal whose retry_after_ms is much less than that wait. */
+ * expected wait shows at submission that the request cannot start in time.
+ * Also guards against a refusal whose retry_after_ms is much less than that
+ * wait. */
 static bool
 unmeetable_deadline_is_refused_at_once(Sim *sim)
 {
@@ -183,8 +184,8 @@
     return sim->attempts->len > 60 && most < 20;
 }
 
-/* Guards against an endpoint that attracts load because its requests fail
- * fast. */
+/* Guards against an endpoint that gets more requests than the others because
+ * its requests fail fast. */
 static bool
 failing_endpoint_is_ejected(Sim *sim)
 {
@@ -198,9 +199,9 @@
            AqRouter_IsEjected(sim->router, "e0");
 }
 
-/* Guards against requests to an endpoint whose health checks fail, also
- * against the one request that tries an ejected endpoint again, until a health
- * check passes. */
+/* Guards against any request to an endpoint whose health checks fail, until a
+ * health check passes.  Not even the one request is sent that tries an ejected
+ * endpoint again. */
 static bool
 unhealthy_endpoint_is_ejected(Sim *sim)
 {
--- a/packages/router/tests/test_outcomes.c
+++ b/packages/router/tests/test_outcomes.c
@@ -11,20 +11,23 @@
     CONNECTING, /* an attempt is in flight, no byte of the request was sent */
     /* An attempt is in flight, bytes of the request may have been sent. */
     SENT,
-    BACKOFF,    /* waiting for a retry after an attempt that did not run */
-    BACKOFF_CUT /* waiting for a retry after an attempt that may have run */
+    /* The request waits for its retry after an attempt that did not run. */
+    BACKOFF,
+    /* The request waits for its retry after an attempt that may have run. */
+    BACKOFF_CUT
 } RequestStage;
 
 /* Fault that a case injects into request 1 or its environment. */
 typedef enum {
-    /* Results reported for attempt 1, equal to AqAttemptResult. */
+    /* The test injects each of these five faults by reporting this
+     * AqAttemptResult to the router for attempt 1 of request 1. */
     NOT_SENT = AQ_ATTEMPT_NOT_SENT,
     REFUSED = AQ_ATTEMPT_REFUSED,
     FAILED = AQ_ATTEMPT_FAILED,
     CUT = AQ_ATTEMPT_CUT,
     TOO_LARGE = AQ_ATTEMPT_TOO_LARGE,
     /* Faults that are not a result of attempt 1. */
-    NO_REPLY = 100, /* the request gets no claim result, slot or response */
+    NO_REPLY = 100, /* request 1 gets no claim result, slot or response */
     CANCELLED,      /* the caller cancels the request */
     NOT_FRESH,
     LEAVING, /* all endpoints leave */
@@ -171,8 +174,8 @@
     }
 }
 
-/* Runs for 5 s of virtual time and lets all claims and attempts succeed,
- * except that with NO_REPLY the claim and attempt 1 get no result. */
+/* Runs for 5 s of virtual time and lets all claims and attempts succeed.  With
+ * the fault NO_REPLY, the claim and attempt 1 get no result. */
 static void
 run_to_completion(Sim *sim, Fault fault)
 {
@@ -227,8 +230,8 @@
 {
     static const struct {
         bool idempotent;
-        /* Requests with a service time of 10 ms completed before the one whose
-         * timeout is checked. */
+        /* Number of requests, each with a service time of 10 ms, that complete
+         * before the request whose timeout is checked starts. */
         int samples;
         AqTime deadline_ms;
         AqTime expected_timeout_ms;
@@ -284,9 +287,9 @@
 }
 
 /* Guards against a service that never completes a request again after it has
- * become slower than the timeout of its attempts: no completed request raises
- * the 95th percentile of its response times, from which that timeout is
- * computed. */
+ * become slower than the timeout of its attempts.  That timeout is computed
+ * from the 95th percentile of the response times, which then no completed
+ * request raises. */
 void
 test_slower_service_recovers(void)
 {
--- a/packages/router/tests/test_random.c
+++ b/packages/router/tests/test_random.c
@@ -23,8 +23,8 @@
     return g_array_index(values, uint64_t, below(sim, values->len));
 }
 
-/* Returns a random result that is possible for the attempt:
- * AQ_ATTEMPT_NOT_SENT if and only if no byte of the request was sent. */
+/* Returns AQ_ATTEMPT_NOT_SENT if no byte of the attempt's request was sent;
+ * otherwise returns a random one of the other results. */
 static AqAttemptResult
 any_result(Sim *sim, uint64_t attempt)
 {
@@ -37,8 +37,8 @@
                : AQ_ATTEMPT_NOT_SENT;
 }
 
-/* Removes, adds or moves a random endpoint, or changes its slots or whether it
- * is leaving. */
+/* Makes one random change to a random endpoint: removes it, adds it, moves it
+ * to another service, or sets its number of slots or whether it is leaving. */
 static void
 change_endpoint(Sim *sim)
 {
@@ -50,8 +50,8 @@
         AqRouter_RemoveEndpoint(sim->router, sim->now, ep->name);
         break;
     case 1:
-        /* Moves the endpoint to another service, adds it again, or leaves it
-         * where it is. */
+        /* Adds the endpoint again if it was removed.  Otherwise moves it to
+         * the service drawn here, unless it already belongs to it. */
         AqRouter_SetEndpoint(sim->router, sim->now, ep->name,
                              below(sim, 4) == 0 ? "other" : "s");
         Sim_SetLeaving(sim, e, false);
@@ -65,8 +65,9 @@
     }
 }
 
-/* Sets at random whether the daemon's configuration is fresh or, in the last
- * quarter of the STEPS calls of step_once, may stop the router. */
+/* Sets at random whether the daemon's configuration is fresh.  In the last
+ * quarter of the STEPS calls of step_once, stops the router instead with a
+ * probability of 1/40. */
 static void
 change_daemon(Sim *sim, int step)
 {
@@ -78,8 +79,9 @@
     }
 }
 
-/* Makes one random change: a request, a result, a cancellation, a change of
- * the endpoints or the daemon, or an advance of the time. */
+/* Performs one random action: submits or cancels a request, reports the result
+ * of an attempt, claim or health check, changes an endpoint, stops the router,
+ * changes whether the configuration is fresh, or advances the time. */
 static void
 step_once(Sim *sim, int step)
 {
@@ -124,8 +126,9 @@
     }
 }
 
-/* Ends all claims and attempts, runs for 10 s of virtual time, and returns the
- * number of requests that were not finished exactly once. */
+/* Runs for 10 s of virtual time, in which each pending claim and each attempt
+ * in flight gets a result.  Returns the number of requests that were not
+ * finished exactly once. */
 static int
 count_unfinished(Sim *sim)
 {
@@ -147,8 +150,8 @@
     return n;
 }
 
-/* Makes STEPS random changes in a new simulation.  Returns whether no rule in
- * SimRule was violated, the router's tables stayed consistent and every
+/* Performs STEPS random actions in a new simulation.  Returns true if no rule
+ * in SimRule was violated, the router's tables stayed consistent and every
  * request was finished exactly once. */
 static bool
 run_seed(uint64_t seed, unsigned disabled)
@@ -184,17 +187,18 @@
     return ok;
 }
 
-/* Guards against violated rules in any order of calls: a request finished
- * twice or never, exceeded slots, a second execution, a wrong
- * AQ_OUTCOME_NOT_RUN, a start on a leaving endpoint, inconsistent tables. */
+/* Guards against faults in a random order of calls: a request finished twice
+ * or never, more attempts in flight than an endpoint has slots, a second
+ * execution of a non-idempotent request, AQ_OUTCOME_NOT_RUN for a request that
+ * may have run, a start on a leaving endpoint, inconsistent tables. */
 void
 test_random_calls(void)
 {
     for (uint64_t seed = 1; seed <= SEEDS; seed++) {
         CU_ASSERT_TRUE(run_seed(seed, 0));
     }
-    /* run_seed must return false for more than half of 20 seeds when one of
-     * these mechanisms is disabled. */
+    /* Each of these bits disables one mechanism.  With that mechanism
+     * disabled, run_seed must return false for more than half of 20 seeds. */
     static const unsigned rules[] = {
         AQ_ROUTER_DISABLE_CLAIM,
         AQ_ROUTER_DISABLE_RETRY_RULE,
