--- a/packages/router/endpoint.c
+++ b/packages/router/endpoint.c
@@ -10,7 +10,8 @@
             !AqRouter_IsEnabled(router, AQ_ROUTER_DISABLE_LEAVING));
 }
 
-/* Whether one of the request's recorded attempts ran on the endpoint. */
+/* Whether one of the request's last AQ_TRIED_MAX attempts started on the
+ * endpoint. */
 static bool
 was_tried(const AqRouterRequest *r, const AqEndpoint *ep)
 {
@@ -24,10 +25,10 @@
 }
 
 /* Returns the expected time, in ms, until the endpoint has completed one more
- * request beside those in flight.  The mean of the service replaces an expired
- * mean of the endpoint: otherwise an endpoint that was the slowest would get
- * no requests at low load, and no sample would show that it has become faster.
- */
+ * request beside those in flight.  The mean response time of the service
+ * replaces an expired mean of the endpoint: otherwise an endpoint that was the
+ * slowest would get no requests at low load, and no sample would show that it
+ * has become faster. */
 static double
 expected_completion_ms(AqTime now, const AqEndpoint *ep)
 {
@@ -37,8 +38,9 @@
     return (ep->in_use + 1) * (mean < 1.0 ? 1.0 : mean) / ep->slots;
 }
 
-/* Returns the endpoint that is expected to complete one more request earlier;
- * one without recent failures comes first. */
+/* If only one of the two endpoints has recent failures, returns the other
+ * one.  Otherwise returns the one that is expected to complete one more
+ * request earlier. */
 static AqEndpoint *
 preferred_endpoint(AqTime now, AqEndpoint *a, AqEndpoint *b)
 {
@@ -51,9 +53,10 @@
                                                                            : a;
 }
 
-/* Returns an endpoint drawn uniformly from those with a free slot that are
- * neither ejected nor "excluded" (may be NULL); with "untried", from those
- * among them that the request has not tried.  NULL if there is none. */
+/* Draws an endpoint of the request's service uniformly from those that accept
+ * requests, have a free slot and are not ejected; NULL if there is none.
+ * Never draws "excluded" (may be NULL) nor, if "untried" is true, an endpoint
+ * that the request has tried. */
 static AqEndpoint *
 sample_endpoint(AqRouter *router, const AqRouterRequest *r,
                 const AqEndpoint *excluded, bool untried)
@@ -76,7 +79,10 @@
     return sampled;
 }
 
-/* Returns an endpoint that the request may be the trial of, or NULL. */
+/* Returns an ejected endpoint of the request's service on which the request is
+ * allowed to be the trial now; NULL if there is none.  A trial is the one
+ * request that, after the time of the ejection, finds out whether the endpoint
+ * works again. */
 static AqEndpoint *
 find_trial_endpoint(const AqRouter *router, AqTime now,
                     const AqRouterRequest *r)
@@ -91,7 +97,9 @@
     return NULL;
 }
 
-/* Ends ejections by time alone, if trials are disabled. */
+/* Ends the service's ejections whose time is over, although no request has
+ * found out whether the endpoint works again.  Called only if
+ * AQ_ROUTER_DISABLE_TRIAL is set. */
 static void
 end_expired_ejections(AqTime now, const AqService *service)
 {
@@ -160,8 +168,11 @@
     return ep == NULL || ep->removed ? NULL : ep;
 }
 
-/* Updates what depends on the endpoints and slots of the service after any of
- * them changed, and fails its waiting requests if no endpoint is left. */
+/* Called after a change of the service's endpoints or slots.  Updates
+ * no_slots_since, and ends ejections if more endpoints are ejected than may be
+ * at a time.  Makes AqRouterQueue_Sweep due, which fails queued requests that
+ * can no longer complete in time.  Fails all waiting requests if no endpoint
+ * accepts requests. */
 static void
 slots_changed(AqRouter *router, AqTime now, AqService *service)
 {
@@ -188,7 +199,8 @@
         ep->removed = true;
     }
     if (ep->removed) {
-        /* New, or added again while earlier requests are still in flight. */
+        /* The endpoint is new, or is added again while attempts from before
+         * its removal are still in flight. */
         ep->removed = false;
         ep->leaving = false;
         ep->slots = 0;
--- a/packages/router/tests/sim.c
+++ b/packages/router/tests/sim.c
@@ -26,8 +26,8 @@
     }
 }
 
-/* Uses an idle connection if there is one, each with the same probability.
- * Sets "silent" if it is one that gets no response. */
+/* If the endpoint has idle connections, takes one drawn uniformly and sets
+ * "silent" to whether a request on this connection gets no response. */
 static void
 use_idle_connection(Sim *sim, SimEndpoint *ep, bool *silent)
 {
@@ -39,7 +39,8 @@
     *(*silent ? &ep->idle_silent : &ep->idle) -= 1;
 }
 
-/* Decides the result of a starting attempt and when it is reported. */
+/* Decides the result of a starting attempt and when that result is
+ * reported. */
 static void
 plan_result(Sim *sim, SimEndpoint *ep, SimAttempt *attempt, bool fresh)
 {
@@ -70,7 +71,8 @@
     }
 }
 
-/* Counts the rules that a start of the request on the endpoint violates. */
+/* Counts in Sim.violations each rule that is violated if an attempt of the
+ * request starts on the endpoint now. */
 static void
 check_start(Sim *sim, const SimRequest *r, const SimEndpoint *ep)
 {
@@ -105,7 +107,8 @@
     g_array_append_val(sim->open_attempts, started->attempt);
 }
 
-/* Ends an attempt, which the endpoint may have executed if "ran" is true. */
+/* Ends the attempt with the id "number"; "ran" is whether the endpoint may
+ * have executed the attempt's request. */
 static void
 close_attempt(Sim *sim, uint64_t number, bool ran)
 {
@@ -307,9 +310,9 @@
     AqRouter_ClaimDone(sim->router, sim->now, request, result);
 }
 
-/* Returns when the next result of an attempt or claim is due, AQ_TIME_NEVER if
- * none is.  Sets the number of the attempt or the request, and the other one
- * to 0. */
+/* Returns when the next result of an attempt or claim is due, or AQ_TIME_NEVER
+ * if none is due.  Sets "attempt" to the id of that attempt, or "request" to
+ * the number of the request with that claim, and the other one to 0. */
 static AqTime
 next_event(const Sim *sim, uint64_t *attempt, uint64_t *request)
 {
--- a/packages/router/tests/test_random.c
+++ b/packages/router/tests/test_random.c
@@ -6,7 +6,7 @@
 
 enum {
     SEEDS = 300,
-    STEPS = 600, /* random calls per seed */
+    STEPS = 600, /* calls of step_once per seed */
     ENDPOINTS = 7
 };
 
@@ -16,15 +16,15 @@
     return AqRandom_Below(&sim->random, bound);
 }
 
-/* Returns a random element. */
+/* Returns a random element of "values". */
 static uint64_t
 any_of(Sim *sim, const GArray *values)
 {
     return g_array_index(values, uint64_t, below(sim, values->len));
 }
 
-/* Returns a random result that is possible for the attempt: NOT_SENT if and
- * only if no byte was sent. */
+/* Returns AQ_ATTEMPT_NOT_SENT if no byte of the attempt's request was sent;
+ * otherwise returns a random one of the other results. */
 static AqAttemptResult
 any_result(Sim *sim, uint64_t attempt)
 {
@@ -37,7 +37,8 @@
                : AQ_ATTEMPT_NOT_SENT;
 }
 
-/* Changes a random endpoint. */
+/* Makes one random change to a random endpoint: removes it, adds it, moves it
+ * to another service, or sets its number of slots or whether it is leaving. */
 static void
 change_endpoint(Sim *sim)
 {
@@ -49,7 +50,8 @@
         AqRouter_RemoveEndpoint(sim->router, sim->now, ep->name);
         break;
     case 1:
-        /* Moves it to another service, adds it again, or changes nothing. */
+        /* Adds the endpoint again if it was removed.  Otherwise moves it to
+         * the service drawn here, unless it already belongs to it. */
         AqRouter_SetEndpoint(sim->router, sim->now, ep->name,
                              below(sim, 4) == 0 ? "other" : "s");
         Sim_SetLeaving(sim, e, false);
@@ -63,7 +65,9 @@
     }
 }
 
-/* Changes the freshness of the daemon or, in the last quarter, stops it. */
+/* Sets at random whether the daemon's configuration is fresh.  In the last
+ * quarter of the STEPS calls of step_once, stops the router instead with a
+ * probability of 1/40. */
 static void
 change_daemon(Sim *sim, int step)
 {
@@ -75,7 +79,9 @@
     }
 }
 
-/* Performs one random call. */
+/* Performs one random action: submits or cancels a request, reports the result
+ * of an attempt, claim or health check, changes an endpoint, stops the router,
+ * changes whether the configuration is fresh, or advances the time. */
 static void
 step_once(Sim *sim, int step)
 {
@@ -120,8 +126,9 @@
     }
 }
 
-/* Ends all claims and attempts, runs for 10 s, and returns the number of
- * requests that were not finished exactly once. */
+/* Runs for 10 s of virtual time, in which each pending claim and each attempt
+ * in flight gets a result.  Returns the number of requests that were not
+ * finished exactly once. */
 static int
 count_unfinished(Sim *sim)
 {
@@ -143,7 +150,9 @@
     return n;
 }
 
-/* Makes random calls; returns whether no rule was violated. */
+/* Performs STEPS random actions in a new simulation.  Returns true if no rule
+ * in SimRule was violated, the router's tables stayed consistent and every
+ * request was finished exactly once. */
 static bool
 run_seed(uint64_t seed, unsigned disabled)
 {
@@ -152,7 +161,8 @@
     AqError_Clear(&error);
     Sim_Init(&sim, seed, disabled);
     sim.manual = true;
-    /* Settings that cause more refusals, retries and trials. */
+    /* These settings cause more refused requests, retries and requests that
+     * try an ejected endpoint again than the default settings. */
     sim.config.queue_limit = 20;
     sim.config.retry_burst = 40;
     sim.config.eject_initial_ms = 500;
@@ -177,16 +187,18 @@
     return ok;
 }
 
-/* Guards against violated rules in any order of calls: a request finished
- * twice or never, exceeded slots, a second execution, a wrong
- * AQ_OUTCOME_NOT_RUN, a start on a leaving endpoint, inconsistent tables. */
+/* Guards against faults in a random order of calls: a request finished twice
+ * or never, more attempts in flight than an endpoint has slots, a second
+ * execution of a non-idempotent request, AQ_OUTCOME_NOT_RUN for a request that
+ * may have run, a start on a leaving endpoint, inconsistent tables. */
 void
 test_random_calls(void)
 {
     for (uint64_t seed = 1; seed <= SEEDS; seed++) {
         CU_ASSERT_TRUE(run_seed(seed, 0));
     }
-    /* The same checks must fail when a rule is disabled. */
+    /* Each of these bits disables one mechanism.  With that mechanism
+     * disabled, run_seed must return false for more than half of 20 seeds. */
     static const unsigned rules[] = {
         AQ_ROUTER_DISABLE_CLAIM,
         AQ_ROUTER_DISABLE_RETRY_RULE,
