--- a/packages/membership/Include/aq_membership.h
+++ b/packages/membership/Include/aq_membership.h
@@ -16,30 +16,45 @@
  * this daemon's own monotonic clock. */
 
 enum {
-    AQ_HEARTBEAT_MS = 500, /* interval between heartbeats */
-    AQ_SUSPECT_MS = 2000,  /* silence after which a peer is not live */
-    AQ_REMOVE_MS = 5000,   /* silence after which a member may be removed */
-    /* Age up to which a store contact or a peer's report proves freshness. */
+    AQ_HEARTBEAT_MS = 500, /* interval between a daemon's heartbeats */
+    /* A peer is not live after this time without a heartbeat from it. */
+    AQ_SUSPECT_MS = 2000,
+    /* Time without a heartbeat from a member after which it may be removed. */
+    AQ_REMOVE_MS = 5000,
+    /* Greatest age at which a store contact of this daemon, or a heartbeat of
+     * a peer, counts in deciding whether this daemon's fleet document is
+     * fresh. */
     AQ_FRESH_MS = 3000,
-    /* Wait after a removal is accepted, or after the start of a daemon, before
-     * slots that another daemon may still use are reused. */
+    /* Wait before slots that another daemon may still use are reused.  It is
+     * counted from the acceptance of a member's removal by a majority, or from
+     * the start of a daemon. */
     AQ_GUARD_MS = 4000,
     AQ_MAX_MEMBERS = 256 /* members of one epoch; the design page expects 27 */
 };
 
 /* Fault injection for tests: each bit disables one protection, so that a test
- * can show that it fails without it.  The daemon never sets them. */
+ * can show that it notices the lack of this protection.  The daemon never sets
+ * these bits. */
 enum {
     AQ_FAULT_ALWAYS_FRESH = 1, /* this daemon always counts as fresh */
-    AQ_FAULT_RECEIPT_AGE = 2,  /* a heartbeat's age counts from its receipt */
-    AQ_FAULT_REMOVE_ALONE = 4, /* one report of silence removes a member */
-    AQ_FAULT_NO_GUARD = 8,     /* no wait for AQ_GUARD_MS */
-    AQ_FAULT_IGNORE_OVER = 16, /* ignores the "over" list of heartbeats */
-    /* Waits only for the member that held a slot in the previous epoch. */
+    /* A heartbeat's age counts from receipt, not sending. */
+    AQ_FAULT_RECEIPT_AGE = 2,
+    /* A member is removed when a single member has received no heartbeat from
+     * it for AQ_REMOVE_MS. */
+    AQ_FAULT_REMOVE_ALONE = 4,
+    /* Slots are reused without the wait of AQ_GUARD_MS. */
+    AQ_FAULT_NO_GUARD = 8,
+    /* The "over" list of a received heartbeat is ignored. */
+    AQ_FAULT_IGNORE_OVER = 16,
+    /* A pending slot is held once the member to which it was assigned in the
+     * previous epoch has released it, without waiting for the other
+     * members. */
     AQ_FAULT_PREVIOUS_ONLY = 32,
-    /* Members may change before a majority has the epoch in force. */
+    /* Members may be added or removed before a majority of the members has the
+     * current epoch in force. */
     AQ_FAULT_CHANGE_UNACCEPTED = 64,
-    /* A heartbeat with a later epoch releases slots of this epoch too. */
+    /* A member's heartbeat with a later epoch counts as a release of its slots
+     * in this daemon's epoch too. */
     AQ_FAULT_LATER_EPOCH = 128
 };
 
@@ -56,22 +71,25 @@
 unsigned AqMembership_Faults(const AqMembership *m);
 
 /* Installs the members of an epoch, as read from the fleet document in force.
- * An epoch that is not newer than the installed one is ignored.  So are ids
- * beyond the first AQ_MAX_MEMBERS; the fleet document must not name more. */
+ * An epoch that is not newer than the installed one is ignored.  Ids beyond
+ * the first AQ_MAX_MEMBERS are ignored too; the fleet document must not name
+ * more. */
 void AqMembership_SetEpoch(AqMembership *m, AqTime now, int64_t epoch,
                            const char *const *ids, size_t count);
 int64_t AqMembership_Epoch(const AqMembership *m);
 size_t AqMembership_Count(const AqMembership *m);
-/* Id of member "i" in order of id; valid until the next SetEpoch. */
+/* Id of the member at position "i" in the order of ids.  It is valid until the
+ * next AqMembership_SetEpoch. */
 const char *AqMembership_Id(const AqMembership *m, size_t i);
 bool AqMembership_IsMember(const AqMembership *m, const char *id);
 
 /* Sets the version of the fleet document that this daemon has in force.  A
- * version below the current one is ignored. */
+ * version below the one already set is ignored. */
 void AqMembership_SetVersion(AqMembership *m, int64_t version);
-/* Records that the store answered a read of the newest version (head) that
- * began at "started".  The version that was read must already be in force
- * (AqMembership_SetVersion), because freshness is derived from this. */
+/* Records that the store responded to a read of the fleet document's newest
+ * version (head) that this daemon began at "started".  The version that was
+ * read must already be set with AqMembership_SetVersion, because this contact
+ * counts as proof that the version set was the newest at "started". */
 void AqMembership_StoreContact(AqMembership *m, AqTime started);
 /* Processes a heartbeat that was received from the peer "from" at "now". */
 void AqMembership_Heartbeat(AqMembership *m, AqTime now, const char *from,
@@ -81,74 +99,82 @@
 void AqMembership_Disconnected(AqMembership *m, AqTime now, const char *id);
 
 /* Fills seq, instance, epoch, version, store_age_ms, joining, peer_ages and
- * acked_seq; the caller adds the rest (AqSlices_FillHeartbeat for over and
- * slot_leases) and clears the message.  Must be called every AQ_HEARTBEAT_MS:
- * a gap of more than three intervals counts as a pause of this daemon, after
- * which the silence of every peer is measured from the end of the pause. */
+ * acked_seq of a heartbeat; the caller fills the other fields
+ * (AqSlices_FillHeartbeat for over and slot_leases) and clears the message.
+ * Must be called every AQ_HEARTBEAT_MS: a gap of more than three such
+ * intervals between calls counts as a pause of this daemon, after which the
+ * silence of every peer is measured from the end of the pause. */
 void AqMembership_FillHeartbeat(AqMembership *m, AqTime now,
                                 AqMsgHeartbeat *beat);
 
-/* Whether a heartbeat of the peer was received within AQ_SUSPECT_MS and
- * acknowledges a heartbeat that this daemon sent within AQ_FRESH_MS; always
- * true for this daemon itself. */
+/* Whether the last heartbeat of the peer was received at most AQ_SUSPECT_MS
+ * ago, and the peer has acknowledged a heartbeat that this daemon sent at most
+ * AQ_FRESH_MS ago; always true for this daemon itself. */
 bool AqMembership_IsLive(const AqMembership *m, AqTime now, const char *id);
 /* Whether this daemon may rely on its version of the fleet document.  True if
- * it, or a peer without a newer version, reached the store within AQ_FRESH_MS;
- * or if a majority reports no newer version and no member with a newer one
- * reached the store in that time.  Design page, section 4.2. */
+ * this daemon, or a peer whose version is not newer, reached the store in the
+ * last AQ_FRESH_MS; or if in that time a majority of the members reported
+ * versions that are not newer and no member with a newer version reached the
+ * store.  Design page, section 4.2. */
 bool AqMembership_IsFresh(const AqMembership *m, AqTime now);
-/* Whether a majority of the epoch, this daemon included, has reported that
- * "version" or a later version is in force.  False if this daemon itself has a
- * version below it. */
+/* Whether a majority of the epoch's members, this daemon included, has
+ * "version" or a later version of the fleet document in force, by the last
+ * heartbeat of each.  False if this daemon itself has a lower version. */
 bool AqMembership_IsAccepted(const AqMembership *m, AqTime now,
                              int64_t version);
-/* Whether every member, this daemon included, has reported that "version" or
- * a later version is in force. */
+/* Whether every member, this daemon included, has "version" or a later version
+ * of the fleet document in force, by the last heartbeat of each. */
 bool AqMembership_IsAppliedByAll(const AqMembership *m, int64_t version);
-/* Highest version that any peer has reported, 0 if none has.  If "peer" is not
- * NULL, *peer becomes the id of that peer, or NULL if there is none; the id is
- * valid until the next call that changes "m". */
+/* Highest version of the fleet document that any peer has reported in its last
+ * heartbeat; 0 if no peer has sent a heartbeat.  If "peer" is not NULL, *peer
+ * becomes the id of the peer with that version, or NULL if no peer has sent a
+ * heartbeat; the id is valid until the next call that changes "m". */
 int64_t AqMembership_HighestVersion(const AqMembership *m, const char **peer);
-/* Whether a commit may add or remove one member now: a majority of the
- * installed epoch has it in force, or the epoch is empty.  Each commit must
- * change exactly one member of the installed epoch; after a write conflict the
- * daemon must call this function again.  Majorities of successive epochs
- * therefore intersect. */
+/* Whether a commit of the fleet document may add or remove one member now: the
+ * installed epoch is in force at a majority of its members, or has no members.
+ * Each commit must change exactly one member of the installed epoch; after a
+ * write conflict the daemon must call this function again.  Majorities of
+ * successive epochs therefore intersect. */
 bool AqMembership_MayChangeMembers(const AqMembership *m, AqTime now);
-/* Id of a member from which a majority has received no heartbeat for
- * AQ_REMOVE_MS, or NULL if there is none or AqMembership_MayChangeMembers is
- * false.  The daemon commits the removal of that member.  The id is valid
- * until the next SetEpoch. */
+/* Id of a member from which a majority of the members has received no
+ * heartbeat for AQ_REMOVE_MS; NULL if no member is silent or
+ * AqMembership_MayChangeMembers is false.  The daemon commits the removal of
+ * that member.  The id is valid until the next AqMembership_SetEpoch. */
 const char *AqMembership_ToRemove(const AqMembership *m, AqTime now);
 /* Whether this daemon is a member and owns "role" ("planner", "claims/3",
- * ...): among the live members it has the highest rendezvous weight for the
- * role. */
+ * ...): of all live members it has the highest rendezvous weight for
+ * "role". */
 bool AqMembership_IsOwner(const AqMembership *m, AqTime now, const char *role);
 /* Id of the live member that owns "role"; this daemon's own id if no member is
- * live.  Valid until the next SetEpoch. */
+ * live.  The id is valid until the next AqMembership_SetEpoch. */
 const char *AqMembership_Owner(const AqMembership *m, AqTime now,
                                const char *role);
-/* Number of requests that all other members report in flight on a leaving VM;
- * the caller adds its own.  -1 until every member, this daemon included, has
- * reported "version" or a later version. */
+/* Number of requests in flight on the leaving VM "vm" that the other members
+ * report; the caller adds the requests of this daemon.  -1 until every member,
+ * this daemon included, has "version" or a later version of the fleet document
+ * in force. */
 int64_t AqMembership_LeavingInFlight(const AqMembership *m, const char *vm,
                                      int64_t version);
 
 /* ---- For AqSlices ------------------------------------------------------ */
 
-/* Index of a member of the epoch in order of id, or -1 for other ids. */
+/* Position, from 0, of the member "id" among the epoch's members in order of
+ * id; -1 if "id" is not a member. */
 int AqMembership_Index(const AqMembership *m, const char *id);
-/* Instance that a peer last reported; 0 if no heartbeat has been received. */
+/* Instance number in the last heartbeat of a peer; it differs at each start of
+ * the peer.  0 if no heartbeat of the peer has been received. */
 uint64_t AqMembership_Instance(const AqMembership *m, const char *id);
 /* Sets *at to a lower bound, on this daemon's clock, of the time at which the
  * peer sent its last heartbeat: the time at which this daemon sent the
  * heartbeat that the peer last acknowledged.  Returns false, and leaves *at
- * unset, if the peer has acknowledged no heartbeat of this instance. */
+ * unset, if the peer has acknowledged no heartbeat since it or this daemon
+ * last started. */
 bool AqMembership_SentAfter(const AqMembership *m, const char *id, AqTime *at);
-/* Whether AQ_GUARD_MS have passed since this daemon started. */
+/* Whether AQ_GUARD_MS have passed since this daemon started (created "m"). */
 bool AqMembership_IsStarted(const AqMembership *m, AqTime now);
 
-/* Bytes of memory in use, without the allocator's overhead. */
+/* Bytes of memory that "m" and its lists use, without the overhead of the
+ * allocator. */
 size_t AqMembership_MemoryBytes(const AqMembership *m);
 
 #endif
--- a/packages/membership/bench/bench_cluster.c
+++ b/packages/membership/bench/bench_cluster.c
@@ -6,7 +6,8 @@
 #include <time.h>
 
 enum {
-    /* Time for which a store read waits for a new version. */
+    /* Time for which a store read waits for a new version before the store
+     * responds. */
     STORE_READ_WAIT_MS = 1000,
     STORE_LATENCY_MS = 3,
     SLOT_LEASE_TERM_MS = 2000,
@@ -193,7 +194,7 @@
     return sum;
 }
 
-/* Slots in use of one member over all endpoints. */
+/* Slots in use of the member "b", summed over all endpoints. */
 static int
 sum_used_slots(const BenchCluster *c, const BenchMember *b)
 {
@@ -204,7 +205,8 @@
     return n;
 }
 
-/* Leases up to "slot_count" slots of one member; returns the number leased. */
+/* Leases up to "slot_count" idle slots of "lessor" to the member "b"; returns
+ * the number of slots leased. */
 static int
 request_slots_from(BenchCluster *c, BenchMember *b, BenchMember *lessor,
                    int slot_count)
@@ -224,8 +226,8 @@
     return got;
 }
 
-/* Returns unused leased-in slots whose term has ended or that are not needed.
- */
+/* Returns to their lessors the leased-in slots on which "b" runs no request,
+ * if their term has ended or "b" has free slots of its own. */
 static void
 return_slot_leases(BenchCluster *c, BenchMember *b)
 {
--- a/packages/membership/bench/bench_membership.c
+++ b/packages/membership/bench/bench_membership.c
@@ -3,15 +3,16 @@
 #include "bench_cluster.h"
 
 /* Prints the cost of heartbeats and the share of slots in use with and without
- * slot leasing, for 3 to 27 members.  Sizes are those of the frames, without
- * TCP/IP headers. */
+ * slot leasing, for 3 to 27 members.  Sizes are those of the encoded
+ * heartbeats, without TCP/IP headers. */
 
 enum {
     WARM_UP_MS = 10000,
     MEASURE_MS = 60000
 };
 
-/* Prints the traffic, CPU time and memory of one member. */
+/* Prints the traffic and CPU time of one member's heartbeats and the memory of
+ * one member, in a cluster of "members" members and "endpoints" endpoints. */
 static void
 measure_cost(int members, int endpoints)
 {
@@ -51,7 +52,8 @@
     }
 }
 
-/* Prints the share of slots in use without and with slot leasing. */
+/* Prints the share of a cluster's slots that are in use, without and with slot
+ * leasing. */
 static void
 measure_slot_leasing(int members, const char *load, int loaded_count)
 {
@@ -73,9 +75,10 @@
     bench_destroy(c);
 }
 
-/* Prints the share of time in which a member is fresh that does not reach the
- * store and receives heartbeats only from one peer that does: the least and
- * the mean over the offsets between its heartbeats and the peer's. */
+/* For a member that does not reach the store and receives heartbeats only from
+ * one peer that reaches it: prints the share of time in which the member is
+ * fresh, the least and the mean over the offsets between the member's
+ * heartbeats and the peer's. */
 static void
 measure_relayed_freshness(void)
 {
--- a/packages/membership/endpoints.c
+++ b/packages/membership/endpoints.c
@@ -100,8 +100,9 @@
 
 /* ---- Assignment --------------------------------------------------------- */
 
-/* Index of the member to which a slot is assigned: the one with the highest
- * rendezvous weight; NO_MEMBER if there are no members. */
+/* Position in "hashes" of the member to which a slot of "e" is assigned: the
+ * one with the highest rendezvous weight; NO_MEMBER if there are no
+ * members. */
 static uint16_t
 assign_slot(const uint64_t *hashes, size_t count, const Endpoint *e, int slot)
 {
--- a/packages/membership/membership.c
+++ b/packages/membership/membership.c
@@ -7,14 +7,15 @@
 #include "membership_internal.h"
 
 enum {
-    /* A gap between two heartbeats of this daemon that exceeds this counts as
-     * a pause of the daemon. */
+    /* A longer time between two heartbeats that this daemon sends counts as a
+     * pause of this daemon. */
     PAUSE_THRESHOLD_MS = 3 * AQ_HEARTBEAT_MS,
-    /* A peer that is not a member is removed from the table after this
-     * silence. */
+    /* A peer that is not a member is removed from the table of peers after
+     * this time without a heartbeat. */
     NONMEMBER_RETENTION_MS = 60000,
-    /* Limits seq_base to 31 bits, so that seq, which grows by one per
-     * millisecond, stays below 2^32 (five bytes in msgpack) for 24 days. */
+    /* Limits seq_base to 31 bits, so that the sequence number (seq) of
+     * heartbeats, which grows by one per millisecond, stays below 2^32 (five
+     * bytes in msgpack) for 24 days after a start. */
     SEQ_BASE_MASK = 0x7fffffff
 };
 
@@ -28,8 +29,9 @@
     strncpy(m->self, self, sizeof(m->self) - 1);
     m->instance = instance;
     m->created = now;
-    /* Each instance has a different base, so that a peer's acknowledgement of
-     * an earlier instance decodes to an impossible time and is rejected. */
+    /* Each instance of the daemon has a different base, so that a peer's
+     * acknowledgement of an earlier instance's heartbeat decodes to an
+     * impossible sending time and is rejected. */
     m->seq_base = AqHash_Bytes(&instance, sizeof(instance)) & SEQ_BASE_MASK;
     m->last_fill = now;
     m->listening_since = now;
@@ -172,7 +174,7 @@
 }
 
 /* Sets *at to the time at which this daemon sent the heartbeat "seq"; returns
- * false if this instance has sent no such heartbeat. */
+ * false if this daemon has sent no such heartbeat since its start. */
 static bool
 sending_time(const AqMembership *m, uint64_t seq, AqTime *at)
 {
@@ -185,9 +187,10 @@
 }
 
 /* Sets *at to a lower bound, on this daemon's clock, of the time at which the
- * peer sent the heartbeat: a heartbeat that acknowledges seq S of this daemon
- * was sent after S was.  The bound holds however long the heartbeat was
- * delayed in buffers.  Returns false if it acknowledges none. */
+ * peer sent "beat": a heartbeat that acknowledges seq S of this daemon was
+ * sent after S was.  The bound holds however long "beat" was delayed in
+ * buffers.  Returns false if "beat" acknowledges no heartbeat of this
+ * daemon. */
 static bool
 earliest_send_time(const AqMembership *m, AqTime now,
                    const AqMsgHeartbeat *beat, AqTime *at)
@@ -205,7 +208,8 @@
     return false;
 }
 
-/* Updates the sending time and the store contacts that follow from a heartbeat
+/* Updates peer->sent_after, and the times at which the peer last reached the
+ * store (peer->contact and m->relayed_contact), from a heartbeat of the peer
  * that was sent no earlier than "sent_after". */
 static void
 record_send_time(AqMembership *m, Peer *peer, AqTime sent_after,
@@ -226,10 +230,11 @@
     }
 }
 
-/* Sets counts_for_majority once a majority of the epoch, made up of other
- * members that count themselves, has recently reported versions that are not
- * above this daemon's.  It then has every accepted version, although a restart
- * may have set it back to an older one. */
+/* Sets counts_for_majority once a majority of the members, made up of other
+ * members that do not report themselves as joining, has reported versions of
+ * the fleet document not above this daemon's in heartbeats sent at most
+ * AQ_FRESH_MS ago.  This daemon then has every accepted version, although a
+ * restart may have set it back to an older one. */
 static void
 update_counts_for_majority(AqMembership *m, AqTime now)
 {
@@ -283,8 +288,8 @@
 void
 AqMembership_Disconnected(AqMembership *m, AqTime now, const char *id)
 {
-    /* A closed connection says nothing about the peer: it may reconnect at
-     * once, and silence is measured by heartbeats alone. */
+    /* A closed connection does not show that the peer has failed: the peer may
+     * reconnect at once, and its silence is measured by heartbeats alone. */
     (void)m;
     (void)now;
     (void)id;
--- a/packages/membership/membership_internal.h
+++ b/packages/membership/membership_internal.h
@@ -7,40 +7,52 @@
 typedef struct {
     char id[AQ_WIRE_MAX_NAME];
     uint64_t hash;
-    AqTime known_since; /* when this daemon installed the member; own clock */
+    /* Time on this daemon's clock since which every installed epoch has listed
+     * this member. */
+    AqTime known_since;
 } Member;
 
 struct AqMembership {
     char self[AQ_WIRE_MAX_NAME];
     uint64_t instance;
-    unsigned faults; /* AQ_FAULT_* bits */
+    unsigned faults; /* AQ_FAULT_* bits that are set */
     AqTime created;
-    /* seq of a heartbeat is seq_base + 1 + milliseconds since "created". */
+    /* The sequence number (seq) of a heartbeat that this daemon sends is
+     * seq_base + 1 + the milliseconds from "created" to its sending. */
     uint64_t seq_base;
-    AqTime last_fill;       /* last call of AqMembership_FillHeartbeat */
-    AqTime listening_since; /* creation or the end of the last pause */
-    /* False after a start, until this daemon certainly has every accepted
-     * version again; a majority must not include it before. */
+    /* Time of the last call of AqMembership_FillHeartbeat. */
+    AqTime last_fill;
+    /* Time from which the silence of peers is measured: the end of this
+     * daemon's last pause, or its start if it has not paused. */
+    AqTime listening_since;
+    /* Whether this daemon counts towards majorities of the members: false from
+     * its start, which may set it back to an older version of the fleet
+     * document, until it certainly has every accepted version. */
     bool counts_for_majority;
     bool has_epoch;
     int64_t epoch;
     int64_t version;
-    AqTime contact; /* start of the last store read that got a response */
-    /* Latest store contact of a peer whose version was not above this
-     * daemon's when its heartbeat was received. */
+    /* Start of this daemon's last store read that got a response; TIME_UNKNOWN
+     * before the first. */
+    AqTime contact;
+    /* Latest time at which a peer certainly reached the store, by heartbeats
+     * whose version was not above this daemon's at receipt; TIME_UNKNOWN if
+     * none. */
     AqTime relayed_contact;
-    Member *members; /* of the epoch, in order of id */
+    Member *members; /* of the installed epoch, in order of id */
     size_t count;
     Peers peers;
 };
 
-/* Whether "count" members are a majority of the epoch. */
+/* Whether "count" members are more than half of the epoch's members. */
 bool membership_is_majority(const AqMembership *m, size_t count);
 bool membership_is_self(const AqMembership *m, const char *id);
-/* Whether the peer certainly sent its last heartbeat within AQ_FRESH_MS. */
+/* Whether the last heartbeat received from the peer was certainly sent at most
+ * AQ_FRESH_MS ago. */
 bool membership_has_recent_heartbeat(const Peer *peer, AqTime now);
-/* Milliseconds since the last heartbeat of the peer, not counting time before
- * the peer became a member or before the end of this daemon's last pause. */
+/* Milliseconds since the last heartbeat of the peer was received, not counting
+ * time before the peer became a member or before the end of this daemon's last
+ * pause. */
 AqTime membership_silence(const AqMembership *m, AqTime now, const Peer *peer);
 
 #endif
--- a/packages/membership/peers.c
+++ b/packages/membership/peers.c
@@ -5,7 +5,8 @@
 
 #include "aq_hash.h"
 
-/* Index of the first peer whose id does not sort before "id". */
+/* Position in peers->items of the first peer whose id does not sort before
+ * "id"; peers->count if there is none. */
 static size_t
 lower_bound(const Peers *peers, const char *id)
 {
--- a/packages/membership/peers.h
+++ b/packages/membership/peers.h
@@ -4,35 +4,42 @@
 #include "aq_membership.h"
 
 enum {
-    /* Most peers in the table, members or not.  Bounds the memory that other
-     * hosts with a valid secret can use. */
+    /* Most peers in the table, members or not; heartbeats of further peers are
+     * ignored.  Bounds the memory that other hosts with a valid secret can
+     * use. */
     PEERS_MAX = 512
 };
 
 /* AqTime value for an unknown time; it is before every other time. */
 #define TIME_UNKNOWN INT64_MIN
 
-/* State of one peer as its heartbeats reported it.  The lists are copies owned
- * by the peer. */
+/* State of one peer as reported in its heartbeats.  The lists are copies that
+ * this struct owns. */
 typedef struct {
     char id[AQ_WIRE_MAX_NAME];
-    uint64_t hash;     /* of the id; for rendezvous hashing */
-    uint64_t instance; /* 0: no heartbeat received yet */
+    uint64_t hash; /* hash of the peer's id, for rendezvous hashing */
+    /* Number that differs at each start of the peer; 0 until this daemon
+     * receives a heartbeat of the peer. */
+    uint64_t instance;
     uint64_t seq;
     int64_t epoch;
     int64_t version;
     bool joining;
-    AqTime last_heartbeat_at; /* receipt of the last heartbeat, own clock */
+    /* Time at which this daemon received the peer's last heartbeat, on this
+     * daemon's clock; TIME_UNKNOWN before the first. */
+    AqTime last_heartbeat_at;
     /* Lower bound, on this daemon's clock, of the time at which the peer sent
-     * a heartbeat that has been received. */
+     * its last heartbeat; TIME_UNKNOWN if there is no bound. */
     AqTime sent_after;
-    /* Lower bound of the peer's last store contact, on the own clock. */
+    /* Lower bound, on this daemon's clock, of the time at which the peer last
+     * reached the store; TIME_UNKNOWN if there is no bound. */
     AqTime contact;
-    /* For each other daemon, milliseconds since the peer last received its
-     * heartbeat. */
+    /* For each other daemon, milliseconds for which the peer had received no
+     * heartbeat from it when the peer sent its last heartbeat. */
     AqWireCount *peer_ages;
     size_t peer_age_count;
-    AqWireCount *leaving; /* leaving VMs and the peer's requests on them */
+    /* For each leaving VM, the peer's requests in flight on it. */
+    AqWireCount *leaving;
     size_t leaving_count;
 } Peer;
 
@@ -44,8 +51,9 @@
 
 /* Finds a peer; NULL if the table has none with this id. */
 Peer *peers_find(const Peers *peers, const char *id);
-/* Finds a peer or adds it without any report; NULL if the table is full.  The
- * call may move the other peers. */
+/* Finds a peer, or adds one from which no heartbeat has been received; NULL if
+ * the table is full.  Adding a peer may move the other peers, which makes
+ * pointers to them invalid. */
 Peer *peers_add(Peers *peers, const char *id);
 /* Removes the peers whose last heartbeat was received before "limit" and for
  * which "keep" returns false. */
@@ -54,12 +62,15 @@
                  const void *context);
 void peers_clear(Peers *peers);
 
-/* Discards the reports of the peer's previous instance and sets "instance". */
+/* Discards what heartbeats of the peer's previous instance reported, and sets
+ * peer->instance to "instance". */
 void peer_reset(Peer *peer, uint64_t instance);
-/* Stores copies of the fields and lists of a heartbeat received at "now". */
+/* Stores in the peer copies of the fields and lists of its heartbeat, which
+ * was received at "now". */
 void peer_store(Peer *peer, AqTime now, const AqMsgHeartbeat *beat);
 
-/* Value for "name" in a list, or "absent" if the list does not contain it. */
+/* Value of the item called "name" in "items", or "absent" if there is no such
+ * item. */
 int64_t count_value(const AqWireCount *items, size_t count, const char *name,
                     int64_t absent);
 
--- a/packages/membership/rules.c
+++ b/packages/membership/rules.c
@@ -3,8 +3,9 @@
 #include "aq_hash.h"
 #include "membership_internal.h"
 
-/* Decisions derived from the heartbeats and store contacts that membership.c
- * has recorded: liveness, freshness, acceptance, removal and ownership. */
+/* This file derives decisions from the heartbeats and store contacts that
+ * membership.c has recorded: liveness of peers, freshness of this daemon,
+ * acceptance of versions, removal of members and ownership of roles. */
 
 bool
 membership_is_majority(const AqMembership *m, size_t count)
@@ -43,9 +44,9 @@
     return contact != TIME_UNKNOWN && now - contact <= AQ_FRESH_MS;
 }
 
-/* Whether a majority of the epoch recently reported versions that are not
- * above this daemon's, and no member with a newer version recently reached the
- * store. */
+/* Whether a majority of the members reported, in heartbeats sent at most
+ * AQ_FRESH_MS ago, versions that are not above this daemon's, and no member
+ * with a newer version reached the store in that time. */
 static bool
 is_fresh_by_majority(const AqMembership *m, AqTime now)
 {
@@ -79,9 +80,9 @@
     if (is_recent(m->contact, now) || is_recent(m->relayed_contact, now)) {
         return true;
     }
-    /* relayed_contact leaves out peers whose version was above this daemon's
-     * when their heartbeat was received; this daemon may have installed that
-     * version since. */
+    /* relayed_contact leaves out store contacts of peers whose version was
+     * above this daemon's when their heartbeat was received; this daemon may
+     * have installed that version since. */
     for (size_t i = 0; i < m->peers.count; i++) {
         const Peer *peer = &m->peers.items[i];
         if (peer->version <= m->version && is_recent(peer->contact, now)) {
@@ -91,8 +92,8 @@
     return is_fresh_by_majority(m, now);
 }
 
-/* Number of members, this daemon included, that have reported "version" or a
- * later version. */
+/* Number of members, this daemon included, that have "version" or a later
+ * version of the fleet document in force, by the last heartbeat of each. */
 static size_t
 count_reported(const AqMembership *m, int64_t version)
 {
@@ -111,8 +112,10 @@
 bool
 AqMembership_IsAccepted(const AqMembership *m, AqTime now, int64_t version)
 {
-    /* Versions never decrease, so a report is valid however old it is.  Above
-     * this daemon's own version its list of members may be out of date. */
+    /* The version at one instance of a daemon never decreases, so what a
+     * member reported is valid however old its heartbeat is.  For versions
+     * above this daemon's own, this daemon's list of members may be out of
+     * date. */
     (void)now;
     return m->version >= version && m->count > 0 &&
            membership_is_majority(m, count_reported(m, version));
@@ -153,7 +156,7 @@
 }
 
 /* Number of members, this daemon included, that have received no heartbeat of
- * "id" for AQ_REMOVE_MS. */
+ * the member "id" in the last AQ_REMOVE_MS. */
 static size_t
 count_silent(const AqMembership *m, AqTime now, const char *id)
 {
--- a/packages/membership/slices.c
+++ b/packages/membership/slices.c
@@ -35,7 +35,8 @@
 
 /* ---- Epochs and endpoints ----------------------------------------------- */
 
-/* Whether a member of the previous epoch is not in the current one. */
+/* Whether a member of the previous epoch, whose members "old" lists, is not a
+ * member of the current one. */
 static bool
 has_member_left(const AqSlices *slices, const char (*old)[AQ_WIRE_MAX_NAME],
                 size_t old_count)
@@ -81,8 +82,9 @@
     copy_members(slices);
     slices->epoch = epoch;
     memset(slices->reported, 0, sizeof(slices->reported));
-    /* A daemon that was not a member has no list of the previous members, so
-     * any of them may have left. */
+    /* If this daemon was not a member of the previous epoch, it has no list of
+     * that epoch's members, so any of them may have left and still use
+     * slots. */
     if (!was_member ||
         has_member_left(slices, (const char(*)[AQ_WIRE_MAX_NAME])old,
                         old_count)) {
@@ -166,7 +168,7 @@
     words[i / 64] |= (uint64_t)1 << (i % 64);
 }
 
-/* Whether the bit of every member other than this daemon is set. */
+/* Whether "words" has the bit of every member other than this daemon set. */
 static bool
 has_every_peer(const AqSlices *slices, const uint64_t *words)
 {
@@ -188,7 +190,8 @@
     slices->pending--;
 }
 
-/* Holds the pending slots of "e" that all other members have released. */
+/* Sets the pending slots of "e" that all other members have released to
+ * SLOT_HELD. */
 static void
 hold_released_slots(AqSlices *slices, Endpoint *e)
 {
@@ -208,9 +211,10 @@
     }
 }
 
-/* Whether no wait for daemons outside the epoch is needed, or it has ended. It
- * begins when the epoch is accepted, lasts AQ_GUARD_MS, and does not end
- * within AQ_GUARD_MS of this daemon's start. */
+/* Whether pending slots need not wait any longer for daemons outside the
+ * epoch.  Such a wait begins when this daemon sees the epoch accepted, lasts
+ * AQ_GUARD_MS, and does not end before AQ_GUARD_MS after this daemon's
+ * start. */
 static bool
 is_guard_over(AqSlices *slices, AqTime now)
 {
@@ -247,9 +251,9 @@
     }
 }
 
-/* Records that member "i" has released its former slots on every endpoint that
- * its heartbeat does not list as over: it has no more requests in flight there
- * than slots. */
+/* Records that member "i" has released its former slots of every endpoint that
+ * its heartbeat does not list as over: the member has no more requests in
+ * flight on such an endpoint than it has slots of the endpoint. */
 static void
 record_release(AqSlices *slices, size_t i, const AqMsgHeartbeat *beat)
 {
@@ -273,8 +277,8 @@
 }
 
 /* Processes the heartbeat of a daemon that is not a member, such as a removed
- * one: on the endpoints that it lists as over it still has requests, so no
- * pending slot is held there for AQ_FRESH_MS. */
+ * one.  That daemon still has requests in flight on the endpoints in its
+ * "over" list, so no pending slot of these becomes held for AQ_FRESH_MS. */
 static void
 block_endpoints(AqSlices *slices, AqTime now, const AqMsgHeartbeat *beat)
 {
@@ -295,8 +299,9 @@
 {
     int i = AqMembership_Index(slices->membership, from);
     AqTime sent_after;
-    /* Until the peer acknowledges a heartbeat of this instance, its report may
-     * be older than this instance. */
+    /* Until the peer acknowledges a heartbeat of this instance of the daemon,
+     * the peer's heartbeat may have been sent before this instance started,
+     * and is ignored. */
     if (!beat->slots_known || strcmp(from, slices->self) == 0 ||
         !AqMembership_SentAfter(slices->membership, from, &sent_after)) {
         return;
@@ -365,8 +370,9 @@
 }
 
 /* Returns the number of endpoints on which this daemon has more requests in
- * flight than slots, and lists them with the excess if "items" is not NULL.
- * Frees removed endpoints without requests. */
+ * flight than slots.  Unless "items" is NULL, lists these endpoints in it,
+ * each with the number of excess requests.  Frees removed endpoints on which
+ * this daemon has no requests. */
 static size_t
 list_over(AqSlices *slices, int (*in_use)(void *context, const char *endpoint),
           void *context, AqWireCount *items)
@@ -415,9 +421,10 @@
     beat->over_count = n;
     slot_leases_fill(slices, beat);
     beat->slots_known = true;
-    /* Epoch 0 releases no slots.  It is reported if the list is truncated, and
-     * until this instance has learned of the slot leases that its predecessor
-     * granted. */
+    /* A heartbeat with epoch 0 releases no slots.  This daemon sends epoch 0
+     * if its "over" list is too long for a heartbeat, and until every other
+     * member has reported its leased-in slots, which a previous instance of
+     * this daemon may have granted. */
     slices->all_reported =
         slices->all_reported ||
         (slices->is_member && has_every_peer(slices, slices->reported));
--- a/packages/membership/slices_internal.h
+++ b/packages/membership/slices_internal.h
@@ -6,53 +6,72 @@
 
 enum {
     MEMBER_WORDS = AQ_MAX_MEMBERS / 64,
-    SLOTS_MAX = 1000, /* largest value of the pool field "slots" */
-    SLOT_LEASES_MAX = AQ_WIRE_MAX_ITEMS, /* of each SlotLeaseTable */
-    NO_MEMBER = UINT16_MAX               /* index that no member has */
+    /* Most slots of one endpoint, the largest value of the pool field "slots";
+     * a larger number is lowered to this. */
+    SLOTS_MAX = 1000,
+    /* Most slot leases in one SlotLeaseTable; a further one is not added. */
+    SLOT_LEASES_MAX = AQ_WIRE_MAX_ITEMS,
+    /* Stands for no member where the index of a member is expected. */
+    NO_MEMBER = UINT16_MAX
 };
 
 /* State of one slot of an endpoint for this daemon. */
 typedef enum {
     SLOT_OTHER,   /* assigned to another member */
-    SLOT_PENDING, /* assigned to this daemon, may be in use elsewhere */
-    SLOT_HELD     /* assigned to this daemon, released by all others */
+    SLOT_PENDING, /* assigned to this daemon, perhaps in use by others */
+    SLOT_HELD     /* assigned to this daemon, released by all other members */
 } SlotState;
 
 typedef struct Endpoint {
-    struct Endpoint *next; /* next entry of the hash bucket */
+    struct Endpoint *next; /* next endpoint in the same hash bucket */
     char name[AQ_WIRE_MAX_NAME];
     uint64_t hash;
-    bool removed;         /* freed once its requests in flight have ended */
-    int slots;            /* limit of the endpoint, over all members */
-    int pending;          /* number of slots in SLOT_PENDING */
-    int held;             /* number of slots in SLOT_HELD */
-    int leased_out;       /* slots leased out to other members */
-    int leased_in;        /* slots leased in from other members */
+    /* Whether the endpoint has been removed; the entry is freed once this
+     * daemon's requests in flight on the endpoint have ended. */
+    bool removed;
+    /* Number of slots of the endpoint over all members: its limit of requests
+     * in flight. */
+    int slots;
+    int pending;          /* slots of the endpoint in state SLOT_PENDING */
+    int held;             /* slots of the endpoint in state SLOT_HELD */
+    int leased_out;       /* slots that this daemon leased out to others */
+    int leased_in;        /* slots that this daemon leased in from others */
     unsigned char *state; /* SlotState of each slot */
-    uint16_t *previous;   /* index of each slot's member in the previous epoch;
-                             only for AQ_FAULT_PREVIOUS_ONLY */
-    /* Time before which no pending slot becomes held; set when a daemon that
-     * is not a member reports requests on the endpoint. */
+    /* For each slot, the member to which it was assigned in the previous
+     * epoch, as a position among the members of the current epoch; NO_MEMBER
+     * if that member has left.  Only for AQ_FAULT_PREVIOUS_ONLY. */
+    uint16_t *previous;
+    /* Time before which no pending slot of this endpoint becomes held; set
+     * when a daemon that is not a member reports requests on the endpoint. */
     AqTime blocked_until;
-    /* Number of the last report that listed the endpoint as over. */
+    /* report_number of the last heartbeat whose "over" list, of the endpoints
+     * on which its sender has more requests than slots, named this
+     * endpoint. */
     uint64_t last_over_report;
-    /* Members that have released their former slots, by index. */
+    /* Bits by member index: set for members that have released, in this epoch,
+     * their former slots of this endpoint. */
     uint64_t released_by[MEMBER_WORDS];
 } Endpoint;
 
-/* Slots of one endpoint leased out to, or leased in from, one peer. */
+/* Slots of one endpoint that this daemon has leased out to, or leased in from,
+ * one peer. */
 typedef struct {
     char peer[AQ_WIRE_MAX_NAME];
-    uint64_t instance; /* of the peer when the slot lease was granted */
+    uint64_t instance; /* instance number of the peer at the last grant */
     Endpoint *endpoint;
     int count;
-    AqTime granted_at; /* last grant under this slot lease, own clock */
-    AqTime term_end;   /* leased in: time from which no request may start */
-    bool is_orphaned;  /* leased out: the lessee left the epoch or restarted;
-                          leased in: the lessor left the epoch, so its slots
-                          are assigned to others */
-    AqTime reclaim_at; /* leased out and orphaned: end of the wait of
-                          AQ_GUARD_MS; TIME_UNKNOWN before it begins */
+    /* Time of the last grant under this slot lease, on this daemon's clock. */
+    AqTime granted_at;
+    /* Leased in: time from which no new request may start on the slots. */
+    AqTime term_end;
+    /* Leased out: whether the lessee has left the epoch or restarted.  Leased
+     * in: whether the lessor has left the epoch, so that the slots are
+     * assigned to other members. */
+    bool is_orphaned;
+    /* Leased out and orphaned: time at which this daemon takes the slots back,
+     * AQ_GUARD_MS after it saw the current epoch accepted or the restart of
+     * the lessee; TIME_UNKNOWN until then. */
+    AqTime reclaim_at;
 } SlotLease;
 
 typedef struct {
@@ -67,71 +86,85 @@
     int64_t epoch;
     bool is_member;
     size_t member_count;
-    char (*members)[AQ_WIRE_MAX_NAME]; /* of the epoch, in order of id */
-    uint64_t *hashes;                  /* of the members' ids, same order */
-    /* Whether a daemon that is not a member may still use slots. */
+    /* Ids of the epoch's members, in order. */
+    char (*members)[AQ_WIRE_MAX_NAME];
+    uint64_t *hashes; /* hash of each member's id, in order of id */
+    /* Whether pending slots wait for guard_until, because a daemon that is not
+     * a member may still use them. */
     bool guard_needed;
-    /* End of the wait for such daemons; TIME_UNKNOWN until the epoch is
-     * accepted. */
+    /* If guard_needed: time before which no pending slot is held, AQ_GUARD_MS
+     * after this daemon saw the epoch accepted; TIME_UNKNOWN until then. */
     AqTime guard_until;
-    /* Whether every member has reported its slot leases to this instance. */
+    /* Whether this daemon has received, since its start, the list of leased-in
+     * slots of every other member of one epoch. */
     bool all_reported;
-    /* Members that have reported their slot leases in this epoch, by index. */
+    /* Bits by member index: set for members that have reported, in this epoch,
+     * the slots that they have leased in. */
     uint64_t reported[MEMBER_WORDS];
-    uint64_t report_number; /* number of the last report processed */
+    /* Number of heartbeats whose "over" list has been applied so far; it
+     * identifies the last of them. */
+    uint64_t report_number;
     Endpoint **buckets;
-    size_t bucket_count; /* power of two */
+    size_t bucket_count; /* length of "buckets", a power of two */
     size_t endpoint_count;
     int pending; /* number of pending slots of all endpoints */
     SlotLeaseTable leased_out;
     SlotLeaseTable leased_in;
-    char lessor[AQ_WIRE_MAX_NAME]; /* last result of AqSlices_NextReturn */
+    /* Id that AqSlices_NextReturn last stored in *lessor. */
+    char lessor[AQ_WIRE_MAX_NAME];
 };
 
 /* Creates the empty table of endpoints. */
 void endpoints_init(AqSlices *slices);
-/* Frees the table and every endpoint in it. */
+/* Frees the table of endpoints and every endpoint in it. */
 void endpoints_clear(AqSlices *slices);
 /* Adds an endpoint of 0 slots, whose name must not be in the table yet. */
 Endpoint *endpoints_add(AqSlices *slices, const char *name);
 /* Frees an endpoint that has been removed from its bucket. */
 void endpoints_free(Endpoint *e);
-/* Reassigns every slot of "e" by rendezvous hashing over the members.  With
- * "keep", a held slot that stays assigned to this daemon stays held; every
- * other slot assigned to it becomes pending. */
+/* Reassigns every slot of "e" by rendezvous hashing over the members of the
+ * epoch.  With "keep", a held slot that stays assigned to this daemon stays
+ * held; every other slot assigned to this daemon becomes pending. */
 void endpoints_assign_slots(AqSlices *slices, Endpoint *e, bool keep);
-/* For AQ_FAULT_PREVIOUS_ONLY: records the member to which each slot was
- * assigned in the previous epoch, as an index in the current one. */
+/* For AQ_FAULT_PREVIOUS_ONLY: records in e->previous the member to which each
+ * slot of "e" was assigned in the previous epoch, as a position among the
+ * members of the current epoch.  "old" lists the members of the previous
+ * epoch. */
 void endpoints_record_previous(const AqSlices *slices, Endpoint *e,
                                const char (*old)[AQ_WIRE_MAX_NAME],
                                const uint64_t *old_hashes, size_t old_count);
 
 /* Finds an endpoint; NULL if the table has none of this name. */
 Endpoint *slices_find(const AqSlices *slices, const char *name);
-/* Applies what is due at "now": reclaims orphaned slot leases and, after the
- * wait of AQ_GUARD_MS, holds pending slots that all members have released. */
+/* Does what is due at "now": takes back leased-out slots of orphaned slot
+ * leases, and sets pending slots that all other members have released to
+ * SLOT_HELD unless the wait of AQ_GUARD_MS after the acceptance of the epoch
+ * still lasts. */
 void slices_advance(AqSlices *slices, AqTime now);
 
-/* Frees the table's slot leases. */
+/* Frees all slot leases in the table. */
 void slot_leases_clear(SlotLeaseTable *leases);
-/* Reclaims leased-out slots whose lessee has left or restarted, once the wait
- * of AQ_GUARD_MS has ended. */
+/* Takes back leased-out slots whose lessee has left the epoch or restarted,
+ * AQ_GUARD_MS after this daemon saw the epoch accepted or the restart. */
 void slot_leases_advance(AqSlices *slices, AqTime now);
 /* Updates the slot leases for the new epoch: marks those whose peer is not a
  * member, or whose lessee has restarted, as orphaned, and ends the term of
- * leased-in slots that are no longer valid. */
+ * leased-in slots whose lessor, or this daemon, is not a member any more. */
 void slot_leases_epoch_changed(AqSlices *slices);
-/* Updates the slot leases with a peer after its heartbeat, which lists the
- * slots that it has leased in. */
+/* Updates the slot leases with the peer "from" by its heartbeat, which lists
+ * the slots that the peer has leased in. */
 void slot_leases_heartbeat(AqSlices *slices, AqTime now, const char *from,
                            const AqMsgHeartbeat *beat);
-/* Removes every slot lease on an endpoint. */
+/* Removes every slot lease of slots of the endpoint "e". */
 void slot_leases_drop_endpoint(AqSlices *slices, Endpoint *e);
-/* Number of leased-in slots whose lessor has not left the epoch. */
+/* Number of slots of "e" that this daemon has leased in and whose lessor has
+ * not left the epoch. */
 int slot_leases_valid(const AqSlices *slices, const Endpoint *e);
-/* Number of leased-in slots on which new requests may start. */
+/* Number of slots of "e" that this daemon has leased in and whose term has not
+ * ended at "now", so that new requests may start on them. */
 int slot_leases_in_term(const AqSlices *slices, const Endpoint *e, AqTime now);
-/* Fills slot_leases of a heartbeat with the leased-in slots. */
+/* Fills slot_leases of a heartbeat with the slots that this daemon has leased
+ * in. */
 void slot_leases_fill(const AqSlices *slices, AqMsgHeartbeat *beat);
 
 #endif
--- a/packages/membership/slot_leases.c
+++ b/packages/membership/slot_leases.c
@@ -47,14 +47,16 @@
     return lease;
 }
 
-/* Removes slot lease "i" and moves the last one to its index. */
+/* Removes the slot lease at position "i" of the table and moves the last slot
+ * lease to that position. */
 static void
 remove_slot_lease(SlotLeaseTable *leases, size_t i)
 {
     leases->items[i] = leases->items[--leases->count];
 }
 
-/* Sets the number of slots of a leased-out slot lease; 0 removes it. */
+/* Sets the number of slots of a slot lease that this daemon has granted; a
+ * count of 0 removes the slot lease. */
 static void
 set_leased_out(AqSlices *slices, SlotLease *lease, int count)
 {
@@ -66,7 +68,8 @@
     }
 }
 
-/* Sets the number of slots of a leased-in slot lease; 0 removes it. */
+/* Sets the number of slots of a slot lease that this daemon has been granted;
+ * a count of 0 removes the slot lease. */
 static void
 set_leased_in(AqSlices *slices, SlotLease *lease, int count)
 {
@@ -92,7 +95,8 @@
         return 0;
     }
     slices_advance(slices, now);
-    /* Only held slots are leased out; leased-in ones are not subleased. */
+    /* Only slots in state SLOT_HELD are leased out; leased-in slots are not
+     * leased out again. */
     int granted = e->held - e->leased_out;
     granted = idle < granted ? idle : granted;
     granted = count < granted ? count : granted;
@@ -149,7 +153,8 @@
     }
 }
 
-/* Number of slots of "e" that a heartbeat lists as leased in from "lessor". */
+/* Number of slots of "e" that the sender of a heartbeat reports as leased in
+ * from "lessor". */
 static int
 reported_count(const AqMsgHeartbeat *beat, const char *lessor,
                const Endpoint *e)
@@ -165,9 +170,11 @@
     return sum < SLOTS_MAX ? (int)sum : SLOTS_MAX;
 }
 
-/* Lowers the slot leases of a lessee that reports fewer slots than this lessor
- * counts, if its heartbeat acknowledges one that was sent after the LEND: the
- * LEND or a RETURN was lost. */
+/* Lowers each slot lease granted to "from" to the number of slots that the
+ * heartbeat of "from" lists, if that is less and the heartbeat acknowledges
+ * one that this daemon sent after its last LEND message: the LEND or a RETURN
+ * message was lost.  Slot leases of an earlier instance of the lessee are
+ * marked as orphaned instead. */
 static void
 lower_slot_leases(AqSlices *slices, AqTime now, const char *from,
                   const AqMsgHeartbeat *beat)
@@ -180,7 +187,8 @@
             continue;
         }
         if (lease->instance != beat->instance) {
-            /* The lessee restarted; its requests may still be running. */
+            /* The lessee restarted; requests of its previous instance may
+             * still run on the slots. */
             if (!lease->is_orphaned) {
                 lease->is_orphaned = true;
                 lease->reclaim_at = now + AQ_GUARD_MS;
@@ -194,8 +202,9 @@
     }
 }
 
-/* Adds or raises slot leases that a lessee reports and that a previous
- * instance of this daemon granted. */
+/* Adds or raises slot leases so that this daemon counts at least the slots
+ * that "from" reports as leased in from this daemon: a previous instance of
+ * this daemon may have granted them. */
 static void
 raise_slot_leases(AqSlices *slices, AqTime now, const char *from,
                   const AqMsgHeartbeat *beat)
@@ -231,15 +240,16 @@
 {
     Endpoint *e = slices_find(slices, endpoint);
     /* The slots of a lessor that is not in this epoch are assigned to other
-     * members. */
+     * members, so its grant is ignored. */
     if (e == NULL || e->removed || count <= 0 || count > SLOTS_MAX ||
         !slices->is_member ||
         !AqMembership_IsMember(slices->membership, lessor)) {
         return;
     }
-    /* The LEND was sent after the lessor's last heartbeat that was received
-     * before it.  The lessor may already have reclaimed the slots of a LEND
-     * that was delayed for longer, once its wait of AQ_GUARD_MS ended. */
+    /* The LEND message was sent after the last heartbeat that was received
+     * from the lessor.  If that heartbeat may be older than AQ_FRESH_MS, so
+     * may the LEND, and the lessor may already have taken the slots back after
+     * its wait of AQ_GUARD_MS. */
     AqTime sent_after;
     if (!AqMembership_SentAfter(slices->membership, lessor, &sent_after) ||
         now - sent_after > AQ_FRESH_MS) {
@@ -273,8 +283,8 @@
         if (lease->endpoint != e) {
             continue;
         }
-        /* A newly granted slot may not have its first request yet, so it is
-         * kept for at least one heartbeat interval. */
+        /* The first request for a newly granted slot may not have come yet, so
+         * the slot is kept for at least one heartbeat interval. */
         bool is_unneeded =
             in_use < own && now - lease->granted_at >= AQ_HEARTBEAT_MS;
         if (now < lease->term_end && !is_unneeded) {
@@ -320,8 +330,9 @@
 {
     for (size_t i = slices->leased_in.count; i-- > 0;) {
         SlotLease *lease = &slices->leased_in.items[i];
-        /* The slot lease is kept until its requests end, because the lessor
-         * treats an unreported slot lease as returned. */
+        /* An orphaned slot lease is kept until this daemon's requests on its
+         * slots end, because the lessor treats a slot lease that is missing
+         * from this daemon's heartbeat as returned. */
         if (!AqMembership_IsMember(slices->membership, lease->peer)) {
             lease->is_orphaned = true;
         }
@@ -352,7 +363,8 @@
         SlotLease *lease = &slices->leased_in.items[i];
         if (strcmp(lease->peer, from) == 0 &&
             lease->instance != beat->instance) {
-            /* The lessor restarted, so its slots are to be returned. */
+            /* The lessor restarted, so the slots leased in from it are to be
+             * returned. */
             lease->term_end = now;
         }
     }
--- a/packages/membership/tests/network.c
+++ b/packages/membership/tests/network.c
@@ -6,8 +6,8 @@
 
 enum {
     SLOT_LEASE_TERM_MS = 2000,
-    /* Time after which an endpoint has ended the requests of a closed
-     * connection. */
+    /* Time from the close of a connection until the endpoint has ended the
+     * requests that came over it. */
     ABORT_DELAY_MS = 3000
 };
 
@@ -351,8 +351,9 @@
     }
 }
 
-/* Sends heartbeats when they are due, and requests the document from a peer
- * that has a newer version. */
+/* When the daemon's heartbeat is due, sends it to all peers, commits a change
+ * of members if the daemon may, and requests the document from a peer that has
+ * a newer version. */
 static void
 step_heartbeat(Network *net, Node *node)
 {
@@ -427,7 +428,8 @@
     if (!network_is_running(net, node)) {
         return;
     }
-    /* After a pause, timers may run before buffered messages are received. */
+    /* After a pause of a daemon, its timers may run before it receives the
+     * messages that were buffered. */
     bool load_first = AqRandom_Below(&net->random, 2) == 0;
     if (load_first) {
         step_load(net, node);
--- a/packages/membership/tests/network.h
+++ b/packages/membership/tests/network.h
@@ -12,21 +12,25 @@
 enum {
     NET_NODES = 9, /* largest number of daemons */
     NET_ENDPOINTS = 4,
-    NET_VERSIONS = 4096, /* largest number of document versions */
-    NET_STEP_MS = 25     /* virtual time per step */
+    /* Most versions of the document; further commits do nothing. */
+    NET_VERSIONS = 4096,
+    NET_STEP_MS = 25 /* virtual time between two updates of all daemons */
 };
 
 typedef enum {
     LINK_OPEN,
     LINK_DROPPING, /* messages are dropped */
-    LINK_STALLED   /* messages arrive, in order, when the fault ends */
+    /* Messages are held back and arrive in order when the link opens. */
+    LINK_STALLED
 } LinkMode;
 
 /* A message on its way over a link. */
 typedef struct Packet {
     struct Packet *next;
-    AqTime due;           /* arrival time */
-    uint64_t to_instance; /* other instances discard the message */
+    AqTime due; /* virtual time at which the message arrives */
+    /* Instance of the receiving daemon when the message was sent; another
+     * instance discards the message. */
+    uint64_t to_instance;
     size_t size;
     char bytes[];
 } Packet;
@@ -34,15 +38,17 @@
 /* One direction of the connection between two daemons. */
 typedef struct {
     LinkMode mode;
-    AqTime until;  /* end of the fault; then the link is open */
-    Packet *first; /* first message of the queue, in order of sending */
+    AqTime until;  /* virtual time at which the link's fault ends */
+    Packet *first; /* oldest message still on its way over the link */
     Packet *last;
-    AqTime last_heartbeat_at; /* delivery of the last heartbeat; 0 for none */
-    /* First heartbeat since the last gap of AQ_REMOVE_MS or more. */
+    /* Virtual time at which the link last delivered a heartbeat; 0: never. */
+    AqTime last_heartbeat_at;
+    /* Virtual time of the first heartbeat that the link delivered after its
+     * last gap of AQ_REMOVE_MS or more between heartbeats. */
     AqTime received_since;
 } Link;
 
-/* A request that a daemon runs on an endpoint until "end". */
+/* A request that a daemon runs on an endpoint from "start" until "end". */
 typedef struct {
     int endpoint;
     int node;
@@ -58,43 +64,72 @@
     int index;
     char id[AQ_WIRE_MAX_NAME];
     bool up;
-    AqTime restart_at;   /* start of the next instance while not "up" */
-    AqTime paused_until; /* 0 if not paused */
+    /* Virtual time at which the next instance of this daemon starts, if it is
+     * not "up". */
+    AqTime restart_at;
+    /* Virtual time at which the daemon's pause ends; 0: no pause. */
+    AqTime paused_until;
     uint64_t instance;
     AqMembership *m;
     AqSlices *s;
-    int64_t version; /* version of the document in force */
+    int64_t version; /* version of the document in force at this daemon */
     AqTime next_heartbeat_at;
-    /* Whether a read of the store's newest version is in flight. */
+    /* Whether this daemon's read of the store's newest version is in
+     * flight. */
     bool reading;
     AqTime read_started;
-    AqTime response_due; /* time by which the store responds */
-    /* Version in the store's response while it is in flight; 0: none. */
+    /* Virtual time at which the store responds to this daemon's read even if
+     * it has no newer version. */
+    AqTime response_due;
+    /* Version of the document in a response of the store that is on its way to
+     * this daemon; 0: no response is. */
     int64_t response_version;
     AqTime response_arrives_at;
     AqTime store_unreachable_until;
-    AqTime removed_at; /* last removal of this daemon as a member; 0: none */
-    double demand;     /* probability per step and endpoint that requests are
-                          started on all free slots */
-    /* Values at the last check that steady slots do not change. */
+    /* Virtual time at which this daemon was last removed from the members; 0:
+     * never. */
+    AqTime removed_at;
+    /* Probability, per endpoint and per NET_STEP_MS, that this daemon starts
+     * requests on all of its free slots. */
+    double demand;
+    /* Results of AqSlices_IsSteady and AqMembership_IsFresh and the epoch of
+     * this daemon at its last check for changes of usable slots. */
     bool was_steady;
     bool was_fresh;
     int64_t steady_epoch;
-    int usable[NET_ENDPOINTS]; /* results of AqSlices_Usable */
+    /* Result of AqSlices_Usable for each endpoint at this daemon's last
+     * check. */
+    int usable[NET_ENDPOINTS];
 } Node;
 
-/* Violations found in a run, by kind, and the amount of work done in it. */
+/* Violations that the checks found in one run of the simulated cluster, by
+ * kind, and counts of what happened in the run. */
 typedef struct {
-    int over_limit;  /* checks with more requests on an endpoint than slots */
-    int stale_fresh; /* daemon fresh 4 s after a newer version was accepted */
-    int wrong_removals; /* removed members whose heartbeats reach a majority */
-    int not_returned;   /* slots still leased after the final quiet phase */
-    int not_usable;     /* missing or surplus usable slots after that phase */
-    int inconsistent;   /* AqSlices_CheckConsistency failed */
-    int not_steady;     /* usable slots changed despite AqSlices_IsSteady */
-    /* Events that show that the run exercised the rules. */
+    /* Number of checks that found more requests on an endpoint than the
+     * endpoint has slots. */
+    int over_limit;
+    /* Number of checks that found a daemon fresh more than 4 s after a
+     * majority accepted a version newer than the daemon's. */
+    int stale_fresh;
+    /* Number of removals of a member whose heartbeats reached a majority of
+     * the members. */
+    int wrong_removals;
+    /* Slots leased out plus slots leased in, over all daemons, that are left
+     * at the end of the run, after a phase without faults and new requests. */
+    int not_returned;
+    /* Sum over the endpoints of the difference between an endpoint's slots and
+     * its slots usable by the daemons together, at the end of the run, after a
+     * phase without faults and new requests. */
+    int not_usable;
+    /* Number of checks at which AqSlices_CheckConsistency failed. */
+    int inconsistent;
+    /* Number of checks that found the usable slots of an endpoint changed at a
+     * daemon although AqSlices_IsSteady was true. */
+    int not_steady;
+    /* Number of changes of members.  Like the counts below, it shows that the
+     * run exercised the rules under test. */
     int epochs;
-    int accepted; /* accepted versions */
+    int accepted; /* document versions accepted by a majority */
     int requests;
     int slot_leases;
     int max_on_endpoint; /* most requests on one endpoint at once */
@@ -106,23 +141,27 @@
     int nodes;
     unsigned faults;
     Node node[NET_NODES];
-    Link link[NET_NODES][NET_NODES]; /* by sender and receiver */
+    Link link[NET_NODES][NET_NODES]; /* [i][k]: from daemon i to k */
     Request *requests;
     size_t request_count;
     size_t request_capacity;
     int slots[NET_ENDPOINTS];
-    int64_t head; /* newest version in the store */
+    int64_t head; /* newest version of the document in the store */
     int64_t epoch_of[NET_VERSIONS];
-    unsigned members_of[NET_VERSIONS]; /* bit masks of nodes */
-    AqTime accepted_at[NET_VERSIONS];  /* 0: not accepted yet */
+    /* Bit mask of the member daemons in each document version. */
+    unsigned members_of[NET_VERSIONS];
+    /* Virtual time at which a majority accepted each document version; 0: not
+     * accepted yet. */
+    AqTime accepted_at[NET_VERSIONS];
     int64_t highest_accepted;
     AqTime head_changed;
     AqTime store_down_until;
     AqTime store_slow_until;
-    bool quiet; /* no faults and no new requests */
+    /* Whether faults have ended and no daemon starts requests any more. */
+    bool quiet;
     AqTime longest_request;
-    /* Whether requests of removed daemons are exempt from the limit; see
-     * is_exempt. */
+    /* Whether the check of an endpoint's limit leaves out requests of removed
+     * daemons; see is_exempt. */
     bool exempt_removed;
     RunStats stats;
 };
@@ -132,23 +171,29 @@
 void network_clear(Network *net);
 /* Runs the cluster for "ms" of virtual time. */
 void network_run(Network *net, AqTime ms);
-/* Ends every link fault, pause and outage, and starts no more requests. */
+/* Ends every link fault, pause and store outage, starts every stopped daemon
+ * at the next update, and lets no daemon start requests any more. */
 void network_end_faults(Network *net);
-/* Counts, after the quiet phase, the slots that are still leased or not usable
- * by exactly one daemon. */
+/* For the end of a run, after a phase without faults and new requests: adds
+ * the slots that are still leased to net->stats.not_returned, and the missing
+ * or surplus usable slots of each endpoint to net->stats.not_usable. */
 void network_check_end(Network *net);
 
-/* Sets the mode of a link for "ms"; LINK_DROPPING also drops the messages on
- * their way. */
+/* Sets the mode of the link from daemon "from" to daemon "to" for "ms" of
+ * virtual time; LINK_DROPPING also drops the messages that are on their way
+ * over the link. */
 void network_set_link(Network *net, int from, int to, LinkMode mode,
                       AqTime ms);
-/* Pauses a daemon for "ms": it neither sends nor receives. */
+/* Pauses a daemon for "ms" of virtual time: it neither sends nor receives. */
 void network_pause(Network *net, int node, AqTime ms);
-/* Stops a daemon and starts a new instance of it after "down_ms". */
+/* Stops a daemon and starts a new instance of it after "down_ms" of virtual
+ * time. */
 void network_restart(Network *net, int index, AqTime down_ms);
-/* Commits a version of the document with the same members. */
+/* Commits to the store a new version of the document with the same members. */
 void network_commit(Network *net);
-/* Starts a fault of random kind, place and length. */
+/* Starts one fault of random kind and length at a random daemon or link, or at
+ * the store.  Pauses last 12 s or "longest_pause" at most, whichever is
+ * more. */
 void network_inject_fault(Network *net, AqTime longest_pause);
 
 /* Number of requests that all daemons run on an endpoint. */
@@ -156,20 +201,28 @@
 
 /* ---- Internal to the network*.c files ----------------------------------- */
 
-/* Uniformly distributed time from "low" to "high", inclusive. */
+/* Random time from "low" to "high" milliseconds, inclusive, uniformly
+ * distributed. */
 AqTime network_random_ms(Network *net, AqTime low, AqTime high);
 bool network_is_running(const Network *net, const Node *node);
-/* Index of the daemon with this id, which must exist. */
+/* Position in net->node of the daemon with this id, which must exist. */
 int network_node_of(const Network *net, const char *id);
 const char *network_endpoint(int endpoint);
-/* Count the violations at one daemon and at the endpoints. */
+/* Checks one daemon for stale freshness, inconsistent slots and changes of
+ * steady slots; counts each violation found in net->stats, and records newly
+ * accepted versions. */
 void network_check_node(Network *net, Node *node);
+/* Removes ended requests, counts in net->stats.over_limit each endpoint that
+ * runs more requests than it has slots, and updates
+ * net->stats.max_on_endpoint. */
 void network_check_endpoints(Network *net);
 /* Puts a version of the document in force at a daemon. */
 void network_install(Network *net, Node *node, int64_t version);
-/* Runs a step of the daemon's watch on the store's newest version. */
+/* Advances the daemon's read of the store's newest document version: starts a
+ * read, lets the store respond, or processes the response. */
 void network_step_store(Network *net, Node *node);
-/* Commits the change of members that the daemon may make now, if any. */
+/* Commits to the store the addition or removal of the member that the daemon
+ * may add or remove now, if there is one. */
 void network_step_members(Network *net, Node *node);
 
 #endif
--- a/packages/membership/tests/network_checks.c
+++ b/packages/membership/tests/network_checks.c
@@ -3,12 +3,13 @@
 #include "network.h"
 
 enum {
-    /* Invariant 8: once a version has been accepted for this long, no daemon
-     * with an older one is fresh. */
+    /* Invariant 8: once a version has been accepted by a majority for this
+     * long, no daemon with an older version counts as fresh. */
     STALE_LIMIT_MS = 4000
 };
 
-/* Records the time at which the daemon first sees each version accepted. */
+/* Sets net->accepted_at to the current time for each document version that
+ * this daemon is the first to see accepted by a majority. */
 static void
 record_accepted(Network *net, const Node *node)
 {
@@ -20,8 +21,9 @@
     }
 }
 
-/* Checks that usable slots do not change while AqSlices_IsSteady: the daemon
- * does not query them again during that time. */
+/* Checks that the usable slots of a daemon do not change while its
+ * AqSlices_IsSteady is true: the real daemon does not call AqSlices_Usable
+ * again during that time. */
 static void
 check_steady(Network *net, Node *node)
 {
@@ -56,10 +58,11 @@
 }
 
 /* Whether a request is exempt from the limit of its endpoint.  The rules do
- * not cover requests of a daemon that is removed while they run: it may start
- * requests for AQ_FRESH_MS after the removal was accepted, and unless its
- * heartbeats are received, its slots are reused AQ_GUARD_MS after the
- * acceptance, when such requests may still run (NOTES.md). */
+ * not cover requests of a daemon that is removed from the members while they
+ * run: the daemon may start requests for AQ_FRESH_MS after its removal was
+ * accepted, and unless its heartbeats are received by the members, its slots
+ * are reused AQ_GUARD_MS after the acceptance, when such requests may still
+ * run (NOTES.md). */
 static bool
 is_exempt(const Network *net, const Request *r)
 {
--- a/packages/membership/tests/network_store.c
+++ b/packages/membership/tests/network_store.c
@@ -1,11 +1,14 @@
 #include "network.h"
 
 enum {
-    /* Time for which a read waits for a version newer than the reader's. */
+    /* Time for which a read of the store's newest version waits for a version
+     * newer than the reading daemon's before the store responds. */
     HEAD_READ_WAIT_MS = 1000,
-    /* A heartbeat younger than this rules out a silence of AQ_REMOVE_MS. */
+    /* A heartbeat received less than this ago rules out that its sender has
+     * been silent for AQ_REMOVE_MS. */
     RECENT_HEARTBEAT_MS = 2500,
-    /* A report of silence that was sent longer ago does not count. */
+    /* A member's report that another member is silent does not count if it was
+     * sent longer ago than this. */
     MAX_REPORT_AGE_MS = 4000
 };
 
@@ -59,8 +62,8 @@
     AqSlices_EpochChanged(node->s, net->now);
 }
 
-/* Watches the store's newest version: starts a read, lets the store respond,
- * or processes the response when it arrives. */
+/* Advances the daemon's read of the store's newest document version: starts a
+ * read, lets the store respond, or processes the response when it arrives. */
 void
 network_step_store(Network *net, Node *node)
 {
@@ -91,8 +94,9 @@
     }
 }
 
-/* Counts a wrong removal if a majority receives the member's heartbeats and
- * has done so for longer than MAX_REPORT_AGE_MS. */
+/* Adds 1 to net->stats.wrong_removals if a majority of the members receives
+ * the heartbeats of the member "removed" and has done so for longer than
+ * MAX_REPORT_AGE_MS. */
 static void
 check_removal(Network *net, int removed)
 {
@@ -115,8 +119,9 @@
     net->stats.wrong_removals += receiving * 2 > count;
 }
 
-/* Adds this daemon to the members or removes a silent member, as the daemon
- * does: one change per commit, on top of the document in force. */
+/* Commits that the daemon "node" becomes a member or that a silent member is
+ * removed, by the rules of the real daemon: one change per commit, made to the
+ * document version in force at "node". */
 void
 network_step_members(Network *net, Node *node)
 {
@@ -142,7 +147,8 @@
         return;
     }
     commit(net, members);
-    /* One response in ten is lost; the watch then delivers the version. */
+    /* The store's response to one commit in ten is lost; the daemon then gets
+     * the committed version by its next read of the store. */
     if (AqRandom_Below(&net->random, 10) != 0) {
         network_install(net, node, net->head);
     }
--- a/packages/membership/tests/test_cluster.c
+++ b/packages/membership/tests/test_cluster.c
@@ -3,9 +3,9 @@
 
 #include "network.h"
 
-/* Runs clusters under random faults.  Arguments: the first seed, the number of
- * seeds and, optionally, AQ_FAULT_* bits of rules to disable.  Without
- * arguments, runs the tests of single rules. */
+/* Runs simulated clusters under random faults.  Arguments: the first seed, the
+ * number of seeds and, optionally, AQ_FAULT_* bits of rules to disable.
+ * Without arguments, runs the tests that each disable one rule. */
 
 static uint64_t first_seed;
 static uint64_t seed_count;
@@ -45,8 +45,9 @@
     free(net);
 }
 
-/* Guards against violations of the rules under random link faults in one or
- * both directions, pauses, restarts and store outages. */
+/* Guards against violations of the rules (members of RunStats, by kind) under
+ * random link faults in one or both directions, pauses, restarts and store
+ * outages. */
 static void
 test_random_faults(void)
 {
@@ -93,20 +94,23 @@
     CU_ASSERT_EQUAL(sum.not_usable, 0);
     CU_ASSERT_EQUAL(sum.inconsistent, 0);
     CU_ASSERT_EQUAL(sum.not_steady, 0);
-    /* The run must have exercised the rules that it checks; the largest
-     * endpoint has 8 slots. */
+    /* The runs must have exercised the rules that they check: at some time an
+     * endpoint must have run 8 requests, as many as the largest endpoint has
+     * slots. */
     CU_ASSERT_EQUAL(sum.max_on_endpoint, 8);
     CU_ASSERT_TRUE(sum.epochs >= 5 * (int)seed_count);
     CU_ASSERT_TRUE(sum.slot_leases >= 50 * (int)seed_count);
 }
 
 enum {
-    /* Number of seeds within which disabling a rule must cause a violation. */
+    /* Number of seeds among which, with one rule disabled, at least one run
+     * must show a violation. */
     MAX_FAULT_SEEDS = 400
 };
 
-/* Runs seeds with a rule disabled until one causes the violation; returns that
- * seed, or 0 if none of MAX_FAULT_SEEDS does. */
+/* Runs clusters with the seeds 1, 2, ... and the AQ_FAULT_* bit "fault" set
+ * until "is_bad" is true of a run; returns the seed of that run, or 0 if there
+ * is none among MAX_FAULT_SEEDS. */
 static uint64_t
 first_bad_seed(unsigned fault, bool (*is_bad)(const RunStats *v))
 {
@@ -139,7 +143,8 @@
 }
 
 /* Guards against rules that are not needed and against random runs that do not
- * exercise them: disabling each rule must cause its violation. */
+ * exercise them: with any one rule disabled, a run must show the violation
+ * that the rule prevents. */
 static void
 test_left_out_rules(void)
 {
@@ -163,9 +168,10 @@
     }
 }
 
-/* Three members lose their connections to the store and to four daemons, which
- * join meanwhile.  Returns the number of checks at which a stale daemon was
- * fresh. */
+/* Three members lose their connections to the store and to four other daemons,
+ * which become members meanwhile.  Returns the number of checks that found a
+ * daemon fresh although a majority had accepted a newer version than the
+ * daemon's for 4 s. */
 static int
 join_during_partition(unsigned faults)
 {
@@ -195,8 +201,8 @@
 }
 
 /* Guards against two disjoint majorities of different epochs, of which one
- * continues with an old version: it arises if members join before a majority
- * of the previous epoch has accepted the change. */
+ * continues with an old version of the document: this happens if members join
+ * before a majority of the previous epoch has accepted the change. */
 static void
 test_join_needs_acceptance(void)
 {
@@ -204,7 +210,8 @@
     CU_ASSERT_NOT_EQUAL(join_during_partition(AQ_FAULT_CHANGE_UNACCEPTED), 0);
 }
 
-/* Drops all messages to a daemon for "ms"; 0 opens its incoming links. */
+/* Drops all messages to the daemon "to" for "ms" of virtual time; 0 opens the
+ * incoming links of the daemon. */
 static void
 block_incoming(Network *net, int to, AqTime ms)
 {
@@ -216,9 +223,10 @@
 }
 
 /* Node 3 joins, and is removed because its heartbeats are lost, while node 0
- * receives nothing.  Node 0 therefore goes from the epoch before to the epoch
- * after without releasing a slot, while node 3 still waits for it.  Returns
- * the number of checks at which an endpoint was over its limit. */
+ * receives nothing.  Node 0 therefore goes from the epoch before node 3 joined
+ * to the epoch after node 3 was removed without releasing a slot, while node 3
+ * still waits for node 0 to release slots.  Returns the number of checks that
+ * found more requests on an endpoint than the endpoint has slots. */
 static int
 skip_epoch(unsigned faults)
 {
@@ -252,8 +260,8 @@
     return over;
 }
 
-/* Guards against using a slot on the report of a member that is already in a
- * later epoch and has never released the slot. */
+/* Guards against a daemon that uses a slot on the heartbeat of a member that
+ * is already in a later epoch and has never released the slot. */
 static void
 test_later_epoch(void)
 {
--- a/packages/membership/tests/test_membership.c
+++ b/packages/membership/tests/test_membership.c
@@ -10,17 +10,18 @@
     PEERS = 5 /* members of the epoch, vm-0 included */
 };
 
-/* State of vm-0, one of five members.  The tests build the heartbeats of the
- * others, which acknowledge the last one of vm-0 unless a report says
- * otherwise. */
+/* The daemon under test, vm-0, one of five members.  The tests build the
+ * heartbeats of the other members; each acknowledges the last heartbeat of
+ * vm-0 unless omits_ack of its PeerReport is set. */
 typedef struct {
     AqMembership *m;
-    uint64_t seq; /* seq of the last heartbeat of vm-0 */
+    uint64_t seq; /* sequence number of vm-0's last heartbeat */
 } Fixture;
 
 static const char *const ids[PEERS] = {"vm-0", "vm-1", "vm-2", "vm-3", "vm-4"};
 
-/* Fills a heartbeat of vm-0, which counts as sent, and notes its seq. */
+/* Fills a heartbeat of vm-0, which counts as sent, and stores its sequence
+ * number in f->seq. */
 static void
 send_heartbeat(Fixture *f, AqTime now)
 {
@@ -40,16 +41,16 @@
     return f;
 }
 
-/* Contents of a peer's heartbeat. */
+/* Fields of a peer's heartbeat that the test cases vary. */
 typedef struct {
     int64_t version;
     int64_t store_age_ms;
     bool joining;
-    bool omits_ack; /* acknowledges no heartbeat of vm-0 */
+    bool omits_ack; /* the heartbeat acknowledges no heartbeat of vm-0 */
     int64_t vm4_silence_ms;
 } PeerReport;
 
-/* Passes a heartbeat of peer "from" to vm-0. */
+/* Passes a heartbeat of the peer ids[from] to vm-0. */
 static void
 receive_heartbeat(Fixture *f, AqTime now, int from, uint64_t instance,
                   const PeerReport *report)
@@ -74,14 +75,18 @@
 static const int64_t NO_CONTACT = AQ_WIRE_MAX_AGE_MS;
 
 /* Guards against a daemon that counts as fresh without the newest accepted
- * version, and against one that is needlessly stale and refuses requests. */
+ * version of the fleet document, and against a daemon that counts as stale
+ * without need and therefore refuses requests. */
 static void
 test_freshness(void)
 {
     static const struct {
         const char *name;
-        AqTime own_contact_age_ms; /* 0: no store contact */
-        PeerReport reports[4]; /* by vm-1 and up; version 0: no heartbeat */
+        /* Age of vm-0's last store contact; 0: vm-0 has had none. */
+        AqTime own_contact_age_ms;
+        /* Heartbeats of vm-1 to vm-4, in this order; version 0: none from this
+         * peer. */
+        PeerReport reports[4];
         bool fresh;
     } cases[] = {
         {"own contact of 3 s", 3000, {{0}}, true},
@@ -100,7 +105,7 @@
          {{10, NO_CONTACT, 0, 0, 0}},
          false},
         /* vm-0 has just started: it does not count towards a majority until it
-         * reaches the store or receives reports from a majority made up of
+         * reaches the store or receives heartbeats from a majority made up of
          * other members. */
         {"just started, two others",
          0,
@@ -155,8 +160,8 @@
     }
 }
 
-/* Guards against a daemon that is fresh after a pause because of a heartbeat
- * that was buffered during the pause. */
+/* Guards against a daemon that counts as fresh after its pause because of a
+ * heartbeat that was buffered during the pause. */
 static void
 test_delayed_heartbeat(void)
 {
@@ -187,9 +192,9 @@
     AqMembership_Destroy(f.m);
 }
 
-/* Guards against acceptance by less than a majority, against counting reports
- * of a peer's previous instance, and against a number of requests in flight
- * that leaves out members without a report. */
+/* Guards against acceptance of a version by less than a majority, against
+ * counting heartbeats of a peer's previous instance, and against a number of
+ * requests in flight that leaves out members without a heartbeat. */
 static void
 test_acceptance(void)
 {
@@ -216,8 +221,9 @@
     AqMembership_Destroy(f.m);
 }
 
-/* Guards against removal of a member on too few or too old reports, and
- * against a daemon that counts its own pause as silence of all others. */
+/* Guards against removal of a member on too few or too old reports of its
+ * silence, and against a daemon that counts its own pause as silence of all
+ * others. */
 static void
 test_removal(void)
 {
@@ -241,8 +247,8 @@
 }
 
 /* Guards against a peer that counts as live although it does not receive this
- * daemon's heartbeats, and against two owners among daemons with the same
- * view. */
+ * daemon's heartbeats, and against two owners of one role among daemons that
+ * count the same members as live. */
 static void
 test_one_way_fault_and_owner(void)
 {
@@ -302,8 +308,9 @@
     return 0;
 }
 
-/* Guards against a single member that never gets its slots, and against a new
- * instance that uses them before AQ_GUARD_MS have passed. */
+/* Guards against a daemon that, as the only member, never gets usable slots,
+ * and against one that uses slots within AQ_GUARD_MS of installing its first
+ * epoch. */
 static void
 test_single_member(void)
 {
@@ -317,7 +324,8 @@
     CU_ASSERT_EQUAL(AqSlices_Assigned(s, "e"), 8);
     CU_ASSERT_EQUAL(AqSlices_Usable(s, 4009, "e"), 0);
     CU_ASSERT_EQUAL(AqSlices_Usable(s, 4010, "e"), 8);
-    /* Without the store it is fresh as the majority of its epoch. */
+    /* More than AQ_FRESH_MS after its last store contact, vm-0 is still fresh,
+     * because it alone is the majority of its epoch. */
     CU_ASSERT_EQUAL(AqSlices_Usable(s, 6901, "e"), 8);
     AqSlices_RemoveEndpoint(s, "e");
     AqMsg msg = {.type = AQ_MSG_HEARTBEAT};
