--- a/packages/membership/Include/aq_membership.h
+++ b/packages/membership/Include/aq_membership.h
@@ -29,7 +29,9 @@
      * counted from the acceptance of a member's removal by a majority, or from
      * the start of a daemon. */
     AQ_GUARD_MS = 4000,
-    AQ_MAX_MEMBERS = 256 /* members of one epoch; the design page expects 27 */
+    /* Most members of one epoch; further ids are ignored.  The design page
+     * expects 27. */
+    AQ_MAX_MEMBERS = 256
 };
 
 /* Fault injection for tests: each bit disables one protection, so that a test
@@ -44,17 +46,18 @@
     AQ_FAULT_REMOVE_ALONE = 4,
     /* Slots are reused without the wait of AQ_GUARD_MS. */
     AQ_FAULT_NO_GUARD = 8,
-    /* The "over" list of a received heartbeat is ignored. */
+    /* The "over" list of a received heartbeat, of the endpoints on which its
+     * sender has more requests than slots, is ignored. */
     AQ_FAULT_IGNORE_OVER = 16,
-    /* A pending slot is held once the member to which it was assigned in the
-     * previous epoch has released it, without waiting for the other
-     * members. */
+    /* A slot newly assigned to this daemon becomes usable once the member to
+     * which it was assigned in the previous epoch has released it, without
+     * waiting for the other members. */
     AQ_FAULT_PREVIOUS_ONLY = 32,
     /* Members may be added or removed before a majority of the members has the
      * current epoch in force. */
     AQ_FAULT_CHANGE_UNACCEPTED = 64,
-    /* A member's heartbeat with a later epoch counts as a release of its slots
-     * in this daemon's epoch too. */
+    /* A member's heartbeat with a later epoch counts as a release of the
+     * member's former slots in this daemon's epoch too. */
     AQ_FAULT_LATER_EPOCH = 128
 };
 
@@ -95,7 +98,7 @@
 void AqMembership_Heartbeat(AqMembership *m, AqTime now, const char *from,
                             const AqMsgHeartbeat *beat);
 /* Reports that the connection of a peer has closed.  The peer's state does not
- * change: it stays live until AQ_SUSPECT_MS after its last heartbeat. */
+ * change: the peer stays live until AQ_SUSPECT_MS after its last heartbeat. */
 void AqMembership_Disconnected(AqMembership *m, AqTime now, const char *id);
 
 /* Fills seq, instance, epoch, version, store_age_ms, joining, peer_ages and
--- a/packages/membership/Include/aq_slices.h
+++ b/packages/membership/Include/aq_slices.h
@@ -46,8 +46,8 @@
                             void *context, AqMsgHeartbeat *beat);
 
 /* Number of slots of an endpoint that are assigned to this daemon in the
- * current epoch, including pending ones, which this daemon cannot use until
- * the other members have released them. */
+ * current epoch, including those that it cannot use until the other members
+ * have released them. */
 int AqSlices_Assigned(const AqSlices *slices, const char *endpoint);
 /* Number of slots of an endpoint on which this daemon may run requests now:
  * the assigned slots that every other member has released, minus those leased
@@ -96,9 +96,9 @@
  * the allocator. */
 size_t AqSlices_MemoryBytes(const AqSlices *slices);
 
-/* Checks that the slot counters of every endpoint, and the sum of pending
- * slots, agree with the states of the slots and with the slot leases.  Returns
- * false and sets "error" if they do not. */
+/* Checks that the slot counters of every endpoint agree with the states of its
+ * slots and with the slot leases, and that the counters of pending slots add
+ * up to their total.  Returns false and sets "error" if any does not. */
 bool AqSlices_CheckConsistency(const AqSlices *slices, AqError *error);
 
 #endif
--- a/packages/membership/bench/bench_membership.c
+++ b/packages/membership/bench/bench_membership.c
@@ -35,9 +35,9 @@
     bench_destroy(c);
 }
 
-/* Sets a demand of 90% of all slots: in equal shares on the first
- * "loaded_count" members, or, for loaded_count 0, in proportion to 1/(i + 1)
- * on member i. */
+/* Sets the demands of the members, in requests run at once, to 90% of all
+ * slots together: in equal shares on the first "loaded_count" members, or, for
+ * loaded_count 0, in proportion to 1/(i + 1) on member i. */
 static void
 set_demand(BenchCluster *c, int loaded_count)
 {
--- a/packages/membership/slices.c
+++ b/packages/membership/slices.c
@@ -190,8 +190,8 @@
     slices->pending--;
 }
 
-/* Sets the pending slots of "e" that all other members have released to
- * SLOT_HELD. */
+/* Sets the slots of "e" in SLOT_PENDING that all other members have released
+ * to SLOT_HELD. */
 static void
 hold_released_slots(AqSlices *slices, Endpoint *e)
 {
@@ -211,10 +211,10 @@
     }
 }
 
-/* Whether pending slots need not wait any longer for daemons outside the
- * epoch.  Such a wait begins when this daemon sees the epoch accepted, lasts
- * AQ_GUARD_MS, and does not end before AQ_GUARD_MS after this daemon's
- * start. */
+/* Whether slots in SLOT_PENDING need not wait any longer for daemons outside
+ * the epoch.  Such a wait begins when this daemon sees the epoch accepted by a
+ * majority, lasts AQ_GUARD_MS, and does not end before AQ_GUARD_MS after this
+ * daemon's start. */
 static bool
 is_guard_over(AqSlices *slices, AqTime now)
 {
@@ -278,7 +278,7 @@
 
 /* Processes the heartbeat of a daemon that is not a member, such as a removed
  * one.  That daemon still has requests in flight on the endpoints in its
- * "over" list, so no pending slot of these becomes held for AQ_FRESH_MS. */
+ * "over" list, so no slot of these goes to SLOT_HELD for AQ_FRESH_MS. */
 static void
 block_endpoints(AqSlices *slices, AqTime now, const AqMsgHeartbeat *beat)
 {
--- a/packages/membership/slices_internal.h
+++ b/packages/membership/slices_internal.h
@@ -11,7 +11,7 @@
     SLOTS_MAX = 1000,
     /* Most slot leases in one SlotLeaseTable; a further one is not added. */
     SLOT_LEASES_MAX = AQ_WIRE_MAX_ITEMS,
-    /* Stands for no member where the index of a member is expected. */
+    /* Stands for no member where the position of a member is expected. */
     NO_MEMBER = UINT16_MAX
 };
 
@@ -41,15 +41,16 @@
      * epoch, as a position among the members of the current epoch; NO_MEMBER
      * if that member has left.  Only for AQ_FAULT_PREVIOUS_ONLY. */
     uint16_t *previous;
-    /* Time before which no pending slot of this endpoint becomes held; set
-     * when a daemon that is not a member reports requests on the endpoint. */
+    /* Time before which no slot of this endpoint goes from SLOT_PENDING to
+     * SLOT_HELD; set when a daemon that is not a member reports requests on
+     * the endpoint. */
     AqTime blocked_until;
     /* report_number of the last heartbeat whose "over" list, of the endpoints
      * on which its sender has more requests than slots, named this
      * endpoint. */
     uint64_t last_over_report;
-    /* Bits by member index: set for members that have released, in this epoch,
-     * their former slots of this endpoint. */
+    /* One bit per member, by position in "members": set if the member has
+     * released, in this epoch, its former slots of this endpoint. */
     uint64_t released_by[MEMBER_WORDS];
 } Endpoint;
 
@@ -69,8 +70,8 @@
      * assigned to other members. */
     bool is_orphaned;
     /* Leased out and orphaned: time at which this daemon takes the slots back,
-     * AQ_GUARD_MS after it saw the current epoch accepted or the restart of
-     * the lessee; TIME_UNKNOWN until then. */
+     * AQ_GUARD_MS after it saw the current epoch accepted by a majority, or
+     * the restart of the lessee; TIME_UNKNOWN until then. */
     AqTime reclaim_at;
 } SlotLease;
 
@@ -89,17 +90,18 @@
     /* Ids of the epoch's members, in order. */
     char (*members)[AQ_WIRE_MAX_NAME];
     uint64_t *hashes; /* hash of each member's id, in order of id */
-    /* Whether pending slots wait for guard_until, because a daemon that is not
-     * a member may still use them. */
+    /* Whether slots in SLOT_PENDING wait for guard_until, because a daemon
+     * that is not a member may still use them. */
     bool guard_needed;
-    /* If guard_needed: time before which no pending slot is held, AQ_GUARD_MS
-     * after this daemon saw the epoch accepted; TIME_UNKNOWN until then. */
+    /* If guard_needed: time before which no slot goes from SLOT_PENDING to
+     * SLOT_HELD, AQ_GUARD_MS after this daemon saw the epoch accepted by a
+     * majority; TIME_UNKNOWN until then. */
     AqTime guard_until;
     /* Whether this daemon has received, since its start, the list of leased-in
      * slots of every other member of one epoch. */
     bool all_reported;
-    /* Bits by member index: set for members that have reported, in this epoch,
-     * the slots that they have leased in. */
+    /* One bit per member, by position in "members": set if the member has
+     * reported, in this epoch, the slots that it has leased in. */
     uint64_t reported[MEMBER_WORDS];
     /* Number of heartbeats whose "over" list has been applied so far; it
      * identifies the last of them. */
@@ -107,7 +109,7 @@
     Endpoint **buckets;
     size_t bucket_count; /* length of "buckets", a power of two */
     size_t endpoint_count;
-    int pending; /* number of pending slots of all endpoints */
+    int pending; /* slots in state SLOT_PENDING over all endpoints */
     SlotLeaseTable leased_out;
     SlotLeaseTable leased_in;
     /* Id that AqSlices_NextReturn last stored in *lessor. */
@@ -123,8 +125,9 @@
 /* Frees an endpoint that has been removed from its bucket. */
 void endpoints_free(Endpoint *e);
 /* Reassigns every slot of "e" by rendezvous hashing over the members of the
- * epoch.  With "keep", a held slot that stays assigned to this daemon stays
- * held; every other slot assigned to this daemon becomes pending. */
+ * epoch.  With "keep", a slot in SLOT_HELD that stays assigned to this daemon
+ * stays in SLOT_HELD; every other slot assigned to this daemon goes to
+ * SLOT_PENDING. */
 void endpoints_assign_slots(AqSlices *slices, Endpoint *e, bool keep);
 /* For AQ_FAULT_PREVIOUS_ONLY: records in e->previous the member to which each
  * slot of "e" was assigned in the previous epoch, as a position among the
@@ -137,15 +140,16 @@
 /* Finds an endpoint; NULL if the table has none of this name. */
 Endpoint *slices_find(const AqSlices *slices, const char *name);
 /* Does what is due at "now": takes back leased-out slots of orphaned slot
- * leases, and sets pending slots that all other members have released to
- * SLOT_HELD unless the wait of AQ_GUARD_MS after the acceptance of the epoch
- * still lasts. */
+ * leases, and sets slots in SLOT_PENDING that all other members have released
+ * to SLOT_HELD, unless the wait of AQ_GUARD_MS after a majority accepted the
+ * epoch still lasts. */
 void slices_advance(AqSlices *slices, AqTime now);
 
 /* Frees all slot leases in the table. */
 void slot_leases_clear(SlotLeaseTable *leases);
 /* Takes back leased-out slots whose lessee has left the epoch or restarted,
- * AQ_GUARD_MS after this daemon saw the epoch accepted or the restart. */
+ * AQ_GUARD_MS after this daemon saw a majority accept the epoch, or saw the
+ * restart. */
 void slot_leases_advance(AqSlices *slices, AqTime now);
 /* Updates the slot leases for the new epoch: marks those whose peer is not a
  * member, or whose lessee has restarted, as orphaned, and ends the term of
--- a/packages/membership/tests/network.h
+++ b/packages/membership/tests/network.h
@@ -82,7 +82,7 @@
      * it has no newer version. */
     AqTime response_due;
     /* Version of the document in a response of the store that is on its way to
-     * this daemon; 0: no response is. */
+     * this daemon; 0: no response is on its way. */
     int64_t response_version;
     AqTime response_arrives_at;
     AqTime store_unreachable_until;
@@ -208,9 +208,10 @@
 /* Position in net->node of the daemon with this id, which must exist. */
 int network_node_of(const Network *net, const char *id);
 const char *network_endpoint(int endpoint);
-/* Checks one daemon for stale freshness, inconsistent slots and changes of
- * steady slots; counts each violation found in net->stats, and records newly
- * accepted versions. */
+/* Checks one daemon: whether it is fresh with an old document version, whether
+ * its slot counters are inconsistent, and whether its usable slots changed
+ * while AqSlices_IsSteady was true.  Counts these violations in net->stats,
+ * and records newly accepted versions. */
 void network_check_node(Network *net, Node *node);
 /* Removes ended requests, counts in net->stats.over_limit each endpoint that
  * runs more requests than it has slots, and updates
--- a/packages/membership/tests/test_cluster.c
+++ b/packages/membership/tests/test_cluster.c
@@ -45,7 +45,7 @@
     free(net);
 }
 
-/* Guards against violations of the rules (members of RunStats, by kind) under
+/* Guards against violations of the rules, which RunStats counts by kind, under
  * random link faults in one or both directions, pauses, restarts and store
  * outages. */
 static void
@@ -260,8 +260,8 @@
     return over;
 }
 
-/* Guards against a daemon that uses a slot on the heartbeat of a member that
- * is already in a later epoch and has never released the slot. */
+/* Guards against a daemon that uses a slot because of a heartbeat of a member
+ * that is already in a later epoch and has never released the slot. */
 static void
 test_later_epoch(void)
 {
--- a/packages/membership/tests/test_membership.c
+++ b/packages/membership/tests/test_membership.c
@@ -194,7 +194,8 @@
 
 /* Guards against acceptance of a version by less than a majority, against
  * counting heartbeats of a peer's previous instance, and against a number of
- * requests in flight that leaves out members without a heartbeat. */
+ * requests in flight that leaves out members from which no heartbeat has
+ * come. */
 static void
 test_acceptance(void)
 {
