--- a/packages/membership/Include/aq_membership.h
+++ b/packages/membership/Include/aq_membership.h
@@ -17,20 +17,23 @@
 
 enum {
     AQ_HEARTBEAT_MS = 500, /* interval between a daemon's heartbeats */
-    /* A peer is not live after this time without a heartbeat from it. */
+    /* A peer does not count as live after this time without a heartbeat from
+     * the peer. */
     AQ_SUSPECT_MS = 2000,
-    /* Time without a heartbeat from a member after which it may be removed. */
+    /* Time without a heartbeat from a member after which the other members may
+     * remove that member from the epoch. */
     AQ_REMOVE_MS = 5000,
     /* Greatest age at which a store contact of this daemon, or a heartbeat of
      * a peer, counts in deciding whether this daemon's fleet document is
      * fresh. */
     AQ_FRESH_MS = 3000,
-    /* Wait before slots that another daemon may still use are reused.  It is
-     * counted from the acceptance of a member's removal by a majority, or from
-     * the start of a daemon. */
+    /* Time for which a daemon waits before it takes slots that another daemon
+     * may still use.  The wait is counted from the acceptance of the other
+     * daemon's removal by a majority of the members, or from the start of one
+     * of the two daemons. */
     AQ_GUARD_MS = 4000,
-    /* Most members of one epoch; further ids are ignored.  The design page
-     * expects 27. */
+    /* Most members of one epoch; AqMembership_SetEpoch ignores further ids.
+     * The design page expects 27 members. */
     AQ_MAX_MEMBERS = 256
 };
 
@@ -38,26 +41,32 @@
  * can show that it notices the lack of this protection.  The daemon never sets
  * these bits. */
 enum {
-    AQ_FAULT_ALWAYS_FRESH = 1, /* this daemon always counts as fresh */
-    /* A heartbeat's age counts from receipt, not sending. */
+    /* With this bit set, AqMembership_IsFresh is always true. */
+    AQ_FAULT_ALWAYS_FRESH = 1,
+    /* With this bit set, the age of a heartbeat counts from its receipt
+     * instead of from the earliest time at which it may have been sent. */
     AQ_FAULT_RECEIPT_AGE = 2,
-    /* A member is removed when a single member has received no heartbeat from
-     * it for AQ_REMOVE_MS. */
+    /* With this bit set, a member is removed as soon as a single other member,
+     * instead of a majority of the members, has received no heartbeat from
+     * that member for AQ_REMOVE_MS. */
     AQ_FAULT_REMOVE_ALONE = 4,
-    /* Slots are reused without the wait of AQ_GUARD_MS. */
+    /* With this bit set, a daemon skips the wait of AQ_GUARD_MS before it
+     * takes slots that another daemon may still use. */
     AQ_FAULT_NO_GUARD = 8,
-    /* The "over" list of a received heartbeat, of the endpoints on which its
-     * sender has more requests than slots, is ignored. */
+    /* With this bit set, the "over" list of a received heartbeat, which names
+     * the endpoints on which the sender has more requests than slots, is
+     * ignored. */
     AQ_FAULT_IGNORE_OVER = 16,
-    /* A slot newly assigned to this daemon becomes usable once the member to
-     * which it was assigned in the previous epoch has released it, without
-     * waiting for the other members. */
+    /* With this bit set, a slot newly assigned to this daemon becomes usable
+     * once the member to which the slot was assigned in the previous epoch has
+     * released it, instead of once all other members have. */
     AQ_FAULT_PREVIOUS_ONLY = 32,
-    /* Members may be added or removed before a majority of the members has the
-     * current epoch in force. */
+    /* With this bit set, AqMembership_MayChangeMembers is true even before a
+     * majority of the members has the installed epoch in force. */
     AQ_FAULT_CHANGE_UNACCEPTED = 64,
-    /* A member's heartbeat with a later epoch counts as a release of the
-     * member's former slots in this daemon's epoch too. */
+    /* With this bit set, a member's heartbeat counts as a release of the
+     * member's former slots if the heartbeat is from this daemon's epoch or a
+     * later one, instead of from this daemon's epoch only. */
     AQ_FAULT_LATER_EPOCH = 128
 };
 
@@ -69,7 +78,8 @@
 AqMembership *AqMembership_Create(const char *self, uint64_t instance,
                                   AqTime now);
 void AqMembership_Destroy(AqMembership *m);
-/* Sets the AQ_FAULT_* bits; for tests only. */
+/* Sets the AQ_FAULT_* bits, each of which disables one protection; for tests
+ * only. */
 void AqMembership_SetFaults(AqMembership *m, unsigned faults);
 unsigned AqMembership_Faults(const AqMembership *m);
 
@@ -135,9 +145,10 @@
 int64_t AqMembership_HighestVersion(const AqMembership *m, const char **peer);
 /* Whether a commit of the fleet document may add or remove one member now: the
  * installed epoch is in force at a majority of its members, or has no members.
- * Each commit must change exactly one member of the installed epoch; after a
- * write conflict the daemon must call this function again.  Majorities of
- * successive epochs therefore intersect. */
+ * A commit that changes the members must add or remove exactly one member of
+ * the installed epoch, so that majorities of successive epochs intersect.
+ * After a write conflict the daemon must call this function again before it
+ * retries the commit. */
 bool AqMembership_MayChangeMembers(const AqMembership *m, AqTime now);
 /* Id of a member from which a majority of the members has received no
  * heartbeat for AQ_REMOVE_MS; NULL if no member is silent or
@@ -152,10 +163,10 @@
  * live.  The id is valid until the next AqMembership_SetEpoch. */
 const char *AqMembership_Owner(const AqMembership *m, AqTime now,
                                const char *role);
-/* Number of requests in flight on the leaving VM "vm" that the other members
- * report; the caller adds the requests of this daemon.  -1 until every member,
- * this daemon included, has "version" or a later version of the fleet document
- * in force. */
+/* Number of requests that the other members report as in flight on "vm", a VM
+ * that is drained (gets no new requests); the caller adds the requests of this
+ * daemon.  -1 until every member, this daemon included, has "version" or a
+ * later version of the fleet document in force. */
 int64_t AqMembership_LeavingInFlight(const AqMembership *m, const char *vm,
                                      int64_t version);
 
@@ -170,8 +181,8 @@
 /* Sets *at to a lower bound, on this daemon's clock, of the time at which the
  * peer sent its last heartbeat: the time at which this daemon sent the
  * heartbeat that the peer last acknowledged.  Returns false, and leaves *at
- * unset, if the peer has acknowledged no heartbeat since it or this daemon
- * last started. */
+ * unset, if the peer has acknowledged no heartbeat since the last start of the
+ * peer or of this daemon. */
 bool AqMembership_SentAfter(const AqMembership *m, const char *id, AqTime *at);
 /* Whether AQ_GUARD_MS have passed since this daemon started (created "m"). */
 bool AqMembership_IsStarted(const AqMembership *m, AqTime now);
--- a/packages/membership/Include/aq_slices.h
+++ b/packages/membership/Include/aq_slices.h
@@ -65,11 +65,12 @@
  * number of slots leased out; 0 if none can be. */
 int AqSlices_GrantLease(AqSlices *slices, AqTime now, const char *lessee,
                         const char *endpoint, int idle, int count);
-/* Called by the lessor when the lessee has returned "count" slots.  LEND and
- * RETURN messages and heartbeats of a peer must be handled in the order in
- * which they were sent, and no message from an older connection to the peer
- * may be handled after the first message of a newer one.  After a lost LEND or
- * RETURN, the lessee's next heartbeat corrects the lessor's count of
+/* Called by the lessor when the lessee has returned "count" slots.  A peer's
+ * heartbeats, LEND messages (which grant slots) and RETURN messages (which
+ * give leased slots back) must be handled in the order in which they were
+ * sent, and no message from an older connection to the peer may be handled
+ * after the first message of a newer one.  After a lost LEND or RETURN
+ * message, the lessee's next heartbeat corrects the lessor's count of
  * leased-out slots. */
 void AqSlices_LeaseReturned(AqSlices *slices, const char *lessee,
                             const char *endpoint, int count);
--- a/packages/membership/bench/bench_cluster.c
+++ b/packages/membership/bench/bench_cluster.c
@@ -6,8 +6,8 @@
 #include <time.h>
 
 enum {
-    /* Time for which a store read waits for a new version before the store
-     * responds. */
+    /* Time for which a read of the store waits for a new version of the fleet
+     * document before the store responds. */
     STORE_READ_WAIT_MS = 1000,
     STORE_LATENCY_MS = 3,
     SLOT_LEASE_TERM_MS = 2000,
@@ -194,7 +194,7 @@
     return sum;
 }
 
-/* Slots in use of the member "b", summed over all endpoints. */
+/* Number of slots that the member "b" uses, summed over all endpoints. */
 static int
 sum_used_slots(const BenchCluster *c, const BenchMember *b)
 {
--- a/packages/membership/bench/bench_cluster.h
+++ b/packages/membership/bench/bench_cluster.h
@@ -8,8 +8,8 @@
  * without delay. */
 
 enum {
-    BENCH_MEMBERS = 27,    /* largest number of members */
-    BENCH_ENDPOINTS = 900, /* largest number of endpoints */
+    BENCH_MEMBERS = 27,    /* most members of a cluster */
+    BENCH_ENDPOINTS = 900, /* most endpoints of a cluster */
     BENCH_SERVICES = 5,    /* services listed in each heartbeat */
     BENCH_SLOTS = 8,       /* slots of each endpoint */
     BENCH_STEP_MS = 50
@@ -23,14 +23,17 @@
     char id[AQ_WIRE_MAX_NAME];
     AqMembership *m;
     AqSlices *s;
-    /* Time from a multiple of AQ_HEARTBEAT_MS to the member's heartbeats; also
-     * from the start of the cluster to the member's first store read. */
+    /* Time from each multiple of AQ_HEARTBEAT_MS to the member's next
+     * heartbeat; also the time from the start of the cluster to the member's
+     * first store read. */
     AqTime phase;
     bool reaches_store;
     AqTime read_started;
-    /* Slots that the member uses on each endpoint. */
+    /* Number of slots that the member uses on each endpoint. */
     int used[BENCH_ENDPOINTS];
-    int demand; /* requests that the member is to run at once */
+    /* Number of requests, over all endpoints, that the member needs to run at
+     * the same time. */
+    int demand;
 } BenchMember;
 
 struct BenchCluster {
@@ -40,32 +43,38 @@
      * neither send nor receive any. */
     int connected_count;
     int endpoints;
-    int leaving; /* endpoints that each heartbeat lists as leaving */
+    /* Number of endpoints that each heartbeat lists as drained (given no new
+     * requests). */
+    int leaving;
     BenchMember member[BENCH_MEMBERS];
     char endpoint[BENCH_ENDPOINTS][AQ_WIRE_MAX_NAME];
-    /* Counters and CPU times (microseconds) of bench_run, summed over all
-     * members. */
-    uint64_t frames;      /* heartbeats received, summed over all members */
-    uint64_t frame_bytes; /* bytes of the received heartbeats */
-    /* CPU time to decode and process all received heartbeats. */
+    /* bench_run adds to this field and the four below. */
+    uint64_t frames;      /* number of heartbeats received by all members */
+    uint64_t frame_bytes; /* total bytes of the heartbeats received */
+    /* CPU time, in microseconds, that all members took to decode and process
+     * the heartbeats received. */
     double handle_us;
-    uint64_t fills; /* heartbeats filled, each to be sent to all peers */
-    /* CPU time to fill and encode all those heartbeats. */
+    /* Number of heartbeats that all members filled. */
+    uint64_t fills;
+    /* CPU time, in microseconds, that all members took to fill and encode
+     * their heartbeats. */
     double fill_us;
 };
 
 /* Creates a cluster whose members all have the same epoch; each heartbeat
- * lists 2% of the endpoints as leaving.  The caller owns the result. */
+ * lists 2% of the endpoints as drained (given no new requests).  The caller
+ * owns the result. */
 BenchCluster *bench_create(int members, int endpoints);
 void bench_destroy(BenchCluster *c);
 /* Runs the cluster for "ms" of virtual time. */
 void bench_run(BenchCluster *c, AqTime ms);
-/* Sets the slots in use of each member to its demand, as far as its usable
- * slots allow; returns the slots in use over all members. */
+/* Lets each member use as many slots as its demand, or all of its usable slots
+ * if these are fewer; returns the number of slots in use over all members. */
 int bench_load(BenchCluster *c);
-/* Returns unused leased slots whose term has ended or that are not needed,
- * then lets each member whose demand exceeds its slots lease idle slots from
- * the others. */
+/* Lets each member in turn return to the lessors its leased-in slots that run
+ * no request, if their term has ended or the member has free slots of its own.
+ * If the demand of the member exceeds its slots in use, the member then leases
+ * idle slots from the other members. */
 void bench_lease_slots(BenchCluster *c);
 
 #endif
--- a/packages/membership/bench/bench_membership.c
+++ b/packages/membership/bench/bench_membership.c
@@ -2,17 +2,20 @@
 
 #include "bench_cluster.h"
 
-/* Prints the cost of heartbeats and the share of slots in use with and without
- * slot leasing, for 3 to 27 members.  Sizes are those of the encoded
- * heartbeats, without TCP/IP headers. */
+/* This program prints, for clusters of 3 to 27 members, what heartbeats cost
+ * each member in bytes per second, CPU time and memory, and the share of the
+ * slots that are in use with and without slot leasing.  The bytes are those of
+ * the encoded heartbeats, without TCP/IP headers.  It also prints the result
+ * of measure_relayed_freshness. */
 
 enum {
     WARM_UP_MS = 10000,
     MEASURE_MS = 60000
 };
 
-/* Prints the traffic and CPU time of one member's heartbeats and the memory of
- * one member, in a cluster of "members" members and "endpoints" endpoints. */
+/* Prints the bytes of the heartbeats that one member receives, the CPU time
+ * that the member takes to process and to send heartbeats, and the memory of
+ * the member, in a cluster of "members" members and "endpoints" endpoints. */
 static void
 measure_cost(int members, int endpoints)
 {
@@ -35,9 +38,10 @@
     bench_destroy(c);
 }
 
-/* Sets the demands of the members, in requests run at once, to 90% of all
- * slots together: in equal shares on the first "loaded_count" members, or, for
- * loaded_count 0, in proportion to 1/(i + 1) on member i. */
+/* Sets how many requests each member needs to run at the same time; the sum is
+ * 90% of the slots of the cluster.  Each of the first "loaded_count" members
+ * gets an equal share of the sum, or, if loaded_count is 0, member i gets a
+ * share in proportion to 1/(i + 1). */
 static void
 set_demand(BenchCluster *c, int loaded_count)
 {
@@ -53,7 +57,8 @@
 }
 
 /* Prints the share of a cluster's slots that are in use, without and with slot
- * leasing. */
+ * leasing, at the demand that set_demand sets for "loaded_count".  "load" is
+ * the name of this demand in the output. */
 static void
 measure_slot_leasing(int members, const char *load, int loaded_count)
 {
--- a/packages/membership/membership.c
+++ b/packages/membership/membership.c
@@ -29,7 +29,7 @@
     strncpy(m->self, self, sizeof(m->self) - 1);
     m->instance = instance;
     m->created = now;
-    /* Each instance of the daemon has a different base, so that a peer's
+    /* Each instance of the daemon has a different seq_base, so that a peer's
      * acknowledgement of an earlier instance's heartbeat decodes to an
      * impossible sending time and is rejected. */
     m->seq_base = AqHash_Bytes(&instance, sizeof(instance)) & SEQ_BASE_MASK;
--- a/packages/membership/membership_internal.h
+++ b/packages/membership/membership_internal.h
@@ -39,7 +39,7 @@
      * whose version was not above this daemon's at receipt; TIME_UNKNOWN if
      * none. */
     AqTime relayed_contact;
-    Member *members; /* of the installed epoch, in order of id */
+    Member *members; /* the installed epoch's members, in order of id */
     size_t count;
     Peers peers;
 };
--- a/packages/membership/peers.h
+++ b/packages/membership/peers.h
@@ -4,9 +4,9 @@
 #include "aq_membership.h"
 
 enum {
-    /* Most peers in the table, members or not; heartbeats of further peers are
-     * ignored.  Bounds the memory that other hosts with a valid secret can
-     * use. */
+    /* Most peers in a Peers table, members or not; heartbeats of further peers
+     * are ignored.  Bounds the memory that other hosts with a valid secret can
+     * make this daemon use. */
     PEERS_MAX = 512
 };
 
@@ -34,17 +34,19 @@
     /* Lower bound, on this daemon's clock, of the time at which the peer last
      * reached the store; TIME_UNKNOWN if there is no bound. */
     AqTime contact;
-    /* For each other daemon, milliseconds for which the peer had received no
-     * heartbeat from it when the peer sent its last heartbeat. */
+    /* For each daemon other than the peer, milliseconds for which the peer had
+     * received no heartbeat from that daemon when the peer sent its own last
+     * heartbeat. */
     AqWireCount *peer_ages;
     size_t peer_age_count;
-    /* For each leaving VM, the peer's requests in flight on it. */
+    /* Number of the peer's requests in flight on each VM that the peer reports
+     * as drained (given no new requests), by the peer's last heartbeat. */
     AqWireCount *leaving;
     size_t leaving_count;
 } Peer;
 
 typedef struct {
-    Peer *items; /* in order of id */
+    Peer *items; /* the peers, in order of id */
     size_t count;
     size_t capacity;
 } Peers;
--- a/packages/membership/slices.c
+++ b/packages/membership/slices.c
@@ -190,8 +190,8 @@
     slices->pending--;
 }
 
-/* Sets the slots of "e" in SLOT_PENDING that all other members have released
- * to SLOT_HELD. */
+/* Changes the state of each slot of "e" from SLOT_PENDING to SLOT_HELD if all
+ * other members have released the slot. */
 static void
 hold_released_slots(AqSlices *slices, Endpoint *e)
 {
@@ -252,8 +252,8 @@
 }
 
 /* Records that member "i" has released its former slots of every endpoint that
- * its heartbeat does not list as over: the member has no more requests in
- * flight on such an endpoint than it has slots of the endpoint. */
+ * its heartbeat does not name in its "over" list: on such an endpoint the
+ * member has no more requests in flight than slots. */
 static void
 record_release(AqSlices *slices, size_t i, const AqMsgHeartbeat *beat)
 {
--- a/packages/membership/slices_internal.h
+++ b/packages/membership/slices_internal.h
@@ -11,7 +11,8 @@
     SLOTS_MAX = 1000,
     /* Most slot leases in one SlotLeaseTable; a further one is not added. */
     SLOT_LEASES_MAX = AQ_WIRE_MAX_ITEMS,
-    /* Stands for no member where the position of a member is expected. */
+    /* Value that means "no member" where the position of a member is
+     * expected. */
     NO_MEMBER = UINT16_MAX
 };
 
@@ -26,16 +27,17 @@
     struct Endpoint *next; /* next endpoint in the same hash bucket */
     char name[AQ_WIRE_MAX_NAME];
     uint64_t hash;
-    /* Whether the endpoint has been removed; the entry is freed once this
-     * daemon's requests in flight on the endpoint have ended. */
+    /* Whether AqSlices_RemoveEndpoint has removed the endpoint; the entry is
+     * freed once this daemon's requests in flight on the endpoint have
+     * ended. */
     bool removed;
     /* Number of slots of the endpoint over all members: its limit of requests
      * in flight. */
     int slots;
     int pending;          /* slots of the endpoint in state SLOT_PENDING */
     int held;             /* slots of the endpoint in state SLOT_HELD */
-    int leased_out;       /* slots that this daemon leased out to others */
-    int leased_in;        /* slots that this daemon leased in from others */
+    int leased_out;       /* slots that this daemon leased to other members */
+    int leased_in;        /* slots leased in from other members */
     unsigned char *state; /* SlotState of each slot */
     /* For each slot, the member to which it was assigned in the previous
      * epoch, as a position among the members of the current epoch; NO_MEMBER
@@ -45,9 +47,9 @@
      * SLOT_HELD; set when a daemon that is not a member reports requests on
      * the endpoint. */
     AqTime blocked_until;
-    /* report_number of the last heartbeat whose "over" list, of the endpoints
-     * on which its sender has more requests than slots, named this
-     * endpoint. */
+    /* Value of report_number for the last heartbeat that named this endpoint
+     * in its "over" list, the list of the endpoints on which the sender has
+     * more requests than slots. */
     uint64_t last_over_report;
     /* One bit per member, by position in "members": set if the member has
      * released, in this epoch, its former slots of this endpoint. */
@@ -63,15 +65,17 @@
     int count;
     /* Time of the last grant under this slot lease, on this daemon's clock. */
     AqTime granted_at;
-    /* Leased in: time from which no new request may start on the slots. */
+    /* For leased-in slots: time from which no new request may start on
+     * them. */
     AqTime term_end;
-    /* Leased out: whether the lessee has left the epoch or restarted.  Leased
-     * in: whether the lessor has left the epoch, so that the slots are
-     * assigned to other members. */
+    /* For leased-out slots: whether the lessee has left the epoch or
+     * restarted.  For leased-in slots: whether the lessor has left the epoch,
+     * so that the slots are assigned to other members. */
     bool is_orphaned;
-    /* Leased out and orphaned: time at which this daemon takes the slots back,
-     * AQ_GUARD_MS after it saw the current epoch accepted by a majority, or
-     * the restart of the lessee; TIME_UNKNOWN until then. */
+    /* For leased-out slots of an orphaned slot lease: time at which this
+     * daemon takes the slots back, AQ_GUARD_MS after it saw the current epoch
+     * accepted by a majority or saw the restart of the lessee; TIME_UNKNOWN
+     * before that. */
     AqTime reclaim_at;
 } SlotLease;
 
@@ -87,7 +91,7 @@
     int64_t epoch;
     bool is_member;
     size_t member_count;
-    /* Ids of the epoch's members, in order. */
+    /* Ids of the epoch's members, in ascending order. */
     char (*members)[AQ_WIRE_MAX_NAME];
     uint64_t *hashes; /* hash of each member's id, in order of id */
     /* Whether slots in SLOT_PENDING wait for guard_until, because a daemon
@@ -103,8 +107,9 @@
     /* One bit per member, by position in "members": set if the member has
      * reported, in this epoch, the slots that it has leased in. */
     uint64_t reported[MEMBER_WORDS];
-    /* Number of heartbeats whose "over" list has been applied so far; it
-     * identifies the last of them. */
+    /* Number of heartbeats whose "over" list, of the endpoints on which the
+     * sender has more requests than slots, has been applied so far; also
+     * serves as the number of the last such heartbeat. */
     uint64_t report_number;
     Endpoint **buckets;
     size_t bucket_count; /* length of "buckets", a power of two */
@@ -112,7 +117,8 @@
     int pending; /* slots in state SLOT_PENDING over all endpoints */
     SlotLeaseTable leased_out;
     SlotLeaseTable leased_in;
-    /* Id that AqSlices_NextReturn last stored in *lessor. */
+    /* Id of the lessor that the last call of AqSlices_NextReturn passed to its
+     * caller through *lessor. */
     char lessor[AQ_WIRE_MAX_NAME];
 };
 
@@ -140,9 +146,9 @@
 /* Finds an endpoint; NULL if the table has none of this name. */
 Endpoint *slices_find(const AqSlices *slices, const char *name);
 /* Does what is due at "now": takes back leased-out slots of orphaned slot
- * leases, and sets slots in SLOT_PENDING that all other members have released
- * to SLOT_HELD, unless the wait of AQ_GUARD_MS after a majority accepted the
- * epoch still lasts. */
+ * leases, and changes the state of slots from SLOT_PENDING to SLOT_HELD if all
+ * other members have released these slots, unless the wait of AQ_GUARD_MS
+ * after a majority accepted the epoch still lasts. */
 void slices_advance(AqSlices *slices, AqTime now);
 
 /* Frees all slot leases in the table. */
@@ -167,8 +173,8 @@
 /* Number of slots of "e" that this daemon has leased in and whose term has not
  * ended at "now", so that new requests may start on them. */
 int slot_leases_in_term(const AqSlices *slices, const Endpoint *e, AqTime now);
-/* Fills slot_leases of a heartbeat with the slots that this daemon has leased
- * in. */
+/* Fills the list slot_leases of a heartbeat with the slots that this daemon
+ * has leased in. */
 void slot_leases_fill(const AqSlices *slices, AqMsgHeartbeat *beat);
 
 #endif
--- a/packages/membership/slot_leases.c
+++ b/packages/membership/slot_leases.c
@@ -171,10 +171,10 @@
 }
 
 /* Lowers each slot lease granted to "from" to the number of slots that the
- * heartbeat of "from" lists, if that is less and the heartbeat acknowledges
- * one that this daemon sent after its last LEND message: the LEND or a RETURN
- * message was lost.  Slot leases of an earlier instance of the lessee are
- * marked as orphaned instead. */
+ * heartbeat of "from" lists, if that is less and the heartbeat acknowledges a
+ * heartbeat that this daemon sent after its last LEND message: that LEND
+ * message, or a RETURN message of "from", was lost.  Slot leases of an earlier
+ * instance of the lessee are marked as orphaned instead. */
 static void
 lower_slot_leases(AqSlices *slices, AqTime now, const char *from,
                   const AqMsgHeartbeat *beat)
@@ -246,10 +246,10 @@
         !AqMembership_IsMember(slices->membership, lessor)) {
         return;
     }
-    /* The LEND message was sent after the last heartbeat that was received
-     * from the lessor.  If that heartbeat may be older than AQ_FRESH_MS, so
-     * may the LEND, and the lessor may already have taken the slots back after
-     * its wait of AQ_GUARD_MS. */
+    /* The LEND message, by which the lessor grants the slots, was sent after
+     * the last heartbeat that was received from the lessor.  If that heartbeat
+     * may be older than AQ_FRESH_MS, so may the LEND message, and the lessor
+     * may already have taken the slots back after its wait of AQ_GUARD_MS. */
     AqTime sent_after;
     if (!AqMembership_SentAfter(slices->membership, lessor, &sent_after) ||
         now - sent_after > AQ_FRESH_MS) {
--- a/packages/membership/tests/network.h
+++ b/packages/membership/tests/network.h
@@ -10,7 +10,7 @@
  * direction, and endpoints that count the requests running on them. */
 
 enum {
-    NET_NODES = 9, /* largest number of daemons */
+    NET_NODES = 9, /* most daemons of a Network */
     NET_ENDPOINTS = 4,
     /* Most versions of the document; further commits do nothing. */
     NET_VERSIONS = 4096,
@@ -19,8 +19,9 @@
 
 typedef enum {
     LINK_OPEN,
-    LINK_DROPPING, /* messages are dropped */
-    /* Messages are held back and arrive in order when the link opens. */
+    LINK_DROPPING, /* messages on the link are lost */
+    /* Messages on the link are held back, and arrive in order when the link
+     * opens. */
     LINK_STALLED
 } LinkMode;
 
@@ -28,8 +29,8 @@
 typedef struct Packet {
     struct Packet *next;
     AqTime due; /* virtual time at which the message arrives */
-    /* Instance of the receiving daemon when the message was sent; another
-     * instance discards the message. */
+    /* Instance number of the receiving daemon when the message was sent; a
+     * later instance of that daemon discards the message. */
     uint64_t to_instance;
     size_t size;
     char bytes[];
@@ -64,8 +65,8 @@
     int index;
     char id[AQ_WIRE_MAX_NAME];
     bool up;
-    /* Virtual time at which the next instance of this daemon starts, if it is
-     * not "up". */
+    /* Virtual time at which the next instance of this daemon starts, while the
+     * daemon is stopped ("up" is false). */
     AqTime restart_at;
     /* Virtual time at which the daemon's pause ends; 0: no pause. */
     AqTime paused_until;
@@ -79,7 +80,7 @@
     bool reading;
     AqTime read_started;
     /* Virtual time at which the store responds to this daemon's read even if
-     * it has no newer version. */
+     * the store has no version newer than the daemon's. */
     AqTime response_due;
     /* Version of the document in a response of the store that is on its way to
      * this daemon; 0: no response is on its way. */
@@ -92,8 +93,9 @@
     /* Probability, per endpoint and per NET_STEP_MS, that this daemon starts
      * requests on all of its free slots. */
     double demand;
-    /* Results of AqSlices_IsSteady and AqMembership_IsFresh and the epoch of
-     * this daemon at its last check for changes of usable slots. */
+    /* Result of AqSlices_IsSteady at the last check of this daemon for changes
+     * of its usable slots; was_fresh and steady_epoch are the result of
+     * AqMembership_IsFresh and the epoch at the same check. */
     bool was_steady;
     bool was_fresh;
     int64_t steady_epoch;
@@ -126,13 +128,14 @@
     /* Number of checks that found the usable slots of an endpoint changed at a
      * daemon although AqSlices_IsSteady was true. */
     int not_steady;
-    /* Number of changes of members.  Like the counts below, it shows that the
-     * run exercised the rules under test. */
+    /* Number of commits that changed the members.  This number and the counts
+     * below show how much of the tested behaviour occurred in the run. */
     int epochs;
-    int accepted; /* document versions accepted by a majority */
+    int accepted; /* number of document versions that a majority accepted */
     int requests;
     int slot_leases;
-    int max_on_endpoint; /* most requests on one endpoint at once */
+    /* Largest number of requests that a check found on one endpoint. */
+    int max_on_endpoint;
 } RunStats;
 
 struct Network {
@@ -141,7 +144,8 @@
     int nodes;
     unsigned faults;
     Node node[NET_NODES];
-    Link link[NET_NODES][NET_NODES]; /* [i][k]: from daemon i to k */
+    /* [i][k]: link from daemon i to daemon k */
+    Link link[NET_NODES][NET_NODES];
     Request *requests;
     size_t request_count;
     size_t request_capacity;
@@ -160,13 +164,15 @@
     /* Whether faults have ended and no daemon starts requests any more. */
     bool quiet;
     AqTime longest_request;
-    /* Whether the check of an endpoint's limit leaves out requests of removed
-     * daemons; see is_exempt. */
+    /* Whether the check of an endpoint's limit leaves out the requests that a
+     * removed daemon started before its removal or at most AQ_GUARD_MS after
+     * it. */
     bool exempt_removed;
     RunStats stats;
 };
 
-/* Starts "nodes" daemons at once; "faults" are AQ_FAULT_* bits. */
+/* Creates a cluster of "nodes" daemons, all of which start at the same virtual
+ * time; "faults" are the AQ_FAULT_* bits that are set in each daemon. */
 void network_init(Network *net, uint64_t seed, int nodes, unsigned faults);
 void network_clear(Network *net);
 /* Runs the cluster for "ms" of virtual time. */
@@ -184,7 +190,8 @@
  * over the link. */
 void network_set_link(Network *net, int from, int to, LinkMode mode,
                       AqTime ms);
-/* Pauses a daemon for "ms" of virtual time: it neither sends nor receives. */
+/* Pauses a daemon: for "ms" of virtual time the daemon neither sends nor
+ * receives messages. */
 void network_pause(Network *net, int node, AqTime ms);
 /* Stops a daemon and starts a new instance of it after "down_ms" of virtual
  * time. */
--- a/packages/membership/tests/network_checks.c
+++ b/packages/membership/tests/network_checks.c
@@ -3,13 +3,14 @@
 #include "network.h"
 
 enum {
-    /* Invariant 8: once a version has been accepted by a majority for this
-     * long, no daemon with an older version counts as fresh. */
+    /* A daemon must not count as fresh once a majority of the members accepted
+     * a newer version of the document than the daemon's more than this time
+     * ago. */
     STALE_LIMIT_MS = 4000
 };
 
-/* Sets net->accepted_at to the current time for each document version that
- * this daemon is the first to see accepted by a majority. */
+/* Sets net->accepted_at to the current time for each document version that the
+ * daemon "node" is the first to see accepted by a majority. */
 static void
 record_accepted(Network *net, const Node *node)
 {
@@ -57,12 +58,12 @@
     }
 }
 
-/* Whether a request is exempt from the limit of its endpoint.  The rules do
- * not cover requests of a daemon that is removed from the members while they
- * run: the daemon may start requests for AQ_FRESH_MS after its removal was
- * accepted, and unless its heartbeats are received by the members, its slots
- * are reused AQ_GUARD_MS after the acceptance, when such requests may still
- * run (NOTES.md). */
+/* Whether a request is exempt from the limit of its endpoint.  The limit may
+ * be exceeded by requests of a daemon that is removed from the members while
+ * the requests run: the daemon may start requests for AQ_FRESH_MS after its
+ * removal was accepted, and unless its heartbeats are received by the members,
+ * its slots are reused AQ_GUARD_MS after the acceptance, when such requests
+ * may still run (NOTES.md). */
 static bool
 is_exempt(const Network *net, const Request *r)
 {
--- a/packages/membership/tests/network_store.c
+++ b/packages/membership/tests/network_store.c
@@ -4,11 +4,11 @@
     /* Time for which a read of the store's newest version waits for a version
      * newer than the reading daemon's before the store responds. */
     HEAD_READ_WAIT_MS = 1000,
-    /* A heartbeat received less than this ago rules out that its sender has
-     * been silent for AQ_REMOVE_MS. */
+    /* A heartbeat received less than this time ago shows that its sender has
+     * not been silent for AQ_REMOVE_MS. */
     RECENT_HEARTBEAT_MS = 2500,
-    /* A member's report that another member is silent does not count if it was
-     * sent longer ago than this. */
+    /* A member's report that another member is silent does not count if the
+     * report was sent more than this time ago. */
     MAX_REPORT_AGE_MS = 4000
 };
 
@@ -119,9 +119,9 @@
     net->stats.wrong_removals += receiving * 2 > count;
 }
 
-/* Commits that the daemon "node" becomes a member or that a silent member is
- * removed, by the rules of the real daemon: one change per commit, made to the
- * document version in force at "node". */
+/* Lets the daemon "node" commit, as the real daemon does, that "node" becomes
+ * a member or that a silent member is removed.  Each commit adds or removes
+ * one member of the document version in force at "node". */
 void
 network_step_members(Network *net, Node *node)
 {
--- a/packages/membership/tests/test_cluster.c
+++ b/packages/membership/tests/test_cluster.c
@@ -3,9 +3,11 @@
 
 #include "network.h"
 
-/* Runs simulated clusters under random faults.  Arguments: the first seed, the
- * number of seeds and, optionally, AQ_FAULT_* bits of rules to disable.
- * Without arguments, runs the tests that each disable one rule. */
+/* This program runs simulated clusters under random faults.  Its arguments are
+ * the first seed, the number of seeds and, optionally, AQ_FAULT_* bits, each
+ * of which disables one protection of the daemons.  Without arguments, it runs
+ * the tests that check that a cluster without one of these protections
+ * fails. */
 
 static uint64_t first_seed;
 static uint64_t seed_count;
@@ -45,9 +47,9 @@
     free(net);
 }
 
-/* Guards against violations of the rules, which RunStats counts by kind, under
- * random link faults in one or both directions, pauses, restarts and store
- * outages. */
+/* Guards against every kind of violation that RunStats counts, such as more
+ * requests on an endpoint than the endpoint has slots, under random link
+ * faults in one or both directions, pauses, restarts and store outages. */
 static void
 test_random_faults(void)
 {
@@ -94,17 +96,17 @@
     CU_ASSERT_EQUAL(sum.not_usable, 0);
     CU_ASSERT_EQUAL(sum.inconsistent, 0);
     CU_ASSERT_EQUAL(sum.not_steady, 0);
-    /* The runs must have exercised the rules that they check: at some time an
-     * endpoint must have run 8 requests, as many as the largest endpoint has
-     * slots. */
+    /* The runs test the limit of an endpoint only if they reach it: at some
+     * time an endpoint must have run 8 requests, as many as the largest
+     * endpoint has slots. */
     CU_ASSERT_EQUAL(sum.max_on_endpoint, 8);
     CU_ASSERT_TRUE(sum.epochs >= 5 * (int)seed_count);
     CU_ASSERT_TRUE(sum.slot_leases >= 50 * (int)seed_count);
 }
 
 enum {
-    /* Number of seeds among which, with one rule disabled, at least one run
-     * must show a violation. */
+    /* Number of seeds that are tried with one AQ_FAULT_* bit set; the run of
+     * at least one of these seeds must show a violation. */
     MAX_FAULT_SEEDS = 400
 };
 
@@ -142,9 +144,10 @@
     return v->wrong_removals > 0;
 }
 
-/* Guards against rules that are not needed and against random runs that do not
- * exercise them: with any one rule disabled, a run must show the violation
- * that the rule prevents. */
+/* Guards against protections of the daemons that are not needed, and against
+ * random runs that do not test the protections: with the AQ_FAULT_* bit set
+ * that disables one protection, a run must show the violation that this
+ * protection prevents. */
 static void
 test_left_out_rules(void)
 {
--- a/packages/membership/tests/test_membership.c
+++ b/packages/membership/tests/test_membership.c
@@ -7,7 +7,7 @@
 #include "aq_slices.h"
 
 enum {
-    PEERS = 5 /* members of the epoch, vm-0 included */
+    PEERS = 5 /* number of members of the epoch, vm-0 included */
 };
 
 /* The daemon under test, vm-0, one of five members.  The tests build the
@@ -82,10 +82,11 @@
 {
     static const struct {
         const char *name;
-        /* Age of vm-0's last store contact; 0: vm-0 has had none. */
+        /* Age of vm-0's last store contact in the test case; 0: vm-0 has had
+         * no store contact. */
         AqTime own_contact_age_ms;
-        /* Heartbeats of vm-1 to vm-4, in this order; version 0: none from this
-         * peer. */
+        /* Heartbeats of vm-1 to vm-4, in this order; version 0 means that this
+         * peer has sent no heartbeat. */
         PeerReport reports[4];
         bool fresh;
     } cases[] = {
