--- a/packages/membership/Include/aq_membership.h
+++ b/packages/membership/Include/aq_membership.h
@@ -28,9 +28,9 @@
      * fresh. */
     AQ_FRESH_MS = 3000,
     /* Time for which a daemon waits before it takes slots that another daemon
-     * may still use.  The wait is counted from the acceptance of the other
-     * daemon's removal by a majority of the members, or from the start of one
-     * of the two daemons. */
+     * may still use.  The wait starts when the waiting daemon sees that a
+     * majority of the members has accepted the removal of the other daemon, or
+     * when one of the two daemons starts. */
     AQ_GUARD_MS = 4000,
     /* Most members of one epoch; AqMembership_SetEpoch ignores further ids.
      * The design page expects 27 members. */
@@ -112,11 +112,12 @@
 void AqMembership_Disconnected(AqMembership *m, AqTime now, const char *id);
 
 /* Fills seq, instance, epoch, version, store_age_ms, joining, peer_ages and
- * acked_seq of a heartbeat; the caller fills the other fields
- * (AqSlices_FillHeartbeat for over and slot_leases) and clears the message.
- * Must be called every AQ_HEARTBEAT_MS: a gap of more than three such
- * intervals between calls counts as a pause of this daemon, after which the
- * silence of every peer is measured from the end of the pause. */
+ * acked_seq of a heartbeat.  The caller fills the other fields (over,
+ * slot_leases and slots_known with AqSlices_FillHeartbeat), and clears the
+ * message with AqMsg_Clear once it is encoded.  Must be called every
+ * AQ_HEARTBEAT_MS: a gap of more than three such intervals between calls
+ * counts as a pause of this daemon, after which the silence of every peer is
+ * measured from the end of the pause. */
 void AqMembership_FillHeartbeat(AqMembership *m, AqTime now,
                                 AqMsgHeartbeat *beat);
 
@@ -151,9 +152,9 @@
  * retries the commit. */
 bool AqMembership_MayChangeMembers(const AqMembership *m, AqTime now);
 /* Id of a member from which a majority of the members has received no
- * heartbeat for AQ_REMOVE_MS; NULL if no member is silent or
- * AqMembership_MayChangeMembers is false.  The daemon commits the removal of
- * that member.  The id is valid until the next AqMembership_SetEpoch. */
+ * heartbeat for AQ_REMOVE_MS; the caller commits the removal of that member.
+ * NULL if there is no such member or AqMembership_MayChangeMembers is false.
+ * The id is valid until the next AqMembership_SetEpoch. */
 const char *AqMembership_ToRemove(const AqMembership *m, AqTime now);
 /* Whether this daemon is a member and owns "role" ("planner", "claims/3",
  * ...): of all live members it has the highest rendezvous weight for
@@ -178,11 +179,11 @@
 /* Instance number in the last heartbeat of a peer; it differs at each start of
  * the peer.  0 if no heartbeat of the peer has been received. */
 uint64_t AqMembership_Instance(const AqMembership *m, const char *id);
-/* Sets *at to a lower bound, on this daemon's clock, of the time at which the
- * peer sent its last heartbeat: the time at which this daemon sent the
- * heartbeat that the peer last acknowledged.  Returns false, and leaves *at
- * unset, if the peer has acknowledged no heartbeat since the last start of the
- * peer or of this daemon. */
+/* Sets *at to the time, on this daemon's clock, at which this daemon sent the
+ * heartbeat that the peer last acknowledged; the peer sent its last received
+ * heartbeat after that time.  Returns false, and leaves *at unset, if the peer
+ * has acknowledged no heartbeat since the last start of the peer or of this
+ * daemon. */
 bool AqMembership_SentAfter(const AqMembership *m, const char *id, AqTime *at);
 /* Whether AQ_GUARD_MS have passed since this daemon started (created "m"). */
 bool AqMembership_IsStarted(const AqMembership *m, AqTime now);
--- a/packages/membership/Include/aq_slices.h
+++ b/packages/membership/Include/aq_slices.h
@@ -21,7 +21,8 @@
                           AqTime now);
 void AqSlices_Destroy(AqSlices *slices);
 
-/* Must be called after each AqMembership_SetEpoch; does nothing if the epoch
+/* Reassigns the slots of every endpoint to the members of the installed epoch.
+ * Must be called after each AqMembership_SetEpoch; does nothing if the epoch
  * is still the same as at the last call. */
 void AqSlices_EpochChanged(AqSlices *slices, AqTime now);
 /* Must be called for each received heartbeat, after AqMembership_Heartbeat has
@@ -36,11 +37,13 @@
  * requests in flight on the endpoint have ended. */
 void AqSlices_RemoveEndpoint(AqSlices *slices, const char *endpoint);
 
-/* Fills over, slot_leases and slots_known of a heartbeat, and sets the
- * heartbeat's epoch to 0 while this daemon cannot release slots yet.  "in_use"
- * returns the number of this daemon's requests in flight on an endpoint; it is
- * also called for removed endpoints until it returns 0.  Without this call no
- * peer can use slots that are newly assigned to that peer. */
+/* Fills over, slot_leases and slots_known of a heartbeat.  Sets the
+ * heartbeat's epoch to 0, so that it releases no slots, if "over" is too long
+ * for a heartbeat or not every other member has reported its leased-in slots
+ * yet.  "in_use" returns the number of this daemon's requests in flight on an
+ * endpoint; it is also called for removed endpoints until it returns 0.
+ * Without this call no peer can use slots that are newly assigned to that
+ * peer. */
 void AqSlices_FillHeartbeat(AqSlices *slices, AqTime now,
                             int (*in_use)(void *context, const char *endpoint),
                             void *context, AqMsgHeartbeat *beat);
--- a/packages/membership/bench/bench_cluster.h
+++ b/packages/membership/bench/bench_cluster.h
@@ -48,16 +48,18 @@
     int leaving;
     BenchMember member[BENCH_MEMBERS];
     char endpoint[BENCH_ENDPOINTS][AQ_WIRE_MAX_NAME];
-    /* bench_run adds to this field and the four below. */
-    uint64_t frames;      /* number of heartbeats received by all members */
-    uint64_t frame_bytes; /* total bytes of the heartbeats received */
-    /* CPU time, in microseconds, that all members took to decode and process
-     * the heartbeats received. */
+    /* Number of heartbeats received, summed over all members. bench_run adds
+     * to frames, frame_bytes, handle_us, fills and fill_us. */
+    uint64_t frames;
+    /* Bytes of the encoded heartbeats received, summed over all members. */
+    uint64_t frame_bytes;
+    /* CPU time, in microseconds, to decode and process the heartbeats
+     * received, summed over all members. */
     double handle_us;
-    /* Number of heartbeats that all members filled. */
+    /* Number of heartbeats filled, summed over all members. */
     uint64_t fills;
-    /* CPU time, in microseconds, that all members took to fill and encode
-     * their heartbeats. */
+    /* CPU time, in microseconds, to fill and encode heartbeats, summed over
+     * all members. */
     double fill_us;
 };
 
--- a/packages/membership/bench/bench_membership.c
+++ b/packages/membership/bench/bench_membership.c
@@ -5,17 +5,19 @@
 /* This program prints, for clusters of 3 to 27 members, what heartbeats cost
  * each member in bytes per second, CPU time and memory, and the share of the
  * slots that are in use with and without slot leasing.  The bytes are those of
- * the encoded heartbeats, without TCP/IP headers.  It also prints the result
- * of measure_relayed_freshness. */
+ * the encoded heartbeats, without TCP/IP headers.  It also prints the share of
+ * time in which a member is fresh that learns of the store through one peer
+ * only. */
 
 enum {
     WARM_UP_MS = 10000,
     MEASURE_MS = 60000
 };
 
-/* Prints the bytes of the heartbeats that one member receives, the CPU time
- * that the member takes to process and to send heartbeats, and the memory of
- * the member, in a cluster of "members" members and "endpoints" endpoints. */
+/* Prints, for a cluster of "members" members and "endpoints" endpoints, what
+ * heartbeats cost one member: bytes received per heartbeat and per second, CPU
+ * time in microseconds to process and to fill one heartbeat, percent of a
+ * core, and bytes of memory. */
 static void
 measure_cost(int members, int endpoints)
 {
@@ -57,8 +59,10 @@
 }
 
 /* Prints the share of a cluster's slots that are in use, without and with slot
- * leasing, at the demand that set_demand sets for "loaded_count".  "load" is
- * the name of this demand in the output. */
+ * leasing.  The members together need 90% of the slots: the first
+ * "loaded_count" members equal shares, or, if loaded_count is 0, member i a
+ * share in proportion to 1/(i + 1).  "load" is the name of this demand in the
+ * output. */
 static void
 measure_slot_leasing(int members, const char *load, int loaded_count)
 {
@@ -80,10 +84,10 @@
     bench_destroy(c);
 }
 
-/* For a member that does not reach the store and receives heartbeats only from
- * one peer that reaches it: prints the share of time in which the member is
- * fresh, the least and the mean over the offsets between the member's
- * heartbeats and the peer's. */
+/* Prints the share of time in which a member is fresh that cannot reach the
+ * store and receives heartbeats only from one peer, which reaches the store.
+ * The share is measured for each offset between the heartbeats of the member
+ * and of the peer; the least and the mean share are printed. */
 static void
 measure_relayed_freshness(void)
 {
--- a/packages/membership/membership.c
+++ b/packages/membership/membership.c
@@ -230,11 +230,11 @@
     }
 }
 
-/* Sets counts_for_majority once a majority of the members, made up of other
- * members that do not report themselves as joining, has reported versions of
- * the fleet document not above this daemon's in heartbeats sent at most
- * AQ_FRESH_MS ago.  This daemon then has every accepted version, although a
- * restart may have set it back to an older one. */
+/* Sets counts_for_majority if a majority of the members has reported versions
+ * of the fleet document not above this daemon's in heartbeats sent at most
+ * AQ_FRESH_MS ago.  This daemon itself and members that report themselves as
+ * joining do not count.  This daemon then has every accepted version, although
+ * a restart may have set it back to an older one. */
 static void
 update_counts_for_majority(AqMembership *m, AqTime now)
 {
--- a/packages/membership/membership_internal.h
+++ b/packages/membership/membership_internal.h
@@ -20,7 +20,8 @@
     /* The sequence number (seq) of a heartbeat that this daemon sends is
      * seq_base + 1 + the milliseconds from "created" to its sending. */
     uint64_t seq_base;
-    /* Time of the last call of AqMembership_FillHeartbeat. */
+    /* Time at which this daemon last filled a heartbeat to be sent.  A gap of
+     * more than three heartbeat intervals counts as a pause of this daemon. */
     AqTime last_fill;
     /* Time from which the silence of peers is measured: the end of this
      * daemon's last pause, or its start if it has not paused. */
@@ -32,12 +33,12 @@
     bool has_epoch;
     int64_t epoch;
     int64_t version;
-    /* Start of this daemon's last store read that got a response; TIME_UNKNOWN
-     * before the first. */
+    /* Time at which this daemon began its last store read that got a response;
+     * TIME_UNKNOWN before the first. */
     AqTime contact;
-    /* Latest time at which a peer certainly reached the store, by heartbeats
-     * whose version was not above this daemon's at receipt; TIME_UNKNOWN if
-     * none. */
+    /* Latest time at which a peer certainly reached the store, as reported in
+     * heartbeats; a heartbeat counts only if its version was not above this
+     * daemon's at receipt.  TIME_UNKNOWN if there is none. */
     AqTime relayed_contact;
     Member *members; /* the installed epoch's members, in order of id */
     size_t count;
--- a/packages/membership/rules.c
+++ b/packages/membership/rules.c
@@ -112,10 +112,10 @@
 bool
 AqMembership_IsAccepted(const AqMembership *m, AqTime now, int64_t version)
 {
-    /* The version at one instance of a daemon never decreases, so what a
-     * member reported is valid however old its heartbeat is.  For versions
-     * above this daemon's own, this daemon's list of members may be out of
-     * date. */
+    /* An instance of a daemon never lowers its version, so what a member
+     * reported is valid however old its heartbeat is.  A version above this
+     * daemon's own does not count as accepted, because this daemon's list of
+     * members may be out of date for it. */
     (void)now;
     return m->version >= version && m->count > 0 &&
            membership_is_majority(m, count_reported(m, version));
--- a/packages/membership/slices.c
+++ b/packages/membership/slices.c
@@ -212,9 +212,10 @@
 }
 
 /* Whether slots in SLOT_PENDING need not wait any longer for daemons outside
- * the epoch.  Such a wait begins when this daemon sees the epoch accepted by a
- * majority, lasts AQ_GUARD_MS, and does not end before AQ_GUARD_MS after this
- * daemon's start. */
+ * the epoch that may still run requests on them.  Such a wait begins when this
+ * daemon sees the epoch accepted by a majority of the members, lasts
+ * AQ_GUARD_MS, and does not end before AQ_GUARD_MS after this daemon's
+ * start. */
 static bool
 is_guard_over(AqSlices *slices, AqTime now)
 {
@@ -251,9 +252,9 @@
     }
 }
 
-/* Records that member "i" has released its former slots of every endpoint that
- * its heartbeat does not name in its "over" list: on such an endpoint the
- * member has no more requests in flight than slots. */
+/* Records, for each endpoint that the "over" list of member "i" does not name,
+ * that the member has released its former slots of the endpoint: the member
+ * has no more requests in flight there than slots. */
 static void
 record_release(AqSlices *slices, size_t i, const AqMsgHeartbeat *beat)
 {
--- a/packages/membership/slices_internal.h
+++ b/packages/membership/slices_internal.h
@@ -34,21 +34,25 @@
     /* Number of slots of the endpoint over all members: its limit of requests
      * in flight. */
     int slots;
-    int pending;          /* slots of the endpoint in state SLOT_PENDING */
-    int held;             /* slots of the endpoint in state SLOT_HELD */
+    /* Number of the endpoint's slots in SLOT_PENDING: assigned to this daemon,
+     * not yet released by all other members. */
+    int pending;
+    /* Number of the endpoint's slots in SLOT_HELD: assigned to this daemon,
+     * released by all other members. */
+    int held;
     int leased_out;       /* slots that this daemon leased to other members */
     int leased_in;        /* slots leased in from other members */
     unsigned char *state; /* SlotState of each slot */
-    /* For each slot, the member to which it was assigned in the previous
-     * epoch, as a position among the members of the current epoch; NO_MEMBER
-     * if that member has left.  Only for AQ_FAULT_PREVIOUS_ONLY. */
+    /* Only for AQ_FAULT_PREVIOUS_ONLY.  For each slot, position in "members"
+     * of the member to which the slot was assigned in the previous epoch;
+     * NO_MEMBER if that member has left the epoch. */
     uint16_t *previous;
     /* Time before which no slot of this endpoint goes from SLOT_PENDING to
-     * SLOT_HELD; set when a daemon that is not a member reports requests on
-     * the endpoint. */
+     * SLOT_HELD; AQ_FRESH_MS after a daemon that is not a member last reported
+     * requests on the endpoint. */
     AqTime blocked_until;
-    /* Value of report_number for the last heartbeat that named this endpoint
-     * in its "over" list, the list of the endpoints on which the sender has
+    /* Number (report_number) of the last heartbeat whose "over" list named
+     * this endpoint.  The list names the endpoints on which the sender has
      * more requests than slots. */
     uint64_t last_over_report;
     /* One bit per member, by position in "members": set if the member has
@@ -69,13 +73,15 @@
      * them. */
     AqTime term_end;
     /* For leased-out slots: whether the lessee has left the epoch or
-     * restarted.  For leased-in slots: whether the lessor has left the epoch,
-     * so that the slots are assigned to other members. */
+     * restarted; this daemon then takes the slots back at reclaim_at.  For
+     * leased-in slots: whether the lessor has left the epoch; the slots are
+     * then assigned to other members, and this daemon starts no new request on
+     * them. */
     bool is_orphaned;
-    /* For leased-out slots of an orphaned slot lease: time at which this
-     * daemon takes the slots back, AQ_GUARD_MS after it saw the current epoch
-     * accepted by a majority or saw the restart of the lessee; TIME_UNKNOWN
-     * before that. */
+    /* For leased-out slots whose lessee has left the epoch or restarted: time
+     * at which this daemon takes the slots back, AQ_GUARD_MS after it saw a
+     * majority of the members accept the epoch or saw the restart;
+     * TIME_UNKNOWN before that. */
     AqTime reclaim_at;
 } SlotLease;
 
@@ -94,27 +100,30 @@
     /* Ids of the epoch's members, in ascending order. */
     char (*members)[AQ_WIRE_MAX_NAME];
     uint64_t *hashes; /* hash of each member's id, in order of id */
-    /* Whether slots in SLOT_PENDING wait for guard_until, because a daemon
-     * that is not a member may still use them. */
+    /* Whether the slots in SLOT_PENDING stay unused by this daemon until
+     * guard_until, because a daemon that is not a member may still run
+     * requests on them. */
     bool guard_needed;
     /* If guard_needed: time before which no slot goes from SLOT_PENDING to
      * SLOT_HELD, AQ_GUARD_MS after this daemon saw the epoch accepted by a
      * majority; TIME_UNKNOWN until then. */
     AqTime guard_until;
-    /* Whether this daemon has received, since its start, the list of leased-in
-     * slots of every other member of one epoch. */
+    /* True once, within one epoch since the start of this daemon, every other
+     * member has reported the slots that it has leased in. */
     bool all_reported;
     /* One bit per member, by position in "members": set if the member has
      * reported, in this epoch, the slots that it has leased in. */
     uint64_t reported[MEMBER_WORDS];
-    /* Number of heartbeats whose "over" list, of the endpoints on which the
-     * sender has more requests than slots, has been applied so far; also
-     * serves as the number of the last such heartbeat. */
+    /* Number of heartbeats whose "over" list this daemon has applied so far;
+     * also serves as the number of the last such heartbeat.  The list names
+     * the endpoints on which the sender has more requests than slots. */
     uint64_t report_number;
     Endpoint **buckets;
     size_t bucket_count; /* length of "buckets", a power of two */
     size_t endpoint_count;
-    int pending; /* slots in state SLOT_PENDING over all endpoints */
+    /* Number of slots of all endpoints in SLOT_PENDING: assigned to this
+     * daemon, not yet released by all other members. */
+    int pending;
     SlotLeaseTable leased_out;
     SlotLeaseTable leased_in;
     /* Id of the lessor that the last call of AqSlices_NextReturn passed to its
@@ -131,35 +140,36 @@
 /* Frees an endpoint that has been removed from its bucket. */
 void endpoints_free(Endpoint *e);
 /* Reassigns every slot of "e" by rendezvous hashing over the members of the
- * epoch.  With "keep", a slot in SLOT_HELD that stays assigned to this daemon
- * stays in SLOT_HELD; every other slot assigned to this daemon goes to
- * SLOT_PENDING. */
+ * epoch.  A slot assigned to this daemon goes to SLOT_PENDING, except that,
+ * with "keep", a slot that was in SLOT_HELD stays in SLOT_HELD. */
 void endpoints_assign_slots(AqSlices *slices, Endpoint *e, bool keep);
-/* For AQ_FAULT_PREVIOUS_ONLY: records in e->previous the member to which each
- * slot of "e" was assigned in the previous epoch, as a position among the
- * members of the current epoch.  "old" lists the members of the previous
- * epoch. */
+/* For AQ_FAULT_PREVIOUS_ONLY: fills e->previous.  For each slot of "e" it gets
+ * the member to which the slot was assigned in the previous epoch, as that
+ * member's position in the current epoch, or NO_MEMBER.  "old" lists the
+ * members of the previous epoch. */
 void endpoints_record_previous(const AqSlices *slices, Endpoint *e,
                                const char (*old)[AQ_WIRE_MAX_NAME],
                                const uint64_t *old_hashes, size_t old_count);
 
 /* Finds an endpoint; NULL if the table has none of this name. */
 Endpoint *slices_find(const AqSlices *slices, const char *name);
-/* Does what is due at "now": takes back leased-out slots of orphaned slot
- * leases, and changes the state of slots from SLOT_PENDING to SLOT_HELD if all
- * other members have released these slots, unless the wait of AQ_GUARD_MS
- * after a majority accepted the epoch still lasts. */
+/* Takes back, if it is time, the leased-out slots whose lessee has left the
+ * epoch or restarted.  Changes the state of slots from SLOT_PENDING to
+ * SLOT_HELD if all other members have released these slots, unless the wait of
+ * AQ_GUARD_MS after a majority of the members accepted the epoch still
+ * lasts. */
 void slices_advance(AqSlices *slices, AqTime now);
 
 /* Frees all slot leases in the table. */
 void slot_leases_clear(SlotLeaseTable *leases);
 /* Takes back leased-out slots whose lessee has left the epoch or restarted,
- * AQ_GUARD_MS after this daemon saw a majority accept the epoch, or saw the
- * restart. */
+ * AQ_GUARD_MS after this daemon saw a majority of the members accept the
+ * epoch, or saw the lessee restart. */
 void slot_leases_advance(AqSlices *slices, AqTime now);
-/* Updates the slot leases for the new epoch: marks those whose peer is not a
- * member, or whose lessee has restarted, as orphaned, and ends the term of
- * leased-in slots whose lessor, or this daemon, is not a member any more. */
+/* Updates the slot leases for the new epoch.  Leased-out slots are marked to
+ * be taken back (is_orphaned) if the lessee is not a member or has restarted.
+ * This daemon starts no new request on leased-in slots if the lessor, or this
+ * daemon, is not a member any more. */
 void slot_leases_epoch_changed(AqSlices *slices);
 /* Updates the slot leases with the peer "from" by its heartbeat, which lists
  * the slots that the peer has leased in. */
@@ -167,8 +177,8 @@
                            const AqMsgHeartbeat *beat);
 /* Removes every slot lease of slots of the endpoint "e". */
 void slot_leases_drop_endpoint(AqSlices *slices, Endpoint *e);
-/* Number of slots of "e" that this daemon has leased in and whose lessor has
- * not left the epoch. */
+/* Number of slots of "e" that this daemon has leased in from lessors that have
+ * not left the epoch since the grant. */
 int slot_leases_valid(const AqSlices *slices, const Endpoint *e);
 /* Number of slots of "e" that this daemon has leased in and whose term has not
  * ended at "now", so that new requests may start on them. */
--- a/packages/membership/slot_leases.c
+++ b/packages/membership/slot_leases.c
@@ -55,8 +55,8 @@
     leases->items[i] = leases->items[--leases->count];
 }
 
-/* Sets the number of slots of a slot lease that this daemon has granted; a
- * count of 0 removes the slot lease. */
+/* Sets the number of slots that this daemon leases out under "lease"; a count
+ * of 0 removes "lease" from the table. */
 static void
 set_leased_out(AqSlices *slices, SlotLease *lease, int count)
 {
@@ -68,8 +68,8 @@
     }
 }
 
-/* Sets the number of slots of a slot lease that this daemon has been granted;
- * a count of 0 removes the slot lease. */
+/* Sets the number of slots that this daemon leases in under "lease"; a count
+ * of 0 removes "lease" from the table. */
 static void
 set_leased_in(AqSlices *slices, SlotLease *lease, int count)
 {
@@ -171,10 +171,11 @@
 }
 
 /* Lowers each slot lease granted to "from" to the number of slots that the
- * heartbeat of "from" lists, if that is less and the heartbeat acknowledges a
- * heartbeat that this daemon sent after its last LEND message: that LEND
- * message, or a RETURN message of "from", was lost.  Slot leases of an earlier
- * instance of the lessee are marked as orphaned instead. */
+ * heartbeat of "from" lists for it, if that is less and "from" has
+ * acknowledged a heartbeat that this daemon sent after its last LEND message
+ * for that slot lease: that LEND message, or a RETURN message of "from", was
+ * lost.  Slots that an earlier instance of "from" leased in are taken back
+ * after AQ_GUARD_MS instead. */
 static void
 lower_slot_leases(AqSlices *slices, AqTime now, const char *from,
                   const AqMsgHeartbeat *beat)
@@ -202,9 +203,9 @@
     }
 }
 
-/* Adds or raises slot leases so that this daemon counts at least the slots
- * that "from" reports as leased in from this daemon: a previous instance of
- * this daemon may have granted them. */
+/* Raises each slot lease granted to "from", or adds it, to the number of slots
+ * that the heartbeat of "from" lists as leased in from this daemon: a previous
+ * instance of this daemon may have granted them. */
 static void
 raise_slot_leases(AqSlices *slices, AqTime now, const char *from,
                   const AqMsgHeartbeat *beat)
@@ -330,9 +331,9 @@
 {
     for (size_t i = slices->leased_in.count; i-- > 0;) {
         SlotLease *lease = &slices->leased_in.items[i];
-        /* An orphaned slot lease is kept until this daemon's requests on its
-         * slots end, because the lessor treats a slot lease that is missing
-         * from this daemon's heartbeat as returned. */
+        /* If the lessor has left the epoch, the slot lease is kept until this
+         * daemon's requests on the slots end: the lessor treats a slot lease
+         * that is missing from this daemon's heartbeat as returned. */
         if (!AqMembership_IsMember(slices->membership, lease->peer)) {
             lease->is_orphaned = true;
         }
@@ -363,8 +364,8 @@
         SlotLease *lease = &slices->leased_in.items[i];
         if (strcmp(lease->peer, from) == 0 &&
             lease->instance != beat->instance) {
-            /* The lessor restarted, so the slots leased in from it are to be
-             * returned. */
+            /* The lessor restarted, so this daemon starts no new request on
+             * the slots leased in from it and returns them. */
             lease->term_end = now;
         }
     }
--- a/packages/membership/tests/network.h
+++ b/packages/membership/tests/network.h
@@ -87,20 +87,20 @@
     int64_t response_version;
     AqTime response_arrives_at;
     AqTime store_unreachable_until;
-    /* Virtual time at which this daemon was last removed from the members; 0:
-     * never. */
+    /* Virtual time at which a member last committed this daemon's removal from
+     * the members; 0: never. */
     AqTime removed_at;
     /* Probability, per endpoint and per NET_STEP_MS, that this daemon starts
      * requests on all of its free slots. */
     double demand;
-    /* Result of AqSlices_IsSteady at the last check of this daemon for changes
-     * of its usable slots; was_fresh and steady_epoch are the result of
-     * AqMembership_IsFresh and the epoch at the same check. */
+    /* Whether, at the last check of this daemon's usable slots, none of its
+     * slots was pending or leased (AqSlices_IsSteady); was_fresh and
+     * steady_epoch are its freshness and epoch at the same check. */
     bool was_steady;
     bool was_fresh;
     int64_t steady_epoch;
-    /* Result of AqSlices_Usable for each endpoint at this daemon's last
-     * check. */
+    /* For each endpoint, the number of slots that this daemon could use at its
+     * last check. */
     int usable[NET_ENDPOINTS];
 } Node;
 
@@ -111,27 +111,33 @@
      * endpoint has slots. */
     int over_limit;
     /* Number of checks that found a daemon fresh more than 4 s after a
-     * majority accepted a version newer than the daemon's. */
+     * majority of the members accepted a version of the document newer than
+     * the daemon's. */
     int stale_fresh;
-    /* Number of removals of a member whose heartbeats reached a majority of
-     * the members. */
+    /* Number of commits that removed a member although that member's
+     * heartbeats reached a majority of the members. */
     int wrong_removals;
-    /* Slots leased out plus slots leased in, over all daemons, that are left
-     * at the end of the run, after a phase without faults and new requests. */
+    /* Number of slots still leased out plus number still leased in, summed
+     * over all daemons, at the end of the run, after a phase without faults
+     * and new requests. */
     int not_returned;
-    /* Sum over the endpoints of the difference between an endpoint's slots and
-     * its slots usable by the daemons together, at the end of the run, after a
-     * phase without faults and new requests. */
+    /* Number of slots missing or in excess at the end of the run, after a
+     * phase without faults and new requests: for each endpoint, the difference
+     * between its slots and the sum of the slots usable by each daemon; added
+     * up over all endpoints. */
     int not_usable;
-    /* Number of checks at which AqSlices_CheckConsistency failed. */
+    /* Number of checks that found slot counters of a daemon in disagreement
+     * with its slots (AqSlices_CheckConsistency returned false). */
     int inconsistent;
-    /* Number of checks that found the usable slots of an endpoint changed at a
-     * daemon although AqSlices_IsSteady was true. */
+    /* Number of times that a check found the usable slots of an endpoint
+     * changed at a daemon although AqSlices_IsSteady was true. */
     int not_steady;
-    /* Number of commits that changed the members.  This number and the counts
-     * below show how much of the tested behaviour occurred in the run. */
+    /* Number of commits that changed the members.  Like accepted, requests,
+     * slot_leases and max_on_endpoint, it shows how much of the tested
+     * behaviour occurred in the run. */
     int epochs;
-    int accepted; /* number of document versions that a majority accepted */
+    /* Number of document versions that a majority of the members accepted. */
+    int accepted;
     int requests;
     int slot_leases;
     /* Largest number of requests that a check found on one endpoint. */
@@ -152,10 +158,11 @@
     int slots[NET_ENDPOINTS];
     int64_t head; /* newest version of the document in the store */
     int64_t epoch_of[NET_VERSIONS];
-    /* Bit mask of the member daemons in each document version. */
+    /* The members in each document version: bit i is set if node[i] is a
+     * member. */
     unsigned members_of[NET_VERSIONS];
-    /* Virtual time at which a majority accepted each document version; 0: not
-     * accepted yet. */
+    /* Virtual time at which a daemon first saw each document version accepted
+     * by a majority of the members; 0: not accepted yet. */
     AqTime accepted_at[NET_VERSIONS];
     int64_t highest_accepted;
     AqTime head_changed;
@@ -164,9 +171,9 @@
     /* Whether faults have ended and no daemon starts requests any more. */
     bool quiet;
     AqTime longest_request;
-    /* Whether the check of an endpoint's limit leaves out the requests that a
-     * removed daemon started before its removal or at most AQ_GUARD_MS after
-     * it. */
+    /* Whether the check that an endpoint runs no more requests than it has
+     * slots leaves out those that a daemon started before its removal from the
+     * members or at most AQ_GUARD_MS after the removal. */
     bool exempt_removed;
     RunStats stats;
 };
@@ -203,7 +210,7 @@
  * more. */
 void network_inject_fault(Network *net, AqTime longest_pause);
 
-/* Number of requests that all daemons run on an endpoint. */
+/* Number of requests that run on an endpoint now, summed over all daemons. */
 int network_in_use(const Network *net, int endpoint);
 
 /* ---- Internal to the network*.c files ----------------------------------- */
@@ -215,10 +222,11 @@
 /* Position in net->node of the daemon with this id, which must exist. */
 int network_node_of(const Network *net, const char *id);
 const char *network_endpoint(int endpoint);
-/* Checks one daemon: whether it is fresh with an old document version, whether
- * its slot counters are inconsistent, and whether its usable slots changed
- * while AqSlices_IsSteady was true.  Counts these violations in net->stats,
- * and records newly accepted versions. */
+/* Checks one daemon: whether it is fresh more than 4 s after a majority of the
+ * members accepted a newer document version than the daemon's, whether its
+ * slot counters are inconsistent, and whether its usable slots changed while
+ * AqSlices_IsSteady was true.  Counts these violations in net->stats, and
+ * records newly accepted versions. */
 void network_check_node(Network *net, Node *node);
 /* Removes ended requests, counts in net->stats.over_limit each endpoint that
  * runs more requests than it has slots, and updates
@@ -229,8 +237,8 @@
 /* Advances the daemon's read of the store's newest document version: starts a
  * read, lets the store respond, or processes the response. */
 void network_step_store(Network *net, Node *node);
-/* Commits to the store the addition or removal of the member that the daemon
- * may add or remove now, if there is one. */
+/* If a change of the members is due, lets the daemon "node" commit it to the
+ * store: "node" becomes a member, or a silent member is removed. */
 void network_step_members(Network *net, Node *node);
 
 #endif
--- a/packages/membership/tests/network_checks.c
+++ b/packages/membership/tests/network_checks.c
@@ -3,9 +3,9 @@
 #include "network.h"
 
 enum {
-    /* A daemon must not count as fresh once a majority of the members accepted
-     * a newer version of the document than the daemon's more than this time
-     * ago. */
+    /* Time after a majority of the members accepted a version of the document
+     * at which daemons with an older version must not count as fresh any
+     * more. */
     STALE_LIMIT_MS = 4000
 };
 
@@ -22,9 +22,10 @@
     }
 }
 
-/* Checks that the usable slots of a daemon do not change while its
- * AqSlices_IsSteady is true: the real daemon does not call AqSlices_Usable
- * again during that time. */
+/* Counts in net->stats.not_steady each endpoint whose usable slots at the
+ * daemon "node" changed since the last check although its freshness and epoch
+ * did not and AqSlices_IsSteady was true at both checks: the real daemon does
+ * not call AqSlices_Usable again during that time. */
 static void
 check_steady(Network *net, Node *node)
 {
@@ -58,12 +59,12 @@
     }
 }
 
-/* Whether a request is exempt from the limit of its endpoint.  The limit may
- * be exceeded by requests of a daemon that is removed from the members while
- * the requests run: the daemon may start requests for AQ_FRESH_MS after its
- * removal was accepted, and unless its heartbeats are received by the members,
- * its slots are reused AQ_GUARD_MS after the acceptance, when such requests
- * may still run (NOTES.md). */
+/* Whether the check of requests against slots leaves out the request "r".  A
+ * daemon removed from the members may start requests until AQ_FRESH_MS after a
+ * majority of the remaining members accepted the removal.  AQ_GUARD_MS after
+ * that acceptance the remaining members reuse the daemon's slots, unless they
+ * receive its heartbeats; requests of the daemon may then still run, so that
+ * an endpoint runs more requests than it has slots (NOTES.md). */
 static bool
 is_exempt(const Network *net, const Request *r)
 {
--- a/packages/membership/tests/network_store.c
+++ b/packages/membership/tests/network_store.c
@@ -94,9 +94,9 @@
     }
 }
 
-/* Adds 1 to net->stats.wrong_removals if a majority of the members receives
- * the heartbeats of the member "removed" and has done so for longer than
- * MAX_REPORT_AGE_MS. */
+/* Counts the removal of the member "removed" in net->stats.wrong_removals if a
+ * majority of the members receives that member's heartbeats and has done so
+ * for longer than MAX_REPORT_AGE_MS. */
 static void
 check_removal(Network *net, int removed)
 {
@@ -121,7 +121,8 @@
 
 /* Lets the daemon "node" commit, as the real daemon does, that "node" becomes
  * a member or that a silent member is removed.  Each commit adds or removes
- * one member of the document version in force at "node". */
+ * one member; it is made only if "node" has the store's newest version in
+ * force. */
 void
 network_step_members(Network *net, Node *node)
 {
--- a/packages/membership/tests/test_cluster.c
+++ b/packages/membership/tests/test_cluster.c
@@ -173,8 +173,8 @@
 
 /* Three members lose their connections to the store and to four other daemons,
  * which become members meanwhile.  Returns the number of checks that found a
- * daemon fresh although a majority had accepted a newer version than the
- * daemon's for 4 s. */
+ * daemon fresh more than 4 s after a majority of the members accepted a
+ * version of the document newer than the daemon's. */
 static int
 join_during_partition(unsigned faults)
 {
@@ -203,9 +203,10 @@
     return stale;
 }
 
-/* Guards against two disjoint majorities of different epochs, of which one
- * continues with an old version of the document: this happens if members join
- * before a majority of the previous epoch has accepted the change. */
+/* Guards against a join that is committed before a majority of the members has
+ * accepted the previous join.  Two majorities of different epochs may then
+ * have no member in common, and one of them continues with an old version of
+ * the document. */
 static void
 test_join_needs_acceptance(void)
 {
--- a/packages/membership/tests/test_membership.c
+++ b/packages/membership/tests/test_membership.c
@@ -177,8 +177,9 @@
     AqMembership_Destroy(f.m);
 }
 
-/* Guards against a peer's store contact that is ignored although this daemon
- * has installed the peer's version since the heartbeat was received. */
+/* Guards against a daemon that ignores a peer's store contact because the
+ * peer's version was newer than the daemon's, although the daemon has
+ * installed that version since. */
 static void
 test_contact_after_install(void)
 {
