--- a/packages/membership/Include/aq_membership.h
+++ b/packages/membership/Include/aq_membership.h
@@ -59,7 +59,7 @@
     AQ_FAULT_IGNORE_OVER = 16,
     /* With this bit set, a slot newly assigned to this daemon becomes usable
      * once the member to which the slot was assigned in the previous epoch has
-     * released it, instead of once all other members have. */
+     * released it, instead of once all other members have released it. */
     AQ_FAULT_PREVIOUS_ONLY = 32,
     /* With this bit set, AqMembership_MayChangeMembers is true even before a
      * majority of the members has the installed epoch in force. */
@@ -104,7 +104,9 @@
  * read must already be set with AqMembership_SetVersion, because this contact
  * counts as proof that the version set was the newest at "started". */
 void AqMembership_StoreContact(AqMembership *m, AqTime started);
-/* Processes a heartbeat that was received from the peer "from" at "now". */
+/* Records a heartbeat that was received from the peer "from" at "now"; ignores
+ * it if a later heartbeat of the same instance of the peer has been
+ * received. */
 void AqMembership_Heartbeat(AqMembership *m, AqTime now, const char *from,
                             const AqMsgHeartbeat *beat);
 /* Reports that the connection of a peer has closed.  The peer's state does not
@@ -126,18 +128,19 @@
  * AQ_FRESH_MS ago; always true for this daemon itself. */
 bool AqMembership_IsLive(const AqMembership *m, AqTime now, const char *id);
 /* Whether this daemon may rely on its version of the fleet document.  True if
- * this daemon, or a peer whose version is not newer, reached the store in the
- * last AQ_FRESH_MS; or if in that time a majority of the members reported
- * versions that are not newer and no member with a newer version reached the
- * store.  Design page, section 4.2. */
+ * this daemon, or a peer whose version is not newer than this daemon's,
+ * reached the store in the last AQ_FRESH_MS; or if in that time a majority of
+ * the members reported versions that are not newer and no member with a newer
+ * version reached the store.  Design page, section 4.2. */
 bool AqMembership_IsFresh(const AqMembership *m, AqTime now);
 /* Whether a majority of the epoch's members, this daemon included, has
  * "version" or a later version of the fleet document in force, by the last
- * heartbeat of each.  False if this daemon itself has a lower version. */
+ * heartbeat received from each.  False if this daemon itself has a lower
+ * version. */
 bool AqMembership_IsAccepted(const AqMembership *m, AqTime now,
                              int64_t version);
 /* Whether every member, this daemon included, has "version" or a later version
- * of the fleet document in force, by the last heartbeat of each. */
+ * of the fleet document in force, by the last heartbeat received from each. */
 bool AqMembership_IsAppliedByAll(const AqMembership *m, int64_t version);
 /* Highest version of the fleet document that any peer has reported in its last
  * heartbeat; 0 if no peer has sent a heartbeat.  If "peer" is not NULL, *peer
@@ -147,9 +150,9 @@
 /* Whether a commit of the fleet document may add or remove one member now: the
  * installed epoch is in force at a majority of its members, or has no members.
  * A commit that changes the members must add or remove exactly one member of
- * the installed epoch, so that majorities of successive epochs intersect.
- * After a write conflict the daemon must call this function again before it
- * retries the commit. */
+ * the installed epoch, so that a majority of its members and a majority of the
+ * next epoch's members always have a member in common.  After a write conflict
+ * the daemon must call this function again before it retries the commit. */
 bool AqMembership_MayChangeMembers(const AqMembership *m, AqTime now);
 /* Id of a member from which a majority of the members has received no
  * heartbeat for AQ_REMOVE_MS; the caller commits the removal of that member.
@@ -176,14 +179,14 @@
 /* Position, from 0, of the member "id" among the epoch's members in order of
  * id; -1 if "id" is not a member. */
 int AqMembership_Index(const AqMembership *m, const char *id);
-/* Instance number in the last heartbeat of a peer; it differs at each start of
- * the peer.  0 if no heartbeat of the peer has been received. */
+/* Instance number in the last heartbeat received from a peer; it differs at
+ * each start of the peer.  0 if no heartbeat of the peer has been received. */
 uint64_t AqMembership_Instance(const AqMembership *m, const char *id);
 /* Sets *at to the time, on this daemon's clock, at which this daemon sent the
- * heartbeat that the peer last acknowledged; the peer sent its last received
- * heartbeat after that time.  Returns false, and leaves *at unset, if the peer
- * has acknowledged no heartbeat since the last start of the peer or of this
- * daemon. */
+ * heartbeat that the peer last acknowledged; the last heartbeat that this
+ * daemon received from the peer was sent after that time.  Returns false, and
+ * leaves *at unset, if the peer has acknowledged no heartbeat since the last
+ * start of the peer or of this daemon. */
 bool AqMembership_SentAfter(const AqMembership *m, const char *id, AqTime *at);
 /* Whether AQ_GUARD_MS have passed since this daemon started (created "m"). */
 bool AqMembership_IsStarted(const AqMembership *m, AqTime now);
--- a/packages/membership/Include/aq_slices.h
+++ b/packages/membership/Include/aq_slices.h
@@ -10,8 +10,8 @@
 
 /* The slots of each endpoint that this daemon may use.  Every slot allows one
  * request in flight on the endpoint and is assigned to one member of the
- * epoch, so that the limit of an endpoint holds over all entry VMs.  Design
- * page, section 4.3. */
+ * epoch, so that the endpoint's limit of requests in flight holds over all
+ * entry VMs.  Design page, section 4.3. */
 typedef struct AqSlices AqSlices;
 
 /* "self" is the id of this daemon and is copied.  "membership" stays owned by
--- a/packages/membership/bench/bench_cluster.c
+++ b/packages/membership/bench/bench_cluster.c
@@ -14,7 +14,7 @@
     LEAVING_PERCENT = 2
 };
 
-/* CPU time of the process in microseconds. */
+/* CPU time, in microseconds, that this process has used since its start. */
 static double
 cpu_us(void)
 {
--- a/packages/membership/bench/bench_cluster.h
+++ b/packages/membership/bench/bench_cluster.h
@@ -48,7 +48,7 @@
     int leaving;
     BenchMember member[BENCH_MEMBERS];
     char endpoint[BENCH_ENDPOINTS][AQ_WIRE_MAX_NAME];
-    /* Number of heartbeats received, summed over all members. bench_run adds
+    /* Number of heartbeats received, summed over all members.  bench_run adds
      * to frames, frame_bytes, handle_us, fills and fill_us. */
     uint64_t frames;
     /* Bytes of the encoded heartbeats received, summed over all members. */
--- a/packages/membership/bench/bench_membership.c
+++ b/packages/membership/bench/bench_membership.c
@@ -16,8 +16,8 @@
 
 /* Prints, for a cluster of "members" members and "endpoints" endpoints, what
  * heartbeats cost one member: bytes received per heartbeat and per second, CPU
- * time in microseconds to process and to fill one heartbeat, percent of a
- * core, and bytes of memory. */
+ * time in microseconds to process and to fill one heartbeat, percent of one
+ * CPU core, and bytes of memory. */
 static void
 measure_cost(int members, int endpoints)
 {
--- a/packages/membership/membership.c
+++ b/packages/membership/membership.c
@@ -187,10 +187,10 @@
 }
 
 /* Sets *at to a lower bound, on this daemon's clock, of the time at which the
- * peer sent "beat": a heartbeat that acknowledges seq S of this daemon was
- * sent after S was.  The bound holds however long "beat" was delayed in
- * buffers.  Returns false if "beat" acknowledges no heartbeat of this
- * daemon. */
+ * peer sent "beat": a heartbeat that acknowledges this daemon's heartbeat with
+ * the sequence number S was sent after the latter.  The bound holds however
+ * long "beat" was delayed in buffers.  Returns false if "beat" acknowledges no
+ * heartbeat of this daemon. */
 static bool
 earliest_send_time(const AqMembership *m, AqTime now,
                    const AqMsgHeartbeat *beat, AqTime *at)
@@ -233,8 +233,9 @@
 /* Sets counts_for_majority if a majority of the members has reported versions
  * of the fleet document not above this daemon's in heartbeats sent at most
  * AQ_FRESH_MS ago.  This daemon itself and members that report themselves as
- * joining do not count.  This daemon then has every accepted version, although
- * a restart may have set it back to an older one. */
+ * joining do not count.  This daemon then has every version that a majority of
+ * the members accepted, although a restart may have set it back to an older
+ * one. */
 static void
 update_counts_for_majority(AqMembership *m, AqTime now)
 {
--- a/packages/membership/membership_internal.h
+++ b/packages/membership/membership_internal.h
@@ -15,7 +15,7 @@
 struct AqMembership {
     char self[AQ_WIRE_MAX_NAME];
     uint64_t instance;
-    unsigned faults; /* AQ_FAULT_* bits that are set */
+    unsigned faults; /* AQ_FAULT_* bits that are set in this daemon */
     AqTime created;
     /* The sequence number (seq) of a heartbeat that this daemon sends is
      * seq_base + 1 + the milliseconds from "created" to its sending. */
@@ -28,7 +28,8 @@
     AqTime listening_since;
     /* Whether this daemon counts towards majorities of the members: false from
      * its start, which may set it back to an older version of the fleet
-     * document, until it certainly has every accepted version. */
+     * document, until it certainly has every version that a majority of the
+     * members accepted. */
     bool counts_for_majority;
     bool has_epoch;
     int64_t epoch;
@@ -37,8 +38,9 @@
      * TIME_UNKNOWN before the first. */
     AqTime contact;
     /* Latest time at which a peer certainly reached the store, as reported in
-     * heartbeats; a heartbeat counts only if its version was not above this
-     * daemon's at receipt.  TIME_UNKNOWN if there is none. */
+     * heartbeats; a heartbeat counts only if the version of the fleet document
+     * that it reports was not above this daemon's when this daemon received
+     * it.  TIME_UNKNOWN if there is none. */
     AqTime relayed_contact;
     Member *members; /* the installed epoch's members, in order of id */
     size_t count;
--- a/packages/membership/peers.h
+++ b/packages/membership/peers.h
@@ -29,7 +29,8 @@
      * daemon's clock; TIME_UNKNOWN before the first. */
     AqTime last_heartbeat_at;
     /* Lower bound, on this daemon's clock, of the time at which the peer sent
-     * its last heartbeat; TIME_UNKNOWN if there is no bound. */
+     * the last heartbeat that this daemon received from it; TIME_UNKNOWN if
+     * there is no bound. */
     AqTime sent_after;
     /* Lower bound, on this daemon's clock, of the time at which the peer last
      * reached the store; TIME_UNKNOWN if there is no bound. */
@@ -53,9 +54,9 @@
 
 /* Finds a peer; NULL if the table has none with this id. */
 Peer *peers_find(const Peers *peers, const char *id);
-/* Finds a peer, or adds one from which no heartbeat has been received; NULL if
- * the table is full.  Adding a peer may move the other peers, which makes
- * pointers to them invalid. */
+/* Finds the peer with this id, or adds it as a peer from which no heartbeat
+ * has been received; NULL if the table is full.  Adding a peer may move the
+ * other peers, which makes pointers to them invalid. */
 Peer *peers_add(Peers *peers, const char *id);
 /* Removes the peers whose last heartbeat was received before "limit" and for
  * which "keep" returns false. */
--- a/packages/membership/rules.c
+++ b/packages/membership/rules.c
@@ -5,7 +5,8 @@
 
 /* This file derives decisions from the heartbeats and store contacts that
  * membership.c has recorded: liveness of peers, freshness of this daemon,
- * acceptance of versions, removal of members and ownership of roles. */
+ * acceptance of versions of the fleet document, removal of members and
+ * ownership of roles. */
 
 bool
 membership_is_majority(const AqMembership *m, size_t count)
@@ -45,8 +46,9 @@
 }
 
 /* Whether a majority of the members reported, in heartbeats sent at most
- * AQ_FRESH_MS ago, versions that are not above this daemon's, and no member
- * with a newer version reached the store in that time. */
+ * AQ_FRESH_MS ago, versions of the fleet document that are not above this
+ * daemon's, and no member with a newer version reached the store in that
+ * time. */
 static bool
 is_fresh_by_majority(const AqMembership *m, AqTime now)
 {
@@ -80,9 +82,9 @@
     if (is_recent(m->contact, now) || is_recent(m->relayed_contact, now)) {
         return true;
     }
-    /* relayed_contact leaves out store contacts of peers whose version was
-     * above this daemon's when their heartbeat was received; this daemon may
-     * have installed that version since. */
+    /* relayed_contact leaves out store contacts of peers whose version of the
+     * fleet document was above this daemon's when their heartbeat was
+     * received; this daemon may have installed that version since. */
     for (size_t i = 0; i < m->peers.count; i++) {
         const Peer *peer = &m->peers.items[i];
         if (peer->version <= m->version && is_recent(peer->contact, now)) {
@@ -93,7 +95,8 @@
 }
 
 /* Number of members, this daemon included, that have "version" or a later
- * version of the fleet document in force, by the last heartbeat of each. */
+ * version of the fleet document in force, by the last heartbeat received from
+ * each. */
 static size_t
 count_reported(const AqMembership *m, int64_t version)
 {
@@ -112,10 +115,10 @@
 bool
 AqMembership_IsAccepted(const AqMembership *m, AqTime now, int64_t version)
 {
-    /* An instance of a daemon never lowers its version, so what a member
-     * reported is valid however old its heartbeat is.  A version above this
-     * daemon's own does not count as accepted, because this daemon's list of
-     * members may be out of date for it. */
+    /* An instance of a daemon never lowers its version of the fleet document,
+     * so what a member reported is valid however old its heartbeat is.  A
+     * version above this daemon's own does not count as accepted, because this
+     * daemon's list of members may be out of date for it. */
     (void)now;
     return m->version >= version && m->count > 0 &&
            membership_is_majority(m, count_reported(m, version));
--- a/packages/membership/slices.c
+++ b/packages/membership/slices.c
@@ -83,8 +83,8 @@
     slices->epoch = epoch;
     memset(slices->reported, 0, sizeof(slices->reported));
     /* If this daemon was not a member of the previous epoch, it has no list of
-     * that epoch's members, so any of them may have left and still use
-     * slots. */
+     * that epoch's members, so any of them may have left the epoch and may
+     * still use slots. */
     if (!was_member ||
         has_member_left(slices, (const char(*)[AQ_WIRE_MAX_NAME])old,
                         old_count)) {
--- a/packages/membership/slices_internal.h
+++ b/packages/membership/slices_internal.h
@@ -40,8 +40,12 @@
     /* Number of the endpoint's slots in SLOT_HELD: assigned to this daemon,
      * released by all other members. */
     int held;
-    int leased_out;       /* slots that this daemon leased to other members */
-    int leased_in;        /* slots leased in from other members */
+    /* Number of the endpoint's slots that this daemon has leased out to other
+     * members. */
+    int leased_out;
+    /* Number of the endpoint's slots that this daemon has leased in from other
+     * members. */
+    int leased_in;
     unsigned char *state; /* SlotState of each slot */
     /* Only for AQ_FAULT_PREVIOUS_ONLY.  For each slot, position in "members"
      * of the member to which the slot was assigned in the previous epoch;
@@ -56,7 +60,8 @@
      * more requests than slots. */
     uint64_t last_over_report;
     /* One bit per member, by position in "members": set if the member has
-     * released, in this epoch, its former slots of this endpoint. */
+     * released, in this epoch, its former slots of this endpoint: it reported
+     * no more requests in flight there than it has slots. */
     uint64_t released_by[MEMBER_WORDS];
 } Endpoint;
 
@@ -106,13 +111,15 @@
     bool guard_needed;
     /* If guard_needed: time before which no slot goes from SLOT_PENDING to
      * SLOT_HELD, AQ_GUARD_MS after this daemon saw the epoch accepted by a
-     * majority; TIME_UNKNOWN until then. */
+     * majority of the members; TIME_UNKNOWN until then. */
     AqTime guard_until;
-    /* True once, within one epoch since the start of this daemon, every other
-     * member has reported the slots that it has leased in. */
+    /* Whether, in one and the same epoch since the start of this daemon, every
+     * other member has reported the slots that it has leased in; stays true
+     * when the epoch changes. */
     bool all_reported;
     /* One bit per member, by position in "members": set if the member has
-     * reported, in this epoch, the slots that it has leased in. */
+     * reported, in this epoch, the slots that it has leased in from other
+     * members. */
     uint64_t reported[MEMBER_WORDS];
     /* Number of heartbeats whose "over" list this daemon has applied so far;
      * also serves as the number of the last such heartbeat.  The list names
@@ -155,9 +162,9 @@
 Endpoint *slices_find(const AqSlices *slices, const char *name);
 /* Takes back, if it is time, the leased-out slots whose lessee has left the
  * epoch or restarted.  Changes the state of slots from SLOT_PENDING to
- * SLOT_HELD if all other members have released these slots, unless the wait of
- * AQ_GUARD_MS after a majority of the members accepted the epoch still
- * lasts. */
+ * SLOT_HELD if all other members have released these slots, but not before
+ * guard_until, AQ_GUARD_MS after a majority of the members accepted the epoch,
+ * nor before the endpoint's blocked_until. */
 void slices_advance(AqSlices *slices, AqTime now);
 
 /* Frees all slot leases in the table. */
--- a/packages/membership/slot_leases.c
+++ b/packages/membership/slot_leases.c
@@ -23,7 +23,8 @@
     return NULL;
 }
 
-/* Adds a slot lease of 0 slots; NULL if the table is full. */
+/* Adds a slot lease of 0 slots of "e" with the peer to the table; NULL if the
+ * table is full. */
 static SlotLease *
 add_slot_lease(SlotLeaseTable *leases, const char *peer, Endpoint *e)
 {
@@ -172,10 +173,10 @@
 
 /* Lowers each slot lease granted to "from" to the number of slots that the
  * heartbeat of "from" lists for it, if that is less and "from" has
- * acknowledged a heartbeat that this daemon sent after its last LEND message
- * for that slot lease: that LEND message, or a RETURN message of "from", was
- * lost.  Slots that an earlier instance of "from" leased in are taken back
- * after AQ_GUARD_MS instead. */
+ * acknowledged a heartbeat that this daemon sent after its own last LEND
+ * message, which granted slots, for that slot lease: that LEND message, or a
+ * RETURN message of "from", was lost.  Slots that an earlier instance of
+ * "from" leased in are taken back after AQ_GUARD_MS instead. */
 static void
 lower_slot_leases(AqSlices *slices, AqTime now, const char *from,
                   const AqMsgHeartbeat *beat)
--- a/packages/membership/tests/network.c
+++ b/packages/membership/tests/network.c
@@ -6,8 +6,9 @@
 
 enum {
     SLOT_LEASE_TERM_MS = 2000,
-    /* Time from the close of a connection until the endpoint has ended the
-     * requests that came over it. */
+    /* Time from the stop of a daemon, which closes its connections to the
+     * endpoints, until the endpoints have ended the requests of that
+     * daemon. */
     ABORT_DELAY_MS = 3000
 };
 
@@ -352,8 +353,8 @@
 }
 
 /* When the daemon's heartbeat is due, sends it to all peers, commits a change
- * of members if the daemon may, and requests the document from a peer that has
- * a newer version. */
+ * of members if the daemon may, and requests the fleet document from a peer
+ * that has a newer version of it. */
 static void
 step_heartbeat(Network *net, Node *node)
 {
@@ -429,7 +430,7 @@
         return;
     }
     /* After a pause of a daemon, its timers may run before it receives the
-     * messages that were buffered. */
+     * messages that were buffered during the pause. */
     bool load_first = AqRandom_Below(&net->random, 2) == 0;
     if (load_first) {
         step_load(net, node);
--- a/packages/membership/tests/network.h
+++ b/packages/membership/tests/network.h
@@ -6,15 +6,17 @@
 #include "aq_slices.h"
 
 /* Simulates a small cluster in virtual time: daemons with their membership and
- * slices, a store with one versioned document, links that can fail in one
- * direction, and endpoints that count the requests running on them. */
+ * slices, a store that keeps the versions of the fleet document, links that
+ * can fail in one direction, and endpoints that count the requests running on
+ * them. */
 
 enum {
     NET_NODES = 9, /* most daemons of a Network */
     NET_ENDPOINTS = 4,
-    /* Most versions of the document; further commits do nothing. */
+    /* Number of versions of the fleet document, version 0 included, that the
+     * store can keep; further commits do nothing. */
     NET_VERSIONS = 4096,
-    NET_STEP_MS = 25 /* virtual time between two updates of all daemons */
+    NET_STEP_MS = 25 /* virtual time of one step of network_run */
 };
 
 typedef enum {
@@ -73,17 +75,18 @@
     uint64_t instance;
     AqMembership *m;
     AqSlices *s;
-    int64_t version; /* version of the document in force at this daemon */
+    int64_t version; /* version of the fleet document in force here */
     AqTime next_heartbeat_at;
-    /* Whether this daemon's read of the store's newest version is in
-     * flight. */
+    /* Whether this daemon has begun a read of the newest version of the fleet
+     * document in the store that has not ended yet. */
     bool reading;
     AqTime read_started;
     /* Virtual time at which the store responds to this daemon's read even if
-     * the store has no version newer than the daemon's. */
+     * the store has no version of the fleet document newer than the
+     * daemon's. */
     AqTime response_due;
-    /* Version of the document in a response of the store that is on its way to
-     * this daemon; 0: no response is on its way. */
+    /* Version of the fleet document in a response of the store that is on its
+     * way to this daemon; 0: no response is on its way. */
     int64_t response_version;
     AqTime response_arrives_at;
     AqTime store_unreachable_until;
@@ -110,9 +113,9 @@
     /* Number of checks that found more requests on an endpoint than the
      * endpoint has slots. */
     int over_limit;
-    /* Number of checks that found a daemon fresh more than 4 s after a
-     * majority of the members accepted a version of the document newer than
-     * the daemon's. */
+    /* Number of checks that found AqMembership_IsFresh true at a daemon more
+     * than 4 s after a majority of the members accepted a version of the fleet
+     * document newer than the daemon's. */
     int stale_fresh;
     /* Number of commits that removed a member although that member's
      * heartbeats reached a majority of the members. */
@@ -129,14 +132,16 @@
     /* Number of checks that found slot counters of a daemon in disagreement
      * with its slots (AqSlices_CheckConsistency returned false). */
     int inconsistent;
-    /* Number of times that a check found the usable slots of an endpoint
-     * changed at a daemon although AqSlices_IsSteady was true. */
+    /* Number of times that a daemon's usable slots of an endpoint changed
+     * between two checks although the daemon's freshness and epoch did not and
+     * AqSlices_IsSteady was true at both checks. */
     int not_steady;
     /* Number of commits that changed the members.  Like accepted, requests,
      * slot_leases and max_on_endpoint, it shows how much of the tested
      * behaviour occurred in the run. */
     int epochs;
-    /* Number of document versions that a majority of the members accepted. */
+    /* Number of versions of the fleet document that a majority of the members
+     * accepted. */
     int accepted;
     int requests;
     int slot_leases;
@@ -156,13 +161,13 @@
     size_t request_count;
     size_t request_capacity;
     int slots[NET_ENDPOINTS];
-    int64_t head; /* newest version of the document in the store */
+    int64_t head; /* newest version of the fleet document in the store */
     int64_t epoch_of[NET_VERSIONS];
-    /* The members in each document version: bit i is set if node[i] is a
-     * member. */
+    /* The members in each version of the fleet document: bit i is set if
+     * node[i] is a member. */
     unsigned members_of[NET_VERSIONS];
-    /* Virtual time at which a daemon first saw each document version accepted
-     * by a majority of the members; 0: not accepted yet. */
+    /* Virtual time at which a daemon first saw each version of the fleet
+     * document accepted by a majority of the members; 0: not accepted yet. */
     AqTime accepted_at[NET_VERSIONS];
     int64_t highest_accepted;
     AqTime head_changed;
@@ -172,8 +177,8 @@
     bool quiet;
     AqTime longest_request;
     /* Whether the check that an endpoint runs no more requests than it has
-     * slots leaves out those that a daemon started before its removal from the
-     * members or at most AQ_GUARD_MS after the removal. */
+     * slots leaves out the requests that a daemon started before its removal
+     * from the members or at most AQ_GUARD_MS after the removal. */
     bool exempt_removed;
     RunStats stats;
 };
@@ -184,8 +189,9 @@
 void network_clear(Network *net);
 /* Runs the cluster for "ms" of virtual time. */
 void network_run(Network *net, AqTime ms);
-/* Ends every link fault, pause and store outage, starts every stopped daemon
- * at the next update, and lets no daemon start requests any more. */
+/* Ends every link fault, pause and store outage, lets every stopped daemon
+ * start in the next step of network_run, and lets no daemon start requests any
+ * more. */
 void network_end_faults(Network *net);
 /* For the end of a run, after a phase without faults and new requests: adds
  * the slots that are still leased to net->stats.not_returned, and the missing
@@ -203,7 +209,8 @@
 /* Stops a daemon and starts a new instance of it after "down_ms" of virtual
  * time. */
 void network_restart(Network *net, int index, AqTime down_ms);
-/* Commits to the store a new version of the document with the same members. */
+/* Commits to the store a new version of the fleet document with the same
+ * members. */
 void network_commit(Network *net);
 /* Starts one fault of random kind and length at a random daemon or link, or at
  * the store.  Pauses last 12 s or "longest_pause" at most, whichever is
@@ -222,23 +229,27 @@
 /* Position in net->node of the daemon with this id, which must exist. */
 int network_node_of(const Network *net, const char *id);
 const char *network_endpoint(int endpoint);
-/* Checks one daemon: whether it is fresh more than 4 s after a majority of the
- * members accepted a newer document version than the daemon's, whether its
- * slot counters are inconsistent, and whether its usable slots changed while
- * AqSlices_IsSteady was true.  Counts these violations in net->stats, and
- * records newly accepted versions. */
+/* Checks one daemon: whether AqMembership_IsFresh is true of it more than 4 s
+ * after a majority of the members accepted a version of the fleet document
+ * newer than the daemon's, whether its slot counters are inconsistent, and
+ * whether its usable slots changed while AqSlices_IsSteady was true.  Counts
+ * these violations in net->stats, and records in net->accepted_at the versions
+ * that a majority of the members has newly accepted. */
 void network_check_node(Network *net, Node *node);
 /* Removes ended requests, counts in net->stats.over_limit each endpoint that
  * runs more requests than it has slots, and updates
  * net->stats.max_on_endpoint. */
 void network_check_endpoints(Network *net);
-/* Puts a version of the document in force at a daemon. */
+/* Puts a version of the fleet document in force at a daemon, unless the daemon
+ * already has this or a newer version. */
 void network_install(Network *net, Node *node, int64_t version);
-/* Advances the daemon's read of the store's newest document version: starts a
- * read, lets the store respond, or processes the response. */
+/* Advances the daemon's read of the newest version of the fleet document in
+ * the store: starts a read, lets the store respond, or processes the
+ * response. */
 void network_step_store(Network *net, Node *node);
 /* If a change of the members is due, lets the daemon "node" commit it to the
- * store: "node" becomes a member, or a silent member is removed. */
+ * store: "node" becomes a member, or the member that AqMembership_ToRemove
+ * names is removed. */
 void network_step_members(Network *net, Node *node);
 
 #endif
--- a/packages/membership/tests/network_checks.c
+++ b/packages/membership/tests/network_checks.c
@@ -3,14 +3,15 @@
 #include "network.h"
 
 enum {
-    /* Time after a majority of the members accepted a version of the document
-     * at which daemons with an older version must not count as fresh any
-     * more. */
+    /* Time after a majority of the members accepted a version of the fleet
+     * document at which daemons with an older version must not count as fresh
+     * any more. */
     STALE_LIMIT_MS = 4000
 };
 
-/* Sets net->accepted_at to the current time for each document version that the
- * daemon "node" is the first to see accepted by a majority. */
+/* Sets net->accepted_at to the current time for each version of the fleet
+ * document that the daemon "node" is the first to see accepted by a majority
+ * of the members. */
 static void
 record_accepted(Network *net, const Node *node)
 {
--- a/packages/membership/tests/network_faults.c
+++ b/packages/membership/tests/network_faults.c
@@ -24,9 +24,10 @@
     return AqRandom_Below(&net->random, 2) == 0 ? LINK_DROPPING : LINK_STALLED;
 }
 
-/* Cuts the links between the daemons of "group", a bit mask, and the others
- * for "ms" of virtual time: in both directions, or only from the group to the
- * others if "one_way". */
+/* Lets the links between the daemons of "group", a bit mask of positions in
+ * net->node, and the other daemons drop or hold back all messages for "ms" of
+ * virtual time: in both directions, or only from the group to the others if
+ * "one_way". */
 static void
 partition_group(Network *net, unsigned group, bool one_way, AqTime ms)
 {
--- a/packages/membership/tests/network_store.c
+++ b/packages/membership/tests/network_store.c
@@ -1,8 +1,8 @@
 #include "network.h"
 
 enum {
-    /* Time for which a read of the store's newest version waits for a version
-     * newer than the reading daemon's before the store responds. */
+    /* Time for which a read of the store waits for a version of the fleet
+     * document newer than the reading daemon's before the store responds. */
     HEAD_READ_WAIT_MS = 1000,
     /* A heartbeat received less than this time ago shows that its sender has
      * not been silent for AQ_REMOVE_MS. */
@@ -62,8 +62,9 @@
     AqSlices_EpochChanged(node->s, net->now);
 }
 
-/* Advances the daemon's read of the store's newest document version: starts a
- * read, lets the store respond, or processes the response when it arrives. */
+/* Advances the daemon's read of the newest version of the fleet document in
+ * the store: starts a read, lets the store respond, or processes the response
+ * when it arrives. */
 void
 network_step_store(Network *net, Node *node)
 {
@@ -120,9 +121,9 @@
 }
 
 /* Lets the daemon "node" commit, as the real daemon does, that "node" becomes
- * a member or that a silent member is removed.  Each commit adds or removes
- * one member; it is made only if "node" has the store's newest version in
- * force. */
+ * a member or that the member is removed that AqMembership_ToRemove names.
+ * Each commit adds or removes one member; it is made only if "node" has the
+ * newest version of the fleet document in the store in force. */
 void
 network_step_members(Network *net, Node *node)
 {
@@ -149,7 +150,8 @@
     }
     commit(net, members);
     /* The store's response to one commit in ten is lost; the daemon then gets
-     * the committed version by its next read of the store. */
+     * the committed version of the fleet document by its next read of the
+     * store. */
     if (AqRandom_Below(&net->random, 10) != 0) {
         network_install(net, node, net->head);
     }
--- a/packages/membership/tests/test_cluster.c
+++ b/packages/membership/tests/test_cluster.c
@@ -172,9 +172,9 @@
 }
 
 /* Three members lose their connections to the store and to four other daemons,
- * which become members meanwhile.  Returns the number of checks that found a
- * daemon fresh more than 4 s after a majority of the members accepted a
- * version of the document newer than the daemon's. */
+ * which become members meanwhile.  Returns the number of checks that found
+ * AqMembership_IsFresh true at a daemon more than 4 s after a majority of the
+ * members accepted a version of the fleet document newer than the daemon's. */
 static int
 join_during_partition(unsigned faults)
 {
@@ -204,9 +204,9 @@
 }
 
 /* Guards against a join that is committed before a majority of the members has
- * accepted the previous join.  Two majorities of different epochs may then
- * have no member in common, and one of them continues with an old version of
- * the document. */
+ * accepted the previous join.  A majority of one epoch's members and a
+ * majority of another epoch's members may then have no member in common, and
+ * one of the two continues with an old version of the fleet document. */
 static void
 test_join_needs_acceptance(void)
 {
@@ -227,10 +227,11 @@
 }
 
 /* Node 3 joins, and is removed because its heartbeats are lost, while node 0
- * receives nothing.  Node 0 therefore goes from the epoch before node 3 joined
- * to the epoch after node 3 was removed without releasing a slot, while node 3
- * still waits for node 0 to release slots.  Returns the number of checks that
- * found more requests on an endpoint than the endpoint has slots. */
+ * receives no messages.  Node 0 therefore goes from the epoch before node 3
+ * joined to the epoch after node 3 was removed without releasing a slot, while
+ * node 3 still waits for node 0 to release slots.  Returns the number of
+ * checks that found more requests on an endpoint than the endpoint has
+ * slots. */
 static int
 skip_epoch(unsigned faults)
 {
--- a/packages/membership/tests/test_membership.c
+++ b/packages/membership/tests/test_membership.c
@@ -85,8 +85,8 @@
         /* Age of vm-0's last store contact in the test case; 0: vm-0 has had
          * no store contact. */
         AqTime own_contact_age_ms;
-        /* Heartbeats of vm-1 to vm-4, in this order; version 0 means that this
-         * peer has sent no heartbeat. */
+        /* Heartbeats of vm-1 to vm-4, in this order; a report with version 0
+         * stands for a peer that has sent no heartbeat. */
         PeerReport reports[4];
         bool fresh;
     } cases[] = {
@@ -105,9 +105,9 @@
          0,
          {{10, NO_CONTACT, 0, 0, 0}},
          false},
-        /* vm-0 has just started: it does not count towards a majority until it
-         * reaches the store or receives heartbeats from a majority made up of
-         * other members. */
+        /* vm-0 has just started: it does not count towards a majority of the
+         * members until it reaches the store or receives heartbeats from other
+         * members that are a majority by themselves. */
         {"just started, two others",
          0,
          {{10, NO_CONTACT, 0, 0, 0}, {10, NO_CONTACT, 0, 0, 0}},
@@ -178,8 +178,8 @@
 }
 
 /* Guards against a daemon that ignores a peer's store contact because the
- * peer's version was newer than the daemon's, although the daemon has
- * installed that version since. */
+ * peer's version of the fleet document was newer than the daemon's, although
+ * the daemon has installed that version since. */
 static void
 test_contact_after_install(void)
 {
@@ -194,10 +194,10 @@
     AqMembership_Destroy(f.m);
 }
 
-/* Guards against acceptance of a version by less than a majority, against
- * counting heartbeats of a peer's previous instance, and against a number of
- * requests in flight that leaves out members from which no heartbeat has
- * come. */
+/* Guards against acceptance of a version of the fleet document by less than a
+ * majority of the members, against counting heartbeats of a peer's previous
+ * instance, and against a number of requests in flight that leaves out members
+ * from which no heartbeat has come. */
 static void
 test_acceptance(void)
 {
@@ -328,7 +328,8 @@
     CU_ASSERT_EQUAL(AqSlices_Usable(s, 4009, "e"), 0);
     CU_ASSERT_EQUAL(AqSlices_Usable(s, 4010, "e"), 8);
     /* More than AQ_FRESH_MS after its last store contact, vm-0 is still fresh,
-     * because it alone is the majority of its epoch. */
+     * because it is the only member of its epoch, and thus a majority of the
+     * members. */
     CU_ASSERT_EQUAL(AqSlices_Usable(s, 6901, "e"), 8);
     AqSlices_RemoveEndpoint(s, "e");
     AqMsg msg = {.type = AQ_MSG_HEARTBEAT};
