--- a/packages/membership/tests/network_checks.c
+++ b/packages/membership/tests/network_checks.c
@@ -3,12 +3,15 @@
 #include "network.h"
 
 enum {
-    /* Invariant 8: once a version has been accepted for this long, no daemon
-     * with an older one is fresh. */
+    /* Time after a majority of the members accepted a version of the fleet
+     * document at which daemons with an older version must not count as fresh
+     * any more. */
     STALE_LIMIT_MS = 4000
 };
 
-/* Records the time at which the daemon first sees each version accepted. */
+/* Sets net->accepted_at to the current time for each version of the fleet
+ * document that the daemon "node" is the first to see accepted by a majority
+ * of the members. */
 static void
 record_accepted(Network *net, const Node *node)
 {
@@ -20,8 +23,10 @@
     }
 }
 
-/* Checks that usable slots do not change while AqSlices_IsSteady: the daemon
- * does not query them again during that time. */
+/* Counts in net->stats.not_steady each endpoint whose usable slots at the
+ * daemon "node" changed since the last check although its freshness and epoch
+ * did not and AqSlices_IsSteady was true at both checks: the real daemon does
+ * not call AqSlices_Usable again during that time. */
 static void
 check_steady(Network *net, Node *node)
 {
@@ -55,11 +60,12 @@
     }
 }
 
-/* Whether a request is exempt from the limit of its endpoint.  The rules do
- * not cover requests of a daemon that is removed while they run: it may start
- * requests for AQ_FRESH_MS after the removal was accepted, and unless its
- * heartbeats are received, its slots are reused AQ_GUARD_MS after the
- * acceptance, when such requests may still run (NOTES.md). */
+/* Whether the check of requests against slots leaves out the request "r".  A
+ * daemon removed from the members may start requests until AQ_FRESH_MS after a
+ * majority of the remaining members accepted the removal.  AQ_GUARD_MS after
+ * that acceptance the remaining members reuse the daemon's slots, unless they
+ * receive its heartbeats; requests of the daemon may then still run, so that
+ * an endpoint runs more requests than it has slots (NOTES.md). */
 static bool
 is_exempt(const Network *net, const Request *r)
 {
