--- a/packages/pool/pool_owner.c
+++ b/packages/pool/pool_owner.c
@@ -124,7 +124,7 @@
 typedef enum {
     ORDER_START,
     ORDER_STOP,
-    ORDER_HOLD,
+    ORDER_RENEWAL,
     ORDER_PACE
 } OrderKind;
 
@@ -172,8 +172,8 @@
             AqScheduler_OnStop(s, order->vm, &order->task, order->run, reply,
                                now);
             break;
-        case ORDER_HOLD:
-            AqScheduler_OnHold(s, order->vm, order->sent_at, reply, now);
+        case ORDER_RENEWAL:
+            AqScheduler_OnRenewal(s, order->vm, order->sent_at, reply, now);
             break;
         case ORDER_PACE:
             break;
@@ -220,12 +220,13 @@
 }
 
 static void
-order_hold(void *context, const AqOrderTarget *target, const AqHoldOrder *hold)
+order_renewal(void *context, const AqOrderTarget *target,
+              const AqRenewalOrder *renewal)
 {
     PoolOwner *owner = context;
-    Order *order = new_order(owner, ORDER_HOLD, target);
-    owner->node->workers->ops->hold(owner->node->workers, target, hold,
-                                    on_order_reply, order);
+    Order *order = new_order(owner, ORDER_RENEWAL, target);
+    owner->node->workers->ops->renew(owner->node->workers, target, renewal,
+                                     on_order_reply, order);
 }
 
 static void
@@ -668,7 +669,7 @@
                   void *context)
 {
     static const AqSchedulerActions actions = {
-        order_start, order_stop,      order_hold,
+        order_start, order_stop,      order_renewal,
         order_pace,  request_tickets, on_superseded,
     };
     PoolOwner *owner = calloc(1, sizeof(*owner));
--- a/packages/pool/tests/test_pool.c
+++ b/packages/pool/tests/test_pool.c
@@ -460,11 +460,10 @@
     self->owner = NULL;
 }
 
-/* Ends every hold call (lease renewal of a VM) as if the VM had not
- * replied. */
+/* Ends every lease renewal of a VM as if the VM had not replied. */
 static void
-hold_silently(AqWorkerClient *calls, const AqOrderTarget *target,
-              const AqHoldOrder *order, AqOrderDone done, void *context)
+renew_silently(AqWorkerClient *calls, const AqOrderTarget *target,
+               const AqRenewalOrder *order, AqOrderDone done, void *context)
 {
     AqOrderReply reply = {.result = AQ_ORDER_UNKNOWN, .clock_ms = -1};
     (void)calls;
@@ -478,7 +477,7 @@
 static void
 set_up_member(OwnerFixture *self, Fixture *fixture)
 {
-    static const AqWorkerClientOps worker_ops = {.hold = hold_silently};
+    static const AqWorkerClientOps worker_ops = {.renew = renew_silently};
     static AqWorkerClient workers = {&worker_ops};
     static const MemberOps ops = {on_gained, on_lost};
     static AqSettings settings = {.node_id = "n-1",
--- a/packages/scheduler/Include/aq_scheduler.h
+++ b/packages/scheduler/Include/aq_scheduler.h
@@ -59,8 +59,8 @@
                   const AqStartOrder *order);
     void (*stop)(void *context, const AqOrderTarget *target,
                  const AqTaskName *task, int64_t run);
-    void (*hold)(void *context, const AqOrderTarget *target,
-                 const AqHoldOrder *order);
+    void (*renew)(void *context, const AqOrderTarget *target,
+                  const AqRenewalOrder *order);
     void (*pace)(void *context, const AqOrderTarget *target,
                  const AqTaskName *task, int64_t run, int percent);
     void (*request_tickets)(void *context, const AqTaskName *step,
@@ -168,9 +168,10 @@
 void AqScheduler_OnStop(AqScheduler *scheduler, const char *id,
                         const AqTaskName *name, int64_t run,
                         const AqOrderReply *reply, AqTime now);
-/* "sent_at" is the scheduler's time when the hold was sent. */
-void AqScheduler_OnHold(AqScheduler *scheduler, const char *id, AqTime sent_at,
-                        const AqOrderReply *reply, AqTime now);
+/* "sent_at" is the scheduler's time when the renewal was sent. */
+void AqScheduler_OnRenewal(AqScheduler *scheduler, const char *id,
+                           AqTime sent_at, const AqOrderReply *reply,
+                           AqTime now);
 /* Adds a ticket for the step on one VM, valid for "valid_ms" from now.
  * AqScheduler_OnTicketsEnd ends the request; "is_answered" says whether the
  * advice service responded. */
--- a/packages/scheduler/Include/aq_worker_client.h
+++ b/packages/scheduler/Include/aq_worker_client.h
@@ -90,7 +90,7 @@
 typedef struct {
     AqOrderResult result;
     AqTime clock_ms; /* monotonic clock of the VM; -1: not reported */
-    /* Only with AQ_ORDER_DONE of a hold; borrowed. */
+    /* Only with AQ_ORDER_DONE of a renewal; borrowed. */
     const AqRunningTask *running;
     size_t running_count;
     const AqEndedTask *ended;
@@ -114,6 +114,9 @@
     uint64_t fence;
 } AqStartOrder;
 
+/* Order that extends the lease of a VM and acknowledges ends of runs.  The VM
+ * replies with its running and ended tasks when a run ends, at the latest
+ * after wait_ms (long poll). */
 typedef struct {
     AqTime deadline_ms; /* end of the VM's lease, on the VM's clock; -1: the
                          * lease stays unchanged */
@@ -121,21 +124,23 @@
     int64_t acked_end; /* highest end that the VM may forget */
     AqTime wait_ms;    /* longest time that the VM may delay its reply until a
                         * run ends */
-} AqHoldOrder;
+} AqRenewalOrder;
 
 typedef struct AqWorkerClient AqWorkerClient;
 
-/* Every call ends with one call of "done" from the event loop.  "start" starts
- * a run and "stop" ends it.  "hold" renews the VM's lease and lists its runs
- * and ends.  "pace" limits a filler to a percentage of its full speed. */
+/* Every order ends with one call of "done" from the event loop.  "start"
+ * starts a run of a task and "stop" ends it.  "renew" sends an AqRenewalOrder.
+ * "pace" limits the run of a filler, which uses only idle CPU, to a percentage
+ * of its full speed. */
 typedef struct {
     void (*start)(AqWorkerClient *calls, const AqOrderTarget *target,
                   const AqStartOrder *order, AqOrderDone done, void *context);
     void (*stop)(AqWorkerClient *calls, const AqOrderTarget *target,
                  const AqTaskName *task, int64_t run, uint64_t fence,
                  AqOrderDone done, void *context);
-    void (*hold)(AqWorkerClient *calls, const AqOrderTarget *target,
-                 const AqHoldOrder *order, AqOrderDone done, void *context);
+    void (*renew)(AqWorkerClient *calls, const AqOrderTarget *target,
+                  const AqRenewalOrder *order, AqOrderDone done,
+                  void *context);
     void (*pace)(AqWorkerClient *calls, const AqOrderTarget *target,
                  const AqTaskName *task, int64_t run, int percent,
                  uint64_t fence, AqOrderDone done, void *context);
--- a/packages/scheduler/perpetual.c
+++ b/packages/scheduler/perpetual.c
@@ -8,7 +8,7 @@
 
 enum {
     SCAN_PERIOD_MS = 20,
-    NO_REPLY_LIMIT_MS = 900, /* two holds of a busy VM */
+    NO_REPLY_LIMIT_MS = 900, /* two renewals of a busy VM */
     /* Tail latency of a serving task, in percent of its target, above which
      * fillers are slowed, and up to which they are sped up again. */
     SLOW_DOWN_PERCENT = 85,
--- a/packages/scheduler/replies.c
+++ b/packages/scheduler/replies.c
@@ -213,7 +213,7 @@
         break;
     case AQ_ORDER_OLD_RUN:
         if (task->may_start_late) {
-            /* The run has already ended; the next hold lists its end. */
+            /* The run has already ended; the next renewal lists its end. */
             confirm_start(s, task);
         }
         else {
@@ -258,7 +258,7 @@
     }
 }
 
-/* ---- Hold: ends --------------------------------------------------------- */
+/* ---- Renewal: ends ------------------------------------------------------ */
 
 static void
 set_checkpoint(Task *task, const char *checkpoint)
@@ -333,7 +333,7 @@
     return true;
 }
 
-/* ---- Hold: runs --------------------------------------------------------- */
+/* ---- Renewal: runs ------------------------------------------------------ */
 
 static void
 stop_if_stalled(AqScheduler *s, Vm *vm, Task *task, const AqRunningTask *row)
@@ -412,8 +412,9 @@
     vm->foreign_memory += spec->memory_mb;
 }
 
-/* Applies one running task that a hold has listed: confirms or adopts the run,
- * or stops it when it is not the current run of a known, unfinished task. */
+/* Applies one running task that a renewal has listed: confirms or adopts the
+ * run, or stops it when it is not the current run of a known, unfinished task.
+ */
 static void
 process_running_task(AqScheduler *s, Vm *vm, const AqRunningTask *row)
 {
@@ -424,7 +425,7 @@
         bool is_expected =
             task != NULL && task->vm == vm && task->run == row->run;
         if (is_expected) {
-            task->last_listed_hold = vm->hold_count;
+            task->last_listed_renewal = vm->renewal_count;
             return; /* its stop has been ordered */
         }
         add_foreign_usage(vm, job, row->task.step);
@@ -443,7 +444,7 @@
     else if (task->state == TASK_STARTING) {
         confirm_start(s, task);
     }
-    task->last_listed_hold = vm->hold_count;
+    task->last_listed_renewal = vm->renewal_count;
     set_checkpoint(task, row->checkpoint);
     update_presence(s, task, row);
     stop_if_stalled(s, vm, task, row);
@@ -458,7 +459,7 @@
         Task *task = AqList_Entry(at, Task, link);
         bool is_over = task->state == TASK_RUNNING ||
                        (task->state == TASK_STOPPING && task->is_stop_acked);
-        if (!is_over || task->last_listed_hold == vm->hold_count ||
+        if (!is_over || task->last_listed_renewal == vm->renewal_count ||
             task->listed_after >= sent_at) {
             continue;
         }
@@ -471,15 +472,15 @@
 }
 
 void
-AqScheduler_OnHold(AqScheduler *s, const char *id, AqTime sent_at,
-                   const AqOrderReply *reply, AqTime now)
+AqScheduler_OnRenewal(AqScheduler *s, const char *id, AqTime sent_at,
+                      const AqOrderReply *reply, AqTime now)
 {
     s->now = now;
     Vm *vm = vms_find(s, id);
     if (vm == NULL) {
         return;
     }
-    vm->is_hold_pending = false;
+    vm->is_renewal_pending = false;
     if (handle_common_result(s, vm, reply)) {
         return;
     }
@@ -488,15 +489,15 @@
             reply->result != AQ_ORDER_NOT_SENT) {
             vm->quarantined_until = now + UNHEALTHY_PAUSE_MS;
         }
-        vms_schedule_hold(s, vm);
-        if (vm->hold_due <= now) {
-            vm->hold_due = now + RESEND_MS;
+        vms_schedule_renewal(s, vm);
+        if (vm->renewal_due <= now) {
+            vm->renewal_due = now + RESEND_MS;
         }
         return;
     }
     bool is_first = !vm->has_replied;
     vm->has_replied = true;
-    vm->hold_count++;
+    vm->renewal_count++;
     vm->foreign_cpu = 0;
     vm->foreign_memory = 0;
     bool are_known = process_ends(s, vm, reply);
@@ -510,9 +511,9 @@
         requeue_missing_runs(s, vm, sent_at);
     }
     vms_confirm_ends(s, vm);
-    vms_schedule_hold(s, vm);
-    if (!are_known && vm->hold_due <= now) {
-        vm->hold_due = now + RESEND_MS;
+    vms_schedule_renewal(s, vm);
+    if (!are_known && vm->renewal_due <= now) {
+        vm->renewal_due = now + RESEND_MS;
     }
     if (is_first) {
         s->placement_due = true;
--- a/packages/scheduler/scheduler_internal.h
+++ b/packages/scheduler/scheduler_internal.h
@@ -8,7 +8,7 @@
 
 /* Types and functions shared by the sources of the scheduler:
  * scheduler.c   jobs, steps, the tick and the reported load
- * vms.c         state of each VM, its leases, holds and silence
+ * vms.c         state of each VM, its leases, renewals and silence
  * used_vms.c    stored list of the VMs that later owners must wait for
  * replies.c     effect of each reply on tasks
  * ranking.c     order in which jobs are placed
@@ -56,20 +56,20 @@
     AqTime ready_at;            /* when the task became ready */
     AqTime not_before;          /* earliest time of the next start */
     AqTime started_at;   /* when the start was confirmed; 0: not known */
-    AqTime listed_after; /* the reply to a hold sent after this time lists the
-                          * run unless it has ended */
+    AqTime listed_after; /* the reply to a renewal sent after this time lists
+                          * the run unless it has ended */
     AqTime progress_at;  /* when "percent" last changed */
     int64_t percent;     /* progress reported by the VM */
     int64_t usage;       /* as in AqRunningTask */
     int pace;            /* percent of full speed that a filler may use */
     AqTime pace_changed_at;
-    AqTime absent_since;       /* when a perpetual task stopped being at work;
-                                * AQ_TIME_NEVER while it is at work */
-    uint64_t last_listed_hold; /* vm->hold_count at the last hold that listed
-                                * the run */
-    char *checkpoint;          /* last saved work, or NULL; owned */
-    char avoid[AQ_VM_ID_SIZE]; /* VM of the last failed run or of a run that
-                                * was copied off a silent VM; "": none */
+    AqTime absent_since; /* when a perpetual task stopped being at work;
+                          * AQ_TIME_NEVER while it is at work */
+    uint64_t last_listed_renewal; /* vm->renewal_count at the last renewal that
+                                   * listed the run */
+    char *checkpoint;             /* last saved work, or NULL; owned */
+    char avoid[AQ_VM_ID_SIZE];    /* VM of the last failed run or of a run that
+                                   * was copied off a silent VM; "": none */
 } Task;
 
 /* Permission of the advice service to start a step's tasks on a VM. */
@@ -146,19 +146,19 @@
     uint64_t used_since_version; /* first version of the list of used VMs that
                                   * includes the VM */
     bool is_use_recorded;        /* that version is stored */
-    bool has_replied;            /* to a hold under this owner's fence */
+    bool has_replied;            /* to a renewal under this owner's fence */
     bool used_by_earlier_owner;  /* in the stored list of used VMs; cleared
                                   * when the VM's leases have expired */
-    bool has_ended;       /* moved or taken down by an order; cleared when the
-                           * VM replies again */
-    AqTime clock_ms;      /* VM's own clock as read at clock_at; -1: unknown */
-    AqTime clock_at;      /* when the last reply with a clock arrived */
-    AqTime deadline_ms;   /* latest deadline granted to the VM, on its clock */
-    bool is_hold_pending; /* a hold awaits its reply */
-    AqTime hold_due;      /* earliest time of the next hold */
-    AqTime silent_since;  /* first order without a reply; AQ_TIME_NEVER
-                           * while the VM replies */
-    AqTime blocked_until; /* no starts until then, after "no room" */
+    bool has_ended;     /* moved or taken down by an order; cleared when the
+                         * VM replies again */
+    AqTime clock_ms;    /* VM's own clock as read at clock_at; -1: unknown */
+    AqTime clock_at;    /* when the last reply with a clock arrived */
+    AqTime deadline_ms; /* latest deadline granted to the VM, on its clock */
+    bool is_renewal_pending;  /* a renewal awaits its reply */
+    AqTime renewal_due;       /* earliest time of the next renewal */
+    AqTime silent_since;      /* first order without a reply; AQ_TIME_NEVER
+                               * while the VM replies */
+    AqTime blocked_until;     /* no starts until then, after "no room" */
     AqTime quarantined_until; /* not usable until then */
     unsigned consecutive_failures;
     int64_t used_cpu;
@@ -175,7 +175,7 @@
     int64_t last_end_number;      /* highest end processed */
     int64_t confirmed_end_number; /* highest end that the VM may forget */
     GArray *pending_ends;         /* PendingEnd in rising order; owned */
-    uint64_t hold_count;          /* holds with a successful reply */
+    uint64_t renewal_count;       /* renewals with a successful reply */
 };
 
 struct AqScheduler {
@@ -268,8 +268,8 @@
 /* Requeues the VM's tasks as lost, removes the VM and frees it. */
 void vms_remove(AqScheduler *s, Vm *vm);
 void vms_free(Vm *vm);
-/* Sends the holds that are due and handles silent VMs.  Returns when the next
- * hold is due. */
+/* Sends the renewals that are due and handles silent VMs.  Returns when the
+ * next renewal is due. */
 AqTime vms_tick(AqScheduler *s);
 /* Raises the VM's confirmed end to the last one whose job record is stored. */
 void vms_confirm_ends(const AqScheduler *s, Vm *vm);
@@ -278,8 +278,8 @@
 /* Counts consecutive failures on the VM and quarantines it after several. */
 void vms_record_result(AqScheduler *s, Vm *vm, const Task *task,
                        bool is_failure);
-/* Sets when the next hold is sent, after the reply to the last one. */
-void vms_schedule_hold(AqScheduler *s, Vm *vm);
+/* Sets when the next renewal is sent, after the reply to the last one. */
+void vms_schedule_renewal(AqScheduler *s, Vm *vm);
 /* Whether runs or ends of unknown jobs have been listed for longer than this
  * owner needs to see a new job in the store. */
 bool vms_is_foreign_run_overdue(const AqScheduler *s, const Vm *vm);
--- a/packages/scheduler/tests/sim.c
+++ b/packages/scheduler/tests/sim.c
@@ -65,7 +65,7 @@
 typedef enum {
     ORDER_START,
     ORDER_STOP,
-    ORDER_HOLD,
+    ORDER_RENEWAL,
     ORDER_PACE
 } OrderKind;
 
@@ -82,13 +82,13 @@
     AqTaskName name;        /* of a start, stop or pace order */
     int64_t run;            /* number of the run to start, stop or pace */
     uint64_t fence;
-    AqTime deadline;   /* start: end of the lease, on the VM's clock */
-    AqHoldOrder hold;  /* of a hold order */
-    AqTime sent_at;    /* when the order was sent */
-    AqTime wait_until; /* hold: the VM delays its reply at most until then */
+    AqTime deadline;        /* start: end of the lease, on the VM's clock */
+    AqRenewalOrder renewal; /* of a renewal order */
+    AqTime sent_at;         /* when the order was sent */
+    AqTime wait_until; /* renewal: the VM replies at this time at the latest */
     int percent;       /* of a pace order */
-    /* Of a reply: result and VM's clock, and for a hold the VM's runs and the
-     * ends that are not confirmed. */
+    /* Of a reply: result and VM's clock, and for a renewal the VM's runs and
+     * the ends that are not confirmed. */
     AqOrderResult result;
     AqTime clock_ms;
     AqRunningTask *running;
@@ -572,7 +572,7 @@
     }
 }
 
-/* Fills the lists of runs and ends in the reply to a hold. */
+/* Fills the lists of runs and ends in the reply to a renewal. */
 static void
 fill_lists(const SimVm *vm, Event *reply)
 {
@@ -629,10 +629,10 @@
     case ORDER_STOP:
         do_stop(sim, vm, event);
         break;
-    case ORDER_HOLD:
-        forget_ends(sim, vm, event->hold.acked_end);
-        if (event->hold.deadline_ms > vm->lease_deadline) {
-            vm->lease_deadline = event->hold.deadline_ms;
+    case ORDER_RENEWAL:
+        forget_ends(sim, vm, event->renewal.acked_end);
+        if (event->renewal.deadline_ms > vm->lease_deadline) {
+            vm->lease_deadline = event->renewal.deadline_ms;
         }
         break;
     case ORDER_PACE:
@@ -685,13 +685,14 @@
     event->deliver_at = deliver_at;
     event->result = result;
     event->clock_ms = vm != NULL ? vm_clock(sim, vm) : -1;
-    if (vm != NULL && result == AQ_ORDER_DONE && order->kind == ORDER_HOLD) {
+    if (vm != NULL && result == AQ_ORDER_DONE &&
+        order->kind == ORDER_RENEWAL) {
         fill_lists(vm, event);
     }
     queue_event(sim, event);
 }
 
-/* Executes an order that has arrived and queues its reply.  A hold that may
+/* Executes an order that has arrived and queues its reply.  A renewal that may
  * wait is repeated at each tick until a run has ended or its time is over. */
 static void
 deliver_order(Sim *sim, Event *event)
@@ -707,9 +708,9 @@
                     sim->now + REPLY_TIMEOUT_MS);
         return;
     }
-    bool is_waiting = event->kind == ORDER_HOLD &&
+    bool is_waiting = event->kind == ORDER_RENEWAL &&
                       event->wait_until > sim->now && vm->ends->len == 0;
-    if (is_waiting && event->hold.wait_ms > 0) {
+    if (is_waiting && event->renewal.wait_ms > 0) {
         if (event->fence >= vm->fence) {
             execute_order(sim, vm, event);
         }
@@ -752,8 +753,8 @@
         AqScheduler_OnStop(s, event->vm, &event->name, event->run, &reply,
                            sim->now);
         break;
-    case ORDER_HOLD:
-        AqScheduler_OnHold(s, event->vm, event->sent_at, &reply, sim->now);
+    case ORDER_RENEWAL:
+        AqScheduler_OnRenewal(s, event->vm, event->sent_at, &reply, sim->now);
         break;
     case ORDER_PACE:
         break;
@@ -852,11 +853,12 @@
 }
 
 static void
-on_hold(void *context, const AqOrderTarget *target, const AqHoldOrder *order)
+on_renewal(void *context, const AqOrderTarget *target,
+           const AqRenewalOrder *order)
 {
     SimOwner *owner = context;
-    Event *event = new_order(owner, ORDER_HOLD, target);
-    event->hold = *order;
+    Event *event = new_order(owner, ORDER_RENEWAL, target);
+    event->renewal = *order;
     event->wait_until = owner->sim->now + order->wait_ms;
     send_order(owner, event);
 }
@@ -982,7 +984,8 @@
 sim_start_owner(Sim *sim, bool previous_may_be_active)
 {
     static const AqSchedulerActions actions = {
-        on_start, on_stop, on_hold, on_pace, on_request_tickets, on_superseded,
+        on_start,           on_stop,       on_renewal, on_pace,
+        on_request_tickets, on_superseded,
     };
     GHashTableIter iter;
     gpointer value;
--- a/packages/scheduler/vms.c
+++ b/packages/scheduler/vms.c
@@ -4,17 +4,17 @@
 #include "scheduler_internal.h"
 
 enum {
-    /* How long a hold waits on the VM for an end of a run.  Each reply also
-     * reports the progress of the tasks, and the next hold renews the
+    /* How long a renewal waits on the VM for an end of a run.  Each reply also
+     * reports the progress of the tasks, and the next renewal renews the
      * lease. */
-    BUSY_HOLD_WAIT_MS = 400,
-    IDLE_HOLD_WAIT_MS = 1000,
-    /* Pause before the next hold while ends are not confirmed, since the VM
+    BUSY_RENEWAL_WAIT_MS = 400,
+    IDLE_RENEWAL_WAIT_MS = 1000,
+    /* Pause before the next renewal while ends are not confirmed, since the VM
      * would list them again at once. */
-    UNSTORED_HOLD_DELAY_MS = 200,
-    SILENT_HOLD_RETRY_MS = 300,
+    UNSTORED_RENEWAL_DELAY_MS = 200,
+    SILENT_RENEWAL_RETRY_MS = 300,
     COPY_AFTER_SILENCE_MS = 700, /* a single reply may be lost, those of
-                                  * two holds mean a silent VM */
+                                  * two renewals mean a silent VM */
     /* A VM whose entry in the store expired during a store outage adds it
      * again within about 2 s; one still missing after that is gone. */
     UNLISTED_GRACE_MS = 2200,
@@ -51,7 +51,7 @@
     vm->silent_since = AQ_TIME_NEVER;
     vm->idle_since = s->now;
     vm->clock_ms = -1;
-    vm->hold_due = s->now;
+    vm->renewal_due = s->now;
     vm->pending_ends = g_array_new(FALSE, FALSE, sizeof(PendingEnd));
     vm->used_since_version = ++s->used_vms_version;
     AqList_Init(&vm->tasks);
@@ -157,7 +157,7 @@
             continue;
         }
         s->counters.copied++;
-        /* The old run counts as foreign until the VM replies to a hold. */
+        /* The old run counts as foreign until the VM replies to a renewal. */
         vm->foreign_cpu += spec->cpu_millis;
         vm->foreign_memory += spec->memory_mb;
         g_strlcpy(task->avoid, vm->report.id, sizeof(task->avoid));
@@ -246,32 +246,32 @@
     }
 }
 
-/* ---- Holds -------------------------------------------------------------- */
+/* ---- Renewals ----------------------------------------------------------- */
 
-/* How long the VM may delay its reply to a hold, ms. */
+/* How long the VM may delay its reply to a renewal, ms. */
 static AqTime
-hold_wait(const Vm *vm)
+renewal_wait(const Vm *vm)
 {
     if (!vm->has_replied || vm->silent_since != AQ_TIME_NEVER) {
         return 0;
     }
-    return vm->task_count > 0 ? BUSY_HOLD_WAIT_MS : IDLE_HOLD_WAIT_MS;
+    return vm->task_count > 0 ? BUSY_RENEWAL_WAIT_MS : IDLE_RENEWAL_WAIT_MS;
 }
 
 static void
-send_hold(AqScheduler *s, Vm *vm)
+send_renewal(AqScheduler *s, Vm *vm)
 {
     AqOrderTarget target;
     bool may_extend = vm->clock_ms >= 0 && vm->silent_since == AQ_TIME_NEVER;
-    AqHoldOrder order = {
+    AqRenewalOrder order = {
         .deadline_ms = may_extend ? vms_grant_lease(s, vm) : -1,
         .fence = s->config.fence,
         .acked_end = vm->confirmed_end_number,
-        .wait_ms = hold_wait(vm),
+        .wait_ms = renewal_wait(vm),
     };
-    vm->is_hold_pending = true;
+    vm->is_renewal_pending = true;
     vms_target(vm, &target);
-    s->actions.hold(s->context, &target, &order);
+    s->actions.renew(s->context, &target, &order);
 }
 
 void
@@ -288,7 +288,7 @@
     if (stored > 0) {
         g_array_remove_range(vm->pending_ends, 0, stored);
         if (vm->pending_ends->len == 0) {
-            vm->hold_due = s->now;
+            vm->renewal_due = s->now;
         }
     }
 }
@@ -315,8 +315,8 @@
     s->placement_due = true;
 }
 
-/* Sends the VM's hold when it is due.  Returns when the next one is due.  May
- * free the VM. */
+/* Sends the VM's renewal when it is due.  Returns when the next one is due.
+ * May free the VM. */
 static AqTime
 tick_vm(AqScheduler *s, Vm *vm)
 {
@@ -327,11 +327,11 @@
         vms_remove(s, vm);
         return AQ_TIME_NEVER;
     }
-    if (!vm->is_hold_pending && s->may_order && vm->hold_due <= s->now) {
-        send_hold(s, vm);
+    if (!vm->is_renewal_pending && s->may_order && vm->renewal_due <= s->now) {
+        send_renewal(s, vm);
     }
-    AqTime due =
-        vm->is_hold_pending || !s->may_order ? AQ_TIME_NEVER : vm->hold_due;
+    AqTime due = vm->is_renewal_pending || !s->may_order ? AQ_TIME_NEVER
+                                                         : vm->renewal_due;
     handle_silence(s, vm);
     return due;
 }
@@ -482,17 +482,17 @@
 }
 
 void
-vms_schedule_hold(AqScheduler *s, Vm *vm)
+vms_schedule_renewal(AqScheduler *s, Vm *vm)
 {
     if (vm->silent_since != AQ_TIME_NEVER) {
-        vm->hold_due = s->now + SILENT_HOLD_RETRY_MS;
+        vm->renewal_due = s->now + SILENT_RENEWAL_RETRY_MS;
     }
     else if (vm->pending_ends->len > 0 ||
              vm->last_end_number > vm->confirmed_end_number) {
-        vm->hold_due = s->now + UNSTORED_HOLD_DELAY_MS;
+        vm->renewal_due = s->now + UNSTORED_RENEWAL_DELAY_MS;
     }
     else {
-        vm->hold_due = s->now;
+        vm->renewal_due = s->now;
     }
 }
 
