--- a/packages/scheduler/Include/aq_job_spec.h
+++ b/packages/scheduler/Include/aq_job_spec.h
@@ -13,60 +13,89 @@
  * form is msgpack (job_spec.c). */
 
 enum {
-    AQ_JOB_ID_SIZE = 33,      /* bytes, with the NUL */
-    AQ_JOB_MAX_STEPS = 64,    /* a job with more is refused */
-    AQ_JOB_MAX_TASKS = 20000, /* over all steps; bounds the memory of a job */
-    AQ_JOB_MAX_TEXT = 4000    /* bytes of the text passed to the workers */
+    AQ_JOB_ID_SIZE = 33,   /* bytes of a job's id, with the NUL */
+    AQ_JOB_MAX_STEPS = 64, /* a job with more steps is refused */
+    /* tasks of a job over all its steps; a job with more is refused, which
+     * bounds its memory */
+    AQ_JOB_MAX_TASKS = 20000,
+    /* bytes of the job's text for the workers; a job with a longer text is
+     * refused */
+    AQ_JOB_MAX_TEXT = 4000
 };
 
 typedef struct {
     uint32_t task_count;
-    int64_t cpu_millis;  /* thousandths of a core for each task */
-    int64_t memory_mb;   /* for each task */
-    int64_t gpus;        /* for each task */
-    int64_t estimate_ms; /* declared duration of a task; 0: none */
-    uint32_t *after;     /* numbers of the steps that must be done first;
-                          * owned */
+    int64_t cpu_millis; /* thousandths of a core for each task */
+    int64_t memory_mb;  /* memory of each task */
+    int64_t gpus;       /* number of GPUs of each task */
+    /* declared duration of each task; 0: none */
+    int64_t estimate_ms;
+    /* numbers of the steps that must be done before this step's tasks start;
+     * owned */
+    uint32_t *after;
     size_t after_count;
-    bool is_gang;           /* the tasks work only while all of them run */
-    bool prefers_one_rack;  /* its tasks are slower when spread over racks */
-    bool is_checkpointable; /* a new run continues from the last checkpoint */
-    bool allows_copies;     /* two runs of a task may be alive at a time */
-    bool is_perpetual;      /* its tasks run until the job is cancelled */
-    bool is_filler;         /* its tasks use only CPU that others leave idle */
-    char *required_label;   /* kind or rack of the VM, or NULL; owned */
-    char *near_rack;        /* rack of the data, or NULL; owned */
-    char *image;            /* image that the tasks run, or NULL; owned */
-    uint32_t max_per_vm;    /* most tasks of the step on one VM; 0: no limit */
-    int64_t latency_target_ms; /* tail latency of a serving task; 0: none */
-    uint32_t may_miss;         /* most tasks that may be away from work at a
-                                * time because of moves */
-    bool limits_missing;       /* may_miss was given; else there is no limit */
+    /* the step's tasks work only while all of them run at the same time */
+    bool is_gang;
+    /* the step's tasks are slower when spread over racks */
+    bool prefers_one_rack;
+    /* a new run of a task continues from the task's last checkpoint */
+    bool is_checkpointable;
+    /* two runs of the same task may be alive at a time */
+    bool allows_copies;
+    /* the step's tasks run until the job is cancelled */
+    bool is_perpetual;
+    /* the step's tasks use only CPU that other tasks leave idle */
+    bool is_filler;
+    /* kind or rack that a VM must have to run the step's tasks; NULL: any;
+     * owned */
+    char *required_label;
+    /* rack of the tasks' data, in which they preferably run; NULL: none;
+     * owned */
+    char *near_rack;
+    /* image that the step's tasks run; NULL: none; owned */
+    char *image;
+    uint32_t max_per_vm; /* most tasks of the step on one VM; 0: no limit */
+    /* target for the tail latency of the step's tasks, which serve requests;
+     * 0: no target */
+    int64_t latency_target_ms;
+    /* most tasks of the step that may be missing (not at work) at a time when
+     * tasks are moved to other VMs */
+    uint32_t may_miss;
+    /* the caller set may_miss; if false, any number of the step's tasks may be
+     * missing at a time */
+    bool limits_missing;
 } AqStepSpec;
 
 typedef struct {
     char id[AQ_JOB_ID_SIZE];
-    char *queue;       /* name of the queue that accepted it; owned */
-    char *text;        /* passed to the workers unchanged; owned */
-    AqStepSpec *steps; /* owned */
+    /* name of the queue that accepted the job; owned */
+    char *queue;
+    /* text of the job, passed to the workers unchanged; owned */
+    char *text;
+    AqStepSpec *steps; /* array of step_count steps; owned */
     size_t step_count;
-    int64_t first_due_ms; /* due time of occurrence 0, Unix ms; 0: at once */
-    int64_t interval_ms;  /* between occurrences */
-    uint32_t occurrences; /* of a recurring job; 0: the job runs once */
-    int64_t submitted_ms; /* Unix ms */
+    /* due time of occurrence 0, Unix ms; 0: due at once */
+    int64_t first_due_ms;
+    /* time between the due times of successive occurrences */
+    int64_t interval_ms;
+    /* number of occurrences of a recurring job; 0: the job runs once */
+    uint32_t occurrences;
+    /* when the job was submitted, Unix ms */
+    int64_t submitted_ms;
 } AqJobSpec;
 
-/* Frees what the spec owns and zeroes it. */
+/* Frees what *spec owns and zeroes *spec. */
 void AqJobSpec_Clear(AqJobSpec *spec);
 
-/* Checks counts, sizes and references between steps; false with
- * AQ_ERR_INVALID when one is not allowed. */
+/* Checks the counts and sizes in *spec and the references between its steps;
+ * false with AQ_ERR_INVALID when one of them is not allowed. */
 bool AqJobSpec_Check(const AqJobSpec *spec, AqError *error);
 
-/* Appends the stored form. */
+/* Appends the stored form of *spec to "out". */
 void AqJobSpec_Encode(const AqJobSpec *spec, AqBuffer *out);
-/* Reads the stored form.  The caller clears *spec on success; damaged bytes
- * are AQ_ERR_INVALID and leave it cleared. */
+/* Reads the stored form of a job into *spec, which the caller clears on
+ * success.  False with AQ_ERR_INVALID, and *spec cleared, when the bytes are
+ * damaged. */
 bool AqJobSpec_Decode(const char *bytes, size_t size, AqJobSpec *spec,
                       AqError *error);
 
--- a/packages/scheduler/Include/aq_machine_requests.h
+++ b/packages/scheduler/Include/aq_machine_requests.h
@@ -8,37 +8,46 @@
 #include "aq_buffer.h"
 #include "aq_machines.h"
 
-/* Machine requests of a pool's owner to the machine coordinator, the one node
- * that orders moves and maintenance of VMs, and its responses: the requests
- * that have ended.  Each list is stored whole under one key and rewritten at
- * each change.  A request that is no longer in the list is withdrawn. */
+/* Machine requests, which the owner of a pool sends to the machine coordinator
+ * (the one node that orders moves and maintenance of VMs), and the
+ * coordinator's responses, which list the requests that have ended.  Each of
+ * these lists is stored whole under one key and rewritten at each change.  A
+ * request that its owner removes from the list is withdrawn. */
 
 enum {
-    AQ_MACHINE_REQUESTS_MAX = 256 /* in the list of one pool */
+    /* most requests in the list of one pool; further ones wait, and a longer
+     * stored list is refused as damaged */
+    AQ_MACHINE_REQUESTS_MAX = 256
 };
 
 typedef struct {
-    int64_t number; /* unique among the requests of this owner */
+    /* unique among the machine requests of one owner */
+    int64_t number;
     char machine[AQ_VM_ID_SIZE];
-    char to_pool[64]; /* target pool of a move; "": maintenance */
-    int64_t wave;     /* wave of the maintenance */
-    bool is_refused;  /* responses only: the order cannot be carried out */
+    /* name of the pool to move the VM to; "": a request for maintenance */
+    char to_pool[64];
+    /* number of the maintenance wave; only in a request for maintenance */
+    int64_t wave;
+    /* only in responses: the requested order cannot be carried out */
+    bool is_refused;
 } AqMachineRequest;
 
 typedef struct {
-    uint64_t fence;             /* fencing number of the requesting owner */
-    size_t requested_vms;       /* VMs needed beside the moves in the list */
-    AqMachineRequest *requests; /* owned */
+    uint64_t fence; /* fencing number of the requesting owner */
+    /* number of VMs that the pool needs beside the moves requested in this
+     * list */
+    size_t requested_vms;
+    AqMachineRequest *requests; /* array of "count" requests; owned */
     size_t count;
 } AqMachineRequestList;
 
-/* Frees what the list owns and zeroes it. */
+/* Frees what *list owns and zeroes *list. */
 void AqMachineRequestList_Clear(AqMachineRequestList *list);
-/* Appends the stored form. */
+/* Appends the stored form of *list to "out". */
 void AqMachineRequestList_Encode(const AqMachineRequestList *list,
                                  AqBuffer *out);
-/* Reads the stored form; false when the bytes are damaged.  The caller clears
- * *list on success. */
+/* Reads the stored form of a list into *list, which the caller clears on
+ * success; false when the bytes are damaged. */
 bool AqMachineRequestList_Decode(const char *bytes, size_t size,
                                  AqMachineRequestList *list);
 
--- a/packages/scheduler/Include/aq_machines.h
+++ b/packages/scheduler/Include/aq_machines.h
@@ -8,9 +8,9 @@
 #include "aq_clock.h"
 #include "aq_worker_client.h"
 
-/* Clients of the platform's VM list, of its orders that move VMs between pools
- * or take them down for maintenance, and of its advice service; and the
- * operator's maintenance waves. */
+/* Client of the platform's machine service, which lists VMs, moves VMs between
+ * pools and takes VMs down for maintenance; client of the platform's advice
+ * service; and the operator's maintenance waves. */
 
 typedef enum {
     AQ_MACHINE_UP,
@@ -22,7 +22,8 @@
 typedef struct {
     char machine[AQ_VM_ID_SIZE];
     char pool[64];
-    char vm[AQ_VM_ID_SIZE]; /* id of the current incarnation, or "" */
+    /* id of the VM's current incarnation; "": not reported */
+    char vm[AQ_VM_ID_SIZE];
     char zone[64];
     char rack[64];
     AqMachineState state;
@@ -31,21 +32,28 @@
 } AqMachine;
 
 typedef enum {
-    AQ_MACHINE_ORDER_DONE,    /* accepted, or carried out before */
-    AQ_MACHINE_ORDER_FENCED,  /* a holder with a higher fence sent orders */
-    AQ_MACHINE_ORDER_BUSY,    /* the VM is not up, or is leaving */
-    AQ_MACHINE_ORDER_REFUSED, /* no such VM, pool or wave */
-    AQ_MACHINE_ORDER_LATER,   /* not carried out: over the rate limit, or the
-                               * platform was not reached */
-    AQ_MACHINE_ORDER_UNKNOWN  /* no response; it may be carried out later */
+    /* the platform accepted the order, or carried it out before */
+    AQ_MACHINE_ORDER_DONE,
+    /* refused: a node with a higher fencing number has sent orders */
+    AQ_MACHINE_ORDER_FENCED,
+    /* refused as busy: the VM is not up, or is leaving */
+    AQ_MACHINE_ORDER_BUSY,
+    /* refused: the platform has no such VM, pool or wave */
+    AQ_MACHINE_ORDER_REFUSED,
+    /* the order is not carried out: it is over the platform's rate limit, or
+     * the platform was not reached */
+    AQ_MACHINE_ORDER_LATER,
+    /* no response; the platform may carry out the order later */
+    AQ_MACHINE_ORDER_UNKNOWN
 } AqMachineResult;
 
-/* Static storage. */
+/* Returns the name of the result; static storage. */
 const char *AqMachineResult_Name(AqMachineResult result);
 
 typedef struct {
-    bool is_whole;             /* all pages of the list were read */
-    const AqMachine *machines; /* borrowed */
+    /* all pages of the platform's list of VMs were read */
+    bool is_whole;
+    const AqMachine *machines; /* array of "count" VMs; borrowed */
     size_t count;
 } AqMachineList;
 
@@ -55,8 +63,8 @@
 typedef void (*AqMachineOrderDone)(void *context, AqMachineResult result);
 
 /* "holder" and "fence" are the id and the fencing number of the node that
- * orders.  Each call of "list", "move" or "maintenance" ends with one call of
- * "done". */
+ * sends the order.  Each call of "list", "move" or "maintenance" ends with one
+ * call of "done". */
 typedef struct {
     void (*list)(AqMachineClient *calls, AqMachineListDone done,
                  void *context);
@@ -73,41 +81,44 @@
     const AqMachineClientOps *ops;
 };
 
-/* A maintenance wave: every VM in it has its maintenance within "within_ms",
- * at most "cap" of them at a time. */
+/* A maintenance wave of the operator: each of its VMs has its maintenance
+ * within "within_ms" of the wave's creation, at most "cap" VMs at a time. */
 typedef struct {
     int64_t number;
-    char (*machines)[AQ_VM_ID_SIZE]; /* owned */
+    /* machine names of the wave's VMs; owned */
+    char (*machines)[AQ_VM_ID_SIZE];
     size_t machine_count;
     AqTime within_ms;
     uint32_t cap;
 } AqWaveSpec;
 
-/* Frees what the wave owns and zeroes it. */
+/* Frees what *wave owns and zeroes *wave. */
 void AqWaveSpec_Clear(AqWaveSpec *wave);
 
-/* A ticket of the advice service, without which a task of a queue with tickets
- * may not start on the VM. */
+/* A ticket of the advice service, without which a task of a queue with
+ * needs_tickets may not start on the VM. */
 typedef struct {
     const char *vm;
     const char *ticket;
 } AqTicket;
 
 typedef struct {
-    /* AQ_ORDER_DONE, AQ_ORDER_UNHEALTHY (too many calls) or
-     * AQ_ORDER_UNKNOWN. */
+    /* AQ_ORDER_DONE; AQ_ORDER_UNHEALTHY: the advice service refused the
+     * request, for example because it had too many; AQ_ORDER_UNKNOWN: no valid
+     * response. */
     AqOrderResult result;
-    const AqTicket *tickets; /* borrowed */
+    const AqTicket *tickets; /* array of "count" tickets; borrowed */
     size_t count;
-    AqTime valid_ms; /* validity of the tickets from the reply on */
+    /* how long the tickets are valid after the arrival of this reply */
+    AqTime valid_ms;
 } AqAdviceReply;
 
 typedef void (*AqAdviceDone)(void *context, const AqAdviceReply *reply);
 
 typedef struct AqAdviceClient AqAdviceClient;
 
-/* Requests tickets for a step on the given VMs; ends with one call of "done".
- */
+/* "request_tickets" requests tickets of the advice service to start the step's
+ * tasks on the given VMs; it ends with one call of "done". */
 typedef struct {
     void (*request_tickets)(AqAdviceClient *calls, const AqTaskName *step,
                             const char *const *vms, size_t count,
--- a/packages/scheduler/Include/aq_site_config.h
+++ b/packages/scheduler/Include/aq_site_config.h
@@ -11,24 +11,34 @@
 typedef struct {
     char *name;
     char *host;
-    char *prefix; /* of the path; the job's id follows it */
-    char *pool;   /* name of the pool that runs the tasks */
+    /* prefix of the path of requests for the queue; a job's id follows the
+     * prefix */
+    char *prefix;
+    /* name of the pool that runs the tasks of the queue's jobs */
+    char *pool;
     int64_t timeout_ms;
-    /* A job is late when it takes longer than "stretch" times its longest
-     * chain of estimated durations plus "target_ms". */
+    /* A job of the queue is late when it takes longer than its objective:
+     * "stretch" times the estimated duration of its longest chain of dependent
+     * steps, plus "target_ms". */
     int64_t target_ms;
     double stretch;
-    int priority;          /* 0 is placed first */
-    uint32_t max_attempts; /* failed runs of a task that fail its job;
-                            * 0: no limit */
-    bool needs_tickets;    /* starts need a ticket of the advice service */
+    /* jobs of queues with a lower number are placed first; 0 is the lowest */
+    int priority;
+    /* number of failed runs of a task at which the task's job fails; 0: no
+     * limit */
+    uint32_t max_attempts;
+    /* tasks of the queue's jobs start only with a ticket of the advice
+     * service */
+    bool needs_tickets;
     int64_t ticket_valid_ms;
 } AqQueueConfig;
 
 typedef struct {
     char *name;
-    bool is_spare;        /* the spare pool, whose VMs are powered off */
-    bool guards_capacity; /* its VMs refuse tasks that do not fit */
+    /* this pool is the spare pool, whose VMs are powered off */
+    bool is_spare;
+    /* the pool's VMs refuse tasks that exceed their free resources */
+    bool guards_capacity;
 } AqPoolConfig;
 
 typedef struct {
@@ -39,17 +49,19 @@
     size_t pool_count;
 } AqSiteConfig;
 
-/* Frees what the configuration owns and zeroes it. */
+/* Frees what *config owns and zeroes *config. */
 void AqSiteConfig_Clear(AqSiteConfig *config);
 
-/* Finds the queue of a request: its host equals "host", whose port is ignored,
- * and its prefix is the longest that "path" starts with.  Returns NULL when
- * there is none.  Borrowed. */
+/* Finds the queue of a caller's request: the queue's host equals "host"
+ * without its port, and the queue's prefix is the longest with which "path"
+ * begins.  Returns NULL when no queue matches.  Borrowed. */
 const AqQueueConfig *AqSiteConfig_Match(const AqSiteConfig *config,
                                         const char *host, const char *path);
-/* Name of the spare pool, or NULL when the site has none.  Borrowed. */
+/* Returns the name of the spare pool, or NULL when the site has none.
+ * Borrowed. */
 const char *AqSiteConfig_SparePool(const AqSiteConfig *config);
-/* Queue of that name, or NULL.  Borrowed. */
+/* Returns the queue named "name", or NULL when the site has none.
+ * Borrowed. */
 const AqQueueConfig *AqSiteConfig_FindQueue(const AqSiteConfig *config,
                                             const char *name);
 
--- a/packages/scheduler/Include/aq_sizing.h
+++ b/packages/scheduler/Include/aq_sizing.h
@@ -8,43 +8,58 @@
 #include "aq_clock.h"
 
 /* Sizing of a pool.  The pool releases idle VMs to the spare pool, where they
- * are powered off, and acquires VMs from it when work arrives.
+ * are powered off, and acquires VMs from the spare pool when jobs arrive.
  *
  * A VM is usable only more than a second after its request, so the pool is
- * sized for the rate at which work is submitted, not only for the ready tasks.
- * A move costs as much as running a VM for about a second, so VMs are released
- * soon after a burst of the queue has ended; a few are kept so that the next
- * burst can begin at once. */
+ * sized for the rate at which jobs are submitted, not only for the ready
+ * tasks.  A move of a VM costs as much as running it for about a second, so
+ * VMs are released soon after a burst of jobs has ended; a few are kept so
+ * that tasks of the next burst can start at once. */
 
 typedef struct {
     AqTime now;
-    int64_t used_cpu_millis;      /* taken by running tasks */
-    int64_t ready_cpu_millis;     /* needed by ready tasks */
-    int64_t perpetual_cpu_millis; /* part of used_cpu_millis */
-    int64_t offered_cpu_millis;   /* needed at the recent submission rate */
-    AqTime longest_wait_ms;       /* longest time a task has been ready */
-    int64_t capacity_cpu_millis;  /* total of the usable VMs */
-    int64_t vm_cpu_millis;        /* of one typical VM */
+    /* CPU taken by the pool's running tasks */
+    int64_t used_cpu_millis;
+    /* CPU needed by the pool's ready tasks */
+    int64_t ready_cpu_millis;
+    /* part of used_cpu_millis that perpetual tasks take */
+    int64_t perpetual_cpu_millis;
+    /* CPU needed if jobs keep being submitted at the recent rate */
+    int64_t offered_cpu_millis;
+    /* longest time that a ready task has been ready */
+    AqTime longest_wait_ms;
+    int64_t capacity_cpu_millis; /* total CPU of the pool's usable VMs */
+    int64_t vm_cpu_millis;       /* CPU of one typical VM of the pool */
     size_t usable_vms;
-    size_t perpetual_vms;   /* VMs with perpetual tasks */
-    size_t pending_vms;     /* requested VMs that have not arrived */
-    size_t maintenance_vms; /* VMs in maintenance or about to be */
-    size_t widest_spread;   /* most VMs that one perpetual step needs for its
-                             * limit of tasks per VM */
-    size_t site_vms;        /* VMs of all pools; 0: not known */
+    /* number of the pool's VMs with perpetual tasks */
+    size_t perpetual_vms;
+    /* number of VMs requested for the pool that have not arrived in it */
+    size_t pending_vms;
+    /* number of the pool's VMs in maintenance or about to be */
+    size_t maintenance_vms;
+    /* most VMs that one perpetual step needs because its tasks per VM are
+     * limited */
+    size_t widest_spread;
+    /* number of VMs of all pools of the site; 0: not known */
+    size_t site_vms;
 } AqSizingInput;
 
 typedef struct {
-    size_t needed_vms;  /* VMs that the pool needs in addition */
-    size_t acquire_vms; /* part of them to acquire from the spare pool now */
-    size_t release_vms; /* VMs to release once their tasks have ended */
+    /* VMs that the pool needs beside its usable, pending and maintenance
+     * VMs */
+    size_t needed_vms;
+    /* part of needed_vms to acquire from the spare pool now */
+    size_t acquire_vms;
+    /* VMs to release to the spare pool, each once its tasks have ended */
+    size_t release_vms;
 } AqSizingDecision;
 
 enum {
-    AQ_SIZING_IDLE_MS = 400 /* a VM idle for less is not released */
+    /* a VM that has been idle for less than this is not released */
+    AQ_SIZING_IDLE_MS = 400
 };
 
-/* Sets *decision for the current load of a pool. */
+/* Sets *decision for the pool whose load *input describes. */
 void AqSizing_Decide(const AqSizingInput *input, AqSizingDecision *decision);
 
 #endif
--- a/packages/scheduler/Include/aq_waves.h
+++ b/packages/scheduler/Include/aq_waves.h
@@ -19,40 +19,48 @@
 
 typedef struct AqWave AqWave;
 
-/* Creates a wave with all VMs waiting; its deadline is now plus the spec's
- * "within_ms".  "spec" is copied.  AqWave_Destroy frees the wave. */
+/* Creates a wave with all its VMs in AQ_WAVE_WAITING; the wave's deadline is
+ * "now" plus the "within_ms" of *spec, which is copied.  AqWave_Destroy()
+ * frees the wave. */
 AqWave *AqWave_Create(const AqWaveSpec *spec, AqTime now);
 void AqWave_Destroy(AqWave *wave);
 
 int64_t AqWave_Number(const AqWave *wave);
-/* Number of VMs in the wave; positions go from 0 to below it. */
+/* Number of VMs in the wave; the VMs have the positions from 0 to below that
+ * number. */
 size_t AqWave_Count(const AqWave *wave);
-/* Machine name at a position; borrowed. */
+/* Machine name of the VM at position "at" in the wave; borrowed. */
 const char *AqWave_Machine(const AqWave *wave, size_t at);
 AqWaveState AqWave_State(const AqWave *wave, size_t at);
-/* Position of a VM, or -1 when it is not in the wave. */
+/* Position in the wave of the VM with this machine name, or -1 when the wave
+ * does not have the VM. */
 int AqWave_Find(const AqWave *wave, const char *machine);
 void AqWave_Set(AqWave *wave, size_t at, AqWaveState state);
 
-/* Sets the states from the record; VMs that are not in it keep theirs.  False
- * when the record is damaged; then no state has changed. */
+/* Sets the states of the wave's VMs from the stored record "bytes"; VMs that
+ * the record does not list keep their states.  False when the record is
+ * damaged; then no state has changed. */
 bool AqWave_Decode(AqWave *wave, const char *bytes, size_t size);
-/* Appends the record. */
+/* Appends the wave's record for the store, the states of its VMs, to "out". */
 void AqWave_Encode(const AqWave *wave, AqBuffer *out);
 
-/* Whether one more VM may go down now. */
+/* Whether one more VM of the wave may go down for maintenance now. */
 bool AqWave_HasSlot(const AqWave *wave);
-/* Whether all VMs have begun their maintenance or are gone. */
+/* Whether all VMs of the wave have begun their maintenance, have had it or no
+ * longer exist. */
 bool AqWave_IsCompleted(const AqWave *wave);
-/* Whether all VMs are back or gone: nothing is left to do. */
+/* Whether all VMs of the wave are back from maintenance or no longer exist:
+ * nothing is left to do. */
 bool AqWave_IsOver(const AqWave *wave);
 
-/* Most VMs of a pool to drain at a time.  It rises as the deadline comes
- * closer to the time that the waiting VMs need. */
+/* Returns the most VMs of a pool to drain for the wave at a time.  The number
+ * rises as the time left to the wave's deadline falls towards the time that
+ * the pool's waiting VMs need. */
 size_t AqWave_MaxDrains(const AqWave *wave, size_t waiting_in_pool,
                         size_t pool_size, AqTime now);
-/* Whether the remaining tasks on a VM that was cordoned at "cordoned_at"
- * should be stopped, rather than waiting for their end. */
+/* Whether the remaining tasks on a VM of the wave that was cordoned at
+ * "cordoned_at" should be stopped, rather than waiting for the end of these
+ * tasks. */
 bool AqWave_MustStopTasks(const AqWave *wave, size_t waiting_in_pool,
                           AqTime cordoned_at, AqTime now);
 
--- a/packages/scheduler/Include/aq_worker_client.h
+++ b/packages/scheduler/Include/aq_worker_client.h
@@ -8,8 +8,9 @@
 #include "aq_clock.h"
 #include "aq_job_spec.h"
 
-/* Orders to the worker process on a VM, which runs the tasks, and its replies.
- * The scheduler decides on the orders; an AqWorkerClient sends them. */
+/* Orders to the worker process on a VM, which runs the tasks, and the replies
+ * of that process.  The scheduler decides on the orders; an AqWorkerClient
+ * sends them. */
 
 /* One task of one occurrence of a job. */
 typedef struct {
@@ -20,77 +21,101 @@
 } AqTaskName;
 
 enum {
-    AQ_VM_ID_SIZE = 64,      /* bytes, with the NUL */
-    AQ_CHECKPOINT_SIZE = 128 /* bytes, with the NUL; a longer one is dropped */
+    AQ_VM_ID_SIZE = 64, /* bytes of a VM's id, with the NUL */
+    /* bytes of a checkpoint, with the NUL; a longer checkpoint is dropped */
+    AQ_CHECKPOINT_SIZE = 128
 };
 
 /* A VM's entry in the store, as reported by its worker process. */
 typedef struct {
-    char id[AQ_VM_ID_SIZE]; /* of this incarnation of the VM */
+    char id[AQ_VM_ID_SIZE]; /* id of this incarnation of the VM */
     char address[32];       /* "IP:port" */
     char pool[64];
     char zone[64];
-    char machine[AQ_VM_ID_SIZE]; /* id that all incarnations share, or "" */
+    /* id that all incarnations of the VM share; "": not reported */
+    char machine[AQ_VM_ID_SIZE];
     char kind[64];
     char rack[64];
     int64_t cpu_millis;
     int64_t memory_mb;
     int64_t gpus;
-    int64_t leaves_ms; /* least time left while draining; -1: not reported */
+    /* shortest time for which the draining VM stays up; -1: not reported */
+    int64_t leaves_ms;
     bool is_draining;
 } AqVmReport;
 
 typedef enum {
     AQ_ORDER_DONE,
-    AQ_ORDER_FENCED,     /* an owner with a higher fence has sent orders */
-    AQ_ORDER_OLD_RUN,    /* a run of this or a higher number was stopped or has
-                          * ended there */
-    AQ_ORDER_LATE,       /* the deadline has passed on the VM's clock */
-    AQ_ORDER_NO_ROOM,    /* the VM lacks the resources */
-    AQ_ORDER_NO_TICKET,  /* the start had no valid ticket */
-    AQ_ORDER_OTHER_LIFE, /* another incarnation of the VM replied */
-    AQ_ORDER_UNHEALTHY,  /* refused by an unhealthy VM; no effect */
-    AQ_ORDER_INVALID,    /* refused as malformed; no effect */
-    AQ_ORDER_NOT_SENT,   /* nothing was sent */
-    AQ_ORDER_UNKNOWN     /* no reply; the VM may carry it out later */
+    /* refused: an owner of the pool with a higher fence has sent orders to the
+     * VM */
+    AQ_ORDER_FENCED,
+    /* refused: a run of the task with this or a higher number was stopped or
+     * has ended on the VM */
+    AQ_ORDER_OLD_RUN,
+    /* refused: the order's lease deadline has passed on the VM's clock */
+    AQ_ORDER_LATE,
+    /* refused: the VM lacks free resources for the task */
+    AQ_ORDER_NO_ROOM,
+    /* refused: the start order had no valid ticket */
+    AQ_ORDER_NO_TICKET,
+    /* the reply came from another incarnation of the VM */
+    AQ_ORDER_OTHER_LIFE,
+    /* refused by an unhealthy VM; the order has no effect */
+    AQ_ORDER_UNHEALTHY,
+    /* refused as malformed; the order has no effect */
+    AQ_ORDER_INVALID,
+    AQ_ORDER_NOT_SENT, /* no byte of the order was sent */
+    /* no reply; the VM may execute the order later */
+    AQ_ORDER_UNKNOWN
 } AqOrderResult;
 
-/* Static storage. */
+/* Returns the name of the result; static storage. */
 const char *AqOrderResult_Name(AqOrderResult result);
 
-/* A run that is alive on the VM. */
+/* A run of a task that is alive on the VM. */
 typedef struct {
     AqTaskName task;
     int64_t run;
-    const char *checkpoint; /* borrowed; "" for none */
-    int64_t percent;        /* progress; a perpetual task is at work at 100 */
-    /* Tail latency in ms of a serving task; otherwise thousandths of a core in
-     * use. */
+    /* last checkpoint of the run; "": none; borrowed */
+    const char *checkpoint;
+    /* progress of the run, percent; a perpetual task is at work at 100 */
+    int64_t percent;
+    /* Tail latency in ms, for a task that serves requests; for other tasks the
+     * CPU in use, in thousandths of a core. */
     int64_t usage;
 } AqRunningTask;
 
 typedef enum {
     AQ_END_DONE,
     AQ_END_FAILED,
-    AQ_END_STOPPED, /* by an order */
-    AQ_END_LAPSED,  /* the lease expired */
-    AQ_END_BROKEN,  /* another member of the gang ended */
-    AQ_END_ALONE,   /* the other members of the gang did not start */
+    AQ_END_STOPPED, /* the run was stopped by an order */
+    AQ_END_LAPSED,  /* the lease of the run's VM expired */
+    /* another task of the run's gang (step whose tasks run together) ended */
+    AQ_END_BROKEN,
+    /* the other tasks of the run's gang (step whose tasks run together) did
+     * not start */
+    AQ_END_ALONE,
     AQ_END_OTHER
 } AqEndKind;
 
 typedef struct {
-    int64_t number; /* increases within an incarnation of the VM */
+    /* sequence number of the end; rises with each end in an incarnation of the
+     * VM */
+    int64_t number;
     AqTaskName task;
     int64_t run;
     AqEndKind kind;
-    const char *checkpoint; /* borrowed; "" for none */
+    /* last checkpoint of the run; "": none; borrowed */
+    const char *checkpoint;
 } AqEndedTask;
 
 typedef struct {
     AqOrderResult result;
-    AqTime clock_ms; /* monotonic clock of the VM; -1: not reported */
-    /* Only with AQ_ORDER_DONE of a renewal; borrowed. */
+    /* monotonic clock of the VM at its reply; -1: not reported */
+    AqTime clock_ms;
+    /* The live runs and the ended runs on the VM, only in a reply
+     * AQ_ORDER_DONE to a renewal order (extension of the VM's lease);
+     * borrowed. */
     const AqRunningTask *running;
     size_t running_count;
     const AqEndedTask *ended;
@@ -107,10 +132,13 @@
 typedef struct {
     AqTaskName task;
     int64_t run;
-    const char *text;       /* of the job */
-    const char *checkpoint; /* where to continue; "" for none */
-    const char *ticket;     /* "" for none */
-    AqTime deadline_ms;     /* end of the VM's lease, on the VM's clock */
+    /* text of the job, as the caller submitted it */
+    const char *text;
+    /* checkpoint from which the run continues; "": none */
+    const char *checkpoint;
+    /* ticket of the advice service for this start; "": none */
+    const char *ticket;
+    AqTime deadline_ms; /* end of the VM's lease, on the VM's clock */
     uint64_t fence;
 } AqStartOrder;
 
@@ -121,9 +149,11 @@
     AqTime deadline_ms; /* end of the VM's lease, on the VM's clock; -1: the
                          * lease stays unchanged */
     uint64_t fence;
-    int64_t acked_end; /* highest end that the VM may forget */
-    AqTime wait_ms;    /* longest time that the VM may delay its reply until a
-                        * run ends */
+    /* highest AqEndedTask.number of an end that the VM may forget */
+    int64_t acked_end;
+    /* longest time for which the VM may delay its reply to wait for the end of
+     * a run */
+    AqTime wait_ms;
 } AqRenewalOrder;
 
 typedef struct AqWorkerClient AqWorkerClient;
--- a/packages/scheduler/job_spec.c
+++ b/packages/scheduler/job_spec.c
@@ -7,9 +7,13 @@
 #include "record_codec.h"
 
 enum {
-    SPEC_FORMAT = 1,  /* first element of the stored form */
-    SPEC_FIELDS = 9,  /* elements of the stored form of a job */
-    STEP_FIELDS = 14, /* elements of the stored form of a step */
+    /* version of the stored form of a job, stored as its first element; a form
+     * of another version is refused as damaged */
+    SPEC_FORMAT = 1,
+    /* array elements of the stored form of a job */
+    SPEC_FIELDS = 9,
+    /* array elements of the stored form of a step */
+    STEP_FIELDS = 14,
     FLAG_GANG = 1,
     FLAG_ONE_RACK = 2,
     FLAG_CHECKPOINTS = 4,
@@ -121,7 +125,8 @@
     msgpack_pack_uint32(pk, step->max_per_vm);
     msgpack_pack_int64(pk, step->latency_target_ms);
     msgpack_pack_uint32(pk, step->may_miss);
-    msgpack_pack_int64(pk, 0); /* reserved */
+    /* reserved element of a step, not read */
+    msgpack_pack_int64(pk, 0);
 }
 
 void
--- a/packages/scheduler/perpetual.c
+++ b/packages/scheduler/perpetual.c
@@ -1,27 +1,31 @@
 #include "aq_log.h"
 #include "scheduler_internal.h"
 
-/* Perpetual tasks.  They are moved off a cordoned VM within the limit on
- * missing tasks of their step, and off a draining VM regardless of it. Fillers
- * on the VM of a serving task are slowed before the task exceeds its latency
- * target. */
+/* Perpetual tasks.  These are moved off a cordoned VM within their step's
+ * limit on missing tasks, and off a draining VM regardless of the limit.
+ * Fillers on the VM of a serving task, which has a latency target, are slowed
+ * before the serving task exceeds its target. */
 
 enum {
     SCAN_PERIOD_MS = 20,
-    NO_REPLY_LIMIT_MS = 900, /* two renewals of a busy VM */
-    /* Tail latency of a serving task, in percent of its target, above which
-     * fillers are slowed, and up to which they are sped up again. */
+    /* a task counts as absent when its VM has not replied for longer than
+     * this: the time of two lease renewals of a VM with tasks */
+    NO_REPLY_LIMIT_MS = 900,
+    /* Tail latency of a serving task, in percent of the task's target: above
+     * SLOW_DOWN_PERCENT the fillers on the task's VM are slowed, up to
+     * SPEED_UP_PERCENT they are sped up again. */
     SLOW_DOWN_PERCENT = 85,
     SPEED_UP_PERCENT = 55,
-    /* Least time from the last change of a pace to a step up or down. */
+    /* Least time from the last change of a filler's pace to the next step up
+     * or down of that pace. */
     PACE_UP_DELAY_MS = 1500,
     PACE_DOWN_DELAY_MS = 400,
     PACE_STEP_UP_PERCENT = 20,
     FULL_PACE_PERCENT = 100
 };
 
-/* Whether a task is not at work, or may not be, because its VM has not replied
- * recently. */
+/* Whether the task is not at work, or may not be at work because its VM has
+ * not replied recently. */
 static bool
 is_absent(const AqScheduler *s, const Task *task)
 {
@@ -30,7 +34,8 @@
            s->now - task->vm->clock_at > NO_REPLY_LIMIT_MS;
 }
 
-/* Number of absent tasks of the step other than "except". */
+/* Number of the step's tasks other than "except" that are not at work, or may
+ * not be (see is_absent()). */
 static uint32_t
 count_absent(const AqScheduler *s, const Step *step, const Task *except)
 {
@@ -42,9 +47,10 @@
     return count;
 }
 
-/* Whether an unconfirmed stop of a task of the step, which counts against the
- * limit on missing tasks, is on its way to a VM that replies.  A stop sent
- * later may arrive before it. */
+/* Whether an unconfirmed stop order for a task of the step is on its way to a
+ * VM that replies and is not draining.  That task counts against the step's
+ * limit on missing tasks, and a stop order sent later to another VM may arrive
+ * first. */
 static bool
 is_stop_under_way(const Step *step)
 {
@@ -59,8 +65,8 @@
     return false;
 }
 
-/* Whether the task may be stopped on this VM now.  The limit on missing tasks
- * does not apply on a draining VM. */
+/* Whether the task may be stopped now to move off this VM.  The step's limit
+ * on missing tasks does not apply on a draining VM. */
 static bool
 may_move_away(const AqScheduler *s, const Vm *vm, const Task *task)
 {
@@ -73,7 +79,7 @@
                : count_absent(s, task->step, task) < spec->may_miss;
 }
 
-/* Whether another usable VM has room for a task of the step. */
+/* Whether a usable VM other than "vm" has room for a task of the step. */
 static bool
 fits_on_other_vm(const AqScheduler *s, const Vm *vm, const AqStepSpec *spec)
 {
@@ -90,7 +96,8 @@
     return false;
 }
 
-/* Stops the perpetual tasks on the VM that may start elsewhere now. */
+/* Orders the stop of the perpetual tasks on the VM that may be missing now and
+ * fit on another VM. */
 static void
 move_perpetual(AqScheduler *s, const Vm *vm)
 {
@@ -117,8 +124,11 @@
 /* ---- Pacing ------------------------------------------------------------- */
 
 typedef struct {
-    bool is_near_target;      /* a serving task is near or above its target */
-    bool is_far_below_target; /* all serving tasks are far below it */
+    /* a serving task on the VM has a tail latency near or above its target */
+    bool is_near_target;
+    /* all serving tasks on the VM have tail latencies far below their
+     * targets */
+    bool is_far_below_target;
     bool has_serving;
 } LatencyPressure;
 
@@ -160,7 +170,8 @@
     s->actions.pace(s->context, &target, &name, task->run, percent);
 }
 
-/* Slows or speeds up the fillers on the VM by one step when one is due. */
+/* Slows or speeds up each filler on the VM by one step of its pace, if the
+ * latencies on the VM require it and the last change is long enough ago. */
 static void
 pace_fillers(AqScheduler *s, const Vm *vm)
 {
@@ -194,8 +205,8 @@
     }
     s->next_scan_at = s->now + SCAN_PERIOD_MS;
     replies_tick(s);
-    /* Draining VMs first: tasks that leave them count as missing for the moves
-     * off cordoned VMs. */
+    /* Draining VMs first: tasks that are moved off draining VMs count as
+     * missing when tasks are moved off cordoned VMs. */
     AqList_ForEach(at, &s->vms)
     {
         const Vm *vm = AqList_Entry(at, Vm, link);
--- a/packages/scheduler/placement.c
+++ b/packages/scheduler/placement.c
@@ -11,11 +11,15 @@
  * few of them. */
 
 enum {
-    /* Costs in the unit of free CPU, thousandths of a core. */
-    RACK_SPREAD_COST = 1000000, /* for each task of the step in the rack;
-                                 * above any amount of free CPU */
-    OTHER_RACK_COST = 10000000, /* for a rack other than that of the data */
-    RUNS_PER_OWNER = 100000,    /* run numbers reserved for each generation */
+    /* addend of placement_cost() for each task of the same perpetual step in
+     * the VM's rack, in the unit of free CPU, thousandths of a core; above any
+     * amount of free CPU of a VM */
+    RACK_SPREAD_COST = 1000000,
+    /* addend of placement_cost(), thousandths of a core, for a VM in a rack
+     * other than that of the task's data */
+    OTHER_RACK_COST = 10000000,
+    /* run numbers of each task reserved for one owner of the pool */
+    RUNS_PER_OWNER = 100000,
     TICKET_RETRY_MS = 200,
     MAX_TICKET_REQUEST_VMS = 100
 };
@@ -67,8 +71,10 @@
 find_ticket(const AqScheduler *s, const Step *step, const Vm *vm)
 {
     enum {
+        /* Least validity that a ticket must have left, since the start order
+         * takes time to arrive. */
         TICKET_MARGIN_MS = 300
-    }; /* time for the order to arrive */
+    };
     for (guint i = 0; step->tickets != NULL && i < step->tickets->len; i++) {
         const Ticket *ticket = &g_array_index(step->tickets, Ticket, i);
         if (ticket->expires_at > s->now + TICKET_MARGIN_MS &&
@@ -99,7 +105,8 @@
            (!tickets || find_ticket(s, step, vm) != NULL);
 }
 
-/* Cost of running the task on the VM; the VM with the lowest is chosen. */
+/* Cost of running the task on the VM; the VM with the lowest cost is
+ * chosen. */
 static int64_t
 placement_cost(const AqScheduler *s, const Vm *vm, const Task *task)
 {
@@ -206,8 +213,9 @@
     s->actions.request_tickets(s->context, &name, vms, count);
 }
 
-/* Number of a new run: above all earlier runs of the task, including those
- * that an earlier owner may have ordered without receiving a reply. */
+/* Returns the number of a new run of a task whose highest run number is
+ * "last": above all earlier runs of the task, including those that an earlier
+ * owner may have ordered without receiving a reply. */
 static int64_t
 next_run(const AqScheduler *s, int64_t last)
 {
@@ -241,7 +249,9 @@
     bool has_placed = false;
     if (!step->spec->is_filler &&
         step->spec->cpu_millis > s->largest_free_cpu_millis) {
-        return; /* fast exit: in a full pool many jobs wait */
+        /* fast exit, since many jobs wait in a full pool: no VM has the CPU
+         * for the step */
+        return;
     }
     for (uint32_t i = 0; i < step->spec->task_count && step->ready > 0; i++) {
         Task *task = &step->tasks[i];
@@ -250,7 +260,9 @@
         }
         Vm *vm = choose_vm(s, task, NULL);
         if (vm == NULL) {
-            break; /* the step's other tasks need the same resources */
+            /* no VM fits the step's other tasks either, since they need the
+             * same */
+            break;
         }
         assign_task(s, vm, task, next_run(s, task->run));
         placement_send_start(s, task);
@@ -261,8 +273,9 @@
     }
 }
 
-/* Starts all tasks of a gang, or none when they do not all fit.  With a "rack"
- * only VMs in it are used; NULL allows all.  Returns whether they started. */
+/* Orders the start of all tasks of a gang, or of none when they do not all
+ * fit.  With a "rack" only VMs in that rack are used; NULL allows all racks.
+ * Returns whether the starts were ordered. */
 static bool
 place_gang_on(AqScheduler *s, Step *step, const char *rack)
 {
@@ -305,7 +318,9 @@
 {
     for (uint32_t i = 0; i < step->spec->task_count; i++) {
         if (!is_startable(s, &step->tasks[i])) {
-            return; /* a member is not ready or waits for a retry */
+            /* a task of the gang is not ready, or waits before its next
+             * start */
+            return;
         }
     }
     if (step->spec->prefers_one_rack) {
@@ -354,9 +369,12 @@
         return;
     }
     enum {
-        PLACEMENT_PERIOD_MS = 100, /* for pauses that end without an event */
-        MIN_PLACEMENT_GAP_MS = 5   /* a placement visits all jobs, and ends
-                                    * arrive one by one */
+        /* longest time from one placement of tasks to the next, since pauses
+         * of tasks and VMs end without an event */
+        PLACEMENT_PERIOD_MS = 100,
+        /* least time from one placement of tasks to the next, since a
+         * placement visits all jobs, and ends of runs arrive one by one */
+        MIN_PLACEMENT_GAP_MS = 5
     };
     if (s->now < s->earliest_placement_at) {
         return;
--- a/packages/scheduler/progress.c
+++ b/packages/scheduler/progress.c
@@ -5,12 +5,14 @@
 #include "record_codec.h"
 #include "scheduler_internal.h"
 
-/* The stored record of a job:
+/* The stored record of a job's progress:
  * [format, stage, next occurrence, [[occurrence, [[done, [[task, [run ...]]
- * ...]] ... of each step]] ... of each unfinished occurrence]]
- * "done" is a bitmap of the tasks of a step.  The failed runs are stored by
- * number, so that an end that a VM lists again to a later owner is not counted
- * twice.  An occurrence below the next one that is not listed is done. */
+ * ...]] ... of each step]] ... of each occurrence]]
+ * "done" is a bitmap of the tasks of a step, "task" the index of a task with
+ * failed runs, "run" the number of each of them, so that a failed end that a
+ * VM lists again to a later owner is not counted twice.  The record of a
+ * finished job lists no occurrences.  An occurrence that is not listed and has
+ * a number below "next occurrence" is done. */
 
 enum {
     RECORD_FORMAT = 1,
--- a/packages/scheduler/ranking.c
+++ b/packages/scheduler/ranking.c
@@ -5,7 +5,8 @@
  * The queue's priority comes first.  Within a priority, jobs with perpetual
  * tasks precede all others, because their users are waiting and starts of such
  * tasks are rare.  Next are the jobs that can still meet their objective, the
- * one with the least remaining work first, so that the most jobs meet it.
+ * completion time of AqQueueConfig.stretch and target_ms: the job with the
+ * least remaining work first, so that the most jobs meet their objective.
  * Late jobs follow in the same order.  Last are the very late jobs, oldest
  * first, since a faster completion has no value for them any more. */
 
@@ -15,12 +16,13 @@
     BUCKET_LATE,
     BUCKET_VERY_LATE,
     BUCKET_COUNT,
-    VERY_LATE_FACTOR = 3 /* of the objective: a result later than that has no
-                          * value */
+    /* a job is very late when it takes longer than its objective times this
+     * factor, since its result then has no value */
+    VERY_LATE_FACTOR = 3
 };
 
-/* Longest chain of dependent steps by estimated duration, ms: of all steps if
- * "whole", otherwise of the steps that are not done. */
+/* Estimated duration, ms, of the occurrence's longest chain of dependent
+ * steps: of all steps if "whole", otherwise of the steps that are not done. */
 static AqTime
 longest_chain(const AqScheduler *s, const Occurrence *occurrence, bool whole)
 {
@@ -44,7 +46,8 @@
     return longest;
 }
 
-/* Remaining work of an occurrence by declared durations, core-milliseconds. */
+/* Work of the occurrence's tasks that are not done, by declared durations, in
+ * core-milliseconds. */
 static int64_t
 work_left(const Occurrence *occurrence)
 {
@@ -58,7 +61,7 @@
 }
 
 /* Whether the occurrence has ready tasks.  Sets *is_perpetual_task when one of
- * them is perpetual, and leaves it unchanged otherwise. */
+ * these is perpetual, and leaves it unchanged otherwise. */
 static bool
 has_ready_tasks(const Occurrence *occurrence, bool *is_perpetual_task)
 {
--- a/packages/scheduler/record_codec.c
+++ b/packages/scheduler/record_codec.c
@@ -24,17 +24,20 @@
     msgpack_pack_str_body(pk, text, size);
 }
 
-/* Position in msgpack bytes and their end. */
+/* The part of some msgpack bytes that has not been scanned yet. */
 typedef struct {
     const unsigned char *at;
     const unsigned char *end;
 } Scanner;
 
 enum {
-    MAX_DEPTH = 16 /* bounds the recursion; records nest less deeply */
+    /* deepest nesting of arrays that is read, which bounds the recursion;
+     * deeper bytes count as damaged; stored records nest less deeply */
+    MAX_DEPTH = 16
 };
 
-/* Reads a big-endian unsigned number of "bytes" bytes. */
+/* Reads a big-endian unsigned number of "bytes" bytes into *value; false when
+ * fewer bytes are left. */
 static bool
 scan_number(Scanner *scan, size_t bytes, uint64_t *value)
 {
@@ -63,7 +66,7 @@
 static bool
 scan_array(Scanner *scan, uint64_t count, int depth)
 {
-    /* Each element takes at least one byte. */
+    /* Each array element takes at least one byte. */
     if (depth == MAX_DEPTH || (uint64_t)(scan->end - scan->at) < count) {
         return false;
     }
@@ -75,8 +78,8 @@
     return true;
 }
 
-/* Skips one value; false when it is truncated or of a type that records do not
- * have. */
+/* Skips one msgpack value; false when the value is truncated or of a type that
+ * stored records do not have. */
 static bool
 scan_value(Scanner *scan, int depth)
 {
@@ -87,7 +90,8 @@
     unsigned type = *scan->at++;
     if (type <= 0x7f || type >= 0xe0 || type == 0xc0 || type == 0xc2 ||
         type == 0xc3) {
-        return true; /* small number, nil, bool */
+        /* a small number, nil or a bool has no further bytes */
+        return true;
     }
     if (type >= 0x90 && type <= 0x9f) {
         return scan_array(scan, type & 0x0f, depth);
@@ -96,13 +100,14 @@
         return scan_skip(scan, type & 0x1f);
     }
     if (type >= 0xcc && type <= 0xd3) {
-        return scan_skip(scan, (uint64_t)1 << (type & 3)); /* number */
+        /* number of 1 to 8 bytes */
+        return scan_skip(scan, (uint64_t)1 << (type & 3));
     }
-    if (type >= 0xc4 && type <= 0xc6) { /* bytes */
+    if (type >= 0xc4 && type <= 0xc6) { /* byte string */
         return scan_number(scan, (size_t)1 << (type - 0xc4), &size) &&
                scan_skip(scan, size);
     }
-    if (type >= 0xd9 && type <= 0xdb) { /* text */
+    if (type >= 0xd9 && type <= 0xdb) { /* text string */
         return scan_number(scan, (size_t)1 << (type - 0xd9), &size) &&
                scan_skip(scan, size);
     }
--- a/packages/scheduler/replies.c
+++ b/packages/scheduler/replies.c
@@ -9,12 +9,13 @@
     NO_ROOM_PAUSE_MS = 150,
     UNHEALTHY_PAUSE_MS = 1000,
     INVALID_PAUSE_MS = 2000,
-    /* A run is stopped and started elsewhere when its percent has not changed
-     * for STALL_MS plus its declared duration divided by
-     * STALL_ESTIMATE_DIVISOR. */
+    /* A run is stopped, and its task started on another VM, when the run's
+     * percent has not changed for STALL_MS plus the task's declared duration
+     * divided by STALL_ESTIMATE_DIVISOR. */
     STALL_MS = 1200,
     STALL_ESTIMATE_DIVISOR = 25,
-    /* Limit for a perpetual task to get to work, which takes 1 to 2 s. */
+    /* A perpetual task is stopped when it is not at work and its percent has
+     * not changed for this time; getting to work takes 1 to 2 s. */
     PERPETUAL_START_LIMIT_MS = 5000
 };
 
@@ -71,8 +72,8 @@
     }
 }
 
-/* Stops a run that is not the current run of any task, for example one of a
- * finished job. */
+/* Orders the stop of a run on the VM that is not the current run of any task,
+ * for example a run of a finished job. */
 static void
 stop_unknown_run(AqScheduler *s, const Vm *vm, const AqTaskName *name,
                  int64_t run)
@@ -88,8 +89,9 @@
     }
 }
 
-/* Stops the task's run on its VM because another run replaces it.  It counts
- * as foreign usage there for as long as the VM lists it. */
+/* Orders the stop of the task's current run because another run of the task
+ * replaces it.  The resources of the stopped run count as foreign usage of its
+ * VM for as long as the VM lists that run. */
 static void
 stop_superseded_run(AqScheduler *s, Task *task)
 {
@@ -102,9 +104,9 @@
     vms_detach(s, task);
 }
 
-/* Handles what a reply to any order says of the VM and of this owner.  Returns
- * true when the reply needs no further handling: a later owner exists, or *vm
- * has been freed. */
+/* Handles what a reply to an order, of whatever kind, shows about the VM and
+ * this owner.  Returns true when the reply needs no further handling: a later
+ * owner of the pool exists, or *vm has been freed. */
 static bool
 handle_common_result(AqScheduler *s, Vm *vm, const AqOrderReply *reply)
 {
@@ -130,8 +132,9 @@
     }
 }
 
-/* Clears the pending order of a task after its reply.  Returns the task, or
- * NULL when that run is no longer the task's run on the VM. */
+/* Clears is_order_pending of the named task after the reply to a start or stop
+ * order for its run "run".  Returns the task, or NULL when "run" is no longer
+ * the task's run on the VM. */
 static Task *
 finish_order(const AqScheduler *s, const Vm *vm, const AqTaskName *name,
              int64_t run)
@@ -166,8 +169,9 @@
     }
 }
 
-/* Handles a start order that had no effect.  An earlier start order without a
- * reply may still be carried out, which only a stop rules out. */
+/* Handles a start order for the task that had no effect.  An earlier start
+ * order for the same run that had no reply may still be executed, which only a
+ * stop order rules out. */
 static void
 handle_refused_start(AqScheduler *s, Task *task, AqTime pause)
 {
@@ -213,7 +217,8 @@
         break;
     case AQ_ORDER_OLD_RUN:
         if (task->may_start_late) {
-            /* The run has already ended; the next renewal lists its end. */
+            /* The run has already ended on the VM; the reply to the next lease
+             * renewal lists its end. */
             confirm_start(s, task);
         }
         else {
@@ -227,7 +232,8 @@
     case AQ_ORDER_INVALID:
         handle_refused_start(s, task, INVALID_PAUSE_MS);
         break;
-    default: /* late, no ticket, not sent */
+    /* the start order was late, had no ticket or was not sent */
+    default:
         handle_refused_start(s, task, RESEND_MS);
         break;
     }
@@ -305,8 +311,9 @@
     }
 }
 
-/* Applies the listed ends in order and stops at the first one of a job that
- * is not known yet.  Returns whether all were applied. */
+/* Applies the ends of runs that the reply lists, in order, and stops at the
+ * first end of a run whose job is not known yet.  Returns whether all ends
+ * were applied. */
 static bool
 process_ends(AqScheduler *s, Vm *vm, const AqOrderReply *reply)
 {
@@ -362,8 +369,8 @@
 static void
 update_presence(AqScheduler *s, Task *task, const AqRunningTask *row)
 {
-    /* A task that is being stopped is still listed for a while, so only a
-     * running one counts as present. */
+    /* The VM still lists a task that is being stopped for a while, so only a
+     * task in TASK_RUNNING counts as present. */
     if (task->step->spec->is_perpetual && task->state == TASK_RUNNING) {
         if (row->percent < 100 && task->pace >= 100) {
             if (task->absent_since == AQ_TIME_NEVER) {
@@ -377,8 +384,8 @@
     task->usage = row->usage;
 }
 
-/* Makes a listed run the task's run.  An earlier owner started it, or an order
- * of this owner that had no reply. */
+/* Makes a run that the VM lists the task's current run.  An earlier owner
+ * started that run, or an order of this owner that had no reply. */
 static void
 adopt_run(AqScheduler *s, Vm *vm, Task *task, const AqRunningTask *row)
 {
@@ -393,11 +400,13 @@
     task->percent = row->percent;
     task->state = TASK_STARTING;
     confirm_start(s, task);
-    task->started_at = 0; /* unknown: the duration is not averaged */
+    /* not known, so the run's duration is not averaged */
+    task->started_at = 0;
 }
 
-/* Adds the resources of a listed run that is not the current run of a task.  A
- * run of an unknown job is assumed to take the whole VM. */
+/* Adds the resources of a run that the VM lists, and that is not the current
+ * run of a task, to the VM's foreign usage.  A run of an unknown job ("job" is
+ * NULL) is assumed to take the whole VM. */
 static void
 add_foreign_usage(Vm *vm, const Job *job, uint32_t step)
 {
@@ -407,14 +416,15 @@
         return;
     }
     const AqStepSpec *spec = &job->spec.steps[step];
-    /* At least 1, so that the VM does not count as idle. */
+    /* At least 1, so that the VM does not count as idle while it lists the
+     * run. */
     vm->foreign_cpu += spec->is_filler ? 1 : spec->cpu_millis + 1;
     vm->foreign_memory += spec->memory_mb;
 }
 
-/* Applies one running task that a renewal has listed: confirms or adopts the
- * run, or stops it when it is not the current run of a known, unfinished task.
- */
+/* Applies one running task that the VM lists in its reply to a lease renewal:
+ * confirms the run or makes it the task's current run; stops the run when its
+ * task is unknown or finished, or has a newer run. */
 static void
 process_running_task(AqScheduler *s, Vm *vm, const AqRunningTask *row)
 {
@@ -426,7 +436,8 @@
             task != NULL && task->vm == vm && task->run == row->run;
         if (is_expected) {
             task->last_listed_renewal = vm->renewal_count;
-            return; /* its stop has been ordered */
+            /* the stop of this run has been ordered */
+            return;
         }
         add_foreign_usage(vm, job, row->task.step);
         if (job != NULL || vms_is_foreign_run_overdue(s, vm)) {
@@ -450,7 +461,8 @@
     stop_if_stalled(s, vm, task, row);
 }
 
-/* Requeues the tasks whose runs the VM no longer lists. */
+/* Requeues the VM's tasks whose runs the VM no longer lists in its reply to a
+ * lease renewal that was sent at "sent_at". */
 static void
 requeue_missing_runs(AqScheduler *s, Vm *vm, AqTime sent_at)
 {
--- a/packages/scheduler/saves.c
+++ b/packages/scheduler/saves.c
@@ -2,8 +2,8 @@
 
 #include "scheduler_internal.h"
 
-/* Saves of job records.  Once a change is stored, the VMs may forget the ends
- * of runs that it contains. */
+/* Saves of job records.  Once a change of a job is stored, the VMs may forget
+ * the ends of runs that are part of that change. */
 
 size_t
 AqScheduler_BeginSave(AqScheduler *s, AqJobSave *saves, size_t most)
@@ -30,8 +30,8 @@
     return count;
 }
 
-/* Ends the save of one job; it becomes dirty again if the save failed or the
- * job has changed since. */
+/* Ends the save of one job's record; the job goes back to the list of jobs to
+ * save if this save failed or the job has changed since the save began. */
 static void
 end_save(AqScheduler *s, Job *job, const AqJobSave *save, bool is_stored)
 {
@@ -42,8 +42,9 @@
     if (!is_stored || job->changed_while_saving) {
         job->changed_while_saving = false;
         if (!is_stored || job->dirty_seq == 0) {
-            /* A change whose save failed keeps its place before later ones: it
-             * counts as the oldest, so that no later end is confirmed. */
+            /* A change whose save failed keeps its place before later changes:
+             * it counts as the oldest, so that no later end of a run is
+             * confirmed to a VM. */
             job->dirty_seq = is_stored ? s->change_seq : 1;
         }
         if (is_stored) {
--- a/packages/scheduler/scheduler.c
+++ b/packages/scheduler/scheduler.c
@@ -7,11 +7,13 @@
 #include "scheduler_internal.h"
 
 enum {
-    MAX_TICK_INTERVAL_MS = 100, /* longest time between two ticks */
-    /* A task's duration has the weight 1 / DURATION_MEAN_DIVISOR in the moving
-     * average. */
+    /* longest time that AqScheduler_Tick() allows until its next call */
+    MAX_TICK_INTERVAL_MS = 100,
+    /* The duration of a finished task has the weight 1 / DURATION_MEAN_DIVISOR
+     * in the moving averages of durations. */
     DURATION_MEAN_DIVISOR = 32,
-    VM_ARRIVAL_MS = 2000 /* from requesting a VM until it is usable */
+    /* time from requesting a VM for the pool until the VM is usable */
+    VM_ARRIVAL_MS = 2000
 };
 
 /* ---- Jobs --------------------------------------------------------------- */
@@ -217,7 +219,7 @@
     }
 }
 
-/* Ends the job and orders the stop of all its runs. */
+/* Ends the job with the given stage and orders the stop of all its runs. */
 static void
 finish_job(AqScheduler *s, Job *job, AqJobStage stage)
 {
@@ -258,7 +260,7 @@
     finish_job(s, job, AQ_STAGE_COMPLETED);
 }
 
-/* Time constants, ms, with which submitted work decays. */
+/* Time constants, ms, with which offered_work and offered_work_long decay. */
 static const double offered_decay_ms = 1000.0;
 static const double offered_long_decay_ms = 2000.0;
 
@@ -273,10 +275,11 @@
     }
 }
 
-/* Cores that the offered load will need when a VM requested now is usable.
- * While the load rises steadily, each average lags by its time constant, so
- * the rate of the rise is the difference of the two averages divided by the
- * difference of their time constants. */
+/* Returns the number of cores needed for the offered load, the recently
+ * submitted work, at the time when a VM requested now is usable.  While the
+ * load rises steadily, each of its two averages lags by the average's time
+ * constant, so the rate of the rise is the difference of the two averages
+ * divided by the difference of their time constants. */
 static double
 forecast_offered_cores(const AqScheduler *s)
 {
@@ -395,10 +398,10 @@
 
 /* ---- Ends of tasks ------------------------------------------------------ */
 
-/* Adds a finished task to the averages of declared and actual durations.
- * Declared durations are off by large factors either way, so the mean of the
- * individual ratios is far above the ratio of the means, and only the latter
- * gives the amount of work. */
+/* Adds the task, which is done, to the averages of declared and actual
+ * durations.  Declared durations are off by large factors either way, so the
+ * mean of the individual ratios is far above the ratio of the means, and only
+ * the latter gives the amount of work. */
 static void
 update_mean_durations(AqScheduler *s, const Task *task)
 {
@@ -441,7 +444,8 @@
     if (task->state == TASK_READY) {
         step->ready--;
     }
-    vms_detach(s, task); /* members of a gang end together */
+    /* the task may be on a VM while another task of its gang has ended */
+    vms_detach(s, task);
     task->state = TASK_DONE;
     step->done++;
 }
@@ -535,8 +539,9 @@
         return;
     }
     if (task->step->spec->is_perpetual) {
-        /* The pause grows, so that a task that keeps failing at once does not
-         * use up all orders. */
+        /* The pause before the next start grows with the task's failures, so
+         * that a perpetual task that keeps failing at once does not use up all
+         * orders. */
         pause *= task->failures < 50 ? task->failures : 50;
     }
     task->not_before =
--- a/packages/scheduler/scheduler_internal.h
+++ b/packages/scheduler/scheduler_internal.h
@@ -8,22 +8,26 @@
 
 /* Types and functions shared by the sources of the scheduler:
  * scheduler.c   jobs, steps, the tick and the reported load
- * vms.c         state of each VM, its leases, renewals and silence
- * used_vms.c    stored list of the VMs that later owners must wait for
- * replies.c     effect of each reply on tasks
+ * vms.c         state of each VM, its leases, and VMs that do not reply
+ * used_vms.c    stored list of the VMs that a later owner must wait for
+ * replies.c     effects of the replies to orders on tasks
  * ranking.c     order in which jobs are placed
  * placement.c   choice of a VM for each task
  * perpetual.c   moves of perpetual tasks off a VM, pacing of fillers
  * progress.c    stored progress record of a job
- * saves.c       which records to store, and what a save allows */
+ * saves.c       saves of job records, then confirmation of ends of runs */
 
 typedef enum {
-    TASK_BLOCKED, /* earlier steps are not done */
-    TASK_READY,   /* may start; no run is alive, except one copied off a silent
-                     VM */
-    TASK_STARTING, /* a start is ordered and not confirmed */
+    /* a step that must be done before the task's step is not done */
+    TASK_BLOCKED,
+    /* a run may start: the task has no live run, except perhaps one on a VM
+     * without replies if its step allows copies */
+    TASK_READY,
+    /* the start of a run is ordered; its VM has not confirmed the start */
+    TASK_STARTING,
     TASK_RUNNING,
-    TASK_STOPPING, /* a stop is ordered or due */
+    /* the stop of the task's run is ordered, or is still to be ordered */
+    TASK_STOPPING,
     TASK_DONE
 } TaskState;
 
@@ -31,105 +35,154 @@
 typedef struct Step Step;
 typedef struct Vm Vm;
 
-/* Times without another note are on the scheduler's clock.  CPU amounts are
- * in thousandths of a core, memory amounts in MB. */
+/* In the types below, times without another note are on the scheduler's clock,
+ * that of "now" in its functions.  CPU amounts are in thousandths of a core,
+ * memory amounts in MB. */
 
 typedef struct {
     Step *step; /* borrowed */
     uint32_t index;
     TaskState state;
-    int64_t run;           /* highest run number used so far */
-    uint32_t failures;     /* failed runs */
-    int64_t *failed_runs;  /* numbers of the failed runs, "failures" of them;
-                            * owned; NULL for perpetual tasks, whose failures
-                            * are not bounded */
-    Vm *vm;                /* VM of the run that may be alive, or NULL;
-                            * borrowed */
-    AqLink link;           /* in vm->tasks */
-    bool is_order_pending; /* a start or stop order awaits its reply */
-    bool may_start_late;   /* a start order had no reply; the VM may
-                            * still carry it out */
-    bool must_stop_after_reply; /* stop the run once the pending start order
-                                 * has its reply */
-    bool is_stop_acked;         /* the VM has confirmed the stop */
-    AqTime resend_at;           /* earliest time to repeat the order */
-    AqTime ready_at;            /* when the task became ready */
-    AqTime not_before;          /* earliest time of the next start */
-    AqTime started_at;   /* when the start was confirmed; 0: not known */
-    AqTime listed_after; /* the reply to a renewal sent after this time lists
-                          * the run unless it has ended */
-    AqTime progress_at;  /* when "percent" last changed */
-    int64_t percent;     /* progress reported by the VM */
-    int64_t usage;       /* as in AqRunningTask */
-    int pace;            /* percent of full speed that a filler may use */
+    /* number of the task's latest run, the highest so far; 0: none */
+    int64_t run;
+    uint32_t failures; /* number of failed runs of the task */
+    /* array of the run numbers of the task's failed runs, "failures" of them;
+     * owned.  NULL for a perpetual task, whose failures are not limited */
+    int64_t *failed_runs;
+    /* VM with a run of the task that may be alive; NULL: there is none;
+     * borrowed */
+    Vm *vm;
+    AqLink link; /* links the task into vm->tasks */
+    /* a start or stop order for the task has had no reply yet */
+    bool is_order_pending;
+    /* a start order for the run ended without a reply; the VM may still
+     * execute that order */
+    bool may_start_late;
+    /* order the stop of the run once the VM has replied to the run's pending
+     * start order */
+    bool must_stop_after_reply;
+    /* the VM has confirmed the stop order for the task's run */
+    bool is_stop_acked;
+    /* earliest time to send the task's start or stop order again */
+    AqTime resend_at;
+    /* when the task last became TASK_READY */
+    AqTime ready_at;
+    /* earliest time to start the task's next run */
+    AqTime not_before;
+    /* when the VM confirmed the start of the task's current run; 0: not
+     * known */
+    AqTime started_at;
+    /* the reply to a lease renewal sent after this time lists the task's
+     * current run, unless that run has ended */
+    AqTime listed_after;
+    /* when "percent" of this task last changed or its run started */
+    AqTime progress_at;
+    /* progress of the task's run in percent, as its VM last reported */
+    int64_t percent;
+    /* AqRunningTask.usage that the VM last reported for the task */
+    int64_t usage;
+    /* of a filler, which uses only idle CPU: percent of full speed that its
+     * run may use; of other tasks 100 */
+    int pace;
     AqTime pace_changed_at;
-    AqTime absent_since; /* when a perpetual task stopped being at work;
-                          * AQ_TIME_NEVER while it is at work */
-    uint64_t last_listed_renewal; /* vm->renewal_count at the last renewal that
-                                   * listed the run */
-    char *checkpoint;             /* last saved work, or NULL; owned */
-    char avoid[AQ_VM_ID_SIZE];    /* VM of the last failed run or of a run that
-                                   * was copied off a silent VM; "": none */
+    /* of a perpetual task: since when the task is not at work; AQ_TIME_NEVER
+     * while the task is at work */
+    AqTime absent_since;
+    /* vm->renewal_count at the last lease renewal in whose reply the VM listed
+     * the task's run */
+    uint64_t last_listed_renewal;
+    /* last checkpoint that a VM reported, from which the task's next run
+     * continues; NULL: none; owned */
+    char *checkpoint;
+    /* id of the VM on which a run of the task failed last, or that was silent
+     * when the task was requeued; the task's next run preferably goes to
+     * another VM; "": none */
+    char avoid[AQ_VM_ID_SIZE];
 } Task;
 
-/* Permission of the advice service to start a step's tasks on a VM. */
+/* Ticket: permission of the advice service to start a step's tasks on a VM. */
 typedef struct {
-    char *vm;     /* owned */
+    char *vm;     /* id of the VM; owned */
     char *ticket; /* owned */
     AqTime expires_at;
 } Ticket;
 
 typedef struct Occurrence {
-    AqLink link; /* in job->occurrences */
-    Job *job;    /* borrowed */
+    /* links the occurrence into job->occurrences */
+    AqLink link;
+    Job *job; /* borrowed */
     uint32_t number;
-    Step *steps;       /* job->spec.step_count of them; owned */
-    size_t steps_left; /* steps that are not done */
-    AqTime due_at;     /* when the occurrence was added */
+    /* array of job->spec.step_count steps; owned */
+    Step *steps;
+    /* number of the occurrence's steps that are not done */
+    size_t steps_left;
+    /* when this occurrence was added to the job */
+    AqTime due_at;
 } Occurrence;
 
 struct Step {
     Occurrence *occurrence; /* borrowed */
-    const AqStepSpec *spec; /* in the job's spec; borrowed */
+    /* this step's element of job->spec.steps; borrowed */
+    const AqStepSpec *spec;
     uint32_t number;
-    Task *tasks;                /* spec->task_count of them; owned */
-    uint32_t done;              /* tasks in state TASK_DONE */
-    uint32_t ready;             /* tasks in state TASK_READY */
-    GArray *tickets;            /* of Ticket, or NULL; owned */
-    bool is_requesting_tickets; /* a ticket request awaits its end */
-    AqTime request_tickets_at;  /* earliest time of the next request */
+    /* array of spec->task_count tasks; owned */
+    Task *tasks;
+    /* number of the step's tasks in state TASK_DONE */
+    uint32_t done;
+    /* number of the step's tasks in state TASK_READY */
+    uint32_t ready;
+    GArray *tickets; /* array of Ticket, or NULL; owned */
+    /* a request for tickets for the step has not ended */
+    bool is_requesting_tickets;
+    /* earliest time of the next request for tickets for the step */
+    AqTime request_tickets_at;
 };
 
 struct Job {
-    AqLink link;       /* in scheduler->active, while unfinished */
-    AqLink dirty_link; /* in scheduler->dirty, while a change is unsaved */
-    AqJobSpec spec;    /* owned */
+    /* links the job into scheduler->active while the job is unfinished */
+    AqLink link;
+    /* links the job into scheduler->dirty while a change of the job waits for
+     * a save */
+    AqLink dirty_link;
+    AqJobSpec spec; /* owned */
     AqJobStage stage;
-    AqJobStage stored_stage; /* stage in the last stored record */
-    bool has_started;        /* a run of some task has been confirmed */
-    bool is_new;             /* no earlier owner can have started the job */
-    bool is_saving;          /* its record is being written */
+    /* stage in the job's last stored record */
+    AqJobStage stored_stage;
+    /* a VM has confirmed the start of a run of one of the job's tasks */
+    bool has_started;
+    /* no earlier owner of the pool can have started tasks of the job */
+    bool is_new;
+    /* the job's record is being written to the store */
+    bool is_saving;
     bool changed_while_saving;
-    uint64_t dirty_seq;       /* change_seq of the oldest change that is not
-                               * stored */
-    AqLink occurrences;       /* of Occurrence */
-    uint32_t next_occurrence; /* number of the next one to add */
+    /* scheduler->change_seq of the job's oldest change that is not stored */
+    uint64_t dirty_seq;
+    AqLink occurrences; /* list of Occurrence; owned */
+    /* number of the job's next occurrence to add */
+    uint32_t next_occurrence;
     AqTime submitted_at;
-    /* Results of ranking_update; valid during one placement. */
-    int bucket;             /* rank class; lower is placed first */
-    int64_t remaining_work; /* core-milliseconds */
-    AqTime slack;           /* time to spare before the job is late */
+    /* rank class of the job: jobs of lower classes are placed first.  Set by
+     * ranking_update() and valid during one placement_run(), as are
+     * remaining_work and slack */
+    int bucket;
+    /* work, by declared durations, of the tasks that are not done in the job's
+     * occurrences with ready tasks, in core-milliseconds */
+    int64_t remaining_work;
+    /* expected time, ms, from the job's completion to its objective; negative:
+     * the job will be late */
+    AqTime slack;
 };
 
-/* A run listed by the earlier owner when it handed the pool over. */
+/* A run of a task that the previous owner of the pool listed when it handed
+ * the pool over. */
 typedef struct {
     char vm[AQ_VM_ID_SIZE];
     AqTaskName task;
     int64_t run;
 } InheritedRun;
 
-/* An end of a run; it may be confirmed to the VM once all changes up to "seq"
- * are stored. */
+/* The end of a run of a task that a VM has listed.  The end may be confirmed
+ * to that VM once all changes of jobs up to "seq" are stored. */
 typedef struct {
     int64_t number;
     uint64_t seq;
@@ -137,182 +190,248 @@
 
 struct Vm {
     AqVmReport report;
-    AqLink link;  /* in scheduler->vms */
-    AqLink tasks; /* tasks with a run here that may be alive */
+    AqLink link; /* links the VM into scheduler->vms */
+    /* list of Task: tasks with a run on this VM that may be alive */
+    AqLink tasks;
     size_t task_count;
-    bool is_listed;     /* the store has an entry of the VM */
-    AqTime unlisted_at; /* when that entry disappeared */
+    bool is_listed; /* the store has an entry of this VM */
+    /* when the VM's entry in the store disappeared */
+    AqTime unlisted_at;
     bool is_cordoned;
-    uint64_t used_since_version; /* first version of the list of used VMs that
-                                  * includes the VM */
-    bool is_use_recorded;        /* that version is stored */
-    bool has_replied;            /* to a renewal under this owner's fence */
-    bool used_by_earlier_owner;  /* in the stored list of used VMs; cleared
-                                  * when the VM's leases have expired */
-    bool has_ended;     /* moved or taken down by an order; cleared when the
-                         * VM replies again */
-    AqTime clock_ms;    /* VM's own clock as read at clock_at; -1: unknown */
-    AqTime clock_at;    /* when the last reply with a clock arrived */
-    AqTime deadline_ms; /* latest deadline granted to the VM, on its clock */
-    bool is_renewal_pending;  /* a renewal awaits its reply */
-    AqTime renewal_due;       /* earliest time of the next renewal */
-    AqTime silent_since;      /* first order without a reply; AQ_TIME_NEVER
-                               * while the VM replies */
-    AqTime blocked_until;     /* no starts until then, after "no room" */
-    AqTime quarantined_until; /* not usable until then */
+    /* first version of the list of used VMs, to which an owner may have sent
+     * orders, that includes this VM */
+    uint64_t used_since_version;
+    /* a version of the list of used VMs that includes this VM is stored */
+    bool is_use_recorded;
+    /* the VM has replied to a lease renewal with this owner's fence */
+    bool has_replied;
+    /* an earlier owner stored the VM in its list of used VMs, to which it may
+     * have sent orders; cleared when the VM's leases have expired */
+    bool used_by_earlier_owner;
+    /* an order moved the VM to another pool or took it down; cleared when the
+     * VM replies again */
+    bool has_ended;
+    /* the VM's own clock at the scheduler's time clock_at; -1: not known */
+    AqTime clock_ms;
+    /* when the VM's last reply that reports its clock arrived */
+    AqTime clock_at;
+    /* end of the VM's latest lease, on the VM's clock */
+    AqTime deadline_ms;
+    /* a lease renewal sent to the VM has had no reply yet */
+    bool is_renewal_pending;
+    /* earliest time of the VM's next lease renewal */
+    AqTime renewal_due;
+    /* when an order to the VM first ended without a reply; AQ_TIME_NEVER while
+     * the VM replies */
+    AqTime silent_since;
+    /* no task starts on the VM before this time, after the VM refused a start
+     * with AQ_ORDER_NO_ROOM */
+    AqTime blocked_until;
+    /* no task starts on the VM before this time, after runs failed or stalled
+     * there or the VM refused orders */
+    AqTime quarantined_until;
     unsigned consecutive_failures;
     int64_t used_cpu;
-    int64_t perpetual_cpu; /* part of used_cpu taken by perpetual tasks */
+    /* part of used_cpu that perpetual tasks take */
+    int64_t perpetual_cpu;
     int64_t used_memory;
     int64_t used_gpus;
-    int64_t foreign_cpu; /* taken by listed runs that are not the current run
-                          * of a task here */
+    /* CPU taken by runs that the VM lists and that are not the current run of
+     * a task on this VM */
+    int64_t foreign_cpu;
     int64_t foreign_memory;
-    AqTime foreign_since; /* since when runs or ends of unknown jobs have been
-                           * listed; 0: none are */
-    AqTime idle_since;    /* when the last task left; AQ_TIME_NEVER while the
-                           * VM has tasks */
-    int64_t last_end_number;      /* highest end processed */
-    int64_t confirmed_end_number; /* highest end that the VM may forget */
-    GArray *pending_ends;         /* PendingEnd in rising order; owned */
-    uint64_t renewal_count;       /* renewals with a successful reply */
+    /* since when the VM has listed runs, or ends of runs, of jobs that this
+     * scheduler does not know; 0: it lists none */
+    AqTime foreign_since;
+    /* since when the VM has had no tasks; AQ_TIME_NEVER while it has tasks */
+    AqTime idle_since;
+    /* highest AqEndedTask.number of the VM's ends of runs that were
+     * processed */
+    int64_t last_end_number;
+    /* highest AqEndedTask.number of an end of a run that the VM may forget,
+     * since the record of the run's job is stored */
+    int64_t confirmed_end_number;
+    /* array of PendingEnd: ends of runs that are not confirmed to the VM, in
+     * rising order of number; owned */
+    GArray *pending_ends;
+    /* number of lease renewals to which the VM replied AQ_ORDER_DONE */
+    uint64_t renewal_count;
 };
 
 struct AqScheduler {
     AqSchedulerConfig config;
     AqSchedulerActions actions;
-    void *context;            /* passed to the actions */
+    void *context;            /* passed to each of "actions" */
     const AqSiteConfig *site; /* borrowed */
     AqTime created_at;
-    AqTime now;   /* time of the last call */
-    int64_t wall; /* Unix ms of the last tick */
+    /* the latest time "now" passed to the scheduler */
+    AqTime now;
+    /* "wall" of the last AqScheduler_Tick(), Unix ms */
+    int64_t wall;
     bool may_order;
-    GArray *inherited_runs; /* of InheritedRun, until the jobs are loaded */
-    bool is_loaded;         /* stored used VMs and jobs have all been added */
-    bool is_closed;         /* no more orders are sent */
-    bool is_handed_over;    /* the earlier owner stored all its live runs in a
-                             * hand-over */
-    bool is_recovered;      /* no run of an earlier owner can be unknown */
-    bool is_superseded;     /* a later owner gives orders */
-    GHashTable *jobs;       /* id -> Job; owns the jobs */
-    AqLink active;          /* unfinished jobs */
-    AqLink dirty;        /* jobs with unsaved changes, oldest change first */
-    uint64_t change_seq; /* number of the last change of a job */
-    uint64_t stored_seq; /* all changes up to this one are stored */
-    size_t saving_count; /* records in the current save; 0: no save */
+    /* array of InheritedRun; emptied by AqScheduler_SetLoaded() */
+    GArray *inherited_runs;
+    /* all stored jobs and the stored list of used VMs, to which an earlier
+     * owner may have sent orders, have been added */
+    bool is_loaded;
+    /* AqScheduler_Close() was called: the scheduler sends no more orders */
+    bool is_closed;
+    /* the previous owner stored all its live runs of tasks in a hand-over */
+    bool is_handed_over;
+    /* the scheduler knows all live runs that earlier owners may have
+     * started */
+    bool is_recovered;
+    /* a VM has received orders of a later owner; this scheduler sends none */
+    bool is_superseded;
+    GHashTable *jobs; /* job id -> Job; owns the jobs */
+    AqLink active;    /* list of the unfinished jobs */
+    /* list of the jobs with changes that wait for a save, the job with the
+     * oldest change first */
+    AqLink dirty;
+    /* number of changes of jobs so far; the last change has this number */
+    uint64_t change_seq;
+    /* the changes of jobs are stored up to the change with this number */
+    uint64_t stored_seq;
+    /* number of job records in the save under way; 0: none is */
+    size_t saving_count;
     GHashTable *vms_by_id;
-    AqLink vms;                /* owned */
-    uint64_t used_vms_version; /* version of the list of used VMs */
+    AqLink vms; /* list of Vm; owned */
+    /* version of the list of used VMs, to which this owner may have sent
+     * orders */
+    uint64_t used_vms_version;
     bool placement_due;
-    AqTime next_placement_at;     /* due even without an event */
-    AqTime earliest_placement_at; /* not before, whatever happens */
-    AqTime next_scan_at; /* of all tasks, for repeated orders and pacing */
-    int64_t largest_free_cpu_millis; /* free on one usable VM, during a
-                                      * placement */
-    /* Submitted work in core-milliseconds, decaying exponentially. */
+    /* time of the next placement of tasks if placement_due stays false */
+    AqTime next_placement_at;
+    /* no placement of tasks takes place before this time */
+    AqTime earliest_placement_at;
+    /* next scan of all tasks, which repeats orders, moves perpetual tasks and
+     * paces fillers */
+    AqTime next_scan_at;
+    /* most free CPU on one usable VM; valid during a placement of tasks */
+    int64_t largest_free_cpu_millis;
+    /* Work of the submitted jobs in core-milliseconds, which decays
+     * exponentially with time. */
     double offered_work;
-    double offered_work_long; /* the same with a longer time constant */
-    AqTime offered_at;        /* time of the last decay */
-    /* Moving averages over the tasks done: declared and actual duration. */
+    /* as offered_work, with a longer time constant of the decay */
+    double offered_work_long;
+    /* when the decay was last applied to offered_work and offered_work_long */
+    AqTime offered_at;
+    /* Moving averages over finished tasks: the declared and the actual
+     * duration of a task. */
     double mean_declared_ms;
     double mean_actual_ms;
     AqSchedulerCounters counters;
 };
 
 /* ---- scheduler.c */
-/* NULL when the job is not known. */
+/* Returns the job with this id; NULL when the scheduler has no such job. */
 Job *scheduler_find_job(const AqScheduler *s, const char *id);
-/* NULL when the job, occurrence, step or task is not known. */
+/* Returns the named task; NULL when its job, occurrence, step or index is not
+ * known. */
 Task *scheduler_find_task(const AqScheduler *s, const AqTaskName *name);
 void scheduler_name_task(const Task *task, AqTaskName *name);
-/* Marks the job's record as unsaved. */
+/* Marks the job as changed, so that its record is saved. */
 void scheduler_changed(AqScheduler *s, Job *job);
-/* Marks the task as done; when it is one of a gang, the whole gang. */
+/* Marks the task as done; if its step is a gang, all tasks of the step. */
 void scheduler_task_done(AqScheduler *s, Task *task);
-/* Records a failed run.  A run that was recorded before is ignored, since a VM
- * may list an end several times. */
+/* Records that run number "run" of the task failed.  Has no effect if this was
+ * recorded before, since a VM may list the end of a run several times. */
 void scheduler_task_failed(AqScheduler *s, Task *task, int64_t run);
-/* Adds the run to the task's failures without any other effect. */
+/* Adds run number "run" to the task's failed runs, without any other
+ * effect. */
 void scheduler_add_failure(Task *task, int64_t run);
-/* Makes a task ready for its next run, after the last one has ended or its VM
- * is silent and the step allows copies. */
+/* Makes the task ready for its next run, after its last run has ended, or
+ * while the VM of that run is silent and the step allows copies. */
 void scheduler_requeue_task(AqScheduler *s, Task *task);
 bool scheduler_is_finished(const Job *job);
-/* Queue of the job, or NULL when the site has none of that name. */
+/* Returns the job's queue; NULL when the site configuration has no queue of
+ * that name. */
 const AqQueueConfig *scheduler_queue(const AqScheduler *s, const Job *job);
 Occurrence *scheduler_add_occurrence(AqScheduler *s, Job *job,
                                      uint32_t number);
-/* Makes the blocked tasks ready whose earlier steps are all done. */
+/* Makes the occurrence's blocked tasks ready if all steps that must be done
+ * before their step are done. */
 void scheduler_unlock(AqScheduler *s, Occurrence *occurrence);
-/* Expected duration of a task of the step, ms: the declared one, scaled by the
- * ratio of actual to declared durations seen so far. */
+/* Returns the expected duration, ms, of a task of the step: the declared one,
+ * scaled by the ratio of actual to declared durations of finished tasks. */
 AqTime scheduler_estimate(const AqScheduler *s, const AqStepSpec *spec);
 
 /* ---- vms.c */
-/* NULL when the VM is not known. */
+/* Returns the VM with this id; NULL when the scheduler has no such VM. */
 Vm *vms_find(const AqScheduler *s, const char *id);
 Vm *vms_add(AqScheduler *s, const AqVmReport *report);
-/* Assigns the task to the VM and accounts for its resources there. */
+/* Assigns the task to the VM and adds the task's resources to the VM's
+ * usage. */
 void vms_attach(AqScheduler *s, Vm *vm, Task *task);
-/* Undoes vms_attach; no effect on a task without a VM. */
+/* Undoes vms_attach() of the task; no effect on a task without a VM. */
 void vms_detach(AqScheduler *s, Task *task);
-/* Whether tasks may be started on the VM, provided that they fit. */
+/* Whether tasks that fit on the VM may be started there. */
 bool vms_is_usable(const AqScheduler *s, const Vm *vm);
-/* Records that the VM replied, and its clock. */
+/* Records that the VM replied, and the VM's clock from the reply. */
 void vms_on_reply(AqScheduler *s, Vm *vm, const AqOrderReply *reply);
-/* Records that an order had no reply. */
+/* Records that an order to the VM had no reply. */
 void vms_on_no_reply(AqScheduler *s, Vm *vm);
-/* Extends the VM's lease; returns the deadline for an order sent now, on the
- * VM's clock. */
+/* Extends the VM's lease for an order that is sent now.  Returns the new end
+ * of the lease, on the VM's clock. */
 AqTime vms_grant_lease(AqScheduler *s, Vm *vm);
-/* Requeues the VM's tasks as lost, removes the VM and frees it. */
+/* Requeues the VM's tasks, whose runs count as lost, removes the VM from the
+ * scheduler and frees it. */
 void vms_remove(AqScheduler *s, Vm *vm);
 void vms_free(Vm *vm);
-/* Sends the renewals that are due and handles silent VMs.  Returns when the
- * next renewal is due. */
+/* Sends the lease renewals that are due and handles VMs that do not reply.
+ * Returns when the next lease renewal is due. */
 AqTime vms_tick(AqScheduler *s);
-/* Raises the VM's confirmed end to the last one whose job record is stored. */
+/* Raises confirmed_end_number to the number of the VM's last end of a run
+ * whose job record is stored, as are those of all ends before it. */
 void vms_confirm_ends(const AqScheduler *s, Vm *vm);
-/* Sets *target, which borrows from the VM. */
+/* Sets *target to the VM's address and id, both borrowed from the VM. */
 void vms_target(const Vm *vm, AqOrderTarget *target);
-/* Counts consecutive failures on the VM and quarantines it after several. */
+/* Counts consecutive failed runs on the VM; after several, quarantines the VM:
+ * no task starts there for a while. */
 void vms_record_result(AqScheduler *s, Vm *vm, const Task *task,
                        bool is_failure);
-/* Sets when the next renewal is sent, after the reply to the last one. */
+/* Sets when the VM's next lease renewal is due, after the last renewal has
+ * ended. */
 void vms_schedule_renewal(AqScheduler *s, Vm *vm);
-/* Whether runs or ends of unknown jobs have been listed for longer than this
- * owner needs to see a new job in the store. */
+/* Whether the VM has listed runs, or ends of runs, of unknown jobs for longer
+ * than this owner needs to read a new job from the store. */
 bool vms_is_foreign_run_overdue(const AqScheduler *s, const Vm *vm);
 
 /* ---- replies.c */
-/* Orders the stop of the task's run, or defers it while a start is pending. */
+/* Orders the stop of the task's run.  While a start order for the task is
+ * pending, the stop is deferred until the VM has replied to the start
+ * order. */
 void replies_order_stop(AqScheduler *s, Task *task);
-/* Logs a run that is given up although its VM has not listed an end. */
+/* Logs that the task's run is given up as lost although its VM has not listed
+ * an end of that run. */
 void replies_log_lost(const AqScheduler *s, const Task *task,
                       const char *reason);
-/* Repeats the orders that had no reply and are due again. */
+/* Repeats the start and stop orders that had no reply and are due again. */
 void replies_tick(AqScheduler *s);
 
 /* ---- ranking.c */
-/* Sets the ranking fields of a job.  Returns whether it has ready tasks. */
+/* Sets "bucket", "remaining_work" and "slack" of the job.  Returns whether the
+ * job has ready tasks. */
 bool ranking_update(const AqScheduler *s, Job *job);
 /* Order of two Job pointers for qsort: the job to place first comes first. */
 int ranking_compare(const void *a, const void *b);
 
 /* ---- placement.c */
-/* Starts ready tasks when a placement is due. */
+/* Orders the start of ready tasks if a placement of tasks is due. */
 void placement_run(AqScheduler *s);
 /* Sends the start order of a task that is assigned to a VM. */
 void placement_send_start(AqScheduler *s, Task *task);
 
 /* ---- perpetual.c */
-/* Repeats due orders, moves perpetual tasks and paces fillers. */
+/* Repeats start and stop orders that had no reply, moves perpetual tasks off
+ * cordoned and draining VMs, and paces fillers. */
 void perpetual_tick(AqScheduler *s);
 
 /* ---- progress.c */
-/* Appends the record of the job's progress. */
+/* Appends the job's progress in its stored form to "out". */
 void progress_encode(const Job *job, AqBuffer *out);
-/* Sets the job's progress from its record; false when it is damaged. */
+/* Sets the job's progress from its stored form "bytes"; false when these are
+ * damaged. */
 bool progress_apply(AqScheduler *s, Job *job, const char *bytes, size_t size);
 
 #endif
--- a/packages/scheduler/sizing.c
+++ b/packages/scheduler/sizing.c
@@ -3,23 +3,32 @@
 #include <string.h>
 
 enum {
-    RESERVE_PERCENT = 30, /* capacity kept free, of the capacity in use */
-    MIN_VMS = 3,          /* keeps perpetual tasks from all sharing one VM */
-    RESERVE_VMS = 1,      /* for the start of a burst, until more VMs arrive */
+    /* CPU of the pool that is kept free, in percent of the CPU in use or of
+     * the CPU for the offered load */
+    RESERVE_PERCENT = 30,
+    /* least number of VMs that a pool keeps, so that its perpetual tasks do
+     * not all share one VM */
+    MIN_VMS = 3,
+    /* VMs that a pool keeps beyond its need, for the start of a burst of jobs
+     * until more VMs arrive */
+    RESERVE_VMS = 1,
     /* One decision acquires at most MAX_ACQUIRED_VMS or, on a large site, the
      * site's VMs divided by MAX_ACQUIRED_SITE_DIVISOR, so that one wrong
      * estimate does not empty the other pools. */
     MAX_ACQUIRED_VMS = 16,
     MAX_ACQUIRED_SITE_DIVISOR = 4,
-    MAX_AHEAD_PERCENT = 200, /* most that is acquired ahead, of the current
-                              * need */
-    AHEAD_LOAD_PERCENT = 50, /* current need, of the capacity, above which
-                              * VMs are acquired ahead */
-    STUCK_WAIT_MS = 800      /* a task ready for longer gets one more VM
-                              * even if the total capacity suffices */
+    /* most CPU that is acquired ahead of the current need for CPU, in percent
+     * of that need */
+    MAX_AHEAD_PERCENT = 200,
+    /* current need for CPU, in percent of the pool's capacity, above which VMs
+     * are acquired ahead of the need */
+    AHEAD_LOAD_PERCENT = 50,
+    /* when a task has been ready for longer than this, its pool acquires one
+     * more VM even if the pool's total capacity suffices */
+    STUCK_WAIT_MS = 800
 };
 
-/* Number of VMs that a pool keeps whatever its load. */
+/* Least number of VMs that the pool keeps whatever its load is. */
 static size_t
 min_vms(const AqSizingInput *input)
 {
@@ -29,7 +38,8 @@
     return least > MIN_VMS ? least : MIN_VMS;
 }
 
-/* VMs needed for "cpu" thousandths of a core; 0 for a negative amount. */
+/* Number of VMs needed for "cpu" thousandths of a core; 0 for a negative
+ * amount. */
 static size_t
 vms_for_cpu(const AqSizingInput *input, int64_t cpu)
 {
@@ -40,7 +50,7 @@
 }
 
 /* Thousandths of a core that the perpetual tasks and the offered load need,
- * with the reserve for the latter. */
+ * with RESERVE_PERCENT added to the offered load. */
 static int64_t
 offered_cpu_with_reserve(const AqSizingInput *input)
 {
@@ -48,7 +58,8 @@
            input->offered_cpu_millis * RESERVE_PERCENT / 100;
 }
 
-/* VMs needed beside those that are usable, requested or in maintenance. */
+/* Number of VMs that the pool needs beside those that are usable, requested or
+ * in maintenance. */
 static size_t
 count_needed_vms(const AqSizingInput *input)
 {
@@ -62,8 +73,9 @@
         needed = vms_for_cpu(input, need - have);
         needed = needed == 0 && is_stuck ? 1 : needed;
     }
-    /* The offered load counts only once the pool fills up, since a few large
-     * jobs raise it far above the real need for a moment. */
+    /* The offered load counts only when the current need exceeds
+     * AHEAD_LOAD_PERCENT of the capacity, since a few large jobs raise the
+     * offered load far above the real need for a moment. */
     if (need * 100 > input->capacity_cpu_millis * AHEAD_LOAD_PERCENT) {
         int64_t most = need + need * MAX_AHEAD_PERCENT / 100;
         int64_t offered = offered_cpu_with_reserve(input);
@@ -79,8 +91,9 @@
     return needed;
 }
 
-/* Limits the VMs acquired from the spare pool in one decision.  VMs that other
- * pools release are surplus there, so the need for those is not limited. */
+/* Limits "need" to the number of VMs that one decision acquires from the spare
+ * pool.  VMs that other pools release are surplus there, so needed_vms, which
+ * may be met by them, is not limited. */
 static size_t
 limit_acquired_vms(const AqSizingInput *input, size_t need)
 {
@@ -89,7 +102,8 @@
     return need < limit ? need : limit;
 }
 
-/* VMs to release to the spare pool: those above the need with its reserve. */
+/* Number of VMs to release to the spare pool: the pool's usable VMs above its
+ * need and reserve. */
 static size_t
 count_released_vms(const AqSizingInput *input)
 {
--- a/packages/scheduler/tests/sim.c
+++ b/packages/scheduler/tests/sim.c
@@ -8,30 +8,37 @@
 enum {
     TICK_MS = 10,
     REPLY_DELAY_MS = 2,
-    REPLY_TIMEOUT_MS = 600, /* an order without a reply ends with
-                             * AQ_ORDER_UNKNOWN */
+    /* an order without a reply ends with AQ_ORDER_UNKNOWN after this time */
+    REPLY_TIMEOUT_MS = 600,
     SAVE_DURATION_MS = 8,
-    LISTING_TTL_MS = 4500, /* a VM that is silent for longer loses its entry
-                            * in the store */
-    MAX_ATTEMPTS = 2       /* failed runs of a task that fail its job */
+    /* a VM that is silent for longer than this loses its entry in the store */
+    LISTING_TTL_MS = 4500,
+    /* number of failed runs of a task at which the task's job fails */
+    MAX_ATTEMPTS = 2
 };
 
-/* A run on a VM. */
+/* A run of a task on a VM. */
 typedef struct {
     AqTaskName name;
     int64_t run; /* number of the run */
     AqTime started_at;
-    AqTime duration_ms; /* at full speed */
-    AqTime worked_ms;   /* progress, up to duration_ms */
-    bool will_fail;     /* after a quarter of duration_ms */
+    AqTime duration_ms; /* duration of the run at full speed */
+    /* progress of the run: its time at full speed so far, up to duration_ms */
+    AqTime worked_ms;
+    /* the run fails after a quarter of duration_ms */
+    bool will_fail;
     bool is_perpetual;
-    int64_t cpu_millis; /* 0 for a filler */
-    int pace_percent;   /* of full speed */
+    /* CPU that the run takes; 0 for a filler */
+    int64_t cpu_millis;
+    /* speed of the run, percent of full speed */
+    int pace_percent;
 } Run;
 
-/* The end of a run, which the VM reports until it is confirmed. */
+/* The end of a run of a task, which the run's VM lists in its replies until an
+ * owner has confirmed the end. */
 typedef struct {
-    int64_t number; /* increases within an incarnation of the VM */
+    /* sequence number of the end, from 1 in each incarnation of a VM */
+    int64_t number;
     AqTaskName name;
     int64_t run; /* number of the run */
     AqEndKind kind;
@@ -42,24 +49,39 @@
 typedef struct {
     char id[AQ_VM_ID_SIZE];
     char address[32];
-    unsigned slot;       /* index in Sim.vms; the same for all incarnations */
-    bool is_alive;       /* false once it has crashed */
-    AqTime silent_until; /* drops orders before this time */
-    AqTime silent_since; /* start of the last silence; AQ_TIME_NEVER: none */
-    bool is_listed;      /* has an entry in the store */
-    bool is_stalled;     /* its runs make no progress */
+    /* index in Sim.vms; the same for all incarnations of the VM */
+    unsigned slot;
+    /* false once this incarnation of the VM has crashed */
+    bool is_alive;
+    /* the VM drops orders before this time */
+    AqTime silent_until;
+    /* when the VM last began to drop orders; AQ_TIME_NEVER: it never did */
+    AqTime silent_since;
+    bool is_listed; /* the VM has an entry in the store */
+    /* the runs on the VM make no progress */
+    bool is_stalled;
     bool is_draining;
-    double clock_rate;       /* of the VM's clock, relative to Sim.now */
-    uint64_t fence;          /* highest of all orders received */
-    AqTime lease_deadline;   /* end of the VM's lease, on its own clock */
-    AqTime lease_expired_at; /* last Sim.now without a valid lease */
-    int64_t tail_latency_ms; /* reported for perpetual tasks */
-    GArray *runs;            /* of Run */
-    GArray *ends;            /* of RunEnd; not confirmed yet */
-    /* task -> highest number of its runs that ended or were stopped here; runs
-     * up to that number can't start. */
+    /* rate of the VM's clock, relative to Sim.now */
+    double clock_rate;
+    /* highest fence of all orders that the VM has received */
+    uint64_t fence;
+    /* end of the VM's lease, on the VM's own clock */
+    AqTime lease_deadline;
+    /* last time, on the clock of Sim.now, at which the VM had no valid
+     * lease */
+    AqTime lease_expired_at;
+    /* tail latency that the VM reports for each of its perpetual tasks */
+    int64_t tail_latency_ms;
+    /* array of Run: the live runs on the VM */
+    GArray *runs;
+    /* array of RunEnd: ends of runs that no owner has confirmed yet */
+    GArray *ends;
+    /* Key of a task -> highest number of the task's runs that ended or were
+     * stopped on this VM; runs of the task up to that number can't start
+     * there. */
     GHashTable *closed_runs;
-    int64_t last_end; /* number of the last RunEnd */
+    /* RunEnd.number of the last end of a run on this VM */
+    int64_t last_end;
 } SimVm;
 
 typedef enum {
@@ -71,24 +93,33 @@
 
 typedef struct SimOwner SimOwner;
 
-/* An order or the reply to one, in transit. */
+/* An order to a VM, or the reply to an order, in transit. */
 typedef struct {
     AqTime deliver_at;
-    uint64_t sequence; /* breaks ties of deliver_at */
+    /* events with the same deliver_at are delivered in rising order of this
+     * number */
+    uint64_t sequence;
     bool is_reply;
     OrderKind kind;
-    SimOwner *owner;        /* receives the reply; NULL: there is no reply */
+    /* owner that receives the reply to the order; NULL: there is no reply */
+    SimOwner *owner;
     char vm[AQ_VM_ID_SIZE]; /* id of the incarnation that the order is for */
-    AqTaskName name;        /* of a start, stop or pace order */
-    int64_t run;            /* number of the run to start, stop or pace */
+    /* task of a start, stop or pace order */
+    AqTaskName name;
+    int64_t run; /* number of the run to start, stop or pace */
     uint64_t fence;
-    AqTime deadline;        /* start: end of the lease, on the VM's clock */
-    AqRenewalOrder renewal; /* of a renewal order */
-    AqTime sent_at;         /* when the order was sent */
-    AqTime wait_until; /* renewal: the VM replies at this time at the latest */
-    int percent;       /* of a pace order */
-    /* Of a reply: result and VM's clock, and for a renewal the VM's runs and
-     * the ends that are not confirmed. */
+    /* of a start order: end of the VM's lease, on the VM's clock */
+    AqTime deadline;
+    /* contents of a renewal order, which extends the VM's lease */
+    AqRenewalOrder renewal;
+    AqTime sent_at; /* when the order was sent */
+    /* of a renewal order, which extends the VM's lease: latest time of the
+     * VM's reply, on the clock of Sim.now */
+    AqTime wait_until;
+    /* of a pace order: new speed of the run, percent of full speed */
+    int percent;
+    /* In a reply: the result, the VM's clock and, to a renewal order, the live
+     * runs on the VM and the ends of runs that no owner has confirmed. */
     AqOrderResult result;
     AqTime clock_ms;
     AqRunningTask *running;
@@ -101,52 +132,77 @@
     Sim *sim;
     AqScheduler *scheduler;
     uint64_t fence;
-    AqTime lease_end; /* time from which a replaced or superseded owner sends
-                       * no orders; AQ_TIME_NEVER for other owners */
+    /* time from which a replaced or superseded owner sends no orders;
+     * AQ_TIME_NEVER for other owners */
+    AqTime lease_end;
     bool has_exited;
-    AqJobSave saves[16]; /* records of the save under way */
-    size_t save_count;   /* 0: no save is under way */
-    AqTime save_due;     /* when the save under way ends */
+    AqJobSave saves[16]; /* job records of the save under way */
+    /* number of job records in the save under way; 0: none is */
+    size_t save_count;
+    /* when the owner's save under way ends */
+    AqTime save_due;
 };
 
 /* Actual state of a task on all VMs, independent of what the schedulers have
- * recorded.  The invariants are checked against it. */
+ * recorded.  The invariants are checked against this state. */
 typedef struct {
-    unsigned confirmed_failures; /* failed ends that an owner has confirmed */
-    bool is_done;                /* a run has completed the task */
-    bool is_done_confirmed;      /* and an owner has confirmed that end */
-    AqTime last_started_at;      /* of the last run */
-    bool is_stopped; /* an order stopped the last run; none started since */
+    /* number of failed runs of the task whose ends an owner has confirmed */
+    unsigned confirmed_failures;
+    bool is_done; /* a run has completed the task */
+    /* a run has completed the task and an owner has confirmed the end of that
+     * run */
+    bool is_done_confirmed;
+    /* start of the task's last run; not set if its step allows copies */
+    AqTime last_started_at;
+    /* an order stopped the task's last run, and no run of the task has started
+     * since */
+    bool is_stopped;
 } TaskState;
 
 /* A job in the store, and the faults that are injected into its runs. */
 typedef struct {
     AqBuffer spec;   /* encoded AqJobSpec */
-    AqBuffer record; /* progress that the scheduler has saved */
+    AqBuffer record; /* stored form of the job's progress */
     bool has_record;
     bool is_cancelled;
-    unsigned runs_to_fail;       /* next runs that fail */
-    int actual_duration_percent; /* of the declared duration */
+    /* number of the job's next runs that will fail */
+    unsigned runs_to_fail;
+    /* actual duration of the job's runs, in percent of the declared
+     * duration */
+    int actual_duration_percent;
     unsigned started_run_count;
 } StoredJob;
 
 struct Sim {
     AqRandom random;
-    AqTime now; /* virtual clock, and the owners' clock */
+    /* virtual clock, ms, which is also the owners' clock */
+    AqTime now;
     SimFaults faults;
-    SimVm *vms[SIM_VMS];        /* the current incarnations */
-    unsigned incarnation_count; /* of all VMs so far; makes their ids unique */
-    GPtrArray *ended_vms;       /* of SimVm; incarnations that have crashed */
-    GPtrArray *events;          /* of Event; orders and replies in transit */
-    uint64_t sequence;          /* of the next event */
-    GPtrArray *owners;          /* of SimOwner; all since the start */
-    SimOwner *owner;            /* the current one */
-    int64_t generation;         /* of the next owner */
-    uint64_t fence;             /* of the current owner */
-    bool is_lease_certain;      /* the current owner may send orders */
-    GHashTable *jobs;           /* id -> StoredJob */
-    GHashTable *task_states;    /* task -> TaskState */
-    AqBuffer used_vms;          /* stored list of used VMs */
+    /* the current incarnation of each VM */
+    SimVm *vms[SIM_VMS];
+    /* number of incarnations of all VMs so far; makes the ids of incarnations
+     * unique */
+    unsigned incarnation_count;
+    /* array of SimVm: incarnations of VMs that have crashed */
+    GPtrArray *ended_vms;
+    /* array of Event: orders and replies in transit */
+    GPtrArray *events;
+    uint64_t sequence; /* Event.sequence of the next event */
+    /* array of SimOwner: all owners since the start of the simulation */
+    GPtrArray *owners;
+    SimOwner *owner; /* the current owner of the pool */
+    /* number of owners before the next owner */
+    int64_t generation;
+    /* fencing number of the current owner */
+    uint64_t fence;
+    /* the current owner is certain of its lease on the pool, so it may send
+     * orders */
+    bool is_lease_certain;
+    GHashTable *jobs;        /* job id -> StoredJob */
+    GHashTable *task_states; /* key of a task -> TaskState */
+    /* stored list of used VMs, to which an owner of the pool may have sent
+     * orders */
+    AqBuffer used_vms;
     AqSiteConfig site;
     AqQueueConfig queue;
     char violation[256]; /* first violated invariant; "" for none */
@@ -168,7 +224,7 @@
     g_free(text);
 }
 
-/* True with the given probability. */
+/* Returns true with a probability of "permille" / 1000. */
 static bool
 draw_fault(Sim *sim, unsigned permille)
 {
@@ -189,7 +245,8 @@
                            name->step, name->index);
 }
 
-/* State of the task, which is created when it is missing; borrowed. */
+/* Returns the state of the named task, which is created when the simulation
+ * has none; borrowed. */
 static TaskState *
 task_state(Sim *sim, const AqTaskName *name)
 {
@@ -204,7 +261,8 @@
     return state;
 }
 
-/* Borrowed; NULL when the store has no such job. */
+/* Returns the stored job with this id; NULL when the store has no such job.
+ * Borrowed. */
 static StoredJob *
 find_job(const Sim *sim, const char *id)
 {
@@ -249,7 +307,8 @@
     return 1000 + (AqTime)((double)sim->now * vm->clock_rate);
 }
 
-/* VM whose current incarnation has the id, or NULL.  Borrowed. */
+/* Returns the VM whose current incarnation has the id "id", or NULL.
+ * Borrowed. */
 static SimVm *
 find_vm(const Sim *sim, const char *id)
 {
@@ -275,7 +334,7 @@
     report->leaves_ms = -1;
 }
 
-/* Notifies all owners of the VM's entry in the store. */
+/* Notifies all owners that have not exited of the VM's entry in the store. */
 static void
 list_vm(Sim *sim, const SimVm *vm)
 {
@@ -289,7 +348,8 @@
     }
 }
 
-/* Removes the VM's entry from the store and notifies all owners of it. */
+/* Removes the VM's entry from the store and notifies all owners that have not
+ * exited of the removal. */
 static void
 unlist_vm(Sim *sim, SimVm *vm)
 {
@@ -313,7 +373,7 @@
     return run != NULL ? *run : 0;
 }
 
-/* Bars runs of the task up to this number from starting on the VM. */
+/* Bars runs of the task with numbers up to "run" from starting on the VM. */
 static void
 close_run(SimVm *vm, const AqTaskName *name, int64_t run)
 {
@@ -324,7 +384,8 @@
     }
 }
 
-/* Ends the VM's run at index "at" and adds its end to those to report. */
+/* Ends the run at array index "at" of the VM's runs and adds the end of that
+ * run to those that the VM reports. */
 static void
 end_run(Sim *sim, SimVm *vm, guint at, AqEndKind kind)
 {
@@ -338,8 +399,8 @@
     g_array_remove_index(vm->runs, at);
 }
 
-/* Advances the VM's runs by one tick; ends all of them when its lease has
- * expired. */
+/* Advances the VM's runs by one tick; ends all runs on the VM when the VM's
+ * lease has expired. */
 static void
 run_tasks(Sim *sim, SimVm *vm)
 {
@@ -368,7 +429,8 @@
 
 /* ---- Invariants --------------------------------------------------------- */
 
-/* Checks that the task has no run on any VM when it starts on "starter". */
+/* Checks that the task has no run on any VM when a run of it starts on the VM
+ * "starter". */
 static void
 check_single_run(Sim *sim, const SimVm *starter, const AqTaskName *name)
 {
@@ -387,7 +449,8 @@
     }
 }
 
-/* Checks that all tasks of the steps that must come first are done. */
+/* Checks that all tasks of the steps that must be done before the task's step
+ * are done. */
 static void
 check_step_order(Sim *sim, const AqJobSpec *spec, const AqTaskName *name)
 {
@@ -406,8 +469,10 @@
     }
 }
 
-/* Checks a start against all invariants: no second run, order of the steps, no
- * start after a confirmed end or too many failures, tasks per VM and CPU. */
+/* Checks the start of a run of the task on the VM against all invariants: the
+ * task has no second run, the order of the steps, no start after a confirmed
+ * end or too many failed runs, the limits on the step's tasks per VM and on
+ * the VM's CPU. */
 static void
 check_start(Sim *sim, const SimVm *vm, const AqJobSpec *spec,
             const AqTaskName *name)
@@ -449,7 +514,8 @@
 
 /* ---- Orders at a VM ----------------------------------------------------- */
 
-/* Executes a start order; a repeated one is confirmed without effect. */
+/* Executes a start order on the VM; an order for a run that has started there
+ * before is confirmed without effect. */
 static AqOrderResult
 do_start(Sim *sim, SimVm *vm, const Event *event)
 {
@@ -500,9 +566,9 @@
     return AQ_ORDER_DONE;
 }
 
-/* Checks that a stop order leaves no more tasks of the step missing than its
- * limit allows.  A task on a draining VM must be stopped whatever the limit
- * is. */
+/* Checks that a stop order for the task leaves no more tasks of its step
+ * missing than the step's limit allows.  A task on a draining VM must be
+ * stopped whatever that limit is. */
 static void
 check_stop(Sim *sim, const SimVm *vm, const AqTaskName *name)
 {
@@ -529,8 +595,8 @@
     AqJobSpec_Clear(&spec);
 }
 
-/* Ends the task's runs up to the order's run number and bars them from a later
- * start. */
+/* Executes a stop order on the VM: ends the task's runs with numbers up to the
+ * order's run number and bars runs with these numbers from a later start. */
 static void
 do_stop(Sim *sim, SimVm *vm, const Event *event)
 {
@@ -545,8 +611,9 @@
     close_run(vm, &event->name, event->run);
 }
 
-/* Removes the ends that the owner has confirmed, and checks that no done task
- * was started again between its end and the confirmation. */
+/* Removes the VM's ends of runs with numbers up to "acked_end", which an owner
+ * has confirmed, and checks that no done task was started again between its
+ * end and that confirmation. */
 static void
 forget_ends(Sim *sim, SimVm *vm, int64_t acked_end)
 {
@@ -556,8 +623,9 @@
             continue;
         }
         TaskState *state = task_state(sim, &end->name);
-        /* An end from before the lease last expired is not counted: the
-         * scheduler may have restarted the task after the expiry. */
+        /* An end of a run from before the last expiry of the VM's lease is not
+         * counted: the scheduler may have restarted the task after that
+         * expiry. */
         if (end->kind == AQ_END_DONE && vm->lease_expired_at < end->ended_at) {
             state->is_done_confirmed = true;
             if (state->last_started_at > end->ended_at) {
@@ -572,7 +640,8 @@
     }
 }
 
-/* Fills the lists of runs and ends in the reply to a renewal. */
+/* Fills the lists of the VM's runs and ends of runs in the reply to a renewal
+ * order, which extends the VM's lease. */
 static void
 fill_lists(const SimVm *vm, Event *reply)
 {
@@ -615,7 +684,8 @@
     }
 }
 
-/* Executes an order on the VM unless its fence is too low. */
+/* Executes an order on the VM unless the VM has received an order with a
+ * higher fence. */
 static AqOrderResult
 execute_order(Sim *sim, SimVm *vm, const Event *event)
 {
@@ -653,7 +723,7 @@
     g_free(event);
 }
 
-/* Queues the event for delivery and takes it over. */
+/* Queues the event for delivery and takes over the event. */
 static void
 queue_event(Sim *sim, Event *event)
 {
@@ -661,7 +731,8 @@
     g_ptr_array_add(sim->events, event);
 }
 
-/* Copy without the lists of runs and ends; owned by the caller. */
+/* Returns a copy of the event without its lists of runs and ends of runs;
+ * owned by the caller. */
 static Event *
 copy_event(const Event *event)
 {
@@ -672,7 +743,8 @@
     return copy;
 }
 
-/* Queues the reply to an order.  "vm" is NULL when no VM replies. */
+/* Queues the reply to an order for delivery to the order's owner, if the order
+ * has one.  "vm" is NULL when no VM replies. */
 static void
 queue_reply(Sim *sim, const Event *order, SimVm *vm, AqOrderResult result,
             AqTime deliver_at)
@@ -692,8 +764,10 @@
     queue_event(sim, event);
 }
 
-/* Executes an order that has arrived and queues its reply.  A renewal that may
- * wait is repeated at each tick until a run has ended or its time is over. */
+/* Executes an order that has arrived at its VM and queues the reply.  A
+ * renewal order, which extends the VM's lease and may wait, is repeated at
+ * each tick until the VM has an end of a run to list or the order's wait_until
+ * is reached. */
 static void
 deliver_order(Sim *sim, Event *event)
 {
@@ -772,7 +846,8 @@
     return first->sequence < second->sequence ? -1 : 1;
 }
 
-/* Delivers the orders and replies that are due, in order of their times. */
+/* Delivers the orders and replies that are due, in order of their
+ * deliver_at. */
 static void
 deliver_due(Sim *sim)
 {
@@ -812,8 +887,8 @@
     return event;
 }
 
-/* Sends an order, or delays it, in which case the owner gets a timeout as the
- * reply.  Takes over the event. */
+/* Sends the order, or delays it as a fault, in which case the owner gets
+ * AQ_ORDER_UNKNOWN as the reply.  Takes over the event. */
 static void
 send_order(SimOwner *owner, Event *event)
 {
@@ -919,8 +994,9 @@
     owner->save_count = 0;
 }
 
-/* Ends the owner's save when it is due, or begins the next one.  The list of
- * used VMs is stored at once, but only for the current owner. */
+/* Ends the owner's save when it is due, or begins the next save.  With a new
+ * save the list of used VMs, to which an owner may have sent orders, is stored
+ * at once, but only for the current owner. */
 static void
 save(SimOwner *owner)
 {
@@ -941,8 +1017,8 @@
     }
 }
 
-/* Lets the owner's scheduler send its orders, saves its records and checks its
- * consistency. */
+/* Runs a tick of the owner's scheduler, which sends the scheduler's orders,
+ * saves the scheduler's records and checks its consistency. */
 static void
 run_owner(SimOwner *owner)
 {
@@ -1064,8 +1140,9 @@
 
 /* ---- Time --------------------------------------------------------------- */
 
-/* Removes the entry of a VM that has been silent for too long; lists a VM
- * again once it is no longer silent. */
+/* Removes the VM's entry from the store when the VM has been silent for
+ * longer than LISTING_TTL_MS; adds the entry again once the VM is no longer
+ * silent. */
 static void
 update_listing(Sim *sim, SimVm *vm)
 {
@@ -1080,7 +1157,7 @@
     }
 }
 
-/* Advances the virtual clock by TICK_MS. */
+/* Advances the virtual clock by TICK_MS, with all VMs, orders and owners. */
 static void
 tick(Sim *sim)
 {
--- a/packages/scheduler/tests/sim.h
+++ b/packages/scheduler/tests/sim.h
@@ -19,8 +19,9 @@
 
 enum {
     SIM_VMS = 8,
-    SIM_LEASE_MS = 5000,       /* of a VM */
-    SIM_OWNER_LEASE_MS = 3000, /* of the pool's owner */
+    SIM_LEASE_MS = 5000, /* duration of the lease of a VM */
+    /* duration of the owner's lease on the pool */
+    SIM_OWNER_LEASE_MS = 3000,
     SIM_VM_CPU_MILLIS = 16000
 };
 
@@ -28,83 +29,94 @@
 
 /* Probabilities of the injected faults, for each order, run or save. */
 typedef struct {
-    unsigned lost_replies_permille;   /* the order is executed */
-    unsigned delayed_orders_permille; /* executed 1 to 6 s later, no reply */
+    /* replies that are lost although the VM has executed the order */
+    unsigned lost_replies_permille;
+    /* orders that the VM executes 1 to 6 s later, without a reply */
+    unsigned delayed_orders_permille;
     unsigned failing_runs_permille;
     unsigned failed_saves_permille;
 } SimFaults;
 
-/* Creates a pool without faults and jobs and starts its first owner. */
+/* Creates a simulated pool without faults and jobs and starts the pool's first
+ * owner. */
 Sim *sim_create(uint64_t seed);
 void sim_destroy(Sim *sim);
 void sim_set_faults(Sim *sim, const SimFaults *faults);
 
 AqTime sim_now(const Sim *sim);
-/* Advances the simulation by "ms", or to the first violation. */
+/* Advances the simulation by "ms", or to the first violation of an
+ * invariant. */
 void sim_run(Sim *sim, AqTime ms);
-/* Advances the simulation until the stored stages of all jobs are final.
- * False when "timeout_ms" passes or an invariant is violated before that. */
+/* Advances the simulation until the stage in the stored record of every job is
+ * final.  False when "timeout_ms" passes or an invariant is violated before
+ * that. */
 bool sim_run_until_finished(Sim *sim, AqTime timeout_ms);
 
-/* Message of the first violated invariant, or NULL.  Borrowed. */
+/* Message that describes the first violated invariant, or NULL.  Borrowed. */
 const char *sim_violation(const Sim *sim);
 
 /* ---- Owners ------------------------------------------------------------- */
 
-/* Starts a new owner, which loads the stored jobs and used VMs.  With
+/* Starts a new owner of the pool, which loads the stored jobs and the stored
+ * list of used VMs, to which an earlier owner may have sent orders.  With
  * "previous_may_be_active" the previous owner does not notice that it was
- * replaced and sends orders until its lease ends. */
+ * replaced and sends orders until its lease on the pool ends. */
 void sim_start_owner(Sim *sim, bool previous_may_be_active);
-/* Ends the current owner without a last save. */
+/* Ends the pool's current owner, which does not save its last changes. */
 void sim_kill_owner(Sim *sim);
-/* Stops the owner gracefully, which saves all its records, and starts the next
- * one. */
+/* Stops the current owner, which first saves all its records and lists its
+ * runs for the next owner (hand-over), and starts the next owner. */
 void sim_hand_over(Sim *sim);
 /* Scheduler of the current owner; borrowed. */
 AqScheduler *sim_scheduler(const Sim *sim);
-/* Sets whether the current owner is certain to hold its lease; if not, it
- * sends no orders. */
+/* Sets whether the current owner is certain to hold its lease on the pool; an
+ * owner that is not certain sends no orders. */
 void sim_set_lease_certain(Sim *sim, bool is_lease_certain);
 
 /* ---- VMs ---------------------------------------------------------------- */
 
-/* Makes the VM drop all orders for "ms"; its runs continue while its lease
- * lasts. */
+/* Makes the VM drop all orders for "ms"; the VM's runs continue while the VM's
+ * lease lasts. */
 void sim_silence_vm(Sim *sim, unsigned vm, AqTime ms);
-/* Ends the VM's incarnation with its runs, and starts a new one without runs
- * under another id. */
+/* Ends the VM's current incarnation with all runs on it, and starts a new
+ * incarnation of the VM without runs under another id. */
 void sim_crash_vm(Sim *sim, unsigned vm);
-/* While stalled, the VM's runs make no progress. */
+/* Sets whether the VM is stalled.  While a VM is stalled, its runs make no
+ * progress. */
 void sim_stall_vm(Sim *sim, unsigned vm, bool is_stalled);
 /* Makes the VM report that it is draining, from now on. */
 void sim_drain_vm(Sim *sim, unsigned vm);
 /* Id of the VM's current incarnation; borrowed. */
 const char *sim_vm_id(const Sim *sim, unsigned vm);
-/* Number of runs on the VM now; of one job when "job" is not NULL. */
+/* Number of live runs on the VM: of the job with the id "job", or of all jobs
+ * when "job" is NULL. */
 unsigned sim_count_runs(const Sim *sim, unsigned vm, const char *job);
-/* Sets the tail latency that the VM reports for its perpetual tasks. */
+/* Sets the tail latency, ms, that the VM reports for each of its perpetual
+ * tasks. */
 void sim_set_tail_latency(Sim *sim, unsigned vm, int64_t ms);
-/* Lowest pace of the VM's runs, percent of full speed; 100 without runs. */
+/* Lowest pace of the runs on the VM, percent of full speed; 100 without
+ * runs. */
 int sim_lowest_pace(const Sim *sim, unsigned vm);
 
 /* ---- Jobs --------------------------------------------------------------- */
 
-/* Stores a job and adds it to the active owners.  Takes over what *spec owns;
- * sets its queue, text and time of submission. */
+/* Stores a job and adds it to the schedulers of the active owners.  Takes over
+ * what *spec owns; sets the job's queue, text and time of submission. */
 void sim_add_job(Sim *sim, AqJobSpec *spec);
-/* Adds a job of "steps" steps, each of which waits for the one before it, with
- * "tasks" tasks each.  "duration_ms" is the declared duration of a task. */
+/* Adds a job of "steps" steps with "tasks" tasks each; each step waits for the
+ * step before it.  "duration_ms" is the declared duration of a task. */
 void sim_add_chain(Sim *sim, const char *id, unsigned steps, unsigned tasks,
                    int64_t cpu_millis, AqTime duration_ms);
 /* Sets the actual duration of the job's runs, in percent of the declared
- * one. */
+ * duration of their tasks. */
 void sim_set_actual_duration(Sim *sim, const char *id, int percent);
 /* Makes the next "runs" runs of the job fail. */
 void sim_fail_next_runs(Sim *sim, const char *id, unsigned runs);
 void sim_cancel_job(Sim *sim, const char *id);
-/* Stage in the job's stored record; AQ_STAGE_WAITING without one. */
+/* Stage in the job's stored record; AQ_STAGE_WAITING when the job has no
+ * stored record. */
 AqJobStage sim_stage(const Sim *sim, const char *id);
-/* Number of runs of the job that VMs have started so far. */
+/* Number of runs of the job that have been started on VMs so far. */
 unsigned sim_count_starts(const Sim *sim, const char *id);
 
 #endif
--- a/packages/scheduler/tests/test_records.c
+++ b/packages/scheduler/tests/test_records.c
@@ -76,9 +76,9 @@
     AqBuffer_Clear(&second);
 }
 
-/* Guards against crashes and huge allocations from damaged records: every
- * prefix is refused, and records with random changed bytes are refused or
- * decode to a job that passes AqJobSpec_Check. */
+/* Guards against crashes and huge allocations from damaged stored jobs: every
+ * prefix of a stored job is refused, and stored jobs with random changed bytes
+ * are refused or decode to a job that passes AqJobSpec_Check(). */
 static void
 test_damaged_job(void)
 {
@@ -109,9 +109,9 @@
     AqBuffer_Clear(&bytes);
 }
 
-/* Guards against accepting jobs that the scheduler could not hold: without
- * steps or tasks, with too many tasks, or with a step that does not come after
- * those it depends on. */
+/* Guards against accepting jobs that the scheduler could not hold: jobs
+ * without steps or tasks, with too many tasks, or with a step that does not
+ * come after the steps it depends on. */
 static void
 test_job_limits(void)
 {
@@ -198,7 +198,7 @@
 /* ---- Queues ------------------------------------------------------------- */
 
 /* Guards against a caller's request that is matched to a queue with a shorter
- * path prefix than another matching one, or to a queue of another host. */
+ * path prefix than another matching queue, or to a queue of another host. */
 static void
 test_queue_match(void)
 {
@@ -250,8 +250,8 @@
     return AqWave_Create(&spec, 0);
 }
 
-/* Guards against more VMs of a wave being down at a time than its cap, and
- * against a wave that is reported as over while a VM is down. */
+/* Guards against more VMs of a wave being down at a time than the wave's cap,
+ * and against a wave that is reported as over while one of its VMs is down. */
 static void
 test_wave_slots(void)
 {
@@ -304,11 +304,17 @@
         size_t pool;
         size_t parallel;
     } cases[] = {
-        {0, 4, 12, 2},     /* 20 s: three rounds of 5 s and a reserve */
-        {0, 1, 12, 1},     /* one VM is waiting */
-        {12000, 4, 12, 4}, /* 8 s left: a third of the pool */
-        {19000, 4, 9, 3},  /* 1 s left: still a third of the pool */
-        {19000, 4, 2, 1},  /* at least one VM of a small pool */
+        /* 20 s left for 4 VMs: three rounds of 5 s and one in reserve, so two
+         * drain */
+        {0, 4, 12, 2},
+        {0, 1, 12, 1}, /* 20 s left for one VM, which drains */
+        /* 8 s left for 4 VMs: all drain, which are a third of the pool's 12
+         * VMs */
+        {12000, 4, 12, 4},
+        /* 1 s left for 4 VMs: still only a third of the pool's 9 VMs drains */
+        {19000, 4, 9, 3},
+        /* 1 s left for 4 VMs: one drains, although a third of 2 VMs is less */
+        {19000, 4, 2, 1},
     };
     AqWave *wave = make_wave(4, 20000);
     for (size_t i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
--- a/packages/scheduler/tests/test_scheduler.c
+++ b/packages/scheduler/tests/test_scheduler.c
@@ -41,7 +41,7 @@
 }
 
 /* Guards against a VM that counts as idle, and so may be moved or rebooted,
- * while the end of a run is stored nowhere but on it.  Saves are slow under
+ * while the end of a run is recorded only on that VM.  Saves are slow under
  * load; the next owner would run the task a second time. */
 static void
 test_unstored_end_keeps_vm(void)
@@ -62,8 +62,8 @@
 }
 
 /* Guards against a new owner that treats the runs of an earlier owner as
- * stale, since its own run numbers are higher, and starts the tasks a second
- * time. */
+ * stale, since the new owner's run numbers are higher, and starts the tasks of
+ * these runs a second time. */
 static void
 test_takeover_adopts_runs(void)
 {
@@ -78,9 +78,9 @@
     sim_destroy(sim);
 }
 
-/* Guards against a new owner that starts tasks before all VMs used by the
- * earlier owner have replied: one of them is silent and still runs its
- * tasks. */
+/* Guards against a new owner that starts tasks before all VMs to which the
+ * earlier owner may have sent orders have replied: one of these VMs is silent
+ * and still runs its tasks. */
 static void
 test_takeover_waits_for_silent_vm(void)
 {
@@ -100,14 +100,16 @@
 }
 
 /* Guards against a task that starts a third time because the new owner
- * receives the report of its second failure before that of the first. */
+ * receives the end of the task's second failed run before that of the
+ * first. */
 static void
 test_failures_count_in_any_order(void)
 {
     for (uint64_t seed = 0; seed < 20; seed++) {
         Sim *sim = sim_create(seed);
         SimFaults faults = {.failed_saves_permille = 1000};
-        sim_set_faults(sim, &faults); /* no end is confirmed */
+        /* all saves fail, so no end of a run is confirmed to its VM */
+        sim_set_faults(sim, &faults);
         sim_add_chain(sim, "a1", 1, 1, 2000, 800);
         sim_fail_next_runs(sim, "a1", 2);
         sim_run(sim, 1500);
@@ -124,7 +126,7 @@
 }
 
 /* Guards against two runs of a task at a time while an owner that has been
- * replaced does not notice it and still sends orders. */
+ * replaced does not notice its replacement and still sends orders. */
 static void
 test_unaware_previous_owner(void)
 {
@@ -160,8 +162,8 @@
     sim_destroy(sim);
 }
 
-/* Guards against tasks of a crashed VM that wait for its lease to expire
- * although the VM's new incarnation reports that nothing runs there. */
+/* Guards against tasks of a crashed VM that wait for the VM's lease to expire
+ * although the VM's new incarnation reports that no run is alive there. */
 static void
 test_crash_restarts_at_once(void)
 {
@@ -206,7 +208,8 @@
 }
 
 /* Guards against a new owner that waits for an incarnation of a VM that an
- * order has ended: the stored list of used VMs must not name it any more. */
+ * order has ended: the stored list of used VMs, to which an owner may have
+ * sent orders, must not name that incarnation any more. */
 static void
 test_ended_vm_is_not_awaited(void)
 {
@@ -226,11 +229,13 @@
 typedef struct {
     AqScheduler *scheduler;
     AqTime now;
-    unsigned ended; /* VMs reported as ended */
+    /* number of VMs reported to the scheduler as ended */
+    unsigned ended;
 } EndSilentVisit;
 
 /* Reports each silent incarnation of a known machine to the scheduler as
- * ended, as the pool does when the platform's list of VMs shows it. */
+ * ended, as the pool's owner does when the platform's list of VMs shows that
+ * the incarnation has ended. */
 static void
 end_silent_vms(void *context, const AqScheduledVm *view)
 {
@@ -241,9 +246,10 @@
     }
 }
 
-/* Guards against a new owner that waits for the leases of a VM that an order
- * of the owner before it has ended.  The stored list of used VMs must name the
- * machine, so that the platform's list of VMs can show that it has ended. */
+/* Guards against a new owner that waits for the leases of an incarnation of a
+ * VM that an order of the previous owner has ended.  The stored list of used
+ * VMs, to which an owner may have sent orders, must name the VM's machine, so
+ * that the platform's list of VMs can show that the incarnation has ended. */
 static void
 test_replaced_vm_is_not_awaited(void)
 {
@@ -270,8 +276,8 @@
 }
 
 /* Guards against tasks that wait, after a hand-over, for a silent VM that does
- * not run them: the list of used VMs that the earlier owner stored names the
- * runs of each VM. */
+ * not run them: the previous owner stored the runs of each VM with the list of
+ * used VMs, to which an owner may have sent orders. */
 static void
 test_hand_over_passes_on_runs(void)
 {
@@ -294,8 +300,8 @@
     sim_destroy(sim);
 }
 
-/* Guards against jobs submitted after a takeover that wait for a silent VM,
- * although it can't be running their tasks. */
+/* Guards against jobs submitted after a takeover whose tasks wait for a silent
+ * VM, although that VM can't be running these tasks. */
 static void
 test_new_jobs_start_at_once(void)
 {
@@ -394,7 +400,7 @@
 }
 
 /* Guards against moving more tasks of a step at a time than the step may miss,
- * when all of its VMs are cordoned. */
+ * when all VMs that run the step's tasks are cordoned. */
 static void
 test_perpetual_moves_one_by_one(void)
 {
@@ -413,8 +419,8 @@
     sim_destroy(sim);
 }
 
-/* Sets "vms" to the numbers of the VMs that run the job, in ascending order;
- * returns how many there are. */
+/* Sets "vms" to the numbers of the VMs that have runs of the job, in ascending
+ * order; returns how many VMs these are. */
 static unsigned
 find_vms(const Sim *sim, const char *id, unsigned vms[SIM_VMS])
 {
@@ -427,14 +433,16 @@
     return count;
 }
 
-/* Guards against a perpetual task that is stopped on a cordoned VM while
- * others of its step leave draining VMs.  Those are stopped whatever number of
- * tasks the step may miss, and their stop orders may reach the VMs first. */
+/* Guards against a perpetual task that is stopped on a cordoned VM while other
+ * tasks of its step are moved off draining VMs.  Tasks on draining VMs are
+ * stopped whatever number of tasks the step may miss, and the stop orders for
+ * these tasks may reach their VMs first. */
 static void
 test_draining_goes_before_cordoned(void)
 {
-    /* Times from the cordon to the draining: none, and several at which the
-     * stop on the cordoned VM is under way. */
+    /* Times from the cordon of one VM to the draining of two others: none, and
+     * several at which the stop order for the task on the cordoned VM is under
+     * way. */
     static const AqTime pauses_ms[] = {0, 5, 10, 15, 20, 25, 30, 40, 60};
     for (size_t i = 0; i < sizeof(pauses_ms) / sizeof(pauses_ms[0]); i++) {
         for (uint64_t seed = 1; seed <= 20; seed++) {
@@ -483,8 +491,8 @@
 }
 
 /* Guards against a filler that runs at full speed while a serving task on the
- * same VM exceeds its latency target, and against one that stays slow
- * afterwards. */
+ * same VM exceeds its latency target, and against a filler that stays slow
+ * once the latency is low again. */
 static void
 test_fillers_are_paced(void)
 {
@@ -519,9 +527,9 @@
 /* ---- Offered load ------------------------------------------------------- */
 
 /* Returns the offered load, in thousandths of a core, after 40 jobs have run
- * and eight more were submitted.  Half of the jobs declare "long_estimate_ms",
- * half "short_estimate_ms"; all tasks actually take 400 ms, which the
- * scheduler learns from the first 40. */
+ * and eight more were submitted.  Half of the jobs declare the duration
+ * "long_estimate_ms", half "short_estimate_ms"; all tasks actually take 400
+ * ms, which the scheduler learns from the first 40 jobs. */
 static int64_t
 measure_offered_load(AqTime long_estimate_ms, AqTime short_estimate_ms)
 {
@@ -585,8 +593,8 @@
     }
 }
 
-/* Guards against VMs that arrive too late for a burst: the offered load must
- * not lag behind a rising load, nor exceed a steady one. */
+/* Guards against VMs that arrive too late for a burst of jobs: the offered
+ * load must not lag behind a rising load, nor exceed a steady one. */
 static void
 test_offered_load_follows_rise(void)
 {
--- a/packages/scheduler/tests/test_scheduler_random.c
+++ b/packages/scheduler/tests/test_scheduler_random.c
@@ -15,8 +15,8 @@
  *
  * "test_scheduler_random FIRST_SEED COUNT" runs other seeds. */
 
-/* In half of the calls, replaces the owner in some way, crashes a VM or
- * silences one. */
+/* In half of the calls, replaces the pool's owner in some way, crashes a VM or
+ * makes a VM silent. */
 static void
 inject_fault(Sim *sim, AqRandom *random)
 {
@@ -43,7 +43,8 @@
     }
 }
 
-/* Whether all jobs finish without a violation. */
+/* Returns whether all jobs of the simulation with this seed finish without a
+ * violated invariant. */
 static bool
 run_seed(uint64_t seed)
 {
--- a/packages/scheduler/tests/test_sizing.c
+++ b/packages/scheduler/tests/test_sizing.c
@@ -8,13 +8,15 @@
     VM_CPU_MILLIS = 16 * CORE_CPU_MILLIS
 };
 
-/* Each row is the load of a pool at one moment and the decision expected. */
+/* Each row is the load of a pool at one moment and the sizing decision
+ * expected for it. */
 static const struct {
     const char *pattern;
     AqSizingInput input;
     size_t acquire_vms;
     size_t release_vms;
-    /* With those that become available only when other pools release VMs. */
+    /* VMs that the pool needs in addition, including those that become
+     * available only when other pools release VMs. */
     size_t needed_vms;
 } cases[] = {
     {"quiet pool with perpetual tasks releases its idle VMs",
--- a/packages/scheduler/used_vms.c
+++ b/packages/scheduler/used_vms.c
@@ -5,12 +5,15 @@
 #include "record_codec.h"
 #include "scheduler_internal.h"
 
-/* The stored list of the VMs that may have received orders of this owner, read
- * by the next owner.  A hand-over also lists the runs on each VM. */
+/* The stored list of used VMs: those to which an owner of the pool may have
+ * sent orders.  The next owner reads the list.  In a hand-over the list also
+ * has the runs on each VM. */
 
 enum {
-    TASK_FIELDS = 5, /* elements of a task in the stored list */
-    VM_FIELDS = 4    /* elements of a VM in the stored list */
+    /* array elements of a run of a task in the stored list of used VMs */
+    TASK_FIELDS = 5,
+    /* array elements of a VM in the stored list of used VMs */
+    VM_FIELDS = 4
 };
 
 uint64_t
@@ -19,9 +22,10 @@
     return s->used_vms_version;
 }
 
-/* Whether the VM belongs in the list, so that a later owner waits for its
- * reply.  Once the scheduler is closed, only a VM with runs, or one of an
- * earlier owner's list, does. */
+/* Whether the VM belongs in the list of used VMs, to which an owner may have
+ * sent orders, so that a later owner waits for the VM's reply.  Once the
+ * scheduler is closed, only a VM with runs, or a VM of an earlier owner's
+ * list, does. */
 static bool
 is_in_used_vms(const AqScheduler *s, const Vm *vm)
 {
@@ -55,8 +59,9 @@
     }
 }
 
-/* The stored form: [is_handed_over, [[id, address, [[job, occurrence, step,
- * task, run] ...], machine] ...]].  The task lists are empty
+/* The stored form of the list of used VMs, to which an owner may have sent
+ * orders: [is_handed_over, [[VM id, address, [[job, occurrence, step, task
+ * index, run number] ...], machine] ...]].  A VM's list of runs is empty
  * except in a hand-over. */
 void
 AqScheduler_EncodeUsedVms(const AqScheduler *s, AqBuffer *out)
@@ -195,8 +200,9 @@
     return ok;
 }
 
-/* Adopts the runs that the earlier owner listed in a hand-over.  No other run
- * of it can be alive, so all other tasks may start at once. */
+/* After a hand-over, makes the runs that the previous owner listed the current
+ * runs of their tasks.  No other run of that owner can be alive, so all other
+ * tasks may start at once. */
 static void
 adopt_inherited_runs(AqScheduler *s)
 {
--- a/packages/scheduler/vms.c
+++ b/packages/scheduler/vms.c
@@ -4,25 +4,33 @@
 #include "scheduler_internal.h"
 
 enum {
-    /* How long a renewal waits on the VM for an end of a run.  Each reply also
-     * reports the progress of the tasks, and the next renewal renews the
-     * lease. */
+    /* How long a VM with tasks (busy) or without (idle) may delay its reply to
+     * a lease renewal to wait for the end of a run.  Each reply also reports
+     * the progress of the tasks, and the next renewal extends the lease. */
     BUSY_RENEWAL_WAIT_MS = 400,
     IDLE_RENEWAL_WAIT_MS = 1000,
-    /* Pause before the next renewal while ends are not confirmed, since the VM
-     * would list them again at once. */
+    /* Pause before the next lease renewal of a VM while ends of its runs are
+     * not confirmed, since the VM would list these ends again at once. */
     UNSTORED_RENEWAL_DELAY_MS = 200,
     SILENT_RENEWAL_RETRY_MS = 300,
-    COPY_AFTER_SILENCE_MS = 700, /* a single reply may be lost, those of
-                                  * two renewals mean a silent VM */
-    /* A VM whose entry in the store expired during a store outage adds it
-     * again within about 2 s; one still missing after that is gone. */
+    /* tasks that allow copies are requeued when their VM has been silent for
+     * longer than this; a single reply may be lost, but missing replies to two
+     * lease renewals mean a silent VM */
+    COPY_AFTER_SILENCE_MS = 700,
+    /* A VM whose entry in the store expired during a store outage adds the
+     * entry again within about 2 s; a VM whose entry is missing for longer
+     * than this is gone. */
     UNLISTED_GRACE_MS = 2200,
-    UNLISTED_FORGET_MS = 10000, /* an idle VM without an entry is removed */
-    /* Time for the job of an unknown run to be read from the store. */
+    /* an idle VM is removed when it has had no entry in the store for longer
+     * than this */
+    UNLISTED_FORGET_MS = 10000,
+    /* Time for the job of a run that a VM lists to be read from the store;
+     * after that, a run of a job still unknown is stopped. */
     UNKNOWN_JOB_GRACE_MS = 3000,
     LEASE_EXPIRY_MARGIN_MS = 100,
-    /* Consecutive failures of different tasks mean that the VM is at fault. */
+    /* After QUARANTINE_AFTER_FAILURES consecutive failed runs of different
+     * tasks on a VM, the VM is assumed to be at fault and gets no tasks for
+     * QUARANTINE_MS. */
     QUARANTINE_AFTER_FAILURES = 3,
     QUARANTINE_MS = 3000
 };
@@ -70,7 +78,8 @@
 
 /* ---- Resources in use --------------------------------------------------- */
 
-/* Adds the resources of one task with sign 1, removes them with sign -1. */
+/* Adds the resources of one task of the step to the VM's used resources with
+ * sign 1, removes them with sign -1. */
 static void
 add_usage(Vm *vm, const AqStepSpec *spec, int sign)
 {
@@ -144,8 +153,9 @@
     }
 }
 
-/* Requeues the running tasks of a silent VM that allow copies, without waiting
- * for the lease to expire: their old runs may continue beside the new ones. */
+/* Requeues the running tasks of the silent VM whose steps allow copies,
+ * without waiting for the VM's lease to expire: the old runs of these tasks
+ * may continue beside the new ones. */
 static void
 copy_tasks(AqScheduler *s, Vm *vm)
 {
@@ -157,7 +167,8 @@
             continue;
         }
         s->counters.copied++;
-        /* The old run counts as foreign until the VM replies to a renewal. */
+        /* The old run counts as foreign usage of the VM until the VM replies
+         * to a lease renewal. */
         vm->foreign_cpu += spec->cpu_millis;
         vm->foreign_memory += spec->memory_mb;
         g_strlcpy(task->avoid, vm->report.id, sizeof(task->avoid));
@@ -184,7 +195,8 @@
     return deadline;
 }
 
-/* Requeues all tasks of a VM whose runs have ended without a listed end. */
+/* Requeues all tasks of the VM, whose runs have ended without an end that the
+ * VM has listed. */
 static void
 requeue_lost_tasks(AqScheduler *s, Vm *vm, const char *reason)
 {
@@ -207,14 +219,14 @@
     vms_free(vm);
 }
 
-/* Whether the VM's leases have expired on its own clock, at the lowest rate
- * that the clock may have. */
+/* Whether the VM's leases have expired on the VM's own clock, assuming that
+ * the clock has the lowest possible rate, slowest_clock_rate. */
 static bool
 has_lease_expired(const AqScheduler *s, const Vm *vm)
 {
     if (vm->clock_ms < 0) {
         /* The VM has not replied to this owner, so only an earlier owner can
-         * have granted it a lease. */
+         * have granted the VM a lease. */
         AqTime most =
             (AqTime)((double)s->config.lease_ms / slowest_clock_rate);
         return s->now - s->created_at >
@@ -225,8 +237,8 @@
            (double)(vm->deadline_ms + LEASE_EXPIRY_MARGIN_MS);
 }
 
-/* Copies tasks off a silent VM, and requeues all of them once its leases have
- * expired. */
+/* If the VM is silent, requeues its tasks that allow copies, and all its tasks
+ * once its leases have expired; may then remove and free the VM. */
 static void
 handle_silence(AqScheduler *s, Vm *vm)
 {
@@ -248,7 +260,8 @@
 
 /* ---- Renewals ----------------------------------------------------------- */
 
-/* How long the VM may delay its reply to a renewal, ms. */
+/* How long the VM may delay its reply to a lease renewal to wait for the end
+ * of a run, ms. */
 static AqTime
 renewal_wait(const Vm *vm)
 {
@@ -295,8 +308,8 @@
 
 /* ---- Time --------------------------------------------------------------- */
 
-/* Sets is_recovered once each VM used by earlier owners has replied, has ended
- * or has no valid lease. */
+/* Sets is_recovered once each used VM, to which an earlier owner may have sent
+ * orders, has replied, has ended or has no valid lease. */
 static void
 update_recovered(AqScheduler *s)
 {
@@ -315,8 +328,9 @@
     s->placement_due = true;
 }
 
-/* Sends the VM's renewal when it is due.  Returns when the next one is due.
- * May free the VM. */
+/* Sends the VM's lease renewal when it is due.  Returns when the VM's next
+ * lease renewal is due; AQ_TIME_NEVER if none can be sent now.  May free the
+ * VM. */
 static AqTime
 tick_vm(AqScheduler *s, Vm *vm)
 {
@@ -424,8 +438,8 @@
                           vm->pending_ends->len == 0);
 }
 
-/* AqScheduledVm.silent_since of the VM.  One of an earlier owner counts as
- * silent from the start until it replies. */
+/* Returns AqScheduledVm.silent_since of the VM.  A VM that an earlier owner
+ * used counts as silent from the scheduler's creation until the VM replies. */
 static AqTime
 silent_since(const AqScheduler *s, const Vm *vm)
 {
@@ -473,7 +487,7 @@
         vm->consecutive_failures = 0;
         return;
     }
-    /* A task that has failed before is not evidence against this VM. */
+    /* A task that has failed before is not evidence of a fault of this VM. */
     if (task->failures == 0 &&
         ++vm->consecutive_failures >= QUARANTINE_AFTER_FAILURES) {
         vm->quarantined_until = s->now + QUARANTINE_MS;
--- a/packages/scheduler/waves.c
+++ b/packages/scheduler/waves.c
@@ -8,15 +8,16 @@
 #include "record_codec.h"
 
 enum {
-    /* Time for one VM: its tasks end, it has its maintenance and it is listed
-     * again. */
+    /* Time that one VM of a wave takes: the VM's tasks end, the VM has its
+     * maintenance and is listed in its pool again. */
     VM_MAINTENANCE_MS = 5000,
-    /* Time after the cordon of a VM at which its remaining tasks are
-     * stopped. */
+    /* Time after the cordon of a VM of a wave at which the VM's remaining
+     * tasks are stopped. */
     TASK_END_WAIT_MS = 5000,
-    LATE_TASK_END_WAIT_MS = 1200, /* the same when the wave may miss its
-                                   * deadline */
-    /* A pool drains at most its number of VMs divided by this at a time. */
+    /* as TASK_END_WAIT_MS, for a wave that may miss its deadline */
+    LATE_TASK_END_WAIT_MS = 1200,
+    /* A pool drains at most its number of VMs divided by this at a time, but
+     * always at least one VM. */
     MAX_POOL_DIVISOR = 3
 };
 
@@ -28,10 +29,13 @@
 struct AqWave {
     int64_t number;
     uint32_t cap;
-    AqTime deadline; /* for the last VM to be back */
+    /* when the wave's last VM must be back from its maintenance */
+    AqTime deadline;
     Entry *entries;
     size_t count;
-    GHashTable *positions; /* machine -> position + 1; keys in the entries */
+    /* machine name -> position in "entries", plus 1; keys borrowed from
+     * "entries" */
+    GHashTable *positions;
 };
 
 AqWave *
@@ -194,8 +198,8 @@
 {
     AqTime left = wave->deadline - now;
     size_t most = pool_size / MAX_POOL_DIVISOR;
-    /* Rounds of maintenance that fit before the deadline, less one in
-     * reserve. */
+    /* Number of successive maintenances of a VM that fit before the wave's
+     * deadline, less one in reserve. */
     AqTime rounds = left / VM_MAINTENANCE_MS - 1;
     size_t parallel =
         rounds > 0 ? (waiting + (size_t)rounds - 1) / (size_t)rounds : waiting;
