--- a/packages/membership/bench/bench_membership.c
+++ b/packages/membership/bench/bench_membership.c
@@ -2,16 +2,22 @@
 
 #include "bench_cluster.h"
 
-/* Prints the cost of heartbeats and the share of slots in use with and without
- * slot leasing, for 3 to 27 members.  Sizes are those of the frames, without
- * TCP/IP headers. */
+/* This program prints, for clusters of 3 to 27 members, what heartbeats cost
+ * each member in bytes per second, CPU time and memory, and the share of the
+ * slots that are in use with and without slot leasing.  The bytes are those of
+ * the encoded heartbeats, without TCP/IP headers.  It also prints the share of
+ * time in which a member is fresh that learns of the store through one peer
+ * only. */
 
 enum {
     WARM_UP_MS = 10000,
     MEASURE_MS = 60000
 };
 
-/* Prints the traffic, CPU time and memory of one member. */
+/* Prints, for a cluster of "members" members and "endpoints" endpoints, what
+ * heartbeats cost one member: bytes received per heartbeat and per second, CPU
+ * time in microseconds to process and to fill one heartbeat, percent of one
+ * CPU core, and bytes of memory. */
 static void
 measure_cost(int members, int endpoints)
 {
@@ -34,9 +40,10 @@
     bench_destroy(c);
 }
 
-/* Sets a demand of 90% of all slots: in equal shares on the first
- * "loaded_count" members, or, for loaded_count 0, in proportion to 1/(i + 1)
- * on member i. */
+/* Sets how many requests each member needs to run at the same time; the sum is
+ * 90% of the slots of the cluster.  Each of the first "loaded_count" members
+ * gets an equal share of the sum, or, if loaded_count is 0, member i gets a
+ * share in proportion to 1/(i + 1). */
 static void
 set_demand(BenchCluster *c, int loaded_count)
 {
@@ -51,7 +58,11 @@
     }
 }
 
-/* Prints the share of slots in use without and with slot leasing. */
+/* Prints the share of a cluster's slots that are in use, without and with slot
+ * leasing.  The members together need 90% of the slots: the first
+ * "loaded_count" members equal shares, or, if loaded_count is 0, member i a
+ * share in proportion to 1/(i + 1).  "load" is the name of this demand in the
+ * output. */
 static void
 measure_slot_leasing(int members, const char *load, int loaded_count)
 {
@@ -73,9 +84,10 @@
     bench_destroy(c);
 }
 
-/* Prints the share of time in which a member is fresh that does not reach the
- * store and receives heartbeats only from one peer that does: the least and
- * the mean over the offsets between its heartbeats and the peer's. */
+/* Prints the share of time in which a member is fresh that cannot reach the
+ * store and receives heartbeats only from one peer, which reaches the store.
+ * The share is measured for each offset between the heartbeats of the member
+ * and of the peer; the least and the mean share are printed. */
 static void
 measure_relayed_freshness(void)
 {
--- a/packages/membership/tests/network.h
+++ b/packages/membership/tests/network.h
@@ -6,27 +6,34 @@
 #include "aq_slices.h"
 
 /* Simulates a small cluster in virtual time: daemons with their membership and
- * slices, a store with one versioned document, links that can fail in one
- * direction, and endpoints that count the requests running on them. */
+ * slices, a store that keeps the versions of the fleet document, links that
+ * can fail in one direction, and endpoints that count the requests running on
+ * them. */
 
 enum {
-    NET_NODES = 9, /* largest number of daemons */
+    NET_NODES = 9, /* most daemons of a Network */
     NET_ENDPOINTS = 4,
-    NET_VERSIONS = 4096, /* largest number of document versions */
-    NET_STEP_MS = 25     /* virtual time per step */
+    /* Number of versions of the fleet document, version 0 included, that the
+     * store can keep; further commits do nothing. */
+    NET_VERSIONS = 4096,
+    NET_STEP_MS = 25 /* virtual time of one step of network_run */
 };
 
 typedef enum {
     LINK_OPEN,
-    LINK_DROPPING, /* messages are dropped */
-    LINK_STALLED   /* messages arrive, in order, when the fault ends */
+    LINK_DROPPING, /* messages on the link are lost */
+    /* Messages on the link are held back, and arrive in order when the link
+     * opens. */
+    LINK_STALLED
 } LinkMode;
 
 /* A message on its way over a link. */
 typedef struct Packet {
     struct Packet *next;
-    AqTime due;           /* arrival time */
-    uint64_t to_instance; /* other instances discard the message */
+    AqTime due; /* virtual time at which the message arrives */
+    /* Instance number of the receiving daemon when the message was sent; a
+     * later instance of that daemon discards the message. */
+    uint64_t to_instance;
     size_t size;
     char bytes[];
 } Packet;
@@ -34,15 +41,17 @@
 /* One direction of the connection between two daemons. */
 typedef struct {
     LinkMode mode;
-    AqTime until;  /* end of the fault; then the link is open */
-    Packet *first; /* first message of the queue, in order of sending */
+    AqTime until;  /* virtual time at which the link's fault ends */
+    Packet *first; /* oldest message still on its way over the link */
     Packet *last;
-    AqTime last_heartbeat_at; /* delivery of the last heartbeat; 0 for none */
-    /* First heartbeat since the last gap of AQ_REMOVE_MS or more. */
+    /* Virtual time at which the link last delivered a heartbeat; 0: never. */
+    AqTime last_heartbeat_at;
+    /* Virtual time of the first heartbeat that the link delivered after its
+     * last gap of AQ_REMOVE_MS or more between heartbeats. */
     AqTime received_since;
 } Link;
 
-/* A request that a daemon runs on an endpoint until "end". */
+/* A request that a daemon runs on an endpoint from "start" until "end". */
 typedef struct {
     int endpoint;
     int node;
@@ -58,46 +67,86 @@
     int index;
     char id[AQ_WIRE_MAX_NAME];
     bool up;
-    AqTime restart_at;   /* start of the next instance while not "up" */
-    AqTime paused_until; /* 0 if not paused */
+    /* Virtual time at which the next instance of this daemon starts, while the
+     * daemon is stopped ("up" is false). */
+    AqTime restart_at;
+    /* Virtual time at which the daemon's pause ends; 0: no pause. */
+    AqTime paused_until;
     uint64_t instance;
     AqMembership *m;
     AqSlices *s;
-    int64_t version; /* version of the document in force */
+    int64_t version; /* version of the fleet document in force here */
     AqTime next_heartbeat_at;
-    /* Whether a read of the store's newest version is in flight. */
+    /* Whether this daemon has begun a read of the newest version of the fleet
+     * document in the store that has not ended yet. */
     bool reading;
     AqTime read_started;
-    AqTime response_due; /* time by which the store responds */
-    /* Version in the store's response while it is in flight; 0: none. */
+    /* Virtual time at which the store responds to this daemon's read even if
+     * the store has no version of the fleet document newer than the
+     * daemon's. */
+    AqTime response_due;
+    /* Version of the fleet document in a response of the store that is on its
+     * way to this daemon; 0: no response is on its way. */
     int64_t response_version;
     AqTime response_arrives_at;
     AqTime store_unreachable_until;
-    AqTime removed_at; /* last removal of this daemon as a member; 0: none */
-    double demand;     /* probability per step and endpoint that requests are
-                          started on all free slots */
-    /* Values at the last check that steady slots do not change. */
+    /* Virtual time at which a member last committed this daemon's removal from
+     * the members; 0: never. */
+    AqTime removed_at;
+    /* Probability, per endpoint and per NET_STEP_MS, that this daemon starts
+     * requests on all of its free slots. */
+    double demand;
+    /* Whether, at the last check of this daemon's usable slots, none of its
+     * slots was pending or leased (AqSlices_IsSteady); was_fresh and
+     * steady_epoch are its freshness and epoch at the same check. */
     bool was_steady;
     bool was_fresh;
     int64_t steady_epoch;
-    int usable[NET_ENDPOINTS]; /* results of AqSlices_Usable */
+    /* For each endpoint, the number of slots that this daemon could use at its
+     * last check. */
+    int usable[NET_ENDPOINTS];
 } Node;
 
-/* Violations found in a run, by kind, and the amount of work done in it. */
+/* Violations that the checks found in one run of the simulated cluster, by
+ * kind, and counts of what happened in the run. */
 typedef struct {
-    int over_limit;  /* checks with more requests on an endpoint than slots */
-    int stale_fresh; /* daemon fresh 4 s after a newer version was accepted */
-    int wrong_removals; /* removed members whose heartbeats reach a majority */
-    int not_returned;   /* slots still leased after the final quiet phase */
-    int not_usable;     /* missing or surplus usable slots after that phase */
-    int inconsistent;   /* AqSlices_CheckConsistency failed */
-    int not_steady;     /* usable slots changed despite AqSlices_IsSteady */
-    /* Events that show that the run exercised the rules. */
+    /* Number of checks that found more requests on an endpoint than the
+     * endpoint has slots. */
+    int over_limit;
+    /* Number of checks that found AqMembership_IsFresh true at a daemon more
+     * than 4 s after a majority of the members accepted a version of the fleet
+     * document newer than the daemon's. */
+    int stale_fresh;
+    /* Number of commits that removed a member although that member's
+     * heartbeats reached a majority of the members. */
+    int wrong_removals;
+    /* Number of slots still leased out plus number still leased in, summed
+     * over all daemons, at the end of the run, after a phase without faults
+     * and new requests. */
+    int not_returned;
+    /* Number of slots missing or in excess at the end of the run, after a
+     * phase without faults and new requests: for each endpoint, the difference
+     * between its slots and the sum of the slots usable by each daemon; added
+     * up over all endpoints. */
+    int not_usable;
+    /* Number of checks that found slot counters of a daemon in disagreement
+     * with its slots (AqSlices_CheckConsistency returned false). */
+    int inconsistent;
+    /* Number of times that a daemon's usable slots of an endpoint changed
+     * between two checks although the daemon's freshness and epoch did not and
+     * AqSlices_IsSteady was true at both checks. */
+    int not_steady;
+    /* Number of commits that changed the members.  Like accepted, requests,
+     * slot_leases and max_on_endpoint, it shows how much of the tested
+     * behaviour occurred in the run. */
     int epochs;
-    int accepted; /* accepted versions */
+    /* Number of versions of the fleet document that a majority of the members
+     * accepted. */
+    int accepted;
     int requests;
     int slot_leases;
-    int max_on_endpoint; /* most requests on one endpoint at once */
+    /* Largest number of requests that a check found on one endpoint. */
+    int max_on_endpoint;
 } RunStats;
 
 struct Network {
@@ -106,70 +155,101 @@
     int nodes;
     unsigned faults;
     Node node[NET_NODES];
-    Link link[NET_NODES][NET_NODES]; /* by sender and receiver */
+    /* [i][k]: link from daemon i to daemon k */
+    Link link[NET_NODES][NET_NODES];
     Request *requests;
     size_t request_count;
     size_t request_capacity;
     int slots[NET_ENDPOINTS];
-    int64_t head; /* newest version in the store */
+    int64_t head; /* newest version of the fleet document in the store */
     int64_t epoch_of[NET_VERSIONS];
-    unsigned members_of[NET_VERSIONS]; /* bit masks of nodes */
-    AqTime accepted_at[NET_VERSIONS];  /* 0: not accepted yet */
+    /* The members in each version of the fleet document: bit i is set if
+     * node[i] is a member. */
+    unsigned members_of[NET_VERSIONS];
+    /* Virtual time at which a daemon first saw each version of the fleet
+     * document accepted by a majority of the members; 0: not accepted yet. */
+    AqTime accepted_at[NET_VERSIONS];
     int64_t highest_accepted;
     AqTime head_changed;
     AqTime store_down_until;
     AqTime store_slow_until;
-    bool quiet; /* no faults and no new requests */
+    /* Whether faults have ended and no daemon starts requests any more. */
+    bool quiet;
     AqTime longest_request;
-    /* Whether requests of removed daemons are exempt from the limit; see
-     * is_exempt. */
+    /* Whether the check that an endpoint runs no more requests than it has
+     * slots leaves out the requests that a daemon started before its removal
+     * from the members or at most AQ_GUARD_MS after the removal. */
     bool exempt_removed;
     RunStats stats;
 };
 
-/* Starts "nodes" daemons at once; "faults" are AQ_FAULT_* bits. */
+/* Creates a cluster of "nodes" daemons, all of which start at the same virtual
+ * time; "faults" are the AQ_FAULT_* bits that are set in each daemon. */
 void network_init(Network *net, uint64_t seed, int nodes, unsigned faults);
 void network_clear(Network *net);
 /* Runs the cluster for "ms" of virtual time. */
 void network_run(Network *net, AqTime ms);
-/* Ends every link fault, pause and outage, and starts no more requests. */
+/* Ends every link fault, pause and store outage, lets every stopped daemon
+ * start in the next step of network_run, and lets no daemon start requests any
+ * more. */
 void network_end_faults(Network *net);
-/* Counts, after the quiet phase, the slots that are still leased or not usable
- * by exactly one daemon. */
+/* For the end of a run, after a phase without faults and new requests: adds
+ * the slots that are still leased to net->stats.not_returned, and the missing
+ * or surplus usable slots of each endpoint to net->stats.not_usable. */
 void network_check_end(Network *net);
 
-/* Sets the mode of a link for "ms"; LINK_DROPPING also drops the messages on
- * their way. */
+/* Sets the mode of the link from daemon "from" to daemon "to" for "ms" of
+ * virtual time; LINK_DROPPING also drops the messages that are on their way
+ * over the link. */
 void network_set_link(Network *net, int from, int to, LinkMode mode,
                       AqTime ms);
-/* Pauses a daemon for "ms": it neither sends nor receives. */
+/* Pauses a daemon: for "ms" of virtual time the daemon neither sends nor
+ * receives messages. */
 void network_pause(Network *net, int node, AqTime ms);
-/* Stops a daemon and starts a new instance of it after "down_ms". */
+/* Stops a daemon and starts a new instance of it after "down_ms" of virtual
+ * time. */
 void network_restart(Network *net, int index, AqTime down_ms);
-/* Commits a version of the document with the same members. */
+/* Commits to the store a new version of the fleet document with the same
+ * members. */
 void network_commit(Network *net);
-/* Starts a fault of random kind, place and length. */
+/* Starts one fault of random kind and length at a random daemon or link, or at
+ * the store.  Pauses last 12 s or "longest_pause" at most, whichever is
+ * more. */
 void network_inject_fault(Network *net, AqTime longest_pause);
 
-/* Number of requests that all daemons run on an endpoint. */
+/* Number of requests that run on an endpoint now, summed over all daemons. */
 int network_in_use(const Network *net, int endpoint);
 
 /* ---- Internal to the network*.c files ----------------------------------- */
 
-/* Uniformly distributed time from "low" to "high", inclusive. */
+/* Random time from "low" to "high" milliseconds, inclusive, uniformly
+ * distributed. */
 AqTime network_random_ms(Network *net, AqTime low, AqTime high);
 bool network_is_running(const Network *net, const Node *node);
-/* Index of the daemon with this id, which must exist. */
+/* Position in net->node of the daemon with this id, which must exist. */
 int network_node_of(const Network *net, const char *id);
 const char *network_endpoint(int endpoint);
-/* Count the violations at one daemon and at the endpoints. */
+/* Checks one daemon: whether AqMembership_IsFresh is true of it more than 4 s
+ * after a majority of the members accepted a version of the fleet document
+ * newer than the daemon's, whether its slot counters are inconsistent, and
+ * whether its usable slots changed while AqSlices_IsSteady was true.  Counts
+ * these violations in net->stats, and records in net->accepted_at the versions
+ * that a majority of the members has newly accepted. */
 void network_check_node(Network *net, Node *node);
+/* Removes ended requests, counts in net->stats.over_limit each endpoint that
+ * runs more requests than it has slots, and updates
+ * net->stats.max_on_endpoint. */
 void network_check_endpoints(Network *net);
-/* Puts a version of the document in force at a daemon. */
+/* Puts a version of the fleet document in force at a daemon, unless the daemon
+ * already has this or a newer version. */
 void network_install(Network *net, Node *node, int64_t version);
-/* Runs a step of the daemon's watch on the store's newest version. */
+/* Advances the daemon's read of the newest version of the fleet document in
+ * the store: starts a read, lets the store respond, or processes the
+ * response. */
 void network_step_store(Network *net, Node *node);
-/* Commits the change of members that the daemon may make now, if any. */
+/* If a change of the members is due, lets the daemon "node" commit it to the
+ * store: "node" becomes a member, or the member that AqMembership_ToRemove
+ * names is removed. */
 void network_step_members(Network *net, Node *node);
 
 #endif
--- a/packages/pool/node.h
+++ b/packages/pool/node.h
@@ -15,27 +15,36 @@
 #include "store_health.h"
 
 /* State that the components of a node share.  Each component gets its
- * dependencies from here and none includes another's internals. */
+ * dependencies from NodeContext and includes no other component's
+ * internals. */
 
 /* Metrics of a node; docs/OPERATIONS.md describes each.  Histograms are in
  * ms. */
 typedef struct {
     AqMetrics *all;
-    /* From the arrival of a submission to its response, if stored. */
+    /* Time from the arrival of a job's submission to its response, if that has
+     * status 200. */
     AqMetric *accept_ms;
-    /* From the arrival of a request for a job's state to its response. */
+    /* Time from the arrival of a request for a job's state to its response, if
+     * that has status 200. */
     AqMetric *state_ms;
-    /* Round trip of an order to start a task. */
+    /* Time from when an order to start a task is sent to a VM until the VM's
+     * reply; an order without a reply is not counted. */
     AqMetric *start_ms;
-    /* Round trip of a pool owner's write of its jobs' progress. */
+    /* Time that a pool owner's write of job progress to the store takes,
+     * including repeated attempts. */
     AqMetric *save_ms;
-    /* From gaining a pool to having loaded its jobs. */
+    /* Time from when this node becomes a pool's owner until the pool's jobs
+     * are loaded. */
     AqMetric *takeover_ms;
-    /* Callers' submissions that were stored. */
+    /* Number of submissions by callers whose job was stored. */
     AqMetric *stored;
-    AqMetric *refused; /* callers' requests with status 503: nothing done */
-    AqMetric *unknown; /* callers' requests with status 504: outcome unknown */
-    /* Orders that got no response or were not sent. */
+    /* Number of callers' requests with status 503: nothing was done. */
+    AqMetric *refused;
+    /* Number of callers' requests with status 504: outcome unknown. */
+    AqMetric *unknown;
+    /* Number of pool owners' orders to VMs that got no reply or were not
+     * sent. */
     AqMetric *orders_failed;
     AqMetric *pools_gained;
     AqMetric *pools_lost;
@@ -47,12 +56,14 @@
     AqHttpClient *http;
     AqStore *store;
     AqWorkerClient *workers;
-    AqMachineClient *machines; /* NULL: no machine service is configured */
-    AqAdviceClient *advice;    /* NULL: no advice service is configured */
+    /* Client of the machine service; NULL: none. */
+    AqMachineClient *machines;
+    AqAdviceClient *advice; /* client of the advice service; NULL: none */
     NodeMetrics metrics;
     StoreHealth store_health;
-    AqSiteConfig site;    /* version 0: not read yet */
-    char incarnation[40]; /* random, of this process */
+    /* Configuration of the site, as last read; version 0: not read. */
+    AqSiteConfig site;
+    char incarnation[40]; /* random id of this process */
     bool is_stopping;
 } NodeContext;
 
--- a/packages/router/Include/aq_router.h
+++ b/packages/router/Include/aq_router.h
@@ -8,9 +8,13 @@
 #include "aq_clock.h"
 #include "aq_error.h"
 
-/* Decides for each request when and where it is tried, and what its caller is
- * told.  Pure: attempts, claims and answers go out through AqRouterOps, their
- * results come back as calls.  Design page, section 5.3. */
+/* Schedules requests to endpoints: decides when and on which endpoint each
+ * attempt of a request runs, whether the request is retried, and which outcome
+ * it gets.  Performs no I/O: the daemon implements attempts, claims and the
+ * delivery of outcomes as AqRouterOps, and reports the results of attempts and
+ * claims by calling the functions below.  All times are milliseconds of the
+ * daemon's monotonic clock, passed as "now".  See docs/design.md, section
+ * 5.3. */
 
 typedef struct AqRouter AqRouter;
 
@@ -20,153 +24,226 @@
 } AqPriority;
 
 typedef struct {
-    const char *service; /* copied */
+    const char *service; /* service name; read only during AqRouter_Submit */
     bool idempotent;
     AqPriority priority;
-    AqTime deadline; /* when the caller stops waiting */
+    /* Absolute monotonic time at which the caller stops waiting for the
+     * response. */
+    AqTime deadline;
 } AqRequestSpec;
 
 typedef enum {
-    AQ_OUTCOME_COMPLETED, /* the answer of the last attempt */
-    AQ_OUTCOME_NOT_RUN,
-    AQ_OUTCOME_UNKNOWN
+    /* The caller gets the response of the last attempt. */
+    AQ_OUTCOME_COMPLETED,
+    AQ_OUTCOME_NOT_RUN, /* certainly no endpoint executed the request */
+    AQ_OUTCOME_UNKNOWN  /* an endpoint may have executed the request */
 } AqOutcomeKind;
 
 typedef enum {
     AQ_REASON_NONE,
     AQ_REASON_QUEUE_FULL,
-    AQ_REASON_DEADLINE, /* cannot be met, or passed */
+    /* The deadline has passed, or the request is not expected to complete
+     * before it. */
+    AQ_REASON_DEADLINE,
+    /* The service has no endpoint with slots, or the request's last attempt
+     * could not connect to its endpoint. */
     AQ_REASON_NO_ENDPOINT,
-    AQ_REASON_NO_SERVICE,
-    AQ_REASON_NOT_FRESH,
+    AQ_REASON_NO_SERVICE, /* the service name is unknown */
+    AQ_REASON_NOT_FRESH,  /* the daemon's configuration may be out of date */
+    /* The claim on the request id could not be written to the claim store. */
     AQ_REASON_CLAIM_STORE,
-    AQ_REASON_DUPLICATE,
-    AQ_REASON_CUT,     /* the connection closed after sending */
-    AQ_REASON_SILENT,  /* the attempt timed out after sending */
-    AQ_REASON_REFUSED, /* every endpoint tried refused it */
-    AQ_REASON_TOO_LARGE,
-    AQ_REASON_STOPPING
+    AQ_REASON_DUPLICATE, /* an earlier request claimed the same request id */
+    /* After bytes of the request were sent, the connection closed or the
+     * response was malformed. */
+    AQ_REASON_CUT,
+    /* The attempt timed out after bytes of the request may have been sent. */
+    AQ_REASON_SILENT,
+    /* The endpoint of the request's last attempt responded that it did not run
+     * the request. */
+    AQ_REASON_REFUSED,
+    AQ_REASON_TOO_LARGE, /* the endpoint's response is over the size limit */
+    AQ_REASON_STOPPING   /* the request was submitted after AqRouter_Stop */
 } AqReason;
 
 typedef struct {
     AqOutcomeKind kind;
     AqReason reason;
-    AqTime retry_after_ms; /* not-run: when to come back */
+    /* Delay suggested to the caller before submitting again; 0 unless "kind"
+     * is AQ_OUTCOME_NOT_RUN. */
+    AqTime retry_after_ms;
 } AqOutcome;
 
 typedef enum {
-    AQ_ATTEMPT_ANSWERED, /* a whole answer, status below 500 */
-    AQ_ATTEMPT_FAILED,   /* a whole answer, status 500 or above */
-    AQ_ATTEMPT_REFUSED,  /* whole answer with Aq-Not-Run: did not run */
-    AQ_ATTEMPT_NOT_SENT, /* no connection; no byte of the request left */
-    AQ_ATTEMPT_CUT,      /* closed, partial or wrong answer after sending */
-    AQ_ATTEMPT_TOO_LARGE /* the answer is over the size limit */
+    AQ_ATTEMPT_ANSWERED, /* complete response, status below 500 */
+    AQ_ATTEMPT_FAILED,   /* complete response, status 500 or above */
+    /* Complete response with the header Aq-Not-Run: the endpoint did not run
+     * the request. */
+    AQ_ATTEMPT_REFUSED,
+    AQ_ATTEMPT_NOT_SENT, /* no connection; no byte of the request was sent */
+    /* After bytes of the request were sent, the connection closed or the
+     * response was malformed. */
+    AQ_ATTEMPT_CUT,
+    AQ_ATTEMPT_TOO_LARGE /* the endpoint's response is over the size limit */
 } AqAttemptResult;
 
 typedef struct {
-    uint64_t request;
-    uint64_t attempt;     /* unique in this daemon */
-    const char *endpoint; /* borrowed */
+    uint64_t request;     /* number returned by AqRouter_Submit */
+    uint64_t attempt;     /* id of the attempt, unique within the router */
+    const char *endpoint; /* name of the endpoint, owned by the router */
+    /* The attempt must open a new connection rather than reuse an idle one. */
     bool fresh_connection;
-    AqTime timeout_at; /* the router cancels the attempt by itself then */
+    /* When the router will call cancel_attempt if the attempt is still in
+     * flight. */
+    AqTime timeout_at;
+
 } AqAttempt;
 
-/* start_attempt and claim are called from AqRouter_Tick only; the others from
- * any call but AqRouter_Submit. */
+/* Operations that the daemon implements.  The router calls start_attempt and
+ * claim from AqRouter_Tick only, the others from any function but
+ * AqRouter_Submit. */
 typedef struct {
-    /* Starts an attempt; exactly one AqRouter_AttemptDone follows, unless
-     * cancel_attempt comes before. */
+    /* Starts an attempt.  The daemon then calls AqRouter_AttemptDone for it
+     * exactly once, unless the router calls cancel_attempt before. */
     void (*start_attempt)(void *context, const AqAttempt *attempt);
-    /* Stops an attempt and closes its connection; it reports nothing more.
-     * Returns true when it is certain that no byte of the request left. */
+    /* Aborts an attempt and closes its connection; the daemon calls no
+     * AqRouter_AttemptDone for it.  Returns true if certainly no byte of the
+     * request was sent. */
     bool (*cancel_attempt)(void *context, uint64_t attempt);
-    /* Closes all idle connections to an endpoint. */
+    /* Closes all idle connections to the endpoint. */
     void (*close_idle)(void *context, const char *endpoint);
-    /* Asks for a claim; AqRouter_ClaimDone follows, unless forget_claim comes
-     * before. */
+    /* Requests a claim on the id of the request, which prevents a second
+     * execution of a request with this id.  The daemon then calls
+     * AqRouter_ClaimDone, unless the router calls forget_claim before. */
     void (*claim)(void *context, uint64_t request);
+    /* Cancels the pending claim of the request; the daemon calls no
+     * AqRouter_ClaimDone for it. */
     void (*forget_claim)(void *context, uint64_t request);
-    /* The claimed request certainly did not run. */
+    /* Releases the claim granted on the id of the request, because the request
+     * certainly did not run. */
     void (*release_claim)(void *context, uint64_t request);
-    /* The request's final outcome; the request is gone afterwards.  For
-     * AQ_OUTCOME_COMPLETED the answer is that of "attempt". */
+    /* Reports the final outcome of a request, once; the router does not use
+     * the request's number afterwards.  With AQ_OUTCOME_COMPLETED, the caller
+     * gets the response of "attempt", which is 0 for other outcomes. */
     void (*finish)(void *context, uint64_t request, uint64_t attempt,
                    const AqOutcome *outcome);
 } AqRouterOps;
 
-/* Mechanisms that AqRouterConfig.disabled leaves out, one bit each.  For
- * measurements and tests only: without them the rules of the design page,
- * section 5.3, do not hold. */
+/* Bits of AqRouterConfig.disabled, one per mechanism; each comment says what
+ * happens when the bit is set.  For measurements and tests only: with any of
+ * these bits set, the rules in docs/design.md, section 5.3, do not hold. */
 enum {
-    AQ_ROUTER_DISABLE_QUEUE_LIMIT = 1 << 0, /* queues are unbounded */
-    AQ_ROUTER_DISABLE_ADMISSION = 1 << 1,   /* no refusal by expected wait */
-    AQ_ROUTER_DISABLE_PRIORITY = 1 << 2,    /* one queue in order of arrival */
-    AQ_ROUTER_DISABLE_LOAD_CHOICE = 1 << 3, /* one random endpoint */
-    AQ_ROUTER_DISABLE_CLAIM = 1 << 4,       /* starts without a claim */
-    AQ_ROUTER_DISABLE_RETRY = 1 << 5,       /* one attempt only */
-    AQ_ROUTER_DISABLE_RETRY_RULE = 1 << 6,  /* retries whatever may have run */
-    AQ_ROUTER_DISABLE_RETRY_BUDGET = 1 << 7, /* retries without tokens */
-    AQ_ROUTER_DISABLE_JITTER = 1 << 8,       /* backoff at its upper bound */
-    AQ_ROUTER_DISABLE_EJECTION = 1 << 9,     /* no endpoint is set aside */
-    AQ_ROUTER_DISABLE_EJECTION_SHARE = 1 << 10, /* eject_percent is ignored */
-    AQ_ROUTER_DISABLE_TRIAL =
-        1 << 11, /* set aside: back with all slots at once */
-    AQ_ROUTER_DISABLE_SILENT = 1 << 12,    /* attempts last until the deadline,
-                                       reuse    connections, close no idle ones */
-    AQ_ROUTER_DISABLE_LEAVING = 1 << 13,   /* leaving endpoints get new work */
-    AQ_ROUTER_DISABLE_FRESHNESS = 1 << 14, /* serves while not fresh */
-    AQ_ROUTER_DISABLE_STOP = 1 << 15, /* takes requests after AqRouter_Stop */
-    AQ_ROUTER_DISABLE_RUN_MARK = 1 << 16 /* what was given up was not run */
+    /* The queues of requests are unbounded. */
+    AQ_ROUTER_DISABLE_QUEUE_LIMIT = 1 << 0,
+    /* No request fails because of the expected wait for a slot. */
+    AQ_ROUTER_DISABLE_ADMISSION = 1 << 1,
+    /* Live and archive requests of a service share one queue in order of
+     * arrival. */
+    AQ_ROUTER_DISABLE_PRIORITY = 1 << 2,
+    /* The endpoint of an attempt is chosen at random. */
+    AQ_ROUTER_DISABLE_LOAD_CHOICE = 1 << 3,
+    /* Non-idempotent requests start without a claim. */
+    AQ_ROUTER_DISABLE_CLAIM = 1 << 4,
+    AQ_ROUTER_DISABLE_RETRY = 1 << 5, /* a request gets one attempt only */
+    /* Non-idempotent requests that may have run are retried too. */
+    AQ_ROUTER_DISABLE_RETRY_RULE = 1 << 6,
+    AQ_ROUTER_DISABLE_RETRY_BUDGET = 1 << 7, /* retries need no retry token */
+    /* The delay before a retry is always its upper bound. */
+    AQ_ROUTER_DISABLE_JITTER = 1 << 8,
+    AQ_ROUTER_DISABLE_EJECTION = 1 << 9, /* no endpoint is ejected */
+    /* All endpoints of a service may be ejected at a time. */
+    AQ_ROUTER_DISABLE_EJECTION_SHARE = 1 << 10,
+    /* Ejections end when their time is over; no single request first has to
+     * find out whether the endpoint works again. */
+    AQ_ROUTER_DISABLE_TRIAL = 1 << 11,
+    /* Attempts time out only at the deadline of their request, may always
+     * reuse an idle connection, and a timeout leaves idle connections open. */
+    AQ_ROUTER_DISABLE_SILENT = 1 << 12,
+    /* Leaving endpoints get new requests. */
+    AQ_ROUTER_DISABLE_LEAVING = 1 << 13,
+    /* Requests are accepted and started although the daemon's configuration
+     * may be out of date. */
+    AQ_ROUTER_DISABLE_FRESHNESS = 1 << 14,
+    AQ_ROUTER_DISABLE_STOP = 1 << 15, /* AqRouter_Stop has no effect */
+    /* Requests that may have run are reported as not run when they fail. */
+    AQ_ROUTER_DISABLE_RUN_MARK = 1 << 16
 };
 
 typedef struct {
-    int queue_limit;        /* requests waiting per service */
-    int max_attempts;       /* per request */
-    double retry_ratio;     /* retry tokens earned per request */
-    double retry_burst;     /* most retry tokens of a service */
-    AqTime backoff_low_ms;  /* first backoff */
-    AqTime backoff_high_ms; /* longest backoff */
-    int archive_share;      /* one in so many starts when both wait */
-    int eject_percent;      /* most endpoints of a service set aside */
-    AqTime eject_ms;        /* first time set aside */
+    /* Maximum number of a service's requests that wait for a claim or a slot.
+     * While so many wait, new ones are refused with AQ_REASON_QUEUE_FULL. */
+    int queue_limit;
+    /* Maximum number of attempts of a request, its retries included. */
+    int max_attempts;
+    /* Retry tokens that a service earns per admitted request. */
+    double retry_ratio;
+    /* Maximum and initial number of a service's retry tokens; each retry of a
+     * request uses up one. */
+    double retry_burst;
+    /* The delay before a retry is random, from 0 to an upper bound.  The bound
+     * is backoff_initial_ms for the first retry of a request and doubles with
+     * each further one, up to backoff_max_ms. */
+    AqTime backoff_initial_ms;
+    AqTime backoff_max_ms;
+    /* While both live and archive requests of a service are queued, one of
+     * every archive_start_interval attempts is started for an archive
+     * request.  A value below 2 counts as 2. */
+    int archive_start_interval;
+    /* Percentage of a service's endpoints that may be ejected at a time. */
+    int max_ejected_percent;
+    /* Length of an endpoint's first ejection; doubles with each further one,
+     * up to eject_max_ms, until the endpoint has recovered. */
+    AqTime eject_initial_ms;
     AqTime eject_max_ms;
-    AqTime slot_wait_ms; /* longest wait while a service has no slot at all */
-    unsigned
-        disabled; /* AQ_ROUTER_DISABLE_*, for measurements; 0 by default */
+    /* After a service has had no slot for this long, its waiting and new
+     * requests fail with AQ_REASON_NO_ENDPOINT. */
+    AqTime slot_wait_ms;
+    /* AQ_ROUTER_DISABLE_* bits, for measurements and tests; 0 by default. */
+    unsigned disabled;
 } AqRouterConfig;
 
-/* The defaults of the design page. */
+/* Sets all fields to the defaults given in docs/design.md, section 12. */
 void AqRouterConfig_Init(AqRouterConfig *config);
 
-/* "config" and "ops" are copied; "context" is passed to the operations. */
+/* Creates a router without endpoints; free it with AqRouter_Destroy.  "config"
+ * and "ops" are copied; "context" is passed to each operation of "ops"; "seed"
+ * starts the random numbers. */
 AqRouter *AqRouter_Create(const AqRouterConfig *config, const AqRouterOps *ops,
                           void *context, uint64_t seed);
 void AqRouter_Destroy(AqRouter *router);
 
-/* Adds an endpoint or moves it to another service.  Strings are copied. */
+/* Adds an endpoint with 0 slots to the service.  An endpoint of another
+ * service is moved to this service and keeps its number of slots.  The names
+ * are copied. */
 void AqRouter_SetEndpoint(AqRouter *router, AqTime now, const char *endpoint,
                           const char *service);
-/* Removes it once its requests in flight have ended; nothing new starts. */
+/* Removes an endpoint: no new attempt starts on it; attempts in flight
+ * finish. */
 void AqRouter_RemoveEndpoint(AqRouter *router, AqTime now,
                              const char *endpoint);
-/* Slots that this daemon may use on the endpoint now. */
+/* Sets the number of concurrent attempts that this daemon may run on the
+ * endpoint.  Attempts already in flight beyond that number finish. */
 void AqRouter_SetSlots(AqRouter *router, AqTime now, const char *endpoint,
                        int slots);
-/* Leaving endpoints get nothing new; requests in flight finish. */
+/* Sets whether the endpoint is leaving: then no new attempt starts on it, and
+ * attempts in flight finish. */
 void AqRouter_SetLeaving(AqRouter *router, AqTime now, const char *endpoint,
                          bool leaving);
-/* A daemon that is not fresh refuses new requests and starts nothing; what
- * waits is given up on at once.  A router starts not fresh. */
+/* Sets whether the daemon's configuration is fresh, i.e. certainly still in
+ * force.  While it is not, new requests are refused and no attempt starts;
+ * waiting requests fail as soon as it ceases to be fresh.  A new router's
+ * configuration is not fresh. */
 void AqRouter_SetFresh(AqRouter *router, AqTime now, bool fresh);
-/* New requests are refused; those taken finish. */
+/* Refuses new requests from now on; requests already accepted finish. */
 void AqRouter_Stop(AqRouter *router, AqTime now);
 
-/* Takes a request; finish comes later (never from inside this call) with the
- * number that is returned. */
+/* Submits a request and returns its number.  The router later calls
+ * AqRouterOps.finish for the request, also when it is refused, but never from
+ * inside this call. */
 uint64_t AqRouter_Submit(AqRouter *router, AqTime now,
                          const AqRequestSpec *spec);
-/* The caller is gone.  finish is called as for an unknown outcome or not-run
- * so that counters stay right. */
+/* Cancels a request whose caller has disconnected.  AqRouterOps.finish is
+ * called with AQ_OUTCOME_UNKNOWN or AQ_OUTCOME_NOT_RUN, so that AqRouterStats
+ * counts every request under an outcome.  Unknown numbers are ignored. */
 void AqRouter_Cancel(AqRouter *router, AqTime now, uint64_t request);
 
 typedef enum {
@@ -175,43 +252,66 @@
     AQ_ROUTER_CLAIM_UNAVAILABLE
 } AqRouterClaim;
 
+/* Reports the result of AqRouterOps.claim. */
 void AqRouter_ClaimDone(AqRouter *router, AqTime now, uint64_t request,
                         AqRouterClaim result);
+/* Reports the result of AqRouterOps.start_attempt. */
 void AqRouter_AttemptDone(AqRouter *router, AqTime now, uint64_t attempt,
                           AqAttemptResult result);
+/* Reports the result of a health check of the endpoint. */
 void AqRouter_HealthDone(AqRouter *router, AqTime now, const char *endpoint,
                          bool healthy);
 
-/* Carries out what is due: starts, retries, timeouts, answers. */
+/* Performs what is due at "now": times out attempts, requests claims, queues
+ * retries, fails or refuses requests, and starts attempts. */
 void AqRouter_Tick(AqRouter *router, AqTime now);
-/* When AqRouter_Tick is due next: "now" or earlier when work waits already. */
+/* Returns when AqRouter_Tick must be called next; AQ_TIME_NEVER if nothing is
+ * due until another function is called.  If an attempt may be able to start at
+ * once, returns the "now" of the last call. */
 AqTime AqRouter_NextTick(const AqRouter *router);
 
+/* Returns the number of attempts in flight on the endpoint; 0 if its name is
+ * unknown. */
 int AqRouter_InFlight(const AqRouter *router, const char *endpoint);
+/* Returns the number of attempts in flight on all endpoints together. */
 int AqRouter_TotalInFlight(const AqRouter *router);
-/* Requests waiting and free slots of a service; 0 for an unknown one. */
+/* Returns the number of queued requests of the service, live and archive; 0 if
+ * its name is unknown. */
 int AqRouter_Queued(const AqRouter *router, const char *service);
-int AqRouter_Idle(const AqRouter *router, const char *service);
+/* Returns the number of free slots of the service, without the slots of
+ * ejected, leaving and removed endpoints; 0 if the service name is unknown. */
+int AqRouter_FreeSlots(const AqRouter *router, const char *service);
 /* Calls "visit" for each service that has endpoints. */
 void AqRouter_EachService(const AqRouter *router,
                           void (*visit)(void *context, const char *service),
                           void *context);
+/* Whether the endpoint is ejected because too many of its requests or health
+ * checks failed.  An ejected endpoint gets no requests; after the time of the
+ * ejection, one request finds out whether it works again. */
 bool AqRouter_IsEjected(const AqRouter *router, const char *endpoint);
 
+/* Counters since AqRouter_Create. */
 typedef struct {
-    uint64_t submitted;
-    uint64_t attempts;
+    uint64_t submitted; /* requests submitted, refused ones included */
+    uint64_t attempts;  /* attempts started, retries included */
     uint64_t retries;
-    uint64_t retries_denied; /* by the retry budget */
-    uint64_t completed;
-    uint64_t not_run;
-    uint64_t unknown;
+    uint64_t retries_denied; /* retries not made for lack of a retry token */
+    uint64_t completed;      /* requests with AQ_OUTCOME_COMPLETED */
+    uint64_t not_run;        /* requests with AQ_OUTCOME_NOT_RUN */
+    uint64_t unknown;        /* requests with AQ_OUTCOME_UNKNOWN */
+    /* Ejections of endpoints.  An ejection counts again each time it is
+     * renewed because the one request that tried the endpoint again (its
+     * trial) failed. */
     uint64_t ejections;
-    uint64_t silent; /* attempts timed out on an open connection */
+    /* Attempts that timed out after bytes of the request may have been
+     * sent. */
+    uint64_t silent;
 } AqRouterStats;
 
 void AqRouter_GetStats(const AqRouter *router, AqRouterStats *stats);
 
+/* Checks the invariants of all internal tables of the router, for tests.
+ * Returns false and sets "error" (may be NULL) if one is violated. */
 bool AqRouter_CheckConsistency(const AqRouter *router, AqError *error);
 
 #endif
--- a/packages/router/tests/test_random.c
+++ b/packages/router/tests/test_random.c
@@ -6,7 +6,7 @@
 
 enum {
     SEEDS = 300,
-    STEPS = 600,
+    STEPS = 600, /* calls of step_once per seed */
     ENDPOINTS = 7
 };
 
@@ -16,13 +16,15 @@
     return AqRandom_Below(&sim->random, bound);
 }
 
+/* Returns a random element of "values". */
 static uint64_t
 any_of(Sim *sim, const GArray *values)
 {
     return g_array_index(values, uint64_t, below(sim, values->len));
 }
 
-/* A result that agrees with whether bytes left. */
+/* Returns AQ_ATTEMPT_NOT_SENT if no byte of the attempt's request was sent;
+ * otherwise returns a random one of the other results. */
 static AqAttemptResult
 any_result(Sim *sim, uint64_t attempt)
 {
@@ -35,6 +37,8 @@
                : AQ_ATTEMPT_NOT_SENT;
 }
 
+/* Makes one random change to a random endpoint: removes it, adds it, moves it
+ * to another service, or sets its number of slots or whether it is leaving. */
 static void
 change_endpoint(Sim *sim)
 {
@@ -42,11 +46,12 @@
     SimEndpoint *ep = &sim->endpoints[e];
     switch (below(sim, 5)) {
     case 0:
-        ep->out = true;
+        ep->unavailable = true;
         AqRouter_RemoveEndpoint(sim->router, sim->now, ep->name);
         break;
     case 1:
-        /* May move it to another service, or add it again. */
+        /* Adds the endpoint again if it was removed.  Otherwise moves it to
+         * the service drawn here, unless it already belongs to it. */
         AqRouter_SetEndpoint(sim->router, sim->now, ep->name,
                              below(sim, 4) == 0 ? "other" : "s");
         Sim_SetLeaving(sim, e, false);
@@ -60,6 +65,9 @@
     }
 }
 
+/* Sets at random whether the daemon's configuration is fresh.  In the last
+ * quarter of the STEPS calls of step_once, stops the router instead with a
+ * probability of 1/40. */
 static void
 change_daemon(Sim *sim, int step)
 {
@@ -71,6 +79,9 @@
     }
 }
 
+/* Performs one random action: submits or cancels a request, reports the result
+ * of an attempt, claim or health check, changes an endpoint, stops the router,
+ * changes whether the configuration is fresh, or advances the time. */
 static void
 step_once(Sim *sim, int step)
 {
@@ -82,12 +93,12 @@
                    below(sim, 2) ? AQ_PRIORITY_LIVE : AQ_PRIORITY_ARCHIVE,
                    timeout, below(sim, 1000));
     }
-    else if (action < 55 && sim->open->len > 0) {
-        uint64_t attempt = any_of(sim, sim->open);
+    else if (action < 55 && sim->open_attempts->len > 0) {
+        uint64_t attempt = any_of(sim, sim->open_attempts);
         Sim_Report(sim, attempt, any_result(sim, attempt));
     }
-    else if (action < 70 && sim->claims->len > 0) {
-        Sim_ReportClaim(sim, any_of(sim, sim->claims),
+    else if (action < 70 && sim->pending_claims->len > 0) {
+        Sim_ReportClaim(sim, any_of(sim, sim->pending_claims),
                         below(sim, 3) > 0 ? AQ_ROUTER_CLAIM_GRANTED
                                           : (AqRouterClaim)below(sim, 3));
     }
@@ -115,18 +126,21 @@
     }
 }
 
-/* Lets everything end and counts requests without exactly one finish. */
+/* Runs for 10 s of virtual time, in which each pending claim and each attempt
+ * in flight gets a result.  Returns the number of requests that were not
+ * finished exactly once. */
 static int
 count_unfinished(Sim *sim)
 {
     for (int i = 0; i < 100; i++) {
         Sim_Run(sim, 100);
-        while (sim->claims->len > 0) {
-            Sim_ReportClaim(sim, any_of(sim, sim->claims),
+        while (sim->pending_claims->len > 0) {
+            Sim_ReportClaim(sim, any_of(sim, sim->pending_claims),
                             AQ_ROUTER_CLAIM_UNAVAILABLE);
         }
-        while (sim->open->len > 0) {
-            Sim_Report(sim, any_of(sim, sim->open), AQ_ATTEMPT_ANSWERED);
+        while (sim->open_attempts->len > 0) {
+            Sim_Report(sim, any_of(sim, sim->open_attempts),
+                       AQ_ATTEMPT_ANSWERED);
         }
     }
     int n = 0;
@@ -136,6 +150,9 @@
     return n;
 }
 
+/* Performs STEPS random actions in a new simulation.  Returns true if no rule
+ * in SimRule was violated, the router's tables stayed consistent and every
+ * request was finished exactly once. */
 static bool
 run_seed(uint64_t seed, unsigned disabled)
 {
@@ -144,10 +161,11 @@
     AqError_Clear(&error);
     Sim_Init(&sim, seed, disabled);
     sim.manual = true;
-    /* More retries and trials than with the defaults. */
+    /* These settings cause more refused requests, retries and requests that
+     * try an ejected endpoint again than the default settings. */
     sim.config.queue_limit = 20;
     sim.config.retry_burst = 40;
-    sim.config.eject_ms = 500;
+    sim.config.eject_initial_ms = 500;
     Sim_Start(&sim, ENDPOINTS, 2, 20);
     bool ok = true;
     for (int i = 0; i < STEPS && ok; i++) {
@@ -161,7 +179,7 @@
     if (!ok && disabled == 0) {
         printf("\nseed %d: %s; %d unfinished; violations", (int)seed,
                error.message, unfinished);
-        for (int i = 0; i < SIM_RULES; i++) {
+        for (int i = 0; i < SIM_RULE_COUNT; i++) {
             printf(" %d", sim.violations[i]);
         }
     }
@@ -169,16 +187,18 @@
     return ok;
 }
 
-/* Guards against a broken rule in any order of calls: a request finished
- * twice or never, exceeded slots, a second run, a false not-run, a start on a
- * leaving endpoint, and inconsistent tables. */
+/* Guards against faults in a random order of calls: a request finished twice
+ * or never, more attempts in flight than an endpoint has slots, a second
+ * execution of a non-idempotent request, AQ_OUTCOME_NOT_RUN for a request that
+ * may have run, a start on a leaving endpoint, inconsistent tables. */
 void
 test_random_calls(void)
 {
     for (uint64_t seed = 1; seed <= SEEDS; seed++) {
         CU_ASSERT_TRUE(run_seed(seed, 0));
     }
-    /* The same checks must notice when a rule is missing. */
+    /* Each of these bits disables one mechanism.  With that mechanism
+     * disabled, run_seed must return false for more than half of 20 seeds. */
     static const unsigned rules[] = {
         AQ_ROUTER_DISABLE_CLAIM,
         AQ_ROUTER_DISABLE_RETRY_RULE,
--- a/packages/router/timers.c
+++ b/packages/router/timers.c
@@ -1,7 +1,8 @@
 #include "router_private.h"
 
-/* Binary heap.  A request that is not in it has timer_index SIZE_MAX, set when
- * it is created. */
+/* AqRouter.timers is a binary heap of requests, the earliest timer_at at the
+ * root.  Requests are created with the timer_index SIZE_MAX, which marks a
+ * request that is not in the heap. */
 
 static AqRouterRequest *
 at(const AqRouter *router, size_t i)
@@ -9,6 +10,7 @@
     return g_ptr_array_index(router->timers, i);
 }
 
+/* Stores the request at array index i of the timer heap. */
 static void
 place(AqRouter *router, AqRouterRequest *r, size_t i)
 {
@@ -16,17 +18,21 @@
     r->timer_index = i;
 }
 
+/* Moves the request towards the root of the timer heap until the timer of its
+ * parent is not due later. */
 static void
 sift_up(AqRouter *router, AqRouterRequest *r)
 {
     size_t i = r->timer_index;
-    while (i > 0 && at(router, (i - 1) / 2)->wake > r->wake) {
+    while (i > 0 && at(router, (i - 1) / 2)->timer_at > r->timer_at) {
         place(router, at(router, (i - 1) / 2), i);
         i = (i - 1) / 2;
     }
     place(router, r, i);
 }
 
+/* Moves the request away from the root of the timer heap until no timer of its
+ * children is due earlier. */
 static void
 sift_down(AqRouter *router, AqRouterRequest *r)
 {
@@ -34,10 +40,10 @@
     size_t i = r->timer_index;
     for (size_t child = 2 * i + 1; child < n; child = 2 * i + 1) {
         if (child + 1 < n &&
-            at(router, child + 1)->wake < at(router, child)->wake) {
+            at(router, child + 1)->timer_at < at(router, child)->timer_at) {
             child++;
         }
-        if (at(router, child)->wake >= r->wake) {
+        if (at(router, child)->timer_at >= r->timer_at) {
             break;
         }
         place(router, at(router, child), i);
@@ -47,9 +53,9 @@
 }
 
 void
-AqRouterTimers_Set(AqRouter *router, AqRouterRequest *r, AqTime wake)
+AqRouterTimers_Set(AqRouter *router, AqRouterRequest *r, AqTime timer_at)
 {
-    r->wake = wake;
+    r->timer_at = timer_at;
     if (r->timer_index == SIZE_MAX) {
         r->timer_index = router->timers->len;
         g_ptr_array_add(router->timers, r);
