--- a/packages/membership/Include/aq_membership.h
+++ b/packages/membership/Include/aq_membership.h
@@ -53,9 +53,9 @@
     /* With this bit set, a daemon skips the wait of AQ_GUARD_MS before it
      * takes slots that another daemon may still use. */
     AQ_FAULT_NO_GUARD = 8,
-    /* With this bit set, the "over" list of a received heartbeat, which names
-     * the endpoints on which the sender has more requests than slots, is
-     * ignored. */
+    /* With this bit set, the "over" list of a received heartbeat is ignored.
+     * The list names the endpoints on which the sender had, when it sent the
+     * list, more requests in flight than slots. */
     AQ_FAULT_IGNORE_OVER = 16,
     /* With this bit set, a slot newly assigned to this daemon becomes usable
      * once the member to which the slot was assigned in the previous epoch has
--- a/packages/membership/Include/aq_slices.h
+++ b/packages/membership/Include/aq_slices.h
@@ -37,11 +37,13 @@
  * requests in flight on the endpoint have ended. */
 void AqSlices_RemoveEndpoint(AqSlices *slices, const char *endpoint);
 
-/* Fills over, slot_leases and slots_known of a heartbeat.  Sets the
- * heartbeat's epoch to 0, so that it releases no slots, if "over" is too long
- * for a heartbeat or not every other member has reported its leased-in slots
- * yet.  "in_use" returns the number of this daemon's requests in flight on an
- * endpoint; it is also called for removed endpoints until it returns 0.
+/* Fills over (the endpoints on which this daemon has more requests in flight
+ * than slots), slot_leases (the slots that it has leased in) and slots_known
+ * of a heartbeat.  Sets the heartbeat's epoch to 0, so that the heartbeat
+ * releases no slots, if "over" is too long for a heartbeat or not every other
+ * member has reported its leased-in slots to this daemon since this daemon
+ * started.  "in_use" returns the number of this daemon's requests in flight on
+ * an endpoint; it is also called for removed endpoints until it returns 0.
  * Without this call no peer can use slots that are newly assigned to that
  * peer. */
 void AqSlices_FillHeartbeat(AqSlices *slices, AqTime now,
@@ -63,30 +65,35 @@
  * endpoints or AqMembership_IsFresh change. */
 bool AqSlices_IsSteady(const AqSlices *slices);
 
-/* Called by the lessor: leases up to "count" slots of an endpoint to "lessee",
- * at most the "idle" ones, on which the lessor runs no request.  Returns the
- * number of slots leased out; 0 if none can be. */
+/* Called by the lessor: leases up to "count" more slots of an endpoint to
+ * "lessee", in addition to those already leased to the lessee, but at most
+ * "idle", the number of slots on which the lessor runs no request.  Returns
+ * the number of slots added; 0 if none can be. */
 int AqSlices_GrantLease(AqSlices *slices, AqTime now, const char *lessee,
                         const char *endpoint, int idle, int count);
-/* Called by the lessor when the lessee has returned "count" slots.  A peer's
- * heartbeats, LEND messages (which grant slots) and RETURN messages (which
- * give leased slots back) must be handled in the order in which they were
- * sent, and no message from an older connection to the peer may be handled
- * after the first message of a newer one.  After a lost LEND or RETURN
- * message, the lessee's next heartbeat corrects the lessor's count of
- * leased-out slots. */
+/* Called by the lessor when the lessee has returned "count" slots of an
+ * endpoint.  A peer's heartbeats, LEND messages (which grant slots) and RETURN
+ * messages (which give leased slots back) must be handled in the order in
+ * which they were sent, and no message from an older connection to the peer
+ * may be handled after the first message of a newer one.  After a lost LEND or
+ * RETURN message, a later heartbeat of the lessee corrects the lessor's count
+ * of leased-out slots. */
 void AqSlices_LeaseReturned(AqSlices *slices, const char *lessee,
                             const char *endpoint, int count);
-/* Called by the lessee when the lessor has leased it "count" slots, on which
- * new requests may start for "term_ms" from now.  The grant is ignored unless
- * the lessor's last heartbeat was certainly sent at most AQ_FRESH_MS ago. */
+/* Called by the lessee when the lessor has leased it "count" more slots of an
+ * endpoint: adds them to the slots already leased in from this lessor.  New
+ * requests may start on all of these slots for "term_ms" from now.  The grant
+ * is ignored unless the last heartbeat received from the lessor was certainly
+ * sent at most AQ_FRESH_MS ago. */
 void AqSlices_LeaseGranted(AqSlices *slices, AqTime now, const char *lessor,
                            const char *endpoint, int count, AqTime term_ms);
 /* Called by the lessee, which has "in_use" requests in flight on an endpoint:
- * takes out of use leased-in slots of one lessor that run no request, if their
- * term has ended or the lessee has free slots of its own.  Returns the number
- * of these slots, which the caller must return to *lessor; 0 if there are
- * none.  *lessor is valid until the next call of this function. */
+ * takes out of use slots that it has leased in from one lessor and on which it
+ * runs no request.  Only slots whose term has ended are taken, or, if the
+ * lessee has free slots of its own, slots granted at least AQ_HEARTBEAT_MS
+ * ago.  Returns the number of slots taken out of use, which the caller must
+ * return to *lessor; 0 if there are none.  *lessor is valid until the next
+ * call of this function. */
 int AqSlices_NextReturn(AqSlices *slices, AqTime now, const char *endpoint,
                         int in_use, const char **lessor);
 
--- a/packages/membership/bench/bench_cluster.c
+++ b/packages/membership/bench/bench_cluster.c
@@ -227,7 +227,7 @@
 }
 
 /* Returns to their lessors the leased-in slots on which "b" runs no request,
- * if their term has ended or "b" has free slots of its own. */
+ * if the term of these slots has ended or "b" has free slots of its own. */
 static void
 return_slot_leases(BenchCluster *c, BenchMember *b)
 {
--- a/packages/membership/bench/bench_cluster.h
+++ b/packages/membership/bench/bench_cluster.h
@@ -70,13 +70,14 @@
 void bench_destroy(BenchCluster *c);
 /* Runs the cluster for "ms" of virtual time. */
 void bench_run(BenchCluster *c, AqTime ms);
-/* Lets each member use as many slots as its demand, or all of its usable slots
- * if these are fewer; returns the number of slots in use over all members. */
+/* Lets each member use one slot for each request that it needs to run
+ * ("demand"), or all of its usable slots if these are fewer; returns the
+ * number of slots in use, summed over all members. */
 int bench_load(BenchCluster *c);
 /* Lets each member in turn return to the lessors its leased-in slots that run
- * no request, if their term has ended or the member has free slots of its own.
- * If the demand of the member exceeds its slots in use, the member then leases
- * idle slots from the other members. */
+ * no request, if the term of these slots has ended or the member has free
+ * slots of its own.  If the member needs to run more requests ("demand") than
+ * it has slots in use, it then leases idle slots from the other members. */
 void bench_lease_slots(BenchCluster *c);
 
 #endif
--- a/packages/membership/bench/bench_membership.c
+++ b/packages/membership/bench/bench_membership.c
@@ -6,8 +6,8 @@
  * each member in bytes per second, CPU time and memory, and the share of the
  * slots that are in use with and without slot leasing.  The bytes are those of
  * the encoded heartbeats, without TCP/IP headers.  It also prints the share of
- * time in which a member is fresh that learns of the store through one peer
- * only. */
+ * time in which a member that cannot reach the store counts as fresh through
+ * the heartbeats of one peer. */
 
 enum {
     WARM_UP_MS = 10000,
@@ -17,7 +17,8 @@
 /* Prints, for a cluster of "members" members and "endpoints" endpoints, what
  * heartbeats cost one member: bytes received per heartbeat and per second, CPU
  * time in microseconds to process and to fill one heartbeat, percent of one
- * CPU core, and bytes of memory. */
+ * CPU core, bytes of memory of AqMembership per member of the cluster, and
+ * bytes of memory of AqSlices. */
 static void
 measure_cost(int members, int endpoints)
 {
@@ -59,10 +60,10 @@
 }
 
 /* Prints the share of a cluster's slots that are in use, without and with slot
- * leasing.  The members together need 90% of the slots: the first
- * "loaded_count" members equal shares, or, if loaded_count is 0, member i a
- * share in proportion to 1/(i + 1).  "load" is the name of this demand in the
- * output. */
+ * leasing.  The members together need 90% of the slots: each of the first
+ * "loaded_count" members needs an equal share, or, if loaded_count is 0,
+ * member i needs a share in proportion to 1/(i + 1).  "load" is the name of
+ * this demand in the output. */
 static void
 measure_slot_leasing(int members, const char *load, int loaded_count)
 {
@@ -84,10 +85,11 @@
     bench_destroy(c);
 }
 
-/* Prints the share of time in which a member is fresh that cannot reach the
- * store and receives heartbeats only from one peer, which reaches the store.
- * The share is measured for each offset between the heartbeats of the member
- * and of the peer; the least and the mean share are printed. */
+/* Prints the share of time in which a member counts as fresh although it
+ * cannot reach the store and receives heartbeats only from one peer, which
+ * reaches the store.  The share is measured for each offset between the
+ * heartbeats of the member and of the peer; the least and the mean share are
+ * printed. */
 static void
 measure_relayed_freshness(void)
 {
--- a/packages/membership/membership.c
+++ b/packages/membership/membership.c
@@ -173,8 +173,9 @@
     m->counts_for_majority = true;
 }
 
-/* Sets *at to the time at which this daemon sent the heartbeat "seq"; returns
- * false if this daemon has sent no such heartbeat since its start. */
+/* Sets *at to the time at which this daemon sent the heartbeat with the
+ * sequence number "seq"; returns false if this daemon has sent no such
+ * heartbeat since its start. */
 static bool
 sending_time(const AqMembership *m, uint64_t seq, AqTime *at)
 {
@@ -186,11 +187,11 @@
     return true;
 }
 
-/* Sets *at to a lower bound, on this daemon's clock, of the time at which the
- * peer sent "beat": a heartbeat that acknowledges this daemon's heartbeat with
- * the sequence number S was sent after the latter.  The bound holds however
- * long "beat" was delayed in buffers.  Returns false if "beat" acknowledges no
- * heartbeat of this daemon. */
+/* Sets *at to a time, on this daemon's clock, before which the peer cannot
+ * have sent "beat": the time at which this daemon sent the heartbeat that
+ * "beat" acknowledges.  This holds however long "beat" was delayed in
+ * buffers.  Returns false if "beat" acknowledges no heartbeat of this
+ * daemon. */
 static bool
 earliest_send_time(const AqMembership *m, AqTime now,
                    const AqMsgHeartbeat *beat, AqTime *at)
@@ -208,9 +209,12 @@
     return false;
 }
 
-/* Updates peer->sent_after, and the times at which the peer last reached the
- * store (peer->contact and m->relayed_contact), from a heartbeat of the peer
- * that was sent no earlier than "sent_after". */
+/* Updates three times from a heartbeat that the peer sent no earlier than
+ * "sent_after"; a time changes only to a later one.  peer->sent_after: the
+ * peer cannot have sent its last heartbeat before this time.  peer->contact:
+ * the peer last reached the store at this time or later.  m->relayed_contact:
+ * the same for any peer, but only if the heartbeat reports a version of the
+ * fleet document that is not above this daemon's. */
 static void
 record_send_time(AqMembership *m, Peer *peer, AqTime sent_after,
                  const AqMsgHeartbeat *beat)
--- a/packages/membership/peers.h
+++ b/packages/membership/peers.h
@@ -28,12 +28,12 @@
     /* Time at which this daemon received the peer's last heartbeat, on this
      * daemon's clock; TIME_UNKNOWN before the first. */
     AqTime last_heartbeat_at;
-    /* Lower bound, on this daemon's clock, of the time at which the peer sent
-     * the last heartbeat that this daemon received from it; TIME_UNKNOWN if
-     * there is no bound. */
+    /* Time, on this daemon's clock, before which the peer cannot have sent the
+     * last heartbeat that this daemon received from it; TIME_UNKNOWN if no
+     * such time is known. */
     AqTime sent_after;
-    /* Lower bound, on this daemon's clock, of the time at which the peer last
-     * reached the store; TIME_UNKNOWN if there is no bound. */
+    /* Time, on this daemon's clock, at or after which the peer last reached
+     * the store; TIME_UNKNOWN if no such time is known. */
     AqTime contact;
     /* For each daemon other than the peer, milliseconds for which the peer had
      * received no heartbeat from that daemon when the peer sent its own last
@@ -68,8 +68,8 @@
 /* Discards what heartbeats of the peer's previous instance reported, and sets
  * peer->instance to "instance". */
 void peer_reset(Peer *peer, uint64_t instance);
-/* Stores in the peer copies of the fields and lists of its heartbeat, which
- * was received at "now". */
+/* Copies seq, epoch, version, joining, peer_ages and leaving from the peer's
+ * heartbeat "beat", which was received at "now", into "peer". */
 void peer_store(Peer *peer, AqTime now, const AqMsgHeartbeat *beat);
 
 /* Value of the item called "name" in "items", or "absent" if there is no such
--- a/packages/membership/slices.c
+++ b/packages/membership/slices.c
@@ -253,8 +253,9 @@
 }
 
 /* Records, for each endpoint that the "over" list of member "i" does not name,
- * that the member has released its former slots of the endpoint: the member
- * has no more requests in flight there than slots. */
+ * that the member has released its former slots of the endpoint: when the
+ * member sent the list, it had no more requests in flight on the endpoint than
+ * slots. */
 static void
 record_release(AqSlices *slices, size_t i, const AqMsgHeartbeat *beat)
 {
@@ -279,7 +280,8 @@
 
 /* Processes the heartbeat of a daemon that is not a member, such as a removed
  * one.  That daemon still has requests in flight on the endpoints in its
- * "over" list, so no slot of these goes to SLOT_HELD for AQ_FRESH_MS. */
+ * "over" list, so no slot of these endpoints goes to SLOT_HELD until
+ * AQ_FRESH_MS from now. */
 static void
 block_endpoints(AqSlices *slices, AqTime now, const AqMsgHeartbeat *beat)
 {
@@ -371,9 +373,10 @@
 }
 
 /* Returns the number of endpoints on which this daemon has more requests in
- * flight than slots.  Unless "items" is NULL, lists these endpoints in it,
- * each with the number of excess requests.  Frees removed endpoints on which
- * this daemon has no requests. */
+ * flight than slots.  The slots are those in SLOT_HELD, minus those leased
+ * out, plus those leased in from lessors that have not left the epoch.  Unless
+ * "items" is NULL, lists these endpoints in it, each with the number of excess
+ * requests.  Frees removed endpoints on which this daemon has no requests. */
 static size_t
 list_over(AqSlices *slices, int (*in_use)(void *context, const char *endpoint),
           void *context, AqWireCount *items)
@@ -424,8 +427,8 @@
     beat->slots_known = true;
     /* A heartbeat with epoch 0 releases no slots.  This daemon sends epoch 0
      * if its "over" list is too long for a heartbeat, and until every other
-     * member has reported its leased-in slots, which a previous instance of
-     * this daemon may have granted. */
+     * member has reported its leased-in slots: a previous instance of this
+     * daemon may have granted them. */
     slices->all_reported =
         slices->all_reported ||
         (slices->is_member && has_every_peer(slices, slices->reported));
--- a/packages/membership/slices_internal.h
+++ b/packages/membership/slices_internal.h
@@ -31,8 +31,8 @@
      * freed once this daemon's requests in flight on the endpoint have
      * ended. */
     bool removed;
-    /* Number of slots of the endpoint over all members: its limit of requests
-     * in flight. */
+    /* Number of slots of the endpoint, summed over all members: the endpoint's
+     * limit of requests in flight. */
     int slots;
     /* Number of the endpoint's slots in SLOT_PENDING: assigned to this daemon,
      * not yet released by all other members. */
@@ -56,12 +56,13 @@
      * requests on the endpoint. */
     AqTime blocked_until;
     /* Number (report_number) of the last heartbeat whose "over" list named
-     * this endpoint.  The list names the endpoints on which the sender has
-     * more requests than slots. */
+     * this endpoint.  The list names the endpoints on which the sender had,
+     * when it sent the list, more requests in flight than slots. */
     uint64_t last_over_report;
     /* One bit per member, by position in "members": set if the member has
      * released, in this epoch, its former slots of this endpoint: it reported
-     * no more requests in flight there than it has slots. */
+     * no more requests in flight on the endpoint than it had slots of the
+     * endpoint at that time. */
     uint64_t released_by[MEMBER_WORDS];
 } Endpoint;
 
@@ -84,9 +85,9 @@
      * them. */
     bool is_orphaned;
     /* For leased-out slots whose lessee has left the epoch or restarted: time
-     * at which this daemon takes the slots back, AQ_GUARD_MS after it saw a
-     * majority of the members accept the epoch or saw the restart;
-     * TIME_UNKNOWN before that. */
+     * at which this daemon takes the slots back, AQ_GUARD_MS after this daemon
+     * saw a majority of the members accept the epoch or saw the restart;
+     * TIME_UNKNOWN until this daemon has seen one of these. */
     AqTime reclaim_at;
 } SlotLease;
 
@@ -104,7 +105,7 @@
     size_t member_count;
     /* Ids of the epoch's members, in ascending order. */
     char (*members)[AQ_WIRE_MAX_NAME];
-    uint64_t *hashes; /* hash of each member's id, in order of id */
+    uint64_t *hashes; /* hash of each id in "members", same order */
     /* Whether the slots in SLOT_PENDING stay unused by this daemon until
      * guard_until, because a daemon that is not a member may still run
      * requests on them. */
@@ -113,9 +114,9 @@
      * SLOT_HELD, AQ_GUARD_MS after this daemon saw the epoch accepted by a
      * majority of the members; TIME_UNKNOWN until then. */
     AqTime guard_until;
-    /* Whether, in one and the same epoch since the start of this daemon, every
-     * other member has reported the slots that it has leased in; stays true
-     * when the epoch changes. */
+    /* Whether, since this daemon started, there has been an epoch in which
+     * every other member reported to it which slots the member has leased in;
+     * stays true when the epoch changes. */
     bool all_reported;
     /* One bit per member, by position in "members": set if the member has
      * reported, in this epoch, the slots that it has leased in from other
@@ -123,7 +124,8 @@
     uint64_t reported[MEMBER_WORDS];
     /* Number of heartbeats whose "over" list this daemon has applied so far;
      * also serves as the number of the last such heartbeat.  The list names
-     * the endpoints on which the sender has more requests than slots. */
+     * the endpoints on which the sender had, when it sent the list, more
+     * requests in flight than slots. */
     uint64_t report_number;
     Endpoint **buckets;
     size_t bucket_count; /* length of "buckets", a power of two */
@@ -147,24 +149,26 @@
 /* Frees an endpoint that has been removed from its bucket. */
 void endpoints_free(Endpoint *e);
 /* Reassigns every slot of "e" by rendezvous hashing over the members of the
- * epoch.  A slot assigned to this daemon goes to SLOT_PENDING, except that,
- * with "keep", a slot that was in SLOT_HELD stays in SLOT_HELD. */
+ * epoch.  A slot assigned to this daemon goes to SLOT_PENDING, unless "keep"
+ * is true and the slot was in SLOT_HELD, where it then stays. */
 void endpoints_assign_slots(AqSlices *slices, Endpoint *e, bool keep);
-/* For AQ_FAULT_PREVIOUS_ONLY: fills e->previous.  For each slot of "e" it gets
- * the member to which the slot was assigned in the previous epoch, as that
- * member's position in the current epoch, or NO_MEMBER.  "old" lists the
- * members of the previous epoch. */
+/* For AQ_FAULT_PREVIOUS_ONLY: stores in e->previous, for each slot of "e", the
+ * member to which the slot was assigned in the previous epoch.  The member is
+ * stored as its position in the current epoch, or as NO_MEMBER if it has
+ * left.  "old" lists the members of the previous epoch, old_hashes the hashes
+ * of their ids. */
 void endpoints_record_previous(const AqSlices *slices, Endpoint *e,
                                const char (*old)[AQ_WIRE_MAX_NAME],
                                const uint64_t *old_hashes, size_t old_count);
 
 /* Finds an endpoint; NULL if the table has none of this name. */
 Endpoint *slices_find(const AqSlices *slices, const char *name);
-/* Takes back, if it is time, the leased-out slots whose lessee has left the
- * epoch or restarted.  Changes the state of slots from SLOT_PENDING to
- * SLOT_HELD if all other members have released these slots, but not before
- * guard_until, AQ_GUARD_MS after a majority of the members accepted the epoch,
- * nor before the endpoint's blocked_until. */
+/* Takes back leased-out slots whose lessee has left the epoch or restarted,
+ * once reclaim_at of their slot lease has come.  Changes the state of slots
+ * from SLOT_PENDING to SLOT_HELD if all other members have released these
+ * slots, but not before guard_until, AQ_GUARD_MS after this daemon saw a
+ * majority of the members accept the epoch, nor before the endpoint's
+ * blocked_until. */
 void slices_advance(AqSlices *slices, AqTime now);
 
 /* Frees all slot leases in the table. */
@@ -174,21 +178,23 @@
  * epoch, or saw the lessee restart. */
 void slot_leases_advance(AqSlices *slices, AqTime now);
 /* Updates the slot leases for the new epoch.  Leased-out slots are marked to
- * be taken back (is_orphaned) if the lessee is not a member or has restarted.
- * This daemon starts no new request on leased-in slots if the lessor, or this
- * daemon, is not a member any more. */
+ * be taken back (is_orphaned) if their lessee is not a member or has
+ * restarted.  This daemon starts no new request on leased-in slots if their
+ * lessor, or this daemon, is not a member any more. */
 void slot_leases_epoch_changed(AqSlices *slices);
-/* Updates the slot leases with the peer "from" by its heartbeat, which lists
- * the slots that the peer has leased in. */
+/* Updates the slot leases between this daemon and the peer "from" by a
+ * heartbeat of the peer, which lists the slots that the peer has leased in. */
 void slot_leases_heartbeat(AqSlices *slices, AqTime now, const char *from,
                            const AqMsgHeartbeat *beat);
-/* Removes every slot lease of slots of the endpoint "e". */
+/* Removes all slot leases of the endpoint "e", those with slots leased out and
+ * those with slots leased in. */
 void slot_leases_drop_endpoint(AqSlices *slices, Endpoint *e);
 /* Number of slots of "e" that this daemon has leased in from lessors that have
  * not left the epoch since the grant. */
 int slot_leases_valid(const AqSlices *slices, const Endpoint *e);
-/* Number of slots of "e" that this daemon has leased in and whose term has not
- * ended at "now", so that new requests may start on them. */
+/* Number of slots of "e" that this daemon has leased in and on which new
+ * requests may still start at "now": the term of the slot lease has not
+ * ended. */
 int slot_leases_in_term(const AqSlices *slices, const Endpoint *e, AqTime now);
 /* Fills the list slot_leases of a heartbeat with the slots that this daemon
  * has leased in. */
--- a/packages/membership/slot_leases.c
+++ b/packages/membership/slot_leases.c
@@ -171,12 +171,14 @@
     return sum < SLOTS_MAX ? (int)sum : SLOTS_MAX;
 }
 
-/* Lowers each slot lease granted to "from" to the number of slots that the
- * heartbeat of "from" lists for it, if that is less and "from" has
- * acknowledged a heartbeat that this daemon sent after its own last LEND
- * message, which granted slots, for that slot lease: that LEND message, or a
- * RETURN message of "from", was lost.  Slots that an earlier instance of
- * "from" leased in are taken back after AQ_GUARD_MS instead. */
+/* Lowers the number of slots in each slot lease granted to "from" to the
+ * number that the heartbeat of "from" lists, if that is less: a LEND message,
+ * which grants slots, or a RETURN message, which gives them back, was lost.
+ * The number is lowered only if "from" has acknowledged a heartbeat that this
+ * daemon sent after the last LEND message under this slot lease.  If "from"
+ * has restarted since that LEND message, this daemon instead takes the slots
+ * back AQ_GUARD_MS after it received the first heartbeat of the new
+ * instance. */
 static void
 lower_slot_leases(AqSlices *slices, AqTime now, const char *from,
                   const AqMsgHeartbeat *beat)
@@ -204,9 +206,10 @@
     }
 }
 
-/* Raises each slot lease granted to "from", or adds it, to the number of slots
- * that the heartbeat of "from" lists as leased in from this daemon: a previous
- * instance of this daemon may have granted them. */
+/* Raises the number of slots in each slot lease granted to "from" to the
+ * number that the heartbeat of "from" lists as leased in from this daemon, and
+ * adds a slot lease that is missing: a previous instance of this daemon may
+ * have granted the slots. */
 static void
 raise_slot_leases(AqSlices *slices, AqTime now, const char *from,
                   const AqMsgHeartbeat *beat)
@@ -242,7 +245,7 @@
 {
     Endpoint *e = slices_find(slices, endpoint);
     /* The slots of a lessor that is not in this epoch are assigned to other
-     * members, so its grant is ignored. */
+     * members, so a grant of this lessor is ignored. */
     if (e == NULL || e->removed || count <= 0 || count > SLOTS_MAX ||
         !slices->is_member ||
         !AqMembership_IsMember(slices->membership, lessor)) {
@@ -366,7 +369,7 @@
         if (strcmp(lease->peer, from) == 0 &&
             lease->instance != beat->instance) {
             /* The lessor restarted, so this daemon starts no new request on
-             * the slots leased in from it and returns them. */
+             * the slots leased in from the lessor, and returns them. */
             lease->term_end = now;
         }
     }
--- a/packages/membership/tests/network.c
+++ b/packages/membership/tests/network.c
@@ -352,9 +352,9 @@
     }
 }
 
-/* When the daemon's heartbeat is due, sends it to all peers, commits a change
- * of members if the daemon may, and requests the fleet document from a peer
- * that has a newer version of it. */
+/* When the daemon's heartbeat is due, sends it to all peers, lets the daemon
+ * commit a change of the members if one is due (network_step_members), and
+ * requests the fleet document from a peer that has a newer version of it. */
 static void
 step_heartbeat(Network *net, Node *node)
 {
@@ -429,8 +429,11 @@
     if (!network_is_running(net, node)) {
         return;
     }
-    /* After a pause of a daemon, its timers may run before it receives the
-     * messages that were buffered during the pause. */
+    /* Whether, in this step, the daemon starts requests and requests or
+     * returns leased slots (step_load) before it receives messages, instead of
+     * after that.  Chosen at random, because after a pause the real daemon's
+     * timers may run before it receives the messages that were buffered during
+     * the pause. */
     bool load_first = AqRandom_Below(&net->random, 2) == 0;
     if (load_first) {
         step_load(net, node);
--- a/packages/membership/tests/network.h
+++ b/packages/membership/tests/network.h
@@ -75,7 +75,8 @@
     uint64_t instance;
     AqMembership *m;
     AqSlices *s;
-    int64_t version; /* version of the fleet document in force here */
+    /* Version of the fleet document that this daemon has in force. */
+    int64_t version;
     AqTime next_heartbeat_at;
     /* Whether this daemon has begun a read of the newest version of the fleet
      * document in the store that has not ended yet. */
@@ -96,9 +97,10 @@
     /* Probability, per endpoint and per NET_STEP_MS, that this daemon starts
      * requests on all of its free slots. */
     double demand;
-    /* Whether, at the last check of this daemon's usable slots, none of its
-     * slots was pending or leased (AqSlices_IsSteady); was_fresh and
-     * steady_epoch are its freshness and epoch at the same check. */
+    /* Whether AqSlices_IsSteady was true (no slot of this daemon was pending
+     * or leased) at the last check of this daemon's usable slots.  was_fresh
+     * and steady_epoch are AqMembership_IsFresh and the epoch of this daemon
+     * at the same check. */
     bool was_steady;
     bool was_fresh;
     int64_t steady_epoch;
@@ -133,8 +135,8 @@
      * with its slots (AqSlices_CheckConsistency returned false). */
     int inconsistent;
     /* Number of times that a daemon's usable slots of an endpoint changed
-     * between two checks although the daemon's freshness and epoch did not and
-     * AqSlices_IsSteady was true at both checks. */
+     * between two checks although the daemon's epoch and AqMembership_IsFresh
+     * stayed the same and AqSlices_IsSteady was true at both checks. */
     int not_steady;
     /* Number of commits that changed the members.  Like accepted, requests,
      * slot_leases and max_on_endpoint, it shows how much of the tested
--- a/packages/membership/tests/network_checks.c
+++ b/packages/membership/tests/network_checks.c
@@ -3,15 +3,15 @@
 #include "network.h"
 
 enum {
-    /* Time after a majority of the members accepted a version of the fleet
-     * document at which daemons with an older version must not count as fresh
-     * any more. */
+    /* Longest time for which a daemon may count as fresh with its version of
+     * the fleet document after a majority of the members accepted a newer
+     * one. */
     STALE_LIMIT_MS = 4000
 };
 
 /* Sets net->accepted_at to the current time for each version of the fleet
- * document that the daemon "node" is the first to see accepted by a majority
- * of the members. */
+ * document that "node" sees accepted by a majority of the members before any
+ * other daemon has seen that. */
 static void
 record_accepted(Network *net, const Node *node)
 {
@@ -24,9 +24,10 @@
 }
 
 /* Counts in net->stats.not_steady each endpoint whose usable slots at the
- * daemon "node" changed since the last check although its freshness and epoch
- * did not and AqSlices_IsSteady was true at both checks: the real daemon does
- * not call AqSlices_Usable again during that time. */
+ * daemon "node" changed since the last check, although the daemon's epoch and
+ * AqMembership_IsFresh stayed the same and AqSlices_IsSteady was true at both
+ * checks: the real daemon does not call AqSlices_Usable again during that
+ * time. */
 static void
 check_steady(Network *net, Node *node)
 {
@@ -60,12 +61,13 @@
     }
 }
 
-/* Whether the check of requests against slots leaves out the request "r".  A
- * daemon removed from the members may start requests until AQ_FRESH_MS after a
- * majority of the remaining members accepted the removal.  AQ_GUARD_MS after
- * that acceptance the remaining members reuse the daemon's slots, unless they
- * receive its heartbeats; requests of the daemon may then still run, so that
- * an endpoint runs more requests than it has slots (NOTES.md). */
+/* Whether the check that an endpoint runs no more requests than it has slots
+ * leaves out the request "r".  A daemon removed from the members may start
+ * requests until AQ_FRESH_MS after a majority of the remaining members
+ * accepted the removal.  AQ_GUARD_MS after that acceptance the remaining
+ * members reuse the daemon's slots, unless they receive its heartbeats;
+ * requests of the daemon may then still run, so that an endpoint runs more
+ * requests than it has slots (NOTES.md). */
 static bool
 is_exempt(const Network *net, const Request *r)
 {
--- a/packages/membership/tests/network_store.c
+++ b/packages/membership/tests/network_store.c
@@ -120,10 +120,11 @@
     net->stats.wrong_removals += receiving * 2 > count;
 }
 
-/* Lets the daemon "node" commit, as the real daemon does, that "node" becomes
- * a member or that the member is removed that AqMembership_ToRemove names.
- * Each commit adds or removes one member; it is made only if "node" has the
- * newest version of the fleet document in the store in force. */
+/* Lets the daemon "node" commit a change of the members, as the real daemon
+ * does: "node" becomes a member, or the member that AqMembership_ToRemove
+ * names is removed.  Each commit adds or removes one member; it is made only
+ * if "node" has in force the newest version of the fleet document that the
+ * store has. */
 void
 network_step_members(Network *net, Node *node)
 {
@@ -150,7 +151,7 @@
     }
     commit(net, members);
     /* The store's response to one commit in ten is lost; the daemon then gets
-     * the committed version of the fleet document by its next read of the
+     * the committed version of the fleet document with its next read of the
      * store. */
     if (AqRandom_Below(&net->random, 10) != 0) {
         network_install(net, node, net->head);
--- a/packages/membership/tests/test_cluster.c
+++ b/packages/membership/tests/test_cluster.c
@@ -206,7 +206,8 @@
 /* Guards against a join that is committed before a majority of the members has
  * accepted the previous join.  A majority of one epoch's members and a
  * majority of another epoch's members may then have no member in common, and
- * one of the two continues with an old version of the fleet document. */
+ * one of these majorities continues with an old version of the fleet
+ * document. */
 static void
 test_join_needs_acceptance(void)
 {
--- a/packages/membership/tests/test_membership.c
+++ b/packages/membership/tests/test_membership.c
@@ -161,8 +161,8 @@
     }
 }
 
-/* Guards against a daemon that counts as fresh after its pause because of a
- * heartbeat that was buffered during the pause. */
+/* Guards against a daemon that counts as fresh after a pause of its own
+ * because of a heartbeat that was buffered during the pause. */
 static void
 test_delayed_heartbeat(void)
 {
@@ -196,8 +196,9 @@
 
 /* Guards against acceptance of a version of the fleet document by less than a
  * majority of the members, against counting heartbeats of a peer's previous
- * instance, and against a number of requests in flight that leaves out members
- * from which no heartbeat has come. */
+ * instance, and against a number of requests in flight
+ * (AqMembership_LeavingInFlight) that leaves out members from which no
+ * heartbeat has come. */
 static void
 test_acceptance(void)
 {
