--- a/packages/membership/Include/aq_membership.h
+++ b/packages/membership/Include/aq_membership.h
@@ -8,12 +8,13 @@
 #include "aq_clock.h"
 #include "aq_wire.h"
 
-/* One daemon's view of the cluster of entry VMs: the members of the current
- * epoch, the peers that are live, and whether this daemon's copy of the fleet
- * document is fresh.  An epoch is the set of members that one version of the
- * fleet document sets; its number is that version.  The module does no I/O and
- * reads no clock: the caller passes heartbeats, store contacts and the time of
- * this daemon's own monotonic clock. */
+/* This file declares one daemon's view of the cluster of entry VMs: the
+ * members of the current epoch, the peers that are live, and whether this
+ * daemon's copy of the fleet document is fresh.  An epoch is the set of
+ * members that one version of the fleet document sets; its number is that
+ * version.  The module does no I/O and reads no clock: the caller passes
+ * heartbeats, store contacts and the time of this daemon's own monotonic
+ * clock. */
 
 enum {
     AQ_HEARTBEAT_MS = 500, /* interval between a daemon's heartbeats */
@@ -62,7 +63,8 @@
      * released it, instead of once all other members have released it. */
     AQ_FAULT_PREVIOUS_ONLY = 32,
     /* With this bit set, AqMembership_MayChangeMembers is true even before a
-     * majority of the members has the installed epoch in force. */
+     * majority of the members has accepted the installed epoch (put it in
+     * force). */
     AQ_FAULT_CHANGE_UNACCEPTED = 64,
     /* With this bit set, a member's heartbeat counts as a release of the
      * member's former slots if the heartbeat is from this daemon's epoch or a
@@ -147,12 +149,13 @@
  * becomes the id of the peer with that version, or NULL if no peer has sent a
  * heartbeat; the id is valid until the next call that changes "m". */
 int64_t AqMembership_HighestVersion(const AqMembership *m, const char **peer);
-/* Whether a commit of the fleet document may add or remove one member now: the
- * installed epoch is in force at a majority of its members, or has no members.
- * A commit that changes the members must add or remove exactly one member of
- * the installed epoch, so that a majority of its members and a majority of the
- * next epoch's members always have a member in common.  After a write conflict
- * the daemon must call this function again before it retries the commit. */
+/* Whether a commit of the fleet document may add or remove one member now: a
+ * majority of the installed epoch's members has accepted this epoch (put it in
+ * force), or the epoch has no members.  A commit that changes the members must
+ * add or remove exactly one member of the installed epoch, so that any
+ * majority of the old members and any majority of the new members have a
+ * member in common.  After a write conflict the daemon must call this function
+ * again before it retries the commit. */
 bool AqMembership_MayChangeMembers(const AqMembership *m, AqTime now);
 /* Id of a member from which a majority of the members has received no
  * heartbeat for AQ_REMOVE_MS; the caller commits the removal of that member.
--- a/packages/membership/Include/aq_slices.h
+++ b/packages/membership/Include/aq_slices.h
@@ -8,8 +8,8 @@
 #include "aq_clock.h"
 #include "aq_membership.h"
 
-/* The slots of each endpoint that this daemon may use.  Every slot allows one
- * request in flight on the endpoint and is assigned to one member of the
+/* For each endpoint, the slots that this daemon may use.  Every slot allows
+ * one request in flight on the endpoint and is assigned to one member of the
  * epoch, so that the endpoint's limit of requests in flight holds over all
  * entry VMs.  Design page, section 4.3. */
 typedef struct AqSlices AqSlices;
@@ -30,7 +30,8 @@
 void AqSlices_Heartbeat(AqSlices *slices, AqTime now, const char *from,
                         const AqMsgHeartbeat *beat);
 
-/* Adds an endpoint or changes its number of slots. */
+/* Adds an endpoint with this number of slots, or gives an existing endpoint
+ * this number of slots. */
 void AqSlices_SetEndpoint(AqSlices *slices, AqTime now, const char *endpoint,
                           int slots);
 /* Removes an endpoint.  Its entry in the table is kept until this daemon's
@@ -56,7 +57,7 @@
 int AqSlices_Assigned(const AqSlices *slices, const char *endpoint);
 /* Number of slots of an endpoint on which this daemon may run requests now:
  * the assigned slots that every other member has released, minus those leased
- * out, plus those leased in.  0 while this daemon is not fresh. */
+ * out, plus those leased in.  0 while AqMembership_IsFresh is false. */
 int AqSlices_Usable(AqSlices *slices, AqTime now, const char *endpoint);
 
 /* Whether no slot of this daemon is pending (assigned to it but not yet
--- a/packages/membership/bench/bench_cluster.h
+++ b/packages/membership/bench/bench_cluster.h
@@ -4,8 +4,8 @@
 #include "aq_membership.h"
 #include "aq_slices.h"
 
-/* Simulates a cluster without faults in virtual time, in which messages arrive
- * without delay. */
+/* This file declares a simulated cluster without faults.  The cluster runs in
+ * virtual time, in which messages arrive without delay. */
 
 enum {
     BENCH_MEMBERS = 27,    /* most members of a cluster */
@@ -29,7 +29,8 @@
     AqTime phase;
     bool reaches_store;
     AqTime read_started;
-    /* Number of slots that the member uses on each endpoint. */
+    /* For each endpoint, number of slots on which the member runs a
+     * request. */
     int used[BENCH_ENDPOINTS];
     /* Number of requests, over all endpoints, that the member needs to run at
      * the same time. */
--- a/packages/membership/bench/bench_membership.c
+++ b/packages/membership/bench/bench_membership.c
@@ -6,8 +6,8 @@
  * each member in bytes per second, CPU time and memory, and the share of the
  * slots that are in use with and without slot leasing.  The bytes are those of
  * the encoded heartbeats, without TCP/IP headers.  It also prints the share of
- * time in which a member that cannot reach the store counts as fresh through
- * the heartbeats of one peer. */
+ * time in which a member that cannot reach the store may still rely on its
+ * version of the fleet document, because of the heartbeats of one peer. */
 
 enum {
     WARM_UP_MS = 10000,
@@ -85,11 +85,11 @@
     bench_destroy(c);
 }
 
-/* Prints the share of time in which a member counts as fresh although it
- * cannot reach the store and receives heartbeats only from one peer, which
- * reaches the store.  The share is measured for each offset between the
- * heartbeats of the member and of the peer; the least and the mean share are
- * printed. */
+/* Prints the share of time in which a member relies on its version of the
+ * fleet document (counts as fresh) although it cannot reach the store and
+ * receives heartbeats only from one peer, which reaches the store.  The share
+ * is measured for each offset between the heartbeats of the member and of the
+ * peer; the least and the mean share are printed. */
 static void
 measure_relayed_freshness(void)
 {
--- a/packages/membership/membership.c
+++ b/packages/membership/membership.c
@@ -213,8 +213,9 @@
  * "sent_after"; a time changes only to a later one.  peer->sent_after: the
  * peer cannot have sent its last heartbeat before this time.  peer->contact:
  * the peer last reached the store at this time or later.  m->relayed_contact:
- * the same for any peer, but only if the heartbeat reports a version of the
- * fleet document that is not above this daemon's. */
+ * some peer last reached the store at this time or later; it is updated only
+ * if the heartbeat reports a version of the fleet document that is not above
+ * this daemon's. */
 static void
 record_send_time(AqMembership *m, Peer *peer, AqTime sent_after,
                  const AqMsgHeartbeat *beat)
@@ -236,10 +237,10 @@
 
 /* Sets counts_for_majority if a majority of the members has reported versions
  * of the fleet document not above this daemon's in heartbeats sent at most
- * AQ_FRESH_MS ago.  This daemon itself and members that report themselves as
- * joining do not count.  This daemon then has every version that a majority of
- * the members accepted, although a restart may have set it back to an older
- * one. */
+ * AQ_FRESH_MS ago.  This daemon itself, and members that do not count towards
+ * majorities themselves (joining), are left out.  This daemon then has every
+ * version that a majority of the members accepted, although a restart may have
+ * set it back to an older one. */
 static void
 update_counts_for_majority(AqMembership *m, AqTime now)
 {
--- a/packages/membership/membership_internal.h
+++ b/packages/membership/membership_internal.h
@@ -18,7 +18,8 @@
     unsigned faults; /* AQ_FAULT_* bits that are set in this daemon */
     AqTime created;
     /* The sequence number (seq) of a heartbeat that this daemon sends is
-     * seq_base + 1 + the milliseconds from "created" to its sending. */
+     * seq_base + 1 + the milliseconds from "created" until the heartbeat is
+     * filled. */
     uint64_t seq_base;
     /* Time at which this daemon last filled a heartbeat to be sent.  A gap of
      * more than three heartbeat intervals counts as a pause of this daemon. */
@@ -37,10 +38,10 @@
     /* Time at which this daemon began its last store read that got a response;
      * TIME_UNKNOWN before the first. */
     AqTime contact;
-    /* Latest time at which a peer certainly reached the store, as reported in
-     * heartbeats; a heartbeat counts only if the version of the fleet document
-     * that it reports was not above this daemon's when this daemon received
-     * it.  TIME_UNKNOWN if there is none. */
+    /* Latest time known from heartbeats at or after which some peer reached
+     * the store; TIME_UNKNOWN if there is none.  A heartbeat does not count if
+     * it reported a version of the fleet document above the version that this
+     * daemon had when it received the heartbeat. */
     AqTime relayed_contact;
     Member *members; /* the installed epoch's members, in order of id */
     size_t count;
--- a/packages/membership/rules.c
+++ b/packages/membership/rules.c
@@ -4,9 +4,10 @@
 #include "membership_internal.h"
 
 /* This file derives decisions from the heartbeats and store contacts that
- * membership.c has recorded: liveness of peers, freshness of this daemon,
- * acceptance of versions of the fleet document, removal of members and
- * ownership of roles. */
+ * membership.c has recorded: which peers are live, whether this daemon may
+ * rely on its version of the fleet document (is fresh), whether a majority of
+ * the members has accepted a version, which member to remove, and which member
+ * owns a role. */
 
 bool
 membership_is_majority(const AqMembership *m, size_t count)
@@ -82,9 +83,9 @@
     if (is_recent(m->contact, now) || is_recent(m->relayed_contact, now)) {
         return true;
     }
-    /* relayed_contact leaves out store contacts of peers whose version of the
-     * fleet document was above this daemon's when their heartbeat was
-     * received; this daemon may have installed that version since. */
+    /* relayed_contact does not count the store contact of a peer whose version
+     * of the fleet document was above this daemon's when the peer's heartbeat
+     * was received.  This daemon may have installed that version since. */
     for (size_t i = 0; i < m->peers.count; i++) {
         const Peer *peer = &m->peers.items[i];
         if (peer->version <= m->version && is_recent(peer->contact, now)) {
--- a/packages/membership/slices.c
+++ b/packages/membership/slices.c
@@ -168,7 +168,8 @@
     words[i / 64] |= (uint64_t)1 << (i % 64);
 }
 
-/* Whether "words" has the bit of every member other than this daemon set. */
+/* Whether "words", which has one bit per member by position in "members", has
+ * the bits of all members other than this daemon set. */
 static bool
 has_every_peer(const AqSlices *slices, const uint64_t *words)
 {
@@ -211,11 +212,11 @@
     }
 }
 
-/* Whether slots in SLOT_PENDING need not wait any longer for daemons outside
- * the epoch that may still run requests on them.  Such a wait begins when this
- * daemon sees the epoch accepted by a majority of the members, lasts
- * AQ_GUARD_MS, and does not end before AQ_GUARD_MS after this daemon's
- * start. */
+/* Whether this daemon has ended its wait for daemons outside the epoch, which
+ * may still run requests on slots in SLOT_PENDING; true if no wait is needed.
+ * The wait begins when this daemon sees that a majority of the members has
+ * accepted the epoch, lasts AQ_GUARD_MS, and does not end before AQ_GUARD_MS
+ * after this daemon's start. */
 static bool
 is_guard_over(AqSlices *slices, AqTime now)
 {
@@ -252,9 +253,9 @@
     }
 }
 
-/* Records, for each endpoint that the "over" list of member "i" does not name,
- * that the member has released its former slots of the endpoint: when the
- * member sent the list, it had no more requests in flight on the endpoint than
+/* Records that member "i" has released its former slots of each endpoint that
+ * the "over" list of its heartbeat "beat" does not name: when the member sent
+ * the list, it had no more requests in flight on such an endpoint than
  * slots. */
 static void
 record_release(AqSlices *slices, size_t i, const AqMsgHeartbeat *beat)
--- a/packages/membership/slices_internal.h
+++ b/packages/membership/slices_internal.h
@@ -55,9 +55,10 @@
      * SLOT_HELD; AQ_FRESH_MS after a daemon that is not a member last reported
      * requests on the endpoint. */
     AqTime blocked_until;
-    /* Number (report_number) of the last heartbeat whose "over" list named
-     * this endpoint.  The list names the endpoints on which the sender had,
-     * when it sent the list, more requests in flight than slots. */
+    /* Number (value of report_number) of the last heartbeat that named this
+     * endpoint in its "over" list.  The list names the endpoints on which the
+     * sender had, when it sent the list, more requests in flight than
+     * slots. */
     uint64_t last_over_report;
     /* One bit per member, by position in "members": set if the member has
      * released, in this epoch, its former slots of this endpoint: it reported
@@ -110,22 +111,20 @@
      * guard_until, because a daemon that is not a member may still run
      * requests on them. */
     bool guard_needed;
-    /* If guard_needed: time before which no slot goes from SLOT_PENDING to
-     * SLOT_HELD, AQ_GUARD_MS after this daemon saw the epoch accepted by a
-     * majority of the members; TIME_UNKNOWN until then. */
+    /* If guard_needed: no slot goes from SLOT_PENDING to SLOT_HELD before this
+     * time, AQ_GUARD_MS after this daemon saw a majority of the members accept
+     * the epoch; TIME_UNKNOWN until this daemon has seen that. */
     AqTime guard_until;
-    /* Whether, since this daemon started, there has been an epoch in which
-     * every other member reported to it which slots the member has leased in;
-     * stays true when the epoch changes. */
+    /* Whether all other members of one epoch have reported their leased-in
+     * slots to this daemon since it started; stays true when the epoch
+     * changes. */
     bool all_reported;
     /* One bit per member, by position in "members": set if the member has
      * reported, in this epoch, the slots that it has leased in from other
      * members. */
     uint64_t reported[MEMBER_WORDS];
-    /* Number of heartbeats whose "over" list this daemon has applied so far;
-     * also serves as the number of the last such heartbeat.  The list names
-     * the endpoints on which the sender had, when it sent the list, more
-     * requests in flight than slots. */
+    /* Number of heartbeats that record_release has processed since this daemon
+     * started; also serves as the number of the last such heartbeat. */
     uint64_t report_number;
     Endpoint **buckets;
     size_t bucket_count; /* length of "buckets", a power of two */
@@ -149,8 +148,8 @@
 /* Frees an endpoint that has been removed from its bucket. */
 void endpoints_free(Endpoint *e);
 /* Reassigns every slot of "e" by rendezvous hashing over the members of the
- * epoch.  A slot assigned to this daemon goes to SLOT_PENDING, unless "keep"
- * is true and the slot was in SLOT_HELD, where it then stays. */
+ * epoch.  A slot assigned to this daemon becomes SLOT_PENDING; but if "keep"
+ * is true and the slot was SLOT_HELD, it stays SLOT_HELD. */
 void endpoints_assign_slots(AqSlices *slices, Endpoint *e, bool keep);
 /* For AQ_FAULT_PREVIOUS_ONLY: stores in e->previous, for each slot of "e", the
  * member to which the slot was assigned in the previous epoch.  The member is
@@ -164,11 +163,11 @@
 /* Finds an endpoint; NULL if the table has none of this name. */
 Endpoint *slices_find(const AqSlices *slices, const char *name);
 /* Takes back leased-out slots whose lessee has left the epoch or restarted,
- * once reclaim_at of their slot lease has come.  Changes the state of slots
- * from SLOT_PENDING to SLOT_HELD if all other members have released these
- * slots, but not before guard_until, AQ_GUARD_MS after this daemon saw a
- * majority of the members accept the epoch, nor before the endpoint's
- * blocked_until. */
+ * when the time reclaim_at of their slot lease has come.  Changes the state of
+ * slots from SLOT_PENDING to SLOT_HELD once all other members have released
+ * these slots, but not before the endpoint's blocked_until, and, if
+ * guard_needed, not before guard_until (AQ_GUARD_MS after this daemon saw a
+ * majority of the members accept the epoch). */
 void slices_advance(AqSlices *slices, AqTime now);
 
 /* Frees all slot leases in the table. */
--- a/packages/membership/slot_leases.c
+++ b/packages/membership/slot_leases.c
@@ -23,8 +23,8 @@
     return NULL;
 }
 
-/* Adds a slot lease of 0 slots of "e" with the peer to the table; NULL if the
- * table is full. */
+/* Adds to the table a slot lease with "peer" for 0 slots of "e"; returns NULL
+ * if the table is full. */
 static SlotLease *
 add_slot_lease(SlotLeaseTable *leases, const char *peer, Endpoint *e)
 {
@@ -176,9 +176,9 @@
  * which grants slots, or a RETURN message, which gives them back, was lost.
  * The number is lowered only if "from" has acknowledged a heartbeat that this
  * daemon sent after the last LEND message under this slot lease.  If "from"
- * has restarted since that LEND message, this daemon instead takes the slots
- * back AQ_GUARD_MS after it received the first heartbeat of the new
- * instance. */
+ * has restarted since that LEND message, this daemon does not lower the
+ * number: it takes back all slots of the slot lease AQ_GUARD_MS after it
+ * received the first heartbeat of the new instance. */
 static void
 lower_slot_leases(AqSlices *slices, AqTime now, const char *from,
                   const AqMsgHeartbeat *beat)
--- a/packages/membership/tests/network.c
+++ b/packages/membership/tests/network.c
@@ -6,9 +6,8 @@
 
 enum {
     SLOT_LEASE_TERM_MS = 2000,
-    /* Time from the stop of a daemon, which closes its connections to the
-     * endpoints, until the endpoints have ended the requests of that
-     * daemon. */
+    /* Time after which the endpoints have ended the requests of a daemon that
+     * has stopped and thereby closed its connections to the endpoints. */
     ABORT_DELAY_MS = 3000
 };
 
--- a/packages/membership/tests/network.h
+++ b/packages/membership/tests/network.h
@@ -5,13 +5,13 @@
 #include "aq_random.h"
 #include "aq_slices.h"
 
-/* Simulates a small cluster in virtual time: daemons with their membership and
- * slices, a store that keeps the versions of the fleet document, links that
- * can fail in one direction, and endpoints that count the requests running on
- * them. */
+/* This file declares a small simulated cluster that runs in virtual time:
+ * daemons with their membership and slices, a store that keeps the versions of
+ * the fleet document, links that can fail in one direction, and endpoints that
+ * count the requests running on them. */
 
 enum {
-    NET_NODES = 9, /* most daemons of a Network */
+    NET_NODES = 9, /* most daemons in a Network */
     NET_ENDPOINTS = 4,
     /* Number of versions of the fleet document, version 0 included, that the
      * store can keep; further commits do nothing. */
@@ -46,8 +46,8 @@
     Packet *last;
     /* Virtual time at which the link last delivered a heartbeat; 0: never. */
     AqTime last_heartbeat_at;
-    /* Virtual time of the first heartbeat that the link delivered after its
-     * last gap of AQ_REMOVE_MS or more between heartbeats. */
+    /* Virtual time of the first heartbeat that the link delivered after it had
+     * last delivered no heartbeat for AQ_REMOVE_MS or more. */
     AqTime received_since;
 } Link;
 
@@ -122,9 +122,9 @@
     /* Number of commits that removed a member although that member's
      * heartbeats reached a majority of the members. */
     int wrong_removals;
-    /* Number of slots still leased out plus number still leased in, summed
-     * over all daemons, at the end of the run, after a phase without faults
-     * and new requests. */
+    /* Number of slots still leased at the end of the run, after a phase
+     * without faults and new requests: the leased-out slots plus the leased-in
+     * slots of all daemons. */
     int not_returned;
     /* Number of slots missing or in excess at the end of the run, after a
      * phase without faults and new requests: for each endpoint, the difference
@@ -168,8 +168,9 @@
     /* The members in each version of the fleet document: bit i is set if
      * node[i] is a member. */
     unsigned members_of[NET_VERSIONS];
-    /* Virtual time at which a daemon first saw each version of the fleet
-     * document accepted by a majority of the members; 0: not accepted yet. */
+    /* For each version of the fleet document, virtual time at which the first
+     * daemon saw that a majority of the members had accepted this version (put
+     * it in force); 0: no daemon has seen that yet. */
     AqTime accepted_at[NET_VERSIONS];
     int64_t highest_accepted;
     AqTime head_changed;
@@ -178,9 +179,9 @@
     /* Whether faults have ended and no daemon starts requests any more. */
     bool quiet;
     AqTime longest_request;
-    /* Whether the check that an endpoint runs no more requests than it has
-     * slots leaves out the requests that a daemon started before its removal
-     * from the members or at most AQ_GUARD_MS after the removal. */
+    /* Whether the check of endpoints for more requests than slots leaves out
+     * some requests: those that a daemon started before its removal from the
+     * members or at most AQ_GUARD_MS after the removal. */
     bool exempt_removed;
     RunStats stats;
 };
--- a/packages/membership/tests/network_checks.c
+++ b/packages/membership/tests/network_checks.c
@@ -3,15 +3,15 @@
 #include "network.h"
 
 enum {
-    /* Longest time for which a daemon may count as fresh with its version of
-     * the fleet document after a majority of the members accepted a newer
-     * one. */
+    /* Longest time for which a daemon may still rely on its version of the
+     * fleet document (count as fresh) after a majority of the members accepted
+     * a newer one. */
     STALE_LIMIT_MS = 4000
 };
 
 /* Sets net->accepted_at to the current time for each version of the fleet
- * document that "node" sees accepted by a majority of the members before any
- * other daemon has seen that. */
+ * document that a majority of the members has accepted, if "node" is the first
+ * daemon to see that. */
 static void
 record_accepted(Network *net, const Node *node)
 {
@@ -61,13 +61,13 @@
     }
 }
 
-/* Whether the check that an endpoint runs no more requests than it has slots
- * leaves out the request "r".  A daemon removed from the members may start
- * requests until AQ_FRESH_MS after a majority of the remaining members
- * accepted the removal.  AQ_GUARD_MS after that acceptance the remaining
- * members reuse the daemon's slots, unless they receive its heartbeats;
- * requests of the daemon may then still run, so that an endpoint runs more
- * requests than it has slots (NOTES.md). */
+/* Whether the check of endpoints for more requests than slots leaves out the
+ * request "r".  A daemon removed from the members may start requests until
+ * AQ_FRESH_MS after a majority of the remaining members accepted the removal.
+ * AQ_GUARD_MS after that acceptance the remaining members reuse the daemon's
+ * slots, unless they receive its heartbeats; requests of the daemon may then
+ * still run, so that an endpoint runs more requests than it has slots
+ * (NOTES.md). */
 static bool
 is_exempt(const Network *net, const Request *r)
 {
--- a/packages/membership/tests/network_faults.c
+++ b/packages/membership/tests/network_faults.c
@@ -24,10 +24,10 @@
     return AqRandom_Below(&net->random, 2) == 0 ? LINK_DROPPING : LINK_STALLED;
 }
 
-/* Lets the links between the daemons of "group", a bit mask of positions in
- * net->node, and the other daemons drop or hold back all messages for "ms" of
- * virtual time: in both directions, or only from the group to the others if
- * "one_way". */
+/* Lets all links between the daemons of "group" and the other daemons drop or
+ * hold back all messages for "ms" of virtual time: in both directions, or only
+ * from the group to the others if "one_way".  "group" is a bit mask of
+ * positions in net->node. */
 static void
 partition_group(Network *net, unsigned group, bool one_way, AqTime ms)
 {
--- a/packages/membership/tests/network_store.c
+++ b/packages/membership/tests/network_store.c
@@ -122,9 +122,9 @@
 
 /* Lets the daemon "node" commit a change of the members, as the real daemon
  * does: "node" becomes a member, or the member that AqMembership_ToRemove
- * names is removed.  Each commit adds or removes one member; it is made only
- * if "node" has in force the newest version of the fleet document that the
- * store has. */
+ * names is removed.  Each commit adds or removes one member.  The commit is
+ * made only if "node" already has the store's newest version of the fleet
+ * document in force. */
 void
 network_step_members(Network *net, Node *node)
 {
--- a/packages/membership/tests/test_cluster.c
+++ b/packages/membership/tests/test_cluster.c
@@ -228,11 +228,10 @@
 }
 
 /* Node 3 joins, and is removed because its heartbeats are lost, while node 0
- * receives no messages.  Node 0 therefore goes from the epoch before node 3
- * joined to the epoch after node 3 was removed without releasing a slot, while
- * node 3 still waits for node 0 to release slots.  Returns the number of
- * checks that found more requests on an endpoint than the endpoint has
- * slots. */
+ * receives no messages.  Node 0 therefore skips the epochs in which node 3 is
+ * a member, and releases no slot in them, while node 3 still waits for node 0
+ * to release slots.  Returns the number of checks that found more requests on
+ * an endpoint than the endpoint has slots. */
 static int
 skip_epoch(unsigned faults)
 {
--- a/packages/membership/tests/test_membership.c
+++ b/packages/membership/tests/test_membership.c
@@ -20,8 +20,8 @@
 
 static const char *const ids[PEERS] = {"vm-0", "vm-1", "vm-2", "vm-3", "vm-4"};
 
-/* Fills a heartbeat of vm-0, which counts as sent, and stores its sequence
- * number in f->seq. */
+/* Fills a heartbeat of vm-0 as if vm-0 sent it at "now", and stores its
+ * sequence number in f->seq. */
 static void
 send_heartbeat(Fixture *f, AqTime now)
 {
@@ -74,9 +74,10 @@
 
 static const int64_t NO_CONTACT = AQ_WIRE_MAX_AGE_MS;
 
-/* Guards against a daemon that counts as fresh without the newest accepted
- * version of the fleet document, and against a daemon that counts as stale
- * without need and therefore refuses requests. */
+/* Guards against a daemon that relies on its version of the fleet document
+ * (counts as fresh) although a newer version may have been accepted, and
+ * against a daemon that counts as stale without need and therefore refuses
+ * requests. */
 static void
 test_freshness(void)
 {
@@ -161,8 +162,10 @@
     }
 }
 
-/* Guards against a daemon that counts as fresh after a pause of its own
- * because of a heartbeat that was buffered during the pause. */
+/* Guards against a daemon that, after a pause of its own, trusts a peer's
+ * heartbeat that was buffered during the pause.  Until the peer acknowledges a
+ * heartbeat sent after the pause, the daemon must not rely on its version of
+ * the fleet document (count as fresh) and must not count the peer as live. */
 static void
 test_delayed_heartbeat(void)
 {
@@ -194,11 +197,11 @@
     AqMembership_Destroy(f.m);
 }
 
-/* Guards against acceptance of a version of the fleet document by less than a
- * majority of the members, against counting heartbeats of a peer's previous
- * instance, and against a number of requests in flight
- * (AqMembership_LeavingInFlight) that leaves out members from which no
- * heartbeat has come. */
+/* Guards against a daemon that counts a version of the fleet document as
+ * accepted although less than a majority of the members reported it, or
+ * although only a peer's previous instance did.  Also guards against a number
+ * of requests in flight (AqMembership_LeavingInFlight) that leaves out members
+ * from which no heartbeat has come. */
 static void
 test_acceptance(void)
 {
@@ -225,9 +228,9 @@
     AqMembership_Destroy(f.m);
 }
 
-/* Guards against removal of a member on too few or too old reports of its
- * silence, and against a daemon that counts its own pause as silence of all
- * others. */
+/* Guards against a daemon that removes a member although less than a majority
+ * of the members have reported recently that the member is silent, and against
+ * a daemon that, after its own pause, counts all others as silent. */
 static void
 test_removal(void)
 {
@@ -277,8 +280,8 @@
     AqMembership_Destroy(f.m);
 }
 
-/* Guards against an older epoch that replaces a newer one, and against
- * unlimited memory for peers that are not members. */
+/* Guards against an older epoch that replaces a newer one, and against memory
+ * that grows without limit with the number of peers that are not members. */
 static void
 test_epoch_and_nonmember_peers(void)
 {
@@ -328,9 +331,9 @@
     CU_ASSERT_EQUAL(AqSlices_Assigned(s, "e"), 8);
     CU_ASSERT_EQUAL(AqSlices_Usable(s, 4009, "e"), 0);
     CU_ASSERT_EQUAL(AqSlices_Usable(s, 4010, "e"), 8);
-    /* More than AQ_FRESH_MS after its last store contact, vm-0 is still fresh,
-     * because it is the only member of its epoch, and thus a majority of the
-     * members. */
+    /* More than AQ_FRESH_MS after its last store contact, vm-0 may still use
+     * its slots, because it is the only member of its epoch, and thus a
+     * majority of the members. */
     CU_ASSERT_EQUAL(AqSlices_Usable(s, 6901, "e"), 8);
     AqSlices_RemoveEndpoint(s, "e");
     AqMsg msg = {.type = AQ_MSG_HEARTBEAT};
