--- a/packages/membership/Include/aq_slices.h
+++ b/packages/membership/Include/aq_slices.h
@@ -98,19 +98,21 @@
 int AqSlices_NextReturn(AqSlices *slices, AqTime now, const char *endpoint,
                         int in_use, const char **lessor);
 
-/* Number of slots of an endpoint that this daemon has leased out to other
- * members; for metrics. */
+/* Number of slots of an endpoint that this daemon has leased out, summed over
+ * all lessees; for metrics.  0 if the endpoint is unknown. */
 int AqSlices_LeasedOut(const AqSlices *slices, const char *endpoint);
-/* Number of slots of an endpoint that this daemon has leased in from other
- * members; for metrics. */
+/* Number of slots of an endpoint that this daemon has leased in, summed over
+ * all lessors; for metrics.  0 if the endpoint is unknown. */
 int AqSlices_LeasedIn(const AqSlices *slices, const char *endpoint);
 /* Bytes of memory that "slices" and its tables use, without the overhead of
  * the allocator. */
 size_t AqSlices_MemoryBytes(const AqSlices *slices);
 
-/* Checks that the slot counters of every endpoint agree with the states of its
- * slots and with the slot leases, and that the counters of pending slots add
- * up to their total.  Returns false and sets "error" if any does not. */
+/* Checks, for every endpoint, that the counters of this daemon's held,
+ * pending, leased-out and leased-in slots equal the number of such slots in
+ * the endpoint's slot states and in the slot leases, and that the pending
+ * slots of all endpoints add up to their total.  Returns false and sets
+ * "error" if any counter differs. */
 bool AqSlices_CheckConsistency(const AqSlices *slices, AqError *error);
 
 #endif
--- a/packages/membership/membership.c
+++ b/packages/membership/membership.c
@@ -29,9 +29,10 @@
     strncpy(m->self, self, sizeof(m->self) - 1);
     m->instance = instance;
     m->created = now;
-    /* Each instance of the daemon has a different seq_base, so that a peer's
-     * acknowledgement of an earlier instance's heartbeat decodes to an
-     * impossible sending time and is rejected. */
+    /* The seq_base of each instance of the daemon is almost certainly
+     * different, so that sending_time rejects a peer's acknowledgement of a
+     * heartbeat of an earlier instance: its sequence number is not above this
+     * seq_base, or stands for a time after this instance's last heartbeat. */
     m->seq_base = AqHash_Bytes(&instance, sizeof(instance)) & SEQ_BASE_MASK;
     m->last_fill = now;
     m->listening_since = now;
--- a/packages/membership/peers.h
+++ b/packages/membership/peers.h
@@ -18,12 +18,24 @@
 typedef struct {
     char id[AQ_WIRE_MAX_NAME];
     uint64_t hash; /* hash of the peer's id, for rendezvous hashing */
-    /* Number that differs at each start of the peer; 0 until this daemon
-     * receives a heartbeat of the peer. */
+    /* Instance number in the last heartbeat that this daemon received from the
+     * peer; it differs at each start of the peer.  0 before the first
+     * heartbeat. */
     uint64_t instance;
+    /* Sequence number of the last heartbeat that this daemon received from the
+     * peer; 0 if it has received none from the peer's current instance. */
     uint64_t seq;
+    /* Number of the epoch that the peer reported in its last heartbeat; 0 if
+     * it reported none, or no heartbeat of its current instance was
+     * received. */
     int64_t epoch;
+    /* Version of the fleet document that the peer had in force, by its last
+     * heartbeat; 0 if it had none, or no heartbeat of its current instance was
+     * received. */
     int64_t version;
+    /* Whether the peer, by its last heartbeat, does not count towards
+     * majorities of the members yet; true until a heartbeat of its current
+     * instance is received. */
     bool joining;
     /* Time at which this daemon received the peer's last heartbeat, on this
      * daemon's clock; TIME_UNKNOWN before the first. */
@@ -32,22 +44,29 @@
      * last heartbeat that this daemon received from it; TIME_UNKNOWN if no
      * such time is known. */
     AqTime sent_after;
-    /* Time, on this daemon's clock, at or after which the peer last reached
-     * the store; TIME_UNKNOWN if no such time is known. */
+    /* Time, on this daemon's clock, at or after which the peer last began a
+     * read of the store that got a response; TIME_UNKNOWN if no such time is
+     * known. */
     AqTime contact;
-    /* For each daemon other than the peer, milliseconds for which the peer had
-     * received no heartbeat from that daemon when the peer sent its own last
-     * heartbeat. */
+    /* One element for each daemon that the peer listed in its last heartbeat:
+     * the daemon's id, and the milliseconds for which the peer had received no
+     * heartbeat from that daemon when the peer sent the list.  NULL if the
+     * list is empty. */
     AqWireCount *peer_ages;
+    /* Number of elements of peer_ages. */
     size_t peer_age_count;
-    /* Number of the peer's requests in flight on each VM that the peer reports
-     * as drained (given no new requests), by the peer's last heartbeat. */
+    /* One element for each VM that the peer listed in its last heartbeat as
+     * drained (given no new requests): the VM's name, and the number of the
+     * peer's own requests in flight on it.  NULL if the list is empty. */
     AqWireCount *leaving;
+    /* Number of elements of "leaving". */
     size_t leaving_count;
 } Peer;
 
 typedef struct {
-    Peer *items; /* the peers, in order of id */
+    /* The peers, members or not, in order of id; "count" of the "capacity"
+     * elements are in use.  NULL before the first is added. */
+    Peer *items;
     size_t count;
     size_t capacity;
 } Peers;
@@ -65,8 +84,9 @@
                  const void *context);
 void peers_clear(Peers *peers);
 
-/* Discards what heartbeats of the peer's previous instance reported, and sets
- * peer->instance to "instance". */
+/* Discards what this daemon learned from heartbeats of the peer's previous
+ * instance, and sets peer->instance to "instance", the number of the peer's
+ * new instance; 0 for a peer from which no heartbeat was received. */
 void peer_reset(Peer *peer, uint64_t instance);
 /* Copies seq, epoch, version, joining, peer_ages and leaving from the peer's
  * heartbeat "beat", which was received at "now", into "peer". */
--- a/packages/membership/tests/network.h
+++ b/packages/membership/tests/network.h
@@ -29,67 +29,97 @@
 
 /* A message on its way over a link. */
 typedef struct Packet {
+    /* Next message on the same link, sent after this one; NULL for the
+     * last. */
     struct Packet *next;
     AqTime due; /* virtual time at which the message arrives */
     /* Instance number of the receiving daemon when the message was sent; a
      * later instance of that daemon discards the message. */
     uint64_t to_instance;
+    /* number of elements of "bytes" */
     size_t size;
+    /* the encoded message */
     char bytes[];
 } Packet;
 
 /* One direction of the connection between two daemons. */
 typedef struct {
     LinkMode mode;
-    AqTime until;  /* virtual time at which the link's fault ends */
-    Packet *first; /* oldest message still on its way over the link */
+    /* Virtual time at which "mode" becomes LINK_OPEN again. */
+    AqTime until;
+    /* Oldest message still on its way over the link; NULL if there is none. */
+    Packet *first;
+    /* Newest message still on its way over the link; NULL if there is none. */
     Packet *last;
-    /* Virtual time at which the link last delivered a heartbeat; 0: never. */
+    /* Virtual time at which the link last delivered a heartbeat; 0 if it has
+     * delivered none. */
     AqTime last_heartbeat_at;
     /* Virtual time of the first heartbeat that the link delivered after it had
-     * last delivered no heartbeat for AQ_REMOVE_MS or more. */
+     * last delivered no heartbeat for AQ_REMOVE_MS or more; 0 if it has
+     * delivered none. */
     AqTime received_since;
 } Link;
 
 /* A request that a daemon runs on an endpoint from "start" until "end". */
 typedef struct {
+    /* number of the endpoint, from 0 to NET_ENDPOINTS - 1 */
     int endpoint;
+    /* position in net->node of the daemon that runs the request */
     int node;
+    /* Instance number of the daemon when it started the request. */
     uint64_t instance;
+    /* virtual time at which the daemon started the request */
     AqTime start;
+    /* Virtual time at which the request ends; an earlier time is set if the
+     * daemon stops meanwhile. */
     AqTime end;
 } Request;
 
 typedef struct Network Network;
 
+/* One daemon of the simulated cluster, over all of its instances. */
 typedef struct {
     Network *net;
+    /* position of this daemon in net->node */
     int index;
     char id[AQ_WIRE_MAX_NAME];
+    /* Whether an instance of this daemon runs or is paused; false while the
+     * daemon is stopped. */
     bool up;
     /* Virtual time at which the next instance of this daemon starts, while the
      * daemon is stopped ("up" is false). */
     AqTime restart_at;
     /* Virtual time at which the daemon's pause ends; 0: no pause. */
     AqTime paused_until;
+    /* Instance number of the daemon, drawn at each start; never 0. */
     uint64_t instance;
+    /* Membership of the daemon's current instance; NULL while it is
+     * stopped. */
     AqMembership *m;
+    /* Slices of the daemon's current instance; NULL while it is stopped. */
     AqSlices *s;
-    /* Version of the fleet document that this daemon has in force. */
+    /* Version of the fleet document that this daemon has in force; 0 after
+     * each start. */
     int64_t version;
+    /* virtual time at which this daemon next sends heartbeats */
     AqTime next_heartbeat_at;
     /* Whether this daemon has begun a read of the newest version of the fleet
      * document in the store that has not ended yet. */
     bool reading;
+    /* Virtual time at which this daemon began the read, if "reading". */
     AqTime read_started;
-    /* Virtual time at which the store responds to this daemon's read even if
-     * the store has no version of the fleet document newer than the
-     * daemon's. */
+    /* If "reading": virtual time at which the store responds to this daemon's
+     * read even if the store has no version of the fleet document newer than
+     * the daemon's. */
     AqTime response_due;
     /* Version of the fleet document in a response of the store that is on its
      * way to this daemon; 0: no response is on its way. */
     int64_t response_version;
+    /* Virtual time at which the store's response reaches this daemon, if
+     * response_version is not 0. */
     AqTime response_arrives_at;
+    /* Virtual time before which this daemon alone cannot reach the store; 0 if
+     * no such fault was injected. */
     AqTime store_unreachable_until;
     /* Virtual time at which a member last committed this daemon's removal from
      * the members; 0: never. */
@@ -97,23 +127,27 @@
     /* Probability, per endpoint and per NET_STEP_MS, that this daemon starts
      * requests on all of its free slots. */
     double demand;
-    /* Whether AqSlices_IsSteady was true (no slot of this daemon was pending
-     * or leased) at the last check of this daemon's usable slots.  was_fresh
-     * and steady_epoch are AqMembership_IsFresh and the epoch of this daemon
-     * at the same check. */
+    /* Result of AqSlices_IsSteady for this daemon (true if no slot of this
+     * daemon was pending, leased out or leased in) when check_steady last
+     * checked this daemon. */
     bool was_steady;
+    /* Result of AqMembership_IsFresh for this daemon when check_steady last
+     * checked this daemon. */
     bool was_fresh;
+    /* Number of this daemon's epoch when check_steady last checked this
+     * daemon. */
     int64_t steady_epoch;
-    /* For each endpoint, the number of slots that this daemon could use at its
-     * last check. */
+    /* For each endpoint, by its number from 0: the number of slots that this
+     * daemon could use when check_steady last checked this daemon. */
     int usable[NET_ENDPOINTS];
 } Node;
 
 /* Violations that the checks found in one run of the simulated cluster, by
  * kind, and counts of what happened in the run. */
 typedef struct {
-    /* Number of checks that found more requests on an endpoint than the
-     * endpoint has slots. */
+    /* Number of checks of one endpoint that found more requests on the
+     * endpoint, started by all daemons together, than the endpoint has
+     * slots. */
     int over_limit;
     /* Number of checks that found AqMembership_IsFresh true at a daemon more
      * than 4 s after a majority of the members accepted a version of the fleet
@@ -123,16 +157,18 @@
      * heartbeats reached a majority of the members. */
     int wrong_removals;
     /* Number of slots still leased at the end of the run, after a phase
-     * without faults and new requests: the leased-out slots plus the leased-in
-     * slots of all daemons. */
+     * without faults and new requests: the slots that each daemon counts as
+     * leased out plus those that it counts as leased in, added up over all
+     * daemons. */
     int not_returned;
     /* Number of slots missing or in excess at the end of the run, after a
      * phase without faults and new requests: for each endpoint, the difference
      * between its slots and the sum of the slots usable by each daemon; added
      * up over all endpoints. */
     int not_usable;
-    /* Number of checks that found slot counters of a daemon in disagreement
-     * with its slots (AqSlices_CheckConsistency returned false). */
+    /* Number of checks in which AqSlices_CheckConsistency returned false for a
+     * daemon: one of its counters of held, pending, leased-out or leased-in
+     * slots was not the number of such slots in the daemon's own tables. */
     int inconsistent;
     /* Number of times that a daemon's usable slots of an endpoint changed
      * between two checks although the daemon's epoch and AqMembership_IsFresh
@@ -145,39 +181,58 @@
     /* Number of versions of the fleet document that a majority of the members
      * accepted. */
     int accepted;
+    /* number of requests that the daemons started in the run */
     int requests;
+    /* number of times that a daemon granted leased slots to another */
     int slot_leases;
-    /* Largest number of requests that a check found on one endpoint. */
+    /* Largest number of requests that a check found on one endpoint, without
+     * the requests that the check leaves out if exempt_removed is set. */
     int max_on_endpoint;
 } RunStats;
 
 struct Network {
     AqRandom random;
     AqTime now;
+    /* number of daemons, at most NET_NODES */
     int nodes;
+    /* AQ_FAULT_* bits that are set in each daemon */
     unsigned faults;
     Node node[NET_NODES];
     /* [i][k]: link from daemon i to daemon k */
     Link link[NET_NODES][NET_NODES];
+    /* Requests of all daemons that had not ended at the last check of the
+     * endpoints, and those started since; request_count elements. */
     Request *requests;
     size_t request_count;
     size_t request_capacity;
+    /* For each endpoint, by its number from 0: the number of its slots, summed
+     * over all members. */
     int slots[NET_ENDPOINTS];
     int64_t head; /* newest version of the fleet document in the store */
+    /* For each version of the fleet document, by its number: the number of its
+     * epoch, which is the latest version up to it that changed the members. */
     int64_t epoch_of[NET_VERSIONS];
-    /* The members in each version of the fleet document: bit i is set if
-     * node[i] is a member. */
+    /* For each version of the fleet document, by its number: the members in
+     * it.  Bit i is set if node[i] is a member. */
     unsigned members_of[NET_VERSIONS];
-    /* For each version of the fleet document, virtual time at which the first
-     * daemon saw that a majority of the members had accepted this version (put
-     * it in force); 0: no daemon has seen that yet. */
+    /* For each version of the fleet document, by its number: virtual time at
+     * which the first daemon saw that a majority of the members had accepted
+     * this version (put it in force); 0 if no daemon has seen that yet. */
     AqTime accepted_at[NET_VERSIONS];
+    /* Highest version of the fleet document whose accepted_at is set; 0 if
+     * there is none. */
     int64_t highest_accepted;
+    /* Virtual time of the last commit to the store; 0 before the first. */
     AqTime head_changed;
+    /* Virtual time before which no daemon can reach the store; 0 if no such
+     * fault was injected. */
     AqTime store_down_until;
+    /* Virtual time before which the store's responses take up to 1.5 s longer
+     * to reach a daemon; 0 if no such fault was injected. */
     AqTime store_slow_until;
     /* Whether faults have ended and no daemon starts requests any more. */
     bool quiet;
+    /* Longest virtual time, in milliseconds, for which a request runs. */
     AqTime longest_request;
     /* Whether the check of endpoints for more requests than slots leaves out
      * some requests: those that a daemon started before its removal from the
@@ -232,12 +287,13 @@
 /* Position in net->node of the daemon with this id, which must exist. */
 int network_node_of(const Network *net, const char *id);
 const char *network_endpoint(int endpoint);
-/* Checks one daemon: whether AqMembership_IsFresh is true of it more than 4 s
- * after a majority of the members accepted a version of the fleet document
- * newer than the daemon's, whether its slot counters are inconsistent, and
- * whether its usable slots changed while AqSlices_IsSteady was true.  Counts
- * these violations in net->stats, and records in net->accepted_at the versions
- * that a majority of the members has newly accepted. */
+/* Checks one daemon for three violations and counts them in net->stats:
+ * stale_fresh (AqMembership_IsFresh is true more than 4 s after a majority of
+ * the members accepted a version of the fleet document newer than the
+ * daemon's), "inconsistent" (a slot counter of the daemon differs from the
+ * number of such slots in its own tables) and not_steady (usable slots changed
+ * while AqSlices_IsSteady stayed true).  Also records in net->accepted_at the
+ * versions that a majority of the members has newly accepted. */
 void network_check_node(Network *net, Node *node);
 /* Removes ended requests, counts in net->stats.over_limit each endpoint that
  * runs more requests than it has slots, and updates
