--- a/packages/membership/membership.c
+++ b/packages/membership/membership.c
@@ -29,9 +29,10 @@
     strncpy(m->self, self, sizeof(m->self) - 1);
     m->instance = instance;
     m->created = now;
-    /* Each instance of the daemon has a different seq_base, so that a peer's
-     * acknowledgement of an earlier instance's heartbeat decodes to an
-     * impossible sending time and is rejected. */
+    /* The seq_base of each instance of the daemon is almost certainly
+     * different, so that sending_time rejects a peer's acknowledgement of a
+     * heartbeat of an earlier instance: its sequence number is not above this
+     * seq_base, or stands for a time after this instance's last heartbeat. */
     m->seq_base = AqHash_Bytes(&instance, sizeof(instance)) & SEQ_BASE_MASK;
     m->last_fill = now;
     m->listening_since = now;
@@ -173,8 +174,9 @@
     m->counts_for_majority = true;
 }
 
-/* Sets *at to the time at which this daemon sent the heartbeat "seq"; returns
- * false if this daemon has sent no such heartbeat since its start. */
+/* Sets *at to the time at which this daemon sent the heartbeat with the
+ * sequence number "seq"; returns false if this daemon has sent no such
+ * heartbeat since its start. */
 static bool
 sending_time(const AqMembership *m, uint64_t seq, AqTime *at)
 {
@@ -186,11 +188,11 @@
     return true;
 }
 
-/* Sets *at to a lower bound, on this daemon's clock, of the time at which the
- * peer sent "beat": a heartbeat that acknowledges this daemon's heartbeat with
- * the sequence number S was sent after the latter.  The bound holds however
- * long "beat" was delayed in buffers.  Returns false if "beat" acknowledges no
- * heartbeat of this daemon. */
+/* Sets *at to a time, on this daemon's clock, before which the peer cannot
+ * have sent "beat": the time at which this daemon sent the heartbeat that
+ * "beat" acknowledges.  This holds however long "beat" was delayed in
+ * buffers.  Returns false if "beat" acknowledges no heartbeat of this
+ * daemon. */
 static bool
 earliest_send_time(const AqMembership *m, AqTime now,
                    const AqMsgHeartbeat *beat, AqTime *at)
@@ -208,9 +210,13 @@
     return false;
 }
 
-/* Updates peer->sent_after, and the times at which the peer last reached the
- * store (peer->contact and m->relayed_contact), from a heartbeat of the peer
- * that was sent no earlier than "sent_after". */
+/* Updates three times from a heartbeat that the peer sent no earlier than
+ * "sent_after"; a time changes only to a later one.  peer->sent_after: the
+ * peer cannot have sent its last heartbeat before this time.  peer->contact:
+ * the peer last reached the store at this time or later.  m->relayed_contact:
+ * some peer last reached the store at this time or later; it is updated only
+ * if the heartbeat reports a version of the fleet document that is not above
+ * this daemon's. */
 static void
 record_send_time(AqMembership *m, Peer *peer, AqTime sent_after,
                  const AqMsgHeartbeat *beat)
@@ -232,10 +238,10 @@
 
 /* Sets counts_for_majority if a majority of the members has reported versions
  * of the fleet document not above this daemon's in heartbeats sent at most
- * AQ_FRESH_MS ago.  This daemon itself and members that report themselves as
- * joining do not count.  This daemon then has every version that a majority of
- * the members accepted, although a restart may have set it back to an older
- * one. */
+ * AQ_FRESH_MS ago.  This daemon itself, and members that do not count towards
+ * majorities themselves (joining), are left out.  This daemon then has every
+ * version that a majority of the members accepted, although a restart may have
+ * set it back to an older one. */
 static void
 update_counts_for_majority(AqMembership *m, AqTime now)
 {
--- a/packages/membership/slices.c
+++ b/packages/membership/slices.c
@@ -168,7 +168,8 @@
     words[i / 64] |= (uint64_t)1 << (i % 64);
 }
 
-/* Whether "words" has the bit of every member other than this daemon set. */
+/* Whether "words", which has one bit per member by position in "members", has
+ * the bits of all members other than this daemon set. */
 static bool
 has_every_peer(const AqSlices *slices, const uint64_t *words)
 {
@@ -211,11 +212,11 @@
     }
 }
 
-/* Whether slots in SLOT_PENDING need not wait any longer for daemons outside
- * the epoch that may still run requests on them.  Such a wait begins when this
- * daemon sees the epoch accepted by a majority of the members, lasts
- * AQ_GUARD_MS, and does not end before AQ_GUARD_MS after this daemon's
- * start. */
+/* Whether this daemon has ended its wait for daemons outside the epoch, which
+ * may still run requests on slots in SLOT_PENDING; true if no wait is needed.
+ * The wait begins when this daemon sees that a majority of the members has
+ * accepted the epoch, lasts AQ_GUARD_MS, and does not end before AQ_GUARD_MS
+ * after this daemon's start. */
 static bool
 is_guard_over(AqSlices *slices, AqTime now)
 {
@@ -252,9 +253,10 @@
     }
 }
 
-/* Records, for each endpoint that the "over" list of member "i" does not name,
- * that the member has released its former slots of the endpoint: the member
- * has no more requests in flight there than slots. */
+/* Records that member "i" has released its former slots of each endpoint that
+ * the "over" list of its heartbeat "beat" does not name: when the member sent
+ * the list, it had no more requests in flight on such an endpoint than
+ * slots. */
 static void
 record_release(AqSlices *slices, size_t i, const AqMsgHeartbeat *beat)
 {
@@ -279,7 +281,8 @@
 
 /* Processes the heartbeat of a daemon that is not a member, such as a removed
  * one.  That daemon still has requests in flight on the endpoints in its
- * "over" list, so no slot of these goes to SLOT_HELD for AQ_FRESH_MS. */
+ * "over" list, so no slot of these endpoints goes to SLOT_HELD until
+ * AQ_FRESH_MS from now. */
 static void
 block_endpoints(AqSlices *slices, AqTime now, const AqMsgHeartbeat *beat)
 {
@@ -371,9 +374,10 @@
 }
 
 /* Returns the number of endpoints on which this daemon has more requests in
- * flight than slots.  Unless "items" is NULL, lists these endpoints in it,
- * each with the number of excess requests.  Frees removed endpoints on which
- * this daemon has no requests. */
+ * flight than slots.  The slots are those in SLOT_HELD, minus those leased
+ * out, plus those leased in from lessors that have not left the epoch.  Unless
+ * "items" is NULL, lists these endpoints in it, each with the number of excess
+ * requests.  Frees removed endpoints on which this daemon has no requests. */
 static size_t
 list_over(AqSlices *slices, int (*in_use)(void *context, const char *endpoint),
           void *context, AqWireCount *items)
@@ -424,8 +428,8 @@
     beat->slots_known = true;
     /* A heartbeat with epoch 0 releases no slots.  This daemon sends epoch 0
      * if its "over" list is too long for a heartbeat, and until every other
-     * member has reported its leased-in slots, which a previous instance of
-     * this daemon may have granted. */
+     * member has reported its leased-in slots: a previous instance of this
+     * daemon may have granted them. */
     slices->all_reported =
         slices->all_reported ||
         (slices->is_member && has_every_peer(slices, slices->reported));
