--- a/packages/fleet/bench/bench_fleet.c
+++ b/packages/fleet/bench/bench_fleet.c
@@ -12,11 +12,11 @@
 #include "fake_daemon.h"
 
 #define SEEDS 20
-#define TICK_MS 5000
+#define STEP_INTERVAL_MS 5000
 #define HOUR_MS 3600000.0
-#define WARM_UP_MS (2 * 3600 * 1000)
-#define MEASURED_MS (24 * 3600 * 1000)
-#define LONGEST_MS (96 * 3600 * 1000)
+#define WARM_UP_TIME_MS (2 * 3600 * 1000)
+#define MEASURED_TIME_MS (24 * 3600 * 1000)
+#define WAVE_TIMEOUT_MS (96 * 3600 * 1000)
 
 /* ---- Sites and strategies --------------------------------------------- */
 
@@ -73,7 +73,7 @@
     double writes;      /* per second, over all */
     double wave_writes; /* per second, while the wave runs */
     double step_us;
-    double step_us_most;
+    double step_us_max;
     double head_bytes;
     double snapshot_bytes;
 } Result;
@@ -96,13 +96,14 @@
 /* ---- Building a fleet ------------------------------------------------- */
 
 static void
-put_pool(Run *run, json_t *set, const char *name, int min, int most)
+put_pool(Run *run, json_t *set, const char *name, int min, int max_unavailable)
 {
     json_t *pool = json_pack("{s:s, s:{}, s:i, s:i, s:i, s:i}", "service",
                              name, "selector", "min_serving", min, "slots", 8,
                              "connections", 64, "objective", 999);
     if (run->strategy->max_unavailable > 0) {
-        json_object_set_new(pool, "max_unavailable", json_integer(most));
+        json_object_set_new(pool, "max_unavailable",
+                            json_integer(max_unavailable));
     }
     set_put(set, AQ_REC_POOL, name, pool);
 }
@@ -120,8 +121,8 @@
             json_pack("{s:s, s:s, s:s, s:s, s:s, s:I, s:{s:s, s:s}}", "pool",
                       pool, "state", "serving", "rack", rack, "zone", zone,
                       "address", address, "since",
-                      (json_int_t)run->platform.now, "labels", "size", "c64",
-                      "release", "r1"));
+                      (json_int_t)run->platform.now_ms, "labels", "size",
+                      "c64", "release", "r1"));
     fake_platform_vm(&run->platform, id);
 }
 
@@ -183,9 +184,9 @@
 static void
 fail_vms(Run *run)
 {
-    double days = TICK_MS / (24 * HOUR_MS);
+    double days = STEP_INTERVAL_MS / (24 * HOUR_MS);
     double scale = run->site->vms / 900.0;
-    int64_t now = run->platform.now;
+    int64_t now = run->platform.now_ms;
     int rank;
     if (AqRandom_Unit(&run->random) < 11 * scale * days) {
         fake_platform_fail(random_vm(run, &rank), now + 3600000);
@@ -252,7 +253,7 @@
         run->result.moves +=
             run->measuring &&
             strcmp(json_string_value(json_array_get(upsert, 0)), "vm") == 0 &&
-            int_or(vm, "moved", 0) == run->platform.now;
+            int_or(vm, "moved", 0) == run->platform.now_ms;
     }
 }
 
@@ -263,13 +264,13 @@
     json_t *reboots = json_array();
     double from = cpu_us();
     run->platform.fleet = run->fleet;
-    AqPlanner_Step(run->planner, run->fleet, run->platform.now,
+    AqPlanner_Step(run->planner, run->fleet, run->platform.now_ms,
                    &fake_platform_view, &run->platform, set, reboots);
     double us = cpu_us() - from;
     run->result.step_us += us;
     run->steps++;
-    if (us > run->result.step_us_most) {
-        run->result.step_us_most = us;
+    if (us > run->result.step_us_max) {
+        run->result.step_us_max = us;
     }
     fake_platform_reboot(&run->platform, run->fleet, reboots);
     if (json_array_size(set) > 0) {
@@ -283,10 +284,10 @@
 static void
 count_buffer(Run *run)
 {
-    double hours = TICK_MS / HOUR_MS;
+    double hours = STEP_INTERVAL_MS / HOUR_MS;
     for (guint i = 0; i < run->fleet->pool_order->len; i++) {
         const PoolEntry *pool = run->fleet->pool_order->pdata[i];
-        int live = pool->members - pool->by_state[AQ_VM_FAILED] -
+        int live = pool->vm_count - pool->by_state[AQ_VM_FAILED] -
                    pool->by_state[AQ_VM_LEAVING];
         int over = live - pool->min_serving;
         int under = pool->min_serving - pool_serving(pool);
@@ -309,7 +310,7 @@
         fake_intent("wave", "wave.start",
                     json_pack("{s:s, s:i}", "name", "w", "max_parallel",
                               parallel < 1 ? 1 : parallel));
-    if (!AqFleet_Evaluate(run->fleet, intent, run->platform.now, set,
+    if (!AqFleet_Evaluate(run->fleet, intent, run->platform.now_ms, set,
                           &error)) {
         fprintf(stderr, "wave.start: %s\n", error.message);
         exit(1);
@@ -329,7 +330,7 @@
 static void
 tick(Run *run)
 {
-    fake_platform_advance(&run->platform, TICK_MS);
+    fake_platform_advance(&run->platform, STEP_INTERVAL_MS);
     fail_vms(run);
     plan(run);
 }
@@ -337,24 +338,24 @@
 static void
 measure(Run *run)
 {
-    int64_t begin = run->platform.now;
+    int64_t begin = run->platform.now_ms;
     int64_t writes = run->writes;
     int64_t end = 0;
     start_wave(run);
     run->measuring = true;
-    while (run->platform.now - begin < MEASURED_MS ||
-           (end == 0 && run->platform.now - begin < LONGEST_MS)) {
+    while (run->platform.now_ms - begin < MEASURED_TIME_MS ||
+           (end == 0 && run->platform.now_ms - begin < WAVE_TIMEOUT_MS)) {
         tick(run);
         count_buffer(run);
         if (end == 0 && !wave_is(run, "running")) {
-            end = run->platform.now;
+            end = run->platform.now_ms;
             run->result.wave_writes =
                 (double)(run->writes - writes) * 1000 / (double)(end - begin);
         }
     }
-    double days = (double)(run->platform.now - begin) / (24 * HOUR_MS);
+    double days = (double)(run->platform.now_ms - begin) / (24 * HOUR_MS);
     run->result.wave_hours =
-        (double)((end == 0 ? run->platform.now : end) - begin) / HOUR_MS;
+        (double)((end == 0 ? run->platform.now_ms : end) - begin) / HOUR_MS;
     run->result.wave_failed = !wave_is(run, "done");
     run->result.buffer_hours /= days;
     run->result.spare_hours /= days;
@@ -377,7 +378,7 @@
     fleet_disable(run.fleet,
                   strategy->placement ? 0 : FLEET_DISABLE_PLACEMENT);
     build_fleet(&run);
-    while (run.platform.now < WARM_UP_MS) {
+    while (run.platform.now_ms < WARM_UP_TIME_MS) {
         tick(&run);
     }
     measure(&run);
@@ -429,7 +430,7 @@
         FIELD("store writes per second", writes);
         FIELD("store writes per second in wave", wave_writes);
         FIELD("decision, us CPU", step_us);
-        FIELD("longest decision, us CPU", step_us_most);
+        FIELD("longest decision, us CPU", step_us_max);
         FIELD("head, bytes", head_bytes);
         FIELD("snapshot, bytes", snapshot_bytes);
 #undef FIELD
--- a/packages/fleet/bench/bench_operators.c
+++ b/packages/fleet/bench/bench_operators.c
@@ -11,34 +11,34 @@
 #include "fake_daemon.h"
 
 #define SEEDS 20
-#define OPERATORS_MOST 8
+#define OPERATORS_MAX 8
 #define VMS 50
 #define POOLS 5
 #define RUN_MS 10000
-#define READ_MS 4
-#define WRITE_MS 6
-#define WATCH_MS 4
-#define THINK_MS 20
+#define READ_LATENCY_MS 4
+#define WRITE_LATENCY_MS 6
+#define WATCH_LATENCY_MS 4
+#define MEAN_THINK_MS 20
 
 typedef struct {
     int accepted;
     int refused;
-    int needless;
+    int needless_refusals;
     int conflicts; /* writes that did not take effect */
 } Totals;
 
 typedef struct {
     FakeStore store;
     FakePlatform platform;
-    FakeDaemon daemons[OPERATORS_MOST];
-    int64_t due[OPERATORS_MOST]; /* virtual ms at which the step is made */
-    int64_t committed;           /* virtual ms of the last commit */
+    FakeDaemon daemons[OPERATORS_MAX];
+    int64_t due_ms[OPERATORS_MAX]; /* virtual ms at which the step is made */
+    int64_t committed_ms;          /* virtual ms of the last commit */
     AqRandom random;
     int serial;
-} Contest;
+} OperatorRun;
 
 static void
-seed_fleet(Contest *contest)
+seed_fleet(OperatorRun *run)
 {
     json_t *set = json_array();
     char name[16], id[16];
@@ -60,18 +60,18 @@
     AqFleet *fleet = AqFleet_Create();
     AqFleet_Apply(fleet, "setup", set, NULL);
     char *head = AqFleet_EncodeHead(fleet);
-    fake_store_cas(&contest->store, head, 0, REPLY_OK);
+    fake_store_cas(&run->store, head, 0, REPLY_OK);
     free(head);
     json_decref(set);
     AqFleet_Destroy(fleet);
 }
 
 static json_t *
-random_intent(Contest *contest, const char *op)
+random_intent(OperatorRun *run, const char *op)
 {
     char name[16];
-    int at = (int)AqRandom_Below(&contest->random, VMS);
-    int kind = (int)AqRandom_Below(&contest->random, 10);
+    int at = (int)AqRandom_Below(&run->random, VMS);
+    int kind = (int)AqRandom_Below(&run->random, 10);
     if (kind == 0) {
         g_snprintf(name, sizeof(name), "p%d", at % POOLS);
         return fake_intent(
@@ -88,86 +88,86 @@
 }
 
 static void
-note_end(Contest *contest, int at, Totals *totals)
+record_outcome(OperatorRun *run, int at, Totals *totals)
 {
-    const FakeDaemon *daemon = &contest->daemons[at];
+    const FakeDaemon *daemon = &run->daemons[at];
     totals->accepted += daemon->outcome == OUTCOME_ACCEPTED;
     totals->refused += daemon->outcome == OUTCOME_REFUSED;
-    totals->needless += daemon->needless;
-    contest->due[at] +=
-        (int64_t)AqRandom_Exponential(&contest->random, THINK_MS);
+    totals->needless_refusals += daemon->is_needless_refusal;
+    run->due_ms[at] +=
+        (int64_t)AqRandom_Exponential(&run->random, MEAN_THINK_MS);
 }
 
 /* Makes the step of one daemon whose time has come. */
 static void
-advance(Contest *contest, int at, Totals *totals)
+advance(OperatorRun *run, int at, Totals *totals)
 {
-    FakeDaemon *daemon = &contest->daemons[at];
-    int64_t now = contest->due[at];
+    FakeDaemon *daemon = &run->daemons[at];
+    int64_t now = run->due_ms[at];
     char op[32];
-    contest->platform.now = now;
+    run->platform.now_ms = now;
     if (daemon->phase == PHASE_IDLE) {
-        g_snprintf(op, sizeof(op), "op-%d", contest->serial++);
-        if (now - contest->committed >= WATCH_MS) {
+        g_snprintf(op, sizeof(op), "op-%d", run->serial++);
+        if (now - run->committed_ms >= WATCH_LATENCY_MS) {
             fake_daemon_read(daemon);
         }
-        fake_daemon_begin(daemon, random_intent(contest, op), op);
-        daemon->read_since = daemon->no_reevaluate;
+        fake_daemon_begin(daemon, random_intent(run, op), op);
+        daemon->is_head_read = daemon->no_reevaluate;
     }
-    int64_t index = contest->store.index;
+    int64_t index = run->store.index;
     bool write = daemon->phase == PHASE_CAS;
     fake_daemon_step(daemon, REPLY_OK);
-    if (contest->store.index != index) {
-        contest->committed = now;
+    if (run->store.index != index) {
+        run->committed_ms = now;
     }
     else {
         totals->conflicts += write;
     }
     if (daemon->phase == PHASE_IDLE) {
-        note_end(contest, at, totals);
+        record_outcome(run, at, totals);
     }
     else {
-        contest->due[at] += daemon->phase == PHASE_READ       ? READ_MS
-                            : daemon->phase == PHASE_EVALUATE ? 0
-                                                              : WRITE_MS;
+        run->due_ms[at] += daemon->phase == PHASE_READ ? READ_LATENCY_MS
+                           : daemon->phase == PHASE_EVALUATE
+                               ? 0
+                               : WRITE_LATENCY_MS;
     }
 }
 
 static void
-run_contest(int operators, bool no_reevaluate, uint64_t seed, Totals *totals)
+run_operators(int operators, bool no_reevaluate, uint64_t seed, Totals *totals)
 {
-    Contest contest;
-    memset(&contest, 0, sizeof(contest));
-    AqRandom_Seed(&contest.random, seed);
-    fake_store_init(&contest.store, true);
-    fake_platform_init(&contest.platform, seed);
-    seed_fleet(&contest);
+    OperatorRun run;
+    memset(&run, 0, sizeof(run));
+    AqRandom_Seed(&run.random, seed);
+    fake_store_init(&run.store, true);
+    fake_platform_init(&run.platform, seed);
+    seed_fleet(&run);
     for (int i = 0; i < operators; i++) {
-        fake_daemon_init(&contest.daemons[i], &contest.store,
-                         &contest.platform);
-        contest.daemons[i].no_reevaluate = no_reevaluate;
-        fake_daemon_read(&contest.daemons[i]);
-        contest.due[i] = (int64_t)AqRandom_Below(&contest.random, THINK_MS);
+        fake_daemon_init(&run.daemons[i], &run.store, &run.platform);
+        run.daemons[i].no_reevaluate = no_reevaluate;
+        fake_daemon_read(&run.daemons[i]);
+        run.due_ms[i] = (int64_t)AqRandom_Below(&run.random, MEAN_THINK_MS);
     }
     for (;;) {
         int next = 0;
         for (int i = 1; i < operators; i++) {
-            next = contest.due[i] < contest.due[next] ? i : next;
+            next = run.due_ms[i] < run.due_ms[next] ? i : next;
         }
-        if (contest.due[next] >= RUN_MS) {
+        if (run.due_ms[next] >= RUN_MS) {
             break;
         }
-        advance(&contest, next, totals);
+        advance(&run, next, totals);
     }
-    if (contest.store.fault[0] != '\0') {
-        fprintf(stderr, "seed %d: %s\n", (int)seed, contest.store.fault);
+    if (run.store.fault[0] != '\0') {
+        fprintf(stderr, "seed %d: %s\n", (int)seed, run.store.fault);
         exit(1);
     }
     for (int i = 0; i < operators; i++) {
-        fake_daemon_clear(&contest.daemons[i]);
+        fake_daemon_clear(&run.daemons[i]);
     }
-    fake_store_clear(&contest.store);
-    fake_platform_clear(&contest.platform);
+    fake_store_clear(&run.store);
+    fake_platform_clear(&run.platform);
 }
 
 void
@@ -177,17 +177,18 @@
            RUN_MS / 1000);
     printf("  %-10s %-16s %9s %9s %9s %9s\n", "operators", "on conflict",
            "accepted", "refused", "needless", "conflicts");
-    for (int operators = 2; operators <= OPERATORS_MOST; operators *= 2) {
-        for (int refuse = 0; refuse <= 1; refuse++) {
+    for (int operators = 2; operators <= OPERATORS_MAX; operators *= 2) {
+        for (int no_reevaluate = 0; no_reevaluate <= 1; no_reevaluate++) {
             Totals totals = {0};
             for (uint64_t seed = 1; seed <= SEEDS; seed++) {
-                run_contest(operators, refuse == 1, seed, &totals);
+                run_operators(operators, no_reevaluate == 1, seed, &totals);
             }
             double seconds = SEEDS * RUN_MS / 1000.0;
             printf("  %-10d %-16s %9.2f %9.2f %9.2f %9.2f\n", operators,
-                   refuse ? "refuse" : "evaluate again",
+                   no_reevaluate ? "refuse" : "evaluate again",
                    totals.accepted / seconds, totals.refused / seconds,
-                   totals.needless / seconds, totals.conflicts / seconds);
+                   totals.needless_refusals / seconds,
+                   totals.conflicts / seconds);
             fflush(stdout);
         }
     }
--- a/packages/fleet/budget.c
+++ b/packages/fleet/budget.c
@@ -21,18 +21,18 @@
 int
 pool_unavailable(const PoolEntry *pool)
 {
-    return pool->members - pool->by_state[AQ_VM_SERVING];
+    return pool->vm_count - pool->by_state[AQ_VM_SERVING];
 }
 
 int
 budget_headroom(int serving, int unavailable, int min_serving,
                 int max_unavailable)
 {
-    int room = serving - min_serving;
-    if (max_unavailable >= 0 && max_unavailable - unavailable < room) {
-        room = max_unavailable - unavailable;
+    int headroom = serving - min_serving;
+    if (max_unavailable >= 0 && max_unavailable - unavailable < headroom) {
+        headroom = max_unavailable - unavailable;
     }
-    return room < 0 ? 0 : room;
+    return headroom < 0 ? 0 : headroom;
 }
 
 bool
@@ -41,7 +41,7 @@
 {
     int serving = pool_serving(pool);
     int unavailable = pool_unavailable(pool);
-    if ((fleet->switches & FLEET_DISABLE_BUDGET) != 0 ||
+    if ((fleet->disabled & FLEET_DISABLE_BUDGET) != 0 ||
         budget_headroom(serving, unavailable, pool->min_serving,
                         pool->max_unavailable) > 0) {
         return true;
@@ -52,7 +52,7 @@
             "pool \"%s\": stopping VM \"%s\" would leave %d of %d VMs "
             "serving, and min_serving is %d; move a VM into the pool, wait "
             "until %d unavailable VMs are back or lower min_serving",
-            pool->name, vm, serving - 1, pool->members, pool->min_serving,
+            pool->name, vm, serving - 1, pool->vm_count, pool->min_serving,
             unavailable);
     }
     return AqError_Set(
@@ -60,7 +60,7 @@
         "pool \"%s\": stopping VM \"%s\" would make %d of %d VMs "
         "unavailable, and max_unavailable is %d; wait until %d unavailable "
         "VMs are back or raise max_unavailable",
-        pool->name, vm, unavailable + 1, pool->members, pool->max_unavailable,
+        pool->name, vm, unavailable + 1, pool->vm_count, pool->max_unavailable,
         unavailable);
 }
 
@@ -75,11 +75,11 @@
 
 /* VMs of the pool that running waves may hold at once. */
 static int
-wave_parallelism(const AqFleet *fleet, const PoolEntry *pool)
+wave_held_vms(const AqFleet *fleet, const PoolEntry *pool)
 {
     const char *name;
     json_t *wave;
-    int most = 0;
+    int largest = 0;
     json_object_foreach(fleet->records[AQ_REC_WAVE], name, wave)
     {
         if (strcmp(string_or(wave, "state", ""), "running") != 0) {
@@ -87,41 +87,41 @@
         }
         const json_t *selector = json_object_get(wave, "selector");
         int64_t id = int_or(wave, "id", 0);
-        bool touched = false;
+        bool has_work = false;
         AqList_ForEach(at, &pool->vms)
         {
             const VmEntry *vm = AqList_Entry(at, VmEntry, link);
-            if (vm->done < id &&
+            if (vm->last_wave_id < id &&
                 selector_matches(selector,
                                  json_object_get(vm->record, "labels"))) {
-                touched = true;
+                has_work = true;
                 break;
             }
         }
         int limit = (int)int_or(wave, "max_parallel", 1);
-        int share = (int)ceil(WAVE_SHARE * pool->members);
-        int held = limit < share ? limit : share;
-        most = touched && held > most ? held : most;
+        int share = (int)ceil(WAVE_SHARE * pool->vm_count);
+        int held_vms = limit < share ? limit : share;
+        largest = has_work && held_vms > largest ? held_vms : largest;
     }
-    return most;
+    return largest;
 }
 
 /* VMs of the pool in its fullest rack. */
 static int
-rack_share(const AqFleet *fleet, const PoolEntry *pool)
+fullest_rack_vms(const AqFleet *fleet, const PoolEntry *pool)
 {
-    int *counts = g_new0(int, g_hash_table_size(fleet->names) + 1);
-    int most = 0;
+    int *counts = g_new0(int, g_hash_table_size(fleet->interned_names) + 1);
+    int largest = 0;
     AqList_ForEach(at, &pool->vms)
     {
         const VmEntry *vm = AqList_Entry(at, VmEntry, link);
         if (vm->state != AQ_VM_FAILED && vm->state != AQ_VM_LEAVING) {
             counts[vm->rack]++;
-            most = counts[vm->rack] > most ? counts[vm->rack] : most;
+            largest = counts[vm->rack] > largest ? counts[vm->rack] : largest;
         }
     }
     g_free(counts);
-    return most;
+    return largest;
 }
 
 /* Section 7.2 and the weights of section 12.  At most min_serving: more
@@ -130,24 +130,24 @@
 int
 buffer_target(const AqFleet *fleet, PoolEntry *pool)
 {
-    if (pool->target >= 0) {
-        return pool->target;
+    if (pool->buffer_target >= 0) {
+        return pool->buffer_target;
     }
-    pool->target = 0;
-    if (pool->members > 0 && strcmp(pool->name, SPARE_POOL) != 0) {
+    pool->buffer_target = 0;
+    if (pool->vm_count > 0 && strcmp(pool->name, SPARE_POOL) != 0) {
         int buffer, moves, time;
         buffer_weights(fleet, &buffer, &moves, &time);
-        double racks = rack_share(fleet, pool);
+        double racks = fullest_rack_vms(fleet, pool);
         double failures =
-            UNPLANNED_SHARE * pool->members + wave_parallelism(fleet, pool);
-        double wanted = (racks > failures ? racks : failures) *
-                        (0.5 + time / 10.0) * 5.0 / buffer;
+            UNPLANNED_SHARE * pool->vm_count + wave_held_vms(fleet, pool);
+        double exact_target = (racks > failures ? racks : failures) *
+                              (0.5 + time / 10.0) * 5.0 / buffer;
         /* The small term keeps ceil from rounding up an exact product. */
-        int target = (int)ceil(wanted - 1e-9);
+        int target = (int)ceil(exact_target - 1e-9);
         target = target > pool->min_serving ? pool->min_serving : target;
-        pool->target = target < 1 ? 1 : target;
+        pool->buffer_target = target < 1 ? 1 : target;
     }
-    return pool->target;
+    return pool->buffer_target;
 }
 
 bool
@@ -157,7 +157,7 @@
     if (pool == NULL) {
         return false;
     }
-    status->members = pool->members;
+    status->members = pool->vm_count;
     status->serving = pool_serving(pool);
     status->unavailable = pool_unavailable(pool);
     status->min_serving = pool->min_serving;
--- a/packages/fleet/check.c
+++ b/packages/fleet/check.c
@@ -3,7 +3,8 @@
 #include <string.h>
 
 static bool
-broken(AqError *error, const char *kind, const char *name, const char *why)
+inconsistency(AqError *error, const char *kind, const char *name,
+              const char *why)
 {
     return AqError_Set(error, AQ_ERR_PROTOCOL,
                        "%s \"%s\": %s; restore the document from a snapshot "
@@ -34,23 +35,26 @@
     const char *target = string_or(vm->record, "target", "");
     bool stopped = vm->state == AQ_VM_DRAINING || vm->state == AQ_VM_DRAINED;
     if (vm->record != AqFleet_Get(fleet, AQ_REC_VM, vm->id)) {
-        return broken(error, "VM", vm->id, "the index has an old record");
+        return inconsistency(error, "VM", vm->id,
+                             "the index has an old record");
     }
     if (AqFleet_Get(fleet, AQ_REC_POOL, name) == NULL ||
         vm->pool != index_pool(fleet, name)) {
-        return broken(error, "VM", vm->id, "its pool does not exist");
+        return inconsistency(error, "VM", vm->id, "its pool does not exist");
     }
-    if (vm->target != NULL && (!stopped || vm->target == vm->pool)) {
-        return broken(error, "VM", vm->id, "it moves without a drain");
+    if (vm->target_pool != NULL && (!stopped || vm->target_pool == vm->pool)) {
+        return inconsistency(error, "VM", vm->id, "it moves without a drain");
     }
-    if ((*target != '\0') != (vm->target != NULL)) {
-        return broken(error, "VM", vm->id, "its target does not exist");
+    if ((*target != '\0') != (vm->target_pool != NULL)) {
+        return inconsistency(error, "VM", vm->id, "its target does not exist");
     }
-    if (vm->drain > fleet->version || vm->done > fleet->version) {
-        return broken(error, "VM", vm->id, "it names a later version");
+    if (vm->drain_version > fleet->version ||
+        vm->last_wave_id > fleet->version) {
+        return inconsistency(error, "VM", vm->id, "it names a later version");
     }
     if ((vm->state == AQ_VM_SERVING) && *vm->wave != '\0') {
-        return broken(error, "VM", vm->id, "it serves and is in a wave");
+        return inconsistency(error, "VM", vm->id,
+                             "it serves and is in a wave");
     }
     return true;
 }
@@ -60,30 +64,31 @@
 check_counts(const AqFleet *fleet, AqError *error)
 {
     int n = (int)fleet->pool_order->len;
-    int(*states)[VM_STATES] = g_malloc0_n((size_t)n, sizeof(*states));
+    int(*states)[VM_STATE_COUNT] = g_malloc0_n((size_t)n, sizeof(*states));
     int *incoming = g_new0(int, (size_t)n);
     bool ok =
         json_object_size(fleet->records[AQ_REC_VM]) == fleet->vm_order->len;
     for (guint i = 0; i < fleet->vm_order->len; i++) {
         const VmEntry *vm = fleet->vm_order->pdata[i];
         states[vm->pool->number][vm->state]++;
-        if (vm->target != NULL) {
-            incoming[vm->target->number]++;
+        if (vm->target_pool != NULL) {
+            incoming[vm->target_pool->number]++;
         }
     }
     for (int p = 0; p < n && ok; p++) {
         const PoolEntry *pool = fleet->pool_order->pdata[p];
         int members = 0;
-        for (int s = 0; s < VM_STATES; s++) {
+        for (int s = 0; s < VM_STATE_COUNT; s++) {
             members += states[p][s];
             ok = ok && states[p][s] == pool->by_state[s];
         }
-        ok = ok && members == pool->members && incoming[p] == pool->incoming &&
+        ok = ok && members == pool->vm_count &&
+             incoming[p] == pool->incoming &&
              (int)AqList_Length(&pool->vms) == members;
     }
     g_free(states);
     g_free(incoming);
-    return ok || broken(error, "index", "pools", "the counts disagree");
+    return ok || inconsistency(error, "index", "pools", "the counts disagree");
 }
 
 bool
@@ -91,14 +96,16 @@
 {
     if (AqFleet_Get(fleet, AQ_REC_POOL, SPARE_POOL) == NULL ||
         AqFleet_Get(fleet, AQ_REC_WEIGHTS, WEIGHTS_NAME) == NULL) {
-        return broken(error, "document", "spare, weights",
-                      "a record that always exists is missing");
+        return inconsistency(error, "document", "spare, weights",
+                             "a record that always exists is missing");
     }
-    if (fleet->epoch > fleet->version || fleet->snapshot > fleet->version ||
-        fleet->version - fleet->snapshot !=
+    if (fleet->epoch > fleet->version ||
+        fleet->snapshot_version > fleet->version ||
+        fleet->version - fleet->snapshot_version !=
             (int64_t)json_array_size(fleet->tail)) {
-        return broken(error, "document", "version",
-                      "epoch, snapshot and tail do not fit the version");
+        return inconsistency(
+            error, "document", "version",
+            "epoch, snapshot and tail do not fit the version");
     }
     if (!check_records(fleet, error)) {
         return false;
@@ -116,9 +123,9 @@
 /* States that one commit may bring a VM to, by the state before; section 12.
  * A wave that ends puts its drained VMs back, which is an undrain. */
 static bool
-may_follow(AqVmState before, AqVmState after)
+is_allowed_transition(AqVmState before, AqVmState after)
 {
-    static const unsigned allowed[VM_STATES] = {
+    static const unsigned allowed[VM_STATE_COUNT] = {
         [AQ_VM_SERVING] = 1u << AQ_VM_DRAINING,
         [AQ_VM_DRAINING] = 1u << AQ_VM_DRAINED | 1u << AQ_VM_SERVING,
         [AQ_VM_DRAINED] = 1u << AQ_VM_REBOOTING | 1u << AQ_VM_SERVING,
@@ -143,15 +150,16 @@
             old->state == AQ_VM_LEAVING) {
             return true;
         }
-        return broken(error, "VM", old->id, "it was removed without a drain");
+        return inconsistency(error, "VM", old->id,
+                             "it was removed without a drain");
     }
-    if (!may_follow(old->state, vm->state)) {
-        return broken(error, "VM", old->id, "its state skipped a step");
+    if (!is_allowed_transition(old->state, vm->state)) {
+        return inconsistency(error, "VM", old->id, "its state skipped a step");
     }
     if (strcmp(old->pool->name, vm->pool->name) != 0 &&
         (old->state != AQ_VM_DRAINED || vm->state != AQ_VM_SERVING)) {
-        return broken(error, "VM", old->id,
-                      "its pool changed without a drain");
+        return inconsistency(error, "VM", old->id,
+                             "its pool changed without a drain");
     }
     return true;
 }
@@ -187,7 +195,7 @@
                            (long long)before->version);
     }
     if (after->epoch < before->epoch) {
-        return broken(error, "document", "epoch", "it went back");
+        return inconsistency(error, "document", "epoch", "it went back");
     }
     if (after->version > before->version + 1) {
         /* Single commits cannot be told apart any more. */
--- a/packages/fleet/document.c
+++ b/packages/fleet/document.c
@@ -37,9 +37,9 @@
     AqFleet *copy = g_new0(AqFleet, 1);
     copy->version = fleet->version;
     copy->epoch = fleet->epoch;
-    copy->snapshot = fleet->snapshot;
+    copy->snapshot_version = fleet->snapshot_version;
     copy->snapshot_stored = fleet->snapshot_stored;
-    copy->switches = fleet->switches;
+    copy->disabled = fleet->disabled;
     copy->tail_bytes = fleet->tail_bytes;
     copy->ops = json_copy(fleet->ops);
     copy->tail = json_copy(fleet->tail);
@@ -84,9 +84,9 @@
 }
 
 void
-fleet_disable(AqFleet *fleet, unsigned switches)
+fleet_disable(AqFleet *fleet, unsigned disabled)
 {
-    fleet->switches = switches;
+    fleet->disabled = disabled;
 }
 
 const json_t *
@@ -111,7 +111,7 @@
 
 /* Whether a pool exists after the upserts of a set. */
 static bool
-pool_after(const AqFleet *fleet, const json_t *pools, const char *name)
+pool_exists_after(const AqFleet *fleet, const json_t *pools, const char *name)
 {
     const json_t *changed = json_object_get(pools, name);
     return changed == NULL ? index_pool(fleet, name) != NULL
@@ -124,7 +124,8 @@
 {
     const char *pool = string_or(record, "pool", "");
     const char *target = string_or(record, "target", SPARE_POOL);
-    if (pool_after(fleet, pools, pool) && pool_after(fleet, pools, target)) {
+    if (pool_exists_after(fleet, pools, pool) &&
+        pool_exists_after(fleet, pools, target)) {
         return true;
     }
     return AqError_Set(error, AQ_ERR_INVALID,
@@ -161,7 +162,7 @@
     if (kind == AQ_REC_WEIGHTS ||
         (kind == AQ_REC_POOL &&
          (strcmp(name, SPARE_POOL) == 0 ||
-          (pool != NULL && pool->members + pool->incoming > 0)))) {
+          (pool != NULL && pool->vm_count + pool->incoming > 0)))) {
         return AqError_Set(error, AQ_ERR_INVALID,
                            "%s \"%s\" is in use and cannot be deleted; move "
                            "its VMs to another pool first",
@@ -212,8 +213,8 @@
 }
 
 static void
-put_one(AqFleet *fleet, AqRecordKind kind, const char *name, json_t *record,
-        json_t *undo)
+put_record(AqFleet *fleet, AqRecordKind kind, const char *name, json_t *record,
+           json_t *undo)
 {
     json_t *old = json_object_get(fleet->records[kind], name);
     if (undo != NULL) {
@@ -246,9 +247,9 @@
             record_kind_parse(json_string_value(json_array_get(upsert, 0)),
                               &kind);
             if ((kind == AQ_REC_POOL && !json_is_null(record)) == pools) {
-                put_one(fleet, kind,
-                        json_string_value(json_array_get(upsert, 1)), record,
-                        undo);
+                put_record(fleet, kind,
+                           json_string_value(json_array_get(upsert, 1)),
+                           record, undo);
             }
         }
     }
@@ -289,11 +290,11 @@
 }
 
 void
-document_note_op(AqFleet *fleet, const char *op, int64_t version)
+document_record_op(AqFleet *fleet, const char *op, int64_t version)
 {
     json_array_append_new(fleet->ops,
                           json_pack("[s, I]", op, (json_int_t)version));
-    while (json_array_size(fleet->ops) > OPS_KEPT) {
+    while (json_array_size(fleet->ops) > OPERATION_IDS_MAX) {
         json_array_remove(fleet->ops, 0);
     }
 }
@@ -312,7 +313,7 @@
     if (!document_advance(fleet, set, NULL, error)) {
         return false;
     }
-    document_note_op(fleet, op, fleet->version);
+    document_record_op(fleet, op, fleet->version);
     json_t *entry =
         json_pack("{s:I, s:s, s:O}", "version", (json_int_t)fleet->version,
                   "op", op, "set", set);
--- a/packages/fleet/index.c
+++ b/packages/fleet/index.c
@@ -29,7 +29,7 @@
         g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_pool);
     fleet->vm_order = g_ptr_array_new();
     fleet->pool_order = g_ptr_array_new();
-    fleet->names =
+    fleet->interned_names =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 }
 
@@ -40,7 +40,7 @@
     g_hash_table_destroy(fleet->pools);
     g_ptr_array_free(fleet->vm_order, TRUE);
     g_ptr_array_free(fleet->pool_order, TRUE);
-    g_hash_table_destroy(fleet->names);
+    g_hash_table_destroy(fleet->interned_names);
 }
 
 VmEntry *
@@ -59,22 +59,24 @@
 intern(AqFleet *fleet, const char *name)
 {
     void *number;
-    if (g_hash_table_lookup_extended(fleet->names, name, NULL, &number)) {
+    if (g_hash_table_lookup_extended(fleet->interned_names, name, NULL,
+                                     &number)) {
         return GPOINTER_TO_INT(number);
     }
-    int next = (int)g_hash_table_size(fleet->names);
-    g_hash_table_insert(fleet->names, g_strdup(name), GINT_TO_POINTER(next));
+    int next = (int)g_hash_table_size(fleet->interned_names);
+    g_hash_table_insert(fleet->interned_names, g_strdup(name),
+                        GINT_TO_POINTER(next));
     return next;
 }
 
 static void
-count_vm(VmEntry *vm, int step)
+count_vm(VmEntry *vm, int delta)
 {
-    vm->pool->members += step;
-    vm->pool->by_state[vm->state] += step;
-    vm->pool->target = -1;
-    if (vm->target != NULL) {
-        vm->target->incoming += step;
+    vm->pool->vm_count += delta;
+    vm->pool->by_state[vm->state] += delta;
+    vm->pool->buffer_target = -1;
+    if (vm->target_pool != NULL) {
+        vm->target_pool->incoming += delta;
     }
 }
 
@@ -84,19 +86,19 @@
     const char *target = string_or(record, "target", "");
     vm->record = record;
     vm->pool = index_pool(fleet, string_or(record, "pool", SPARE_POOL));
-    vm->target = *target == '\0' ? NULL : index_pool(fleet, target);
+    vm->target_pool = *target == '\0' ? NULL : index_pool(fleet, target);
     vm->rack = intern(fleet, string_or(record, "rack", ""));
     vm->zone = intern(fleet, string_or(record, "zone", ""));
     vm_state_parse(string_or(record, "state", "failed"), &vm->state);
-    vm->reboot = json_is_true(json_object_get(record, "reboot"));
-    vm->matches = selector_matches(vm->pool->selector,
-                                   json_object_get(record, "labels"));
-    vm->since = int_or(record, "since", 0);
-    vm->moved = int_or(record, "moved", 0);
-    vm->drain = int_or(record, "drain", 0);
-    vm->done = int_or(record, "done", 0);
-    vm->due = int_or(record, "due", 0);
-    vm->retry = int_or(record, "retry", 0);
+    vm->is_reboot_planned = json_is_true(json_object_get(record, "reboot"));
+    vm->matches_selector = selector_matches(vm->pool->selector,
+                                            json_object_get(record, "labels"));
+    vm->since_ms = int_or(record, "since", 0);
+    vm->moved_at_ms = int_or(record, "moved", 0);
+    vm->drain_version = int_or(record, "drain", 0);
+    vm->last_wave_id = int_or(record, "done", 0);
+    vm->deadline_ms = int_or(record, "due", 0);
+    vm->retry_at_ms = int_or(record, "retry", 0);
     vm->wave = string_or(record, "wave", "");
 }
 
@@ -173,12 +175,12 @@
     pool->connections = (int)int_or(record, "connections", 64);
     pool->service = string_or(record, "service", pool->name);
     pool->selector = json_object_get(record, "selector");
-    pool->target = -1;
+    pool->buffer_target = -1;
     AqList_ForEach(at, &pool->vms)
     {
         VmEntry *vm = AqList_Entry(at, VmEntry, link);
-        vm->matches = selector_matches(pool->selector,
-                                       json_object_get(vm->record, "labels"));
+        vm->matches_selector = selector_matches(
+            pool->selector, json_object_get(vm->record, "labels"));
     }
 }
 
@@ -195,7 +197,7 @@
     else if (kind == AQ_REC_WAVE || kind == AQ_REC_WEIGHTS) {
         /* Both enter into every pool's buffer target. */
         for (guint i = 0; i < fleet->pool_order->len; i++) {
-            ((PoolEntry *)fleet->pool_order->pdata[i])->target = -1;
+            ((PoolEntry *)fleet->pool_order->pdata[i])->buffer_target = -1;
         }
     }
 }
@@ -211,7 +213,7 @@
     view->zone = string_or(vm->record, "zone", "");
     view->wave = vm->wave;
     view->state = vm->state;
-    view->since = vm->since;
+    view->since = vm->since_ms;
     view->slots = vm->pool->slots;
     view->connections = vm->pool->connections;
 }
--- a/packages/fleet/intents.c
+++ b/packages/fleet/intents.c
@@ -6,13 +6,13 @@
  * whose effect already holds appends none. */
 
 static bool
-args_checked(const Intent *intent, const char *const *allowed, AqError *error)
+check_args(const Intent *intent, const char *const *allowed, AqError *error)
 {
-    return fields_known(intent->args, allowed, error);
+    return check_known_fields(intent->args, allowed, error);
 }
 
 static bool
-no_pool(const char *field, const char *name, AqError *error)
+unknown_pool(const char *field, const char *name, AqError *error)
 {
     return AqError_Set(error, AQ_ERR_NOT_FOUND,
                        "field \"%s\" is \"%s\", which is no pool; list the "
@@ -22,7 +22,7 @@
 
 /* Copies the fields that are present in args; null removes a field. */
 static json_t *
-merged(const json_t *base, const json_t *args, const char *const *fields)
+merge_fields(const json_t *base, const json_t *args, const char *const *fields)
 {
     json_t *record = json_copy((json_t *)base);
     for (int i = 0; fields[i] != NULL; i++) {
@@ -39,8 +39,8 @@
 
 /* Checks a record and puts it when it differs from the present one. */
 static bool
-put_checked(const Intent *intent, AqRecordKind kind, const char *name,
-            json_t *record, AqError *error)
+check_and_put(const Intent *intent, AqRecordKind kind, const char *name,
+              json_t *record, AqError *error)
 {
     const json_t *old = AqFleet_Get(intent->fleet, kind, name);
     bool ok = record_check(kind, name, record, error);
@@ -58,16 +58,17 @@
         "name",  "service",     "selector",  "min_serving", "max_unavailable",
         "slots", "connections", "objective", NULL};
     const char *name;
-    if (!args_checked(intent, allowed, error) ||
+    if (!check_args(intent, allowed, error) ||
         !field_name(intent->args, "name", &name, error)) {
         return false;
     }
     const json_t *selector = json_object_get(intent->args, "selector");
     if (strcmp(name, SPARE_POOL) == 0 && json_object_size(selector) > 0) {
-        return field_bad(intent->args, "selector",
-                         "absent or {} for pool \"spare\", which takes every "
-                         "VM",
-                         error);
+        return field_error(
+            intent->args, "selector",
+            "absent or {} for pool \"spare\", which takes every "
+            "VM",
+            error);
     }
     const json_t *old = AqFleet_Get(intent->fleet, AQ_REC_POOL, name);
     json_t *base = json_pack("{s:s, s:{}, s:i, s:i, s:i, s:i}", "service",
@@ -75,10 +76,10 @@
                              "connections", 64, "objective", 999);
     /* Null gives back the default; only max_unavailable may be absent. */
     json_t *record =
-        merged(old == NULL ? base : old, intent->args, allowed + 1);
+        merge_fields(old == NULL ? base : old, intent->args, allowed + 1);
     json_object_update_missing(record, base);
     json_decref(base);
-    return put_checked(intent, AQ_REC_POOL, name, record, error);
+    return check_and_put(intent, AQ_REC_POOL, name, record, error);
 }
 
 static bool
@@ -87,13 +88,13 @@
     static const char *const allowed[] = {"pool", "min_serving",
                                           "max_unavailable", NULL};
     const char *name;
-    if (!args_checked(intent, allowed, error) ||
+    if (!check_args(intent, allowed, error) ||
         !field_name(intent->args, "pool", &name, error)) {
         return false;
     }
     const json_t *old = AqFleet_Get(intent->fleet, AQ_REC_POOL, name);
     if (old == NULL) {
-        return no_pool("pool", name, error);
+        return unknown_pool("pool", name, error);
     }
     if (json_object_size(intent->args) < 2) {
         return AqError_Set(error, AQ_ERR_INVALID,
@@ -101,8 +102,8 @@
                            "are missing; give one of them, a whole number "
                            "from 0 to 10000");
     }
-    json_t *record = merged(old, intent->args, allowed + 1);
-    return put_checked(intent, AQ_REC_POOL, name, record, error);
+    json_t *record = merge_fields(old, intent->args, allowed + 1);
+    return check_and_put(intent, AQ_REC_POOL, name, record, error);
 }
 
 static bool
@@ -110,24 +111,24 @@
 {
     static const char *const allowed[] = {"name", NULL};
     const char *name;
-    if (!args_checked(intent, allowed, error) ||
+    if (!check_args(intent, allowed, error) ||
         !field_name(intent->args, "name", &name, error)) {
         return false;
     }
     const PoolEntry *pool = index_pool(intent->fleet, name);
     if (pool == NULL) {
-        return no_pool("name", name, error);
+        return unknown_pool("name", name, error);
     }
     if (strcmp(name, SPARE_POOL) == 0) {
-        return field_bad(intent->args, "name",
-                         "another pool than \"spare\", which always exists",
-                         error);
+        return field_error(intent->args, "name",
+                           "another pool than \"spare\", which always exists",
+                           error);
     }
-    if (pool->members + pool->incoming > 0) {
+    if (pool->vm_count + pool->incoming > 0) {
         return AqError_Set(error, AQ_ERR_REFUSED,
                            "pool \"%s\" has %d VMs and %d are moving to it; "
                            "move them to another pool first",
-                           name, pool->members, pool->incoming);
+                           name, pool->vm_count, pool->incoming);
     }
     set_put(intent->set, AQ_REC_POOL, name, NULL);
     return true;
@@ -139,7 +140,7 @@
     static const char *const allowed[] = {"name", "cores", "memory_mb",
                                           "accelerators", NULL};
     const char *name;
-    if (!args_checked(intent, allowed, error) ||
+    if (!check_args(intent, allowed, error) ||
         !field_name(intent->args, "name", &name, error)) {
         return false;
     }
@@ -147,23 +148,23 @@
     json_t *base = json_pack("{s:i, s:i, s:i}", "cores", 0, "memory_mb", 0,
                              "accelerators", 0);
     json_t *record =
-        merged(old == NULL ? base : old, intent->args, allowed + 1);
+        merge_fields(old == NULL ? base : old, intent->args, allowed + 1);
     json_object_update_missing(record, base);
     json_decref(base);
-    return put_checked(intent, AQ_REC_TEAM, name, record, error);
+    return check_and_put(intent, AQ_REC_TEAM, name, record, error);
 }
 
 static bool
 intent_weights_set(const Intent *intent, AqError *error)
 {
     static const char *const allowed[] = {"buffer", "moves", "time", NULL};
-    if (!args_checked(intent, allowed, error)) {
+    if (!check_args(intent, allowed, error)) {
         return false;
     }
     json_t *record =
-        merged(AqFleet_Get(intent->fleet, AQ_REC_WEIGHTS, WEIGHTS_NAME),
-               intent->args, allowed);
-    return put_checked(intent, AQ_REC_WEIGHTS, WEIGHTS_NAME, record, error);
+        merge_fields(AqFleet_Get(intent->fleet, AQ_REC_WEIGHTS, WEIGHTS_NAME),
+                     intent->args, allowed);
+    return check_and_put(intent, AQ_REC_WEIGHTS, WEIGHTS_NAME, record, error);
 }
 
 static bool
@@ -171,14 +172,14 @@
 {
     static const char *const allowed[] = {"id", "address", NULL};
     const char *id;
-    if (!args_checked(intent, allowed, error) ||
+    if (!check_args(intent, allowed, error) ||
         !field_name(intent->args, "id", &id, error) ||
         !field_address(intent->args, "address", error)) {
         return false;
     }
     json_t *record = json_pack("{s:O}", "address",
                                json_object_get(intent->args, "address"));
-    return put_checked(intent, AQ_REC_MEMBER, id, record, error);
+    return check_and_put(intent, AQ_REC_MEMBER, id, record, error);
 }
 
 static bool
@@ -186,7 +187,7 @@
 {
     static const char *const allowed[] = {"id", NULL};
     const char *id;
-    if (!args_checked(intent, allowed, error) ||
+    if (!check_args(intent, allowed, error) ||
         !field_name(intent->args, "id", &id, error)) {
         return false;
     }
@@ -231,13 +232,13 @@
         g_string_append_printf(kinds, "%s %s", i == 0 ? "" : ",",
                                handlers[i].kind);
     }
-    field_bad(intent, "kind", kinds->str, error);
+    field_error(intent, "kind", kinds->str, error);
     g_string_free(kinds, TRUE);
     return false;
 }
 
 static bool
-op_ok(const char *op)
+is_valid_op(const char *op)
 {
     size_t size = op == NULL ? 0 : strlen(op);
     for (size_t i = 0; i < size; i++) {
@@ -258,17 +259,17 @@
                            "the intent is not a JSON object; send {\"op\", "
                            "\"kind\", \"args\"}");
     }
-    if (!fields_known(intent, allowed, error)) {
+    if (!check_known_fields(intent, allowed, error)) {
         return false;
     }
-    if (!op_ok(json_string_value(json_object_get(intent, "op")))) {
-        return field_bad(intent, "op",
-                         "a string of 1 to 128 visible ASCII characters",
-                         error);
+    if (!is_valid_op(json_string_value(json_object_get(intent, "op")))) {
+        return field_error(intent, "op",
+                           "a string of 1 to 128 visible ASCII characters",
+                           error);
     }
     Intent at = {fleet, json_object_get(intent, "args"), wall_ms, set};
     if (!json_is_object(at.args)) {
-        return field_bad(intent, "args", "an object", error);
+        return field_error(intent, "args", "an object", error);
     }
     const char *kind = string_or(intent, "kind", "");
     for (size_t i = 0; i < G_N_ELEMENTS(handlers); i++) {
--- a/packages/fleet/intents_vm.c
+++ b/packages/fleet/intents_vm.c
@@ -7,7 +7,7 @@
 find_vm(const Intent *intent, const char *const *allowed, AqError *error)
 {
     const char *id;
-    if (!fields_known(intent->args, allowed, error) ||
+    if (!check_known_fields(intent->args, allowed, error) ||
         !field_name(intent->args, "id", &id, error)) {
         return NULL;
     }
@@ -22,14 +22,14 @@
 }
 
 static bool
-refuse_state(const VmEntry *vm, const char *what, const char *remedy,
+refuse_state(const VmEntry *vm, const char *action, const char *remedy,
              AqError *error)
 {
     return AqError_Set(error, AQ_ERR_REFUSED,
                        "VM \"%s\" of pool \"%s\" (%d of %d VMs serving) is "
                        "%s and cannot be %s; %s",
                        vm->id, vm->pool->name, pool_serving(vm->pool),
-                       vm->pool->members, AqVmState_Name(vm->state), what,
+                       vm->pool->vm_count, AqVmState_Name(vm->state), action,
                        remedy);
 }
 
@@ -56,7 +56,7 @@
                 "pool \"%s\" (%d of %d VMs serving) takes VMs with label "
                 "\"%s\" = \"%s\", but VM \"%s\" has \"%s\"; set the label "
                 "with vm.set or choose another pool",
-                pool->name, pool_serving(pool), pool->members, label,
+                pool->name, pool_serving(pool), pool->vm_count, label,
                 json_string_value(value), vm == NULL ? "new" : vm->id, found);
         }
     }
@@ -125,7 +125,7 @@
         "id",      "pool",  "labels",    "rack",         "zone",
         "address", "cores", "memory_mb", "accelerators", NULL};
     const char *id;
-    if (!fields_known(intent->args, allowed, error) ||
+    if (!check_known_fields(intent->args, allowed, error) ||
         !field_name(intent->args, "id", &id, error) ||
         (json_object_get(intent->args, "pool") != NULL &&
          !field_name(intent->args, "pool", NULL, error))) {
@@ -165,7 +165,8 @@
     }
     if (is_drained(vm)) {
         /* The operator takes over a drain that a wave or move began. */
-        if (*vm->wave != '\0' || vm->target != NULL || vm->reboot) {
+        if (*vm->wave != '\0' || vm->target_pool != NULL ||
+            vm->is_reboot_planned) {
             json_t *next = json_copy((json_t *)vm->record);
             vm_clear_plan(next);
             set_put(intent->set, AQ_REC_VM, vm->id, next);
@@ -208,7 +209,7 @@
 /* A stop for a move or a reboot: drains a serving VM within the budget, and
  * changes the plan of one that is drained already. */
 static json_t *
-planned_stop(const Intent *intent, const VmEntry *vm, const char *what,
+planned_stop(const Intent *intent, const VmEntry *vm, const char *action,
              AqError *error)
 {
     if (is_drained(vm)) {
@@ -217,7 +218,7 @@
         return next;
     }
     if (vm->state != AQ_VM_SERVING) {
-        refuse_state(vm, what, "wait until it serves again", error);
+        refuse_state(vm, action, "wait until it serves again", error);
         return NULL;
     }
     if (!budget_allow_stop(intent->fleet, vm->pool, vm->id, error)) {
@@ -227,7 +228,7 @@
 }
 
 static void
-put_changed(const Intent *intent, const VmEntry *vm, json_t *next)
+put_if_changed(const Intent *intent, const VmEntry *vm, json_t *next)
 {
     if (json_equal(next, (json_t *)vm->record)) {
         json_decref(next);
@@ -255,7 +256,7 @@
     }
     if (pool == vm->pool) {
         /* A move back to its own pool cancels the move that is under way. */
-        if (vm->target != NULL) {
+        if (vm->target_pool != NULL) {
             set_put(intent->set, AQ_REC_VM, vm->id,
                     vm_serving(vm, intent->wall_ms));
         }
@@ -265,7 +266,7 @@
                         error)) {
         return false;
     }
-    if ((intent->fleet->switches & FLEET_DISABLE_DRAIN) != 0) {
+    if ((intent->fleet->disabled & FLEET_DISABLE_DRAIN) != 0) {
         set_put(intent->set, AQ_REC_VM, vm->id,
                 vm_in_pool(vm, name, intent->wall_ms));
         return true;
@@ -275,7 +276,7 @@
         return false;
     }
     json_object_set_new(next, "target", json_string(name));
-    put_changed(intent, vm, next);
+    put_if_changed(intent, vm, next);
     return true;
 }
 
@@ -292,6 +293,6 @@
         return false;
     }
     json_object_set_new(next, "reboot", json_true());
-    put_changed(intent, vm, next);
+    put_if_changed(intent, vm, next);
     return true;
 }
--- a/packages/fleet/intents_wave.c
+++ b/packages/fleet/intents_wave.c
@@ -47,8 +47,8 @@
         return field_name(intent->args, "release", NULL, error);
     }
     if (release != NULL) {
-        return field_bad(intent->args, "release",
-                         "absent unless \"kind\" is \"rollout\"", error);
+        return field_error(intent->args, "release",
+                           "absent unless \"kind\" is \"rollout\"", error);
     }
     return true;
 }
@@ -72,7 +72,7 @@
     static const char *const allowed[] = {"name",         "selector", "kind",
                                           "max_parallel", "release",  NULL};
     const char *name;
-    if (!fields_known(intent->args, allowed, error) ||
+    if (!check_known_fields(intent->args, allowed, error) ||
         !field_name(intent->args, "name", &name, error)) {
         return false;
     }
@@ -128,7 +128,7 @@
 {
     static const char *const allowed[] = {"name", NULL};
     const char *name;
-    if (!fields_known(intent->args, allowed, error) ||
+    if (!check_known_fields(intent->args, allowed, error) ||
         !field_name(intent->args, "name", &name, error)) {
         return false;
     }
--- a/packages/fleet/planner.c
+++ b/packages/fleet/planner.c
@@ -3,10 +3,10 @@
 #include <string.h>
 
 /* A VM comes back into service after its checks have passed this long. */
-#define HEALTHY_MS 5000
+#define MIN_HEALTHY_MS 5000
 /* When no planner saw a rebooting VM go down, it is taken to be back if it
  * is listed live this long after the order.  Longer than the list's lag. */
-#define SETTLE_MS (30 * 1000)
+#define REBOOT_ASSUMED_DONE_MS (30 * 1000)
 
 AqPlanner *
 AqPlanner_Create(void)
@@ -42,7 +42,7 @@
     pool->serving += serves - served;
     pool->unavailable += served - serves;
     step->is_changed[vm->number] = 1;
-    if (step->upserts >= STEP_UPSERTS) {
+    if (step->upserts >= STEP_UPSERTS_MAX) {
         json_decref(record);
         return false;
     }
@@ -55,7 +55,7 @@
 plan_headroom(const PlanStep *step, const PoolEntry *pool)
 {
     const PoolPlan *plan = &step->pools[pool->number];
-    if ((step->fleet->switches & FLEET_DISABLE_BUDGET) != 0) {
+    if ((step->fleet->disabled & FLEET_DISABLE_BUDGET) != 0) {
         return plan->serving;
     }
     return budget_headroom(plan->serving, plan->unavailable, pool->min_serving,
@@ -92,9 +92,10 @@
 
 /* Follows the VM list; true when the VM changed. */
 static bool
-follow_list(PlanStep *step, const VmEntry *vm, Listing listing)
+apply_listing(PlanStep *step, const VmEntry *vm, Listing listing)
 {
-    bool away = vm->state == AQ_VM_FAILED || vm->state == AQ_VM_LEAVING;
+    bool is_out_of_service =
+        vm->state == AQ_VM_FAILED || vm->state == AQ_VM_LEAVING;
     if (!step->list_known) {
         return false;
     }
@@ -105,7 +106,8 @@
         step->hold = true;
         return true;
     }
-    if (listing == LISTED_LIVE && away && step->wall_ms >= vm->retry) {
+    if (listing == LISTED_LIVE && is_out_of_service &&
+        step->wall_ms >= vm->retry_at_ms) {
         plan_put_vm(step, vm, vm_checking(vm, step->wall_ms), AQ_VM_CHECKING);
         return true;
     }
@@ -121,45 +123,45 @@
 
 /* Whether a VM is no longer in the reboot in which it was seen down. */
 static gboolean
-is_past_reboot(void *id, void *since, void *fleet)
+is_outage_obsolete(void *id, void *since, void *fleet)
 {
     const VmEntry *vm = index_vm(fleet, id);
     return vm == NULL || vm->state != AQ_VM_REBOOTING ||
-           vm->since != *(const int64_t *)since;
+           vm->since_ms != *(const int64_t *)since;
 }
 
 /* Whether a rebooting VM has been down and is listed live again.  The note of
  * the outage is kept: a step is evaluated again before and after a conflict,
  * and must come to the same result. */
 static bool
-has_rebooted(PlanStep *step, const VmEntry *vm, Listing listing)
+is_back_from_reboot(PlanStep *step, const VmEntry *vm, Listing listing)
 {
     GHashTable *down = step->planner->down;
     const int64_t *seen = g_hash_table_lookup(down, vm->id);
     if (listing == LISTED_LIVE) {
-        if ((seen == NULL || *seen != vm->since) &&
-            step->wall_ms - vm->since < SETTLE_MS) {
+        if ((seen == NULL || *seen != vm->since_ms) &&
+            step->wall_ms - vm->since_ms < REBOOT_ASSUMED_DONE_MS) {
             return false;
         }
         return true;
     }
-    if (step->list_known && (seen == NULL || *seen != vm->since)) {
+    if (step->list_known && (seen == NULL || *seen != vm->since_ms)) {
         int64_t *since = g_new(int64_t, 1);
-        *since = vm->since;
+        *since = vm->since_ms;
         g_hash_table_replace(down, g_strdup(vm->id), since);
     }
     return false;
 }
 
 static void
-follow_reboot(PlanStep *step, const VmEntry *vm, Listing listing)
+advance_reboot(PlanStep *step, const VmEntry *vm, Listing listing)
 {
-    if (step->wall_ms >= vm->due) {
+    if (step->wall_ms >= vm->deadline_ms) {
         put_failed(step, vm, listing);
         return;
     }
     if (vm->state == AQ_VM_REBOOTING) {
-        if (has_rebooted(step, vm, listing)) {
+        if (is_back_from_reboot(step, vm, listing)) {
             plan_put_vm(step, vm, vm_checking(vm, step->wall_ms),
                         AQ_VM_CHECKING);
         }
@@ -168,7 +170,7 @@
         }
     }
     else if ((listing == LISTED_LIVE || !step->list_known) &&
-             step->view->healthy_for(step->context, vm->id, HEALTHY_MS)) {
+             step->view->healthy_for(step->context, vm->id, MIN_HEALTHY_MS)) {
         json_t *next = vm_serving(vm, step->wall_ms);
         plan_wave_result(step, vm, next, true);
         plan_put_vm(step, vm, next, AQ_VM_SERVING);
@@ -190,7 +192,7 @@
 }
 
 static void
-follow_drain(PlanStep *step, const VmEntry *vm)
+advance_drain(PlanStep *step, const VmEntry *vm)
 {
     WavePlan *wave = plan_wave(step, vm->wave);
     if (*vm->wave != '\0' && (wave == NULL || !wave->running)) {
@@ -199,26 +201,27 @@
     }
     if (vm->state == AQ_VM_DRAINING) {
         plan_wave_add_in_progress(step, vm);
-        if (step->view->in_flight(step->context, vm->id, vm->drain) == 0) {
+        if (step->view->in_flight(step->context, vm->id, vm->drain_version) ==
+            0) {
             json_t *next =
                 vm_in_state(vm->record, AQ_VM_DRAINED, step->wall_ms);
             plan_put_vm(step, vm, next, AQ_VM_DRAINED);
         }
     }
-    else if (vm->target != NULL) {
-        json_t *next = vm_in_pool(vm, vm->target->name, step->wall_ms);
+    else if (vm->target_pool != NULL) {
+        json_t *next = vm_in_pool(vm, vm->target_pool->name, step->wall_ms);
         if (plan_put_vm(step, vm, next, AQ_VM_DRAINED)) {
             step->pools[vm->pool->number].unavailable--;
-            step->pools[vm->target->number].serving++;
+            step->pools[vm->target_pool->number].serving++;
         }
     }
-    else if (vm->reboot || *vm->wave != '\0') {
+    else if (vm->is_reboot_planned || *vm->wave != '\0') {
         put_rebooting(step, vm);
     }
 }
 
 static void
-begin(PlanStep *step)
+step_init(PlanStep *step)
 {
     const AqFleet *fleet = step->fleet;
     step->pools = g_new0(PoolPlan, fleet->pool_order->len);
@@ -227,7 +230,7 @@
         const PoolEntry *pool = fleet->pool_order->pdata[i];
         step->pools[i].serving = pool_serving(pool);
         step->pools[i].unavailable = pool_unavailable(pool);
-        step->pools[i].zone = ZONE_NONE;
+        step->pools[i].active_zone = ZONE_NONE;
     }
     plan_waves_load(step);
 }
@@ -235,7 +238,7 @@
 /* First the VM list and the ends of reboots, which may stop a wave; then the
  * drains, which depend on the state of their wave. */
 static void
-follow_vms(PlanStep *step)
+advance_vms(PlanStep *step)
 {
     const GPtrArray *vms = step->fleet->vm_order;
     Listing *listings = g_new(Listing, vms->len + 1);
@@ -245,16 +248,16 @@
     }
     for (guint i = 0; i < vms->len; i++) {
         const VmEntry *vm = vms->pdata[i];
-        if (!follow_list(step, vm, listings[i]) &&
+        if (!apply_listing(step, vm, listings[i]) &&
             (vm->state == AQ_VM_REBOOTING || vm->state == AQ_VM_CHECKING)) {
-            follow_reboot(step, vm, listings[i]);
+            advance_reboot(step, vm, listings[i]);
         }
     }
     for (guint i = 0; i < vms->len; i++) {
         const VmEntry *vm = vms->pdata[i];
         if (!step->is_changed[i] &&
             (vm->state == AQ_VM_DRAINING || vm->state == AQ_VM_DRAINED)) {
-            follow_drain(step, vm);
+            advance_drain(step, vm);
         }
     }
     g_free(listings);
@@ -272,13 +275,14 @@
                      .context = context,
                      .set = set,
                      .reboots = reboots};
-    g_hash_table_foreach_remove(planner->down, is_past_reboot, (void *)fleet);
-    begin(&step);
-    follow_vms(&step);
+    g_hash_table_foreach_remove(planner->down, is_outage_obsolete,
+                                (void *)fleet);
+    step_init(&step);
+    advance_vms(&step);
     /* Without a VM list failed VMs cannot be seen. */
     step.hold |= !step.list_known;
     plan_waves_run(&step);
-    if ((fleet->switches & FLEET_DISABLE_PLACEMENT) == 0) {
+    if ((fleet->disabled & FLEET_DISABLE_PLACEMENT) == 0) {
         plan_placement(&step);
     }
     plan_waves_finish(&step);
--- a/packages/fleet/planner_place.c
+++ b/packages/fleet/planner_place.c
@@ -4,11 +4,11 @@
 #include <string.h>
 
 /* Section 7.2; all three grow with weights.moves / 5. */
-#define SURPLUS_VMS 1
-#define SURPLUS_MS (10 * 60 * 1000)
-#define STAY_MS (30 * 60 * 1000)
+#define TOLERATED_SURPLUS_VMS 1
+#define IMBALANCE_MIN_MS (10 * 60 * 1000)
+#define MIN_STAY_MS (30 * 60 * 1000)
 /* Moves begun in one step; the rest follows in the next ones. */
-#define STEP_MOVES 16
+#define STEP_MOVES_MAX 16
 
 typedef struct {
     const VmEntry *vm;
@@ -19,19 +19,20 @@
 
 typedef struct {
     PlanStep *step;
-    int surplus_vms;
-    int64_t surplus_ms;
-    int64_t stay_ms;
+    int tolerated_surplus_vms;
+    int64_t imbalance_min_ms;
+    int64_t min_stay_ms;
     int moves;
     int *racks; /* VMs per rack of the destination, cleared after use */
     Source *sources;
 } Placement;
 
 static bool
-is_held(const VmEntry *vm)
+is_held_by_operator(const VmEntry *vm)
 {
     return (vm->state == AQ_VM_DRAINING || vm->state == AQ_VM_DRAINED) &&
-           vm->target == NULL && *vm->wave == '\0' && !vm->reboot;
+           vm->target_pool == NULL && *vm->wave == '\0' &&
+           !vm->is_reboot_planned;
 }
 
 static bool
@@ -50,15 +51,18 @@
     for (guint i = 0; i < fleet->vm_order->len; i++) {
         const VmEntry *vm = fleet->vm_order->pdata[i];
         if (vm->state == AQ_VM_FAILED || vm->state == AQ_VM_LEAVING ||
-            (is_held(vm) && step->wall_ms - vm->since >= place->surplus_ms)) {
+            (is_held_by_operator(vm) &&
+             step->wall_ms - vm->since_ms >= place->imbalance_min_ms)) {
             continue;
         }
-        const PoolEntry *pool = vm->target != NULL ? vm->target : vm->pool;
-        step->pools[pool->number].capacity++;
+        const PoolEntry *pool =
+            vm->target_pool != NULL ? vm->target_pool : vm->pool;
+        step->pools[pool->number].capacity_vms++;
     }
     for (guint i = 0; i < fleet->pool_order->len; i++) {
         PoolEntry *pool = fleet->pool_order->pdata[i];
-        step->pools[i].need = pool->min_serving + buffer_target(fleet, pool);
+        step->pools[i].needed_vms =
+            pool->min_serving + buffer_target(fleet, pool);
     }
 }
 
@@ -66,7 +70,7 @@
 surplus_of(const Placement *place, const PoolEntry *pool)
 {
     const PoolPlan *plan = &place->step->pools[pool->number];
-    return plan->capacity - plan->need;
+    return plan->capacity_vms - plan->needed_vms;
 }
 
 /* Whether a VM may be moved at all now. */
@@ -75,7 +79,8 @@
 {
     const PlanStep *step = place->step;
     return vm->state == AQ_VM_SERVING && !step->is_changed[vm->number] &&
-           (vm->moved == 0 || step->wall_ms - vm->moved >= place->stay_ms) &&
+           (vm->moved_at_ms == 0 ||
+            step->wall_ms - vm->moved_at_ms >= place->min_stay_ms) &&
            plan_headroom(step, vm->pool) > 0;
 }
 
@@ -84,7 +89,7 @@
 {
     PlanStep *step = place->step;
     json_t *next;
-    if ((step->fleet->switches & FLEET_DISABLE_DRAIN) != 0) {
+    if ((step->fleet->disabled & FLEET_DISABLE_DRAIN) != 0) {
         next = vm_in_pool(vm, to->name, step->wall_ms);
     }
     else {
@@ -94,8 +99,8 @@
     if (!plan_put_vm(step, vm, next, AQ_VM_DRAINING)) {
         return false;
     }
-    step->pools[vm->pool->number].capacity--;
-    step->pools[to->number].capacity++;
+    step->pools[vm->pool->number].capacity_vms--;
+    step->pools[to->number].capacity_vms++;
     place->moves++;
     return true;
 }
@@ -103,8 +108,8 @@
 /* Whether a condition has lasted long enough for a pool; "seen" remembers
  * when it was first met. */
 static bool
-has_lasted(const Placement *place, GHashTable *seen, const PoolEntry *pool,
-           bool met)
+has_persisted(const Placement *place, GHashTable *seen, const PoolEntry *pool,
+              bool met)
 {
     int64_t now = place->step->wall_ms;
     if (!met) {
@@ -117,7 +122,7 @@
         *since = now;
         g_hash_table_insert(seen, g_strdup(pool->name), since);
     }
-    return now - *since >= place->surplus_ms;
+    return now - *since >= place->imbalance_min_ms;
 }
 
 /* ---- Pools in deficit ------------------------------------------------- */
@@ -146,14 +151,15 @@
 static int
 count_racks(Placement *place, const PoolEntry *pool, int step)
 {
-    int most = 0;
+    int largest = 0;
     AqList_ForEach(at, &pool->vms)
     {
         const VmEntry *vm = AqList_Entry(at, VmEntry, link);
         place->racks[vm->rack] += step;
-        most = place->racks[vm->rack] > most ? place->racks[vm->rack] : most;
+        largest = place->racks[vm->rack] > largest ? place->racks[vm->rack]
+                                                   : largest;
     }
-    return most;
+    return largest;
 }
 
 static int
@@ -170,7 +176,8 @@
         AqList_ForEach(at, &from->vms)
         {
             const VmEntry *vm = AqList_Entry(at, VmEntry, link);
-            if ((surplus > 0 || !vm->matches) && is_movable(place, vm) &&
+            if ((surplus > 0 || !vm->matches_selector) &&
+                is_movable(place, vm) &&
                 selector_matches(to->selector,
                                  json_object_get(vm->record, "labels"))) {
                 place->sources[count++] = (Source){vm, is_spare(from), surplus,
@@ -185,29 +192,29 @@
 /* Whether one more VM of this rack leaves the deficit as it is, because it
  * raises the largest rack share and with it the buffer target. */
 static bool
-is_useless(const Placement *place, const PoolEntry *to, const Source *source,
-           int most)
+cannot_reduce_deficit(const Placement *place, const PoolEntry *to,
+                      const Source *source, int largest)
 {
     const PoolPlan *plan = &place->step->pools[to->number];
-    return plan->capacity >= to->min_serving &&
-           place->racks[source->vm->rack] >= most && most > 0 &&
-           plan->need < 2 * to->min_serving;
+    return plan->capacity_vms >= to->min_serving &&
+           place->racks[source->vm->rack] >= largest && largest > 0 &&
+           plan->needed_vms < 2 * to->min_serving;
 }
 
 static void
 fill_pool(Placement *place, const PoolEntry *to)
 {
     const GPtrArray *pools = place->step->fleet->pool_order;
-    int most = count_racks(place, to, 1);
+    int largest = count_racks(place, to, 1);
     int count = collect_sources(place, to, pools);
-    for (int i = 0;
-         i < count && surplus_of(place, to) < 0 && place->moves < STEP_MOVES;
+    for (int i = 0; i < count && surplus_of(place, to) < 0 &&
+                    place->moves < STEP_MOVES_MAX;
          i++) {
         const Source *source = &place->sources[i];
         const PoolEntry *from = source->vm->pool;
         if (!is_movable(place, source->vm) ||
-            (source->vm->matches && surplus_of(place, from) <= 0) ||
-            is_useless(place, to, source, most)) {
+            (source->vm->matches_selector && surplus_of(place, from) <= 0) ||
+            cannot_reduce_deficit(place, to, source, largest)) {
             continue;
         }
         if (!start_move(place, source->vm, to)) {
@@ -230,29 +237,30 @@
  * the VMs that are away are often back within minutes: filling it at once
  * gave 20 moves a day at the design size, against 3. */
 static bool
-must_fill(const Placement *place, const PoolEntry *pool)
+is_fill_due(const Placement *place, const PoolEntry *pool)
 {
-    bool lasted = has_lasted(place, place->step->planner->deficit, pool,
-                             surplus_of(place, pool) < 0);
-    return lasted ||
-           place->step->pools[pool->number].capacity < pool->min_serving;
+    bool persisted = has_persisted(place, place->step->planner->deficit, pool,
+                                   surplus_of(place, pool) < 0);
+    return persisted ||
+           place->step->pools[pool->number].capacity_vms < pool->min_serving;
 }
 
 static void
 fill_deficits(Placement *place)
 {
     const GPtrArray *pools = place->step->fleet->pool_order;
-    GPtrArray *missing = g_ptr_array_new();
+    GPtrArray *deficits = g_ptr_array_new();
     for (guint i = 0; i < pools->len; i++) {
-        if (must_fill(place, pools->pdata[i])) {
-            g_ptr_array_add(missing, pools->pdata[i]);
+        if (is_fill_due(place, pools->pdata[i])) {
+            g_ptr_array_add(deficits, pools->pdata[i]);
         }
     }
-    g_ptr_array_sort_with_data(missing, compare_deficits, place);
-    for (guint i = 0; i < missing->len && place->moves < STEP_MOVES; i++) {
-        fill_pool(place, missing->pdata[i]);
+    g_ptr_array_sort_with_data(deficits, compare_deficits, place);
+    for (guint i = 0; i < deficits->len && place->moves < STEP_MOVES_MAX;
+         i++) {
+        fill_pool(place, deficits->pdata[i]);
     }
-    g_ptr_array_free(missing, TRUE);
+    g_ptr_array_free(deficits, TRUE);
 }
 
 /* ---- Pools in surplus ------------------------------------------------- */
@@ -260,19 +268,21 @@
 /* Gives the surplus over the hysteresis to the spare pool, from the fullest
  * racks; VMs that the pool's selector no longer takes go first. */
 static void
-empty_pool(Placement *place, const PoolEntry *pool, bool lasted)
+release_pool_surplus(Placement *place, const PoolEntry *pool, bool persisted)
 {
     const PoolEntry *spare = index_pool(place->step->fleet, SPARE_POOL);
-    int most = count_racks(place, pool, 1);
-    for (int rack = most; rack > 0 && place->moves < STEP_MOVES; rack--) {
+    int largest = count_racks(place, pool, 1);
+    for (int rack = largest; rack > 0 && place->moves < STEP_MOVES_MAX;
+         rack--) {
         AqList_ForEach(at, &pool->vms)
         {
             const VmEntry *vm = AqList_Entry(at, VmEntry, link);
-            bool wanted =
-                !vm->matches || (lasted && place->racks[vm->rack] == rack &&
-                                 surplus_of(place, pool) > place->surplus_vms);
-            if (wanted && place->moves < STEP_MOVES && is_movable(place, vm) &&
-                !start_move(place, vm, spare)) {
+            bool is_released =
+                !vm->matches_selector ||
+                (persisted && place->racks[vm->rack] == rack &&
+                 surplus_of(place, pool) > place->tolerated_surplus_vms);
+            if (is_released && place->moves < STEP_MOVES_MAX &&
+                is_movable(place, vm) && !start_move(place, vm, spare)) {
                 break;
             }
         }
@@ -285,7 +295,7 @@
 {
     AqList_ForEach(at, &pool->vms)
     {
-        if (!AqList_Entry(at, VmEntry, link)->matches) {
+        if (!AqList_Entry(at, VmEntry, link)->matches_selector) {
             return true;
         }
     }
@@ -293,7 +303,7 @@
 }
 
 static void
-empty_surpluses(Placement *place)
+release_surpluses(Placement *place)
 {
     const GPtrArray *pools = place->step->fleet->pool_order;
     for (guint i = 0; i < pools->len; i++) {
@@ -301,10 +311,11 @@
         if (is_spare(pool)) {
             continue;
         }
-        bool lasted = has_lasted(place, place->step->planner->surplus, pool,
-                                 surplus_of(place, pool) > place->surplus_vms);
-        if (lasted || has_mismatch(pool)) {
-            empty_pool(place, pool, lasted);
+        bool persisted = has_persisted(
+            place, place->step->planner->surplus, pool,
+            surplus_of(place, pool) > place->tolerated_surplus_vms);
+        if (persisted || has_mismatch(pool)) {
+            release_pool_surplus(place, pool, persisted);
         }
     }
 }
@@ -315,22 +326,25 @@
     const AqFleet *fleet = step->fleet;
     int buffer, moves, time;
     buffer_weights(fleet, &buffer, &moves, &time);
-    Placement place = {.step = step,
-                       .surplus_vms = SURPLUS_VMS * moves / 5,
-                       .surplus_ms = (int64_t)SURPLUS_MS * moves / 5,
-                       .stay_ms = (int64_t)STAY_MS * moves / 5};
-    place.surplus_vms = place.surplus_vms < 1 ? 1 : place.surplus_vms;
-    if ((fleet->switches & FLEET_DISABLE_HYSTERESIS) != 0) {
-        place.surplus_vms = 0;
-        place.surplus_ms = 0;
-        place.stay_ms = 0;
+    Placement place = {
+        .step = step,
+        .tolerated_surplus_vms = TOLERATED_SURPLUS_VMS * moves / 5,
+        .imbalance_min_ms = (int64_t)IMBALANCE_MIN_MS * moves / 5,
+        .min_stay_ms = (int64_t)MIN_STAY_MS * moves / 5};
+    place.tolerated_surplus_vms =
+        place.tolerated_surplus_vms < 1 ? 1 : place.tolerated_surplus_vms;
+    if ((fleet->disabled & FLEET_DISABLE_HYSTERESIS) != 0) {
+        place.tolerated_surplus_vms = 0;
+        place.imbalance_min_ms = 0;
+        place.min_stay_ms = 0;
     }
     count_capacity(&place);
     if (!step->hold) {
-        place.racks = g_new0(int, g_hash_table_size(fleet->names) + 1);
+        place.racks =
+            g_new0(int, g_hash_table_size(fleet->interned_names) + 1);
         place.sources = g_new(Source, fleet->vm_order->len + 1);
         fill_deficits(&place);
-        empty_surpluses(&place);
+        release_surpluses(&place);
         g_free(place.racks);
         g_free(place.sources);
     }
--- a/packages/fleet/planner_waves.c
+++ b/packages/fleet/planner_waves.c
@@ -4,8 +4,8 @@
 #include <string.h>
 
 /* A wave stops itself when this many of the last VMs failed; section 7.1. */
-#define RESULTS_KEPT 10
-#define FAILED_MOST 2
+#define RECENT_RESULTS_MAX 10
+#define FAILED_RESULTS_LIMIT 2
 
 void
 plan_waves_load(PlanStep *step)
@@ -42,10 +42,11 @@
     WavePlan *wave = plan_wave(step, vm->wave);
     PoolPlan *pool = &step->pools[vm->pool->number];
     if (wave != NULL) {
-        wave->in_work++;
-        pool->zone = pool->zone == ZONE_NONE || pool->zone == vm->zone
-                         ? vm->zone
-                         : ZONE_MANY;
+        wave->in_progress++;
+        pool->active_zone =
+            pool->active_zone == ZONE_NONE || pool->active_zone == vm->zone
+                ? vm->zone
+                : ZONE_MANY;
     }
 }
 
@@ -58,14 +59,16 @@
 /* Appends to "recent", a string of "o" (back) and "x" (failed); returns the
  * number of failed VMs in it. */
 static int
-note_recent(json_t *wave, bool back)
+append_recent(json_t *wave, bool returned)
 {
-    char recent[RESULTS_KEPT + 1];
+    char recent[RECENT_RESULTS_MAX + 1];
     const char *old = string_or(wave, "recent", "");
     size_t size = strlen(old);
-    size_t skip = size >= RESULTS_KEPT ? size - RESULTS_KEPT + 1 : 0;
+    size_t skip =
+        size >= RECENT_RESULTS_MAX ? size - RECENT_RESULTS_MAX + 1 : 0;
     int failed = 0;
-    g_snprintf(recent, sizeof(recent), "%s%c", old + skip, back ? 'o' : 'x');
+    g_snprintf(recent, sizeof(recent), "%s%c", old + skip,
+               returned ? 'o' : 'x');
     for (const char *c = recent; *c != '\0'; c++) {
         failed += *c == 'x';
     }
@@ -82,30 +85,32 @@
 }
 
 void
-plan_wave_result(PlanStep *step, const VmEntry *vm, json_t *record, bool back)
+plan_wave_result(PlanStep *step, const VmEntry *vm, json_t *record,
+                 bool returned)
 {
     WavePlan *wave = plan_wave(step, vm->wave);
     /* A full step leaves the VM, and with it the result, to the next one. */
-    if (wave == NULL || step->upserts >= STEP_UPSERTS) {
+    if (wave == NULL || step->upserts >= STEP_UPSERTS_MAX) {
         return;
     }
     const char *release = string_or(wave->record, "release", "");
-    if (back && *release != '\0') {
+    if (returned && *release != '\0') {
         set_release(record, release);
     }
-    json_object_set_new(
-        record, "done",
-        json_integer(wave->id > vm->done ? wave->id : vm->done));
-    count_result(wave->record, back ? "done" : "failed");
-    int failed = note_recent(wave->record, back);
+    json_object_set_new(record, "done",
+                        json_integer(wave->id > vm->last_wave_id
+                                         ? wave->id
+                                         : vm->last_wave_id));
+    count_result(wave->record, returned ? "done" : "failed");
+    int failed = append_recent(wave->record, returned);
     wave->changed = true;
-    if (wave->running && failed >= FAILED_MOST &&
-        (step->fleet->switches & FLEET_DISABLE_WAVE_STOP) == 0) {
+    if (wave->running && failed >= FAILED_RESULTS_LIMIT &&
+        (step->fleet->disabled & FLEET_DISABLE_WAVE_STOP) == 0) {
         char reason[160];
         g_snprintf(reason, sizeof(reason),
                    "%d of the last %d VMs failed; check them and resume or "
                    "abort the wave",
-                   failed, RESULTS_KEPT);
+                   failed, RECENT_RESULTS_MAX);
         wave->running = false;
         json_object_set_new(wave->record, "state", json_string("stopped"));
         json_object_set_new(wave->record, "reason", json_string(reason));
@@ -147,14 +152,14 @@
     int pending; /* VMs that the wave has not finished, stopped or not */
     int *first;  /* by pool: next candidate, and the end of its list */
     int *end;
-} Choice;
+} CandidateList;
 
 static bool
-wave_wants(const WavePlan *wave, const VmEntry *vm)
+wave_includes(const WavePlan *wave, const VmEntry *vm)
 {
     const json_t *labels = json_object_get(vm->record, "labels");
     const char *release = string_or(wave->record, "release", "");
-    return vm->done < wave->id &&
+    return vm->last_wave_id < wave->id &&
            selector_matches(json_object_get(wave->record, "selector"),
                             labels) &&
            (*release == '\0' ||
@@ -162,63 +167,66 @@
 }
 
 static void
-choice_create(Choice *choice, const PlanStep *step, const WavePlan *wave)
+candidates_create(CandidateList *candidates, const PlanStep *step,
+                  const WavePlan *wave)
 {
     const GPtrArray *vms = step->fleet->vm_order;
     guint pools = step->fleet->pool_order->len;
-    bool *started = g_new0(bool, g_hash_table_size(step->fleet->names) + 1);
-    choice->list = g_new(Candidate, vms->len + 1);
-    choice->first = g_new0(int, pools);
-    choice->end = g_new0(int, pools);
+    bool *started =
+        g_new0(bool, g_hash_table_size(step->fleet->interned_names) + 1);
+    candidates->list = g_new(Candidate, vms->len + 1);
+    candidates->first = g_new0(int, pools);
+    candidates->end = g_new0(int, pools);
     for (guint i = 0; i < vms->len; i++) {
         const VmEntry *vm = vms->pdata[i];
-        bool in_work = strcmp(vm->wave, wave->name) == 0;
-        started[vm->rack] |= in_work || vm->done == wave->id;
-        if (in_work || vm->state == AQ_VM_FAILED ||
-            vm->state == AQ_VM_LEAVING || !wave_wants(wave, vm)) {
+        bool in_progress = strcmp(vm->wave, wave->name) == 0;
+        started[vm->rack] |= in_progress || vm->last_wave_id == wave->id;
+        if (in_progress || vm->state == AQ_VM_FAILED ||
+            vm->state == AQ_VM_LEAVING || !wave_includes(wave, vm)) {
             continue;
         }
-        choice->pending++;
+        candidates->pending++;
         if (vm->state == AQ_VM_SERVING && !step->is_changed[i]) {
-            choice->list[choice->count++].vm = vm;
+            candidates->list[candidates->count++].vm = vm;
         }
     }
-    for (int i = 0; i < choice->count; i++) {
-        choice->list[i].started = started[choice->list[i].vm->rack];
+    for (int i = 0; i < candidates->count; i++) {
+        candidates->list[i].started = started[candidates->list[i].vm->rack];
     }
-    qsort(choice->list, (size_t)choice->count, sizeof(Candidate),
+    qsort(candidates->list, (size_t)candidates->count, sizeof(Candidate),
           compare_candidates);
-    for (int i = 0; i < choice->count; i++) {
-        int pool = choice->list[i].vm->pool->number;
-        if (i == 0 || choice->list[i - 1].vm->pool->number != pool) {
-            choice->first[pool] = i;
+    for (int i = 0; i < candidates->count; i++) {
+        int pool = candidates->list[i].vm->pool->number;
+        if (i == 0 || candidates->list[i - 1].vm->pool->number != pool) {
+            candidates->first[pool] = i;
         }
-        choice->end[pool] = i + 1;
+        candidates->end[pool] = i + 1;
     }
     g_free(started);
 }
 
 static void
-choice_destroy(Choice *choice)
+candidates_destroy(CandidateList *candidates)
 {
-    g_free(choice->list);
-    g_free(choice->first);
-    g_free(choice->end);
+    g_free(candidates->list);
+    g_free(candidates->first);
+    g_free(candidates->end);
 }
 
 /* The next candidate of a pool that its data centre in work and its budget
  * allow, or NULL. */
 static const Candidate *
-pool_candidate(Choice *choice, const PlanStep *step, const PoolEntry *pool)
+pool_candidate(CandidateList *candidates, const PlanStep *step,
+               const PoolEntry *pool)
 {
-    int zone = step->pools[pool->number].zone;
-    int *at = &choice->first[pool->number];
+    int zone = step->pools[pool->number].active_zone;
+    int *at = &candidates->first[pool->number];
     if (plan_headroom(step, pool) == 0) {
         return NULL;
     }
-    while (*at < choice->end[pool->number]) {
-        if (zone == ZONE_NONE || choice->list[*at].vm->zone == zone) {
-            return &choice->list[*at];
+    while (*at < candidates->end[pool->number]) {
+        if (zone == ZONE_NONE || candidates->list[*at].vm->zone == zone) {
+            return &candidates->list[*at];
         }
         ++*at;
     }
@@ -227,38 +235,38 @@
 
 /* Racks already started first, then the pool with most headroom. */
 static const VmEntry *
-choose(Choice *choice, const PlanStep *step)
+choose_vm(CandidateList *candidates, const PlanStep *step)
 {
     const Candidate *best = NULL;
-    int room = 0;
+    int best_headroom = 0;
     const GPtrArray *pools = step->fleet->pool_order;
     for (guint i = 0; i < pools->len; i++) {
         const PoolEntry *pool = pools->pdata[i];
-        const Candidate *next = pool_candidate(choice, step, pool);
+        const Candidate *next = pool_candidate(candidates, step, pool);
         if (next == NULL) {
             continue;
         }
         int headroom = plan_headroom(step, pool);
         if (best == NULL || (next->started && !best->started) ||
-            (next->started == best->started && headroom > room)) {
+            (next->started == best->started && headroom > best_headroom)) {
             best = next;
-            room = headroom;
+            best_headroom = headroom;
         }
     }
     if (best == NULL) {
         return NULL;
     }
-    choice->first[best->vm->pool->number]++;
+    candidates->first[best->vm->pool->number]++;
     return best->vm;
 }
 
 static void
 run_wave(PlanStep *step, WavePlan *wave)
 {
-    Choice choice = {0};
-    choice_create(&choice, step, wave);
-    while (!step->hold && wave->in_work < wave->max_parallel) {
-        const VmEntry *vm = choose(&choice, step);
+    CandidateList candidates = {0};
+    candidates_create(&candidates, step, wave);
+    while (!step->hold && wave->in_progress < wave->max_parallel) {
+        const VmEntry *vm = choose_vm(&candidates, step);
         if (vm == NULL) {
             break;
         }
@@ -267,17 +275,17 @@
         if (!plan_put_vm(step, vm, next, AQ_VM_DRAINING)) {
             break;
         }
-        wave->in_work++;
-        step->pools[vm->pool->number].zone = vm->zone;
+        wave->in_progress++;
+        step->pools[vm->pool->number].active_zone = vm->zone;
     }
-    if (wave->in_work == 0 && choice.pending == 0) {
+    if (wave->in_progress == 0 && candidates.pending == 0) {
         wave->running = false;
         wave->changed = true;
         json_object_set_new(wave->record, "state", json_string("done"));
         json_object_set_new(wave->record, "ended",
                             json_integer(step->wall_ms));
     }
-    choice_destroy(&choice);
+    candidates_destroy(&candidates);
 }
 
 void
--- a/packages/fleet/record.c
+++ b/packages/fleet/record.c
@@ -17,7 +17,7 @@
 static const char *const kind_names[AQ_REC_KINDS] = {
     "pool", "vm", "wave", "team", "weights", "member"};
 
-static const char *const state_names[VM_STATES + 1] = {
+static const char *const state_names[VM_STATE_COUNT + 1] = {
     "serving",  "draining", "drained", "rebooting",
     "checking", "failed",   "leaving", NULL};
 
@@ -42,13 +42,13 @@
 const char *
 AqVmState_Name(AqVmState state)
 {
-    return (unsigned)state < VM_STATES ? state_names[state] : "unknown";
+    return (unsigned)state < VM_STATE_COUNT ? state_names[state] : "unknown";
 }
 
 bool
 vm_state_parse(const char *name, AqVmState *state)
 {
-    for (int s = 0; s < VM_STATES; s++) {
+    for (int s = 0; s < VM_STATE_COUNT; s++) {
         if (strcmp(state_names[s], name) == 0) {
             *state = (AqVmState)s;
             return true;
@@ -58,7 +58,7 @@
 }
 
 bool
-name_ok(const char *name)
+is_valid_name(const char *name)
 {
     size_t size = strlen(name);
     if (size == 0 || size > NAME_MAX_LENGTH ||
@@ -76,20 +76,20 @@
 
 /* Reports a field with its value (cut to 80 bytes) and what is allowed. */
 bool
-field_bad(const json_t *object, const char *field, const char *wanted,
-          AqError *error)
+field_error(const json_t *object, const char *field, const char *expected,
+            AqError *error)
 {
     const json_t *found = json_object_get(object, field);
     if (found == NULL) {
         return AqError_Set(error, AQ_ERR_INVALID,
                            "field \"%s\" is missing; add it: it must be %s",
-                           field, wanted);
+                           field, expected);
     }
     char *text = AqJson_Dump(found);
     AqError_Set(error, AQ_ERR_INVALID,
                 "field \"%s\" is %.80s; it must be %s; correct it and send "
                 "the intent again",
-                field, text == NULL ? "not printable" : text, wanted);
+                field, text == NULL ? "not printable" : text, expected);
     free(text);
     return false;
 }
@@ -99,8 +99,8 @@
            AqError *error)
 {
     const char *text = json_string_value(json_object_get(object, field));
-    if (text == NULL || !name_ok(text)) {
-        return field_bad(object, field, "a string of " NAME_RANGE, error);
+    if (text == NULL || !is_valid_name(text)) {
+        return field_error(object, field, "a string of " NAME_RANGE, error);
     }
     if (value != NULL) {
         *value = text;
@@ -117,14 +117,14 @@
         json_integer_value(found) <= high) {
         return true;
     }
-    char wanted[80];
-    g_snprintf(wanted, sizeof(wanted), "a whole number from %lld to %lld",
+    char expected[80];
+    g_snprintf(expected, sizeof(expected), "a whole number from %lld to %lld",
                (long long)low, (long long)high);
-    return field_bad(object, field, wanted, error);
+    return field_error(object, field, expected, error);
 }
 
 static bool
-address_ok(const char *text)
+is_valid_address(const char *text)
 {
     char host[INET6_ADDRSTRLEN + 3];
     unsigned char bytes[16];
@@ -152,11 +152,11 @@
 field_address(const json_t *object, const char *field, AqError *error)
 {
     const char *text = json_string_value(json_object_get(object, field));
-    if (text == NULL || !address_ok(text)) {
-        return field_bad(object, field,
-                         "a string \"IPv4:port\" or \"[IPv6]:port\" with a "
-                         "port from 1 to 65535",
-                         error);
+    if (text == NULL || !is_valid_address(text)) {
+        return field_error(object, field,
+                           "a string \"IPv4:port\" or \"[IPv6]:port\" with a "
+                           "port from 1 to 65535",
+                           error);
     }
     return true;
 }
@@ -171,13 +171,13 @@
     json_object_foreach((json_t *)labels, label, value)
     {
         const char *text = json_string_value(value);
-        ok = ok && name_ok(label) && text != NULL && name_ok(text);
+        ok = ok && is_valid_name(label) && text != NULL && is_valid_name(text);
     }
     if (!ok) {
-        return field_bad(object, field,
-                         "an object of at most 32 labels, names and values "
-                         "strings of " NAME_RANGE,
-                         error);
+        return field_error(object, field,
+                           "an object of at most 32 labels, names and values "
+                           "strings of " NAME_RANGE,
+                           error);
     }
     return true;
 }
@@ -192,18 +192,19 @@
             return true;
         }
     }
-    GString *wanted = g_string_new("one of");
+    GString *expected = g_string_new("one of");
     for (int i = 0; choices[i] != NULL; i++) {
-        g_string_append_printf(wanted, "%s \"%s\"", i == 0 ? "" : ",",
+        g_string_append_printf(expected, "%s \"%s\"", i == 0 ? "" : ",",
                                choices[i]);
     }
-    field_bad(object, field, wanted->str, error);
-    g_string_free(wanted, TRUE);
+    field_error(object, field, expected->str, error);
+    g_string_free(expected, TRUE);
     return false;
 }
 
 bool
-fields_known(const json_t *object, const char *const *allowed, AqError *error)
+check_known_fields(const json_t *object, const char *const *allowed,
+                   AqError *error)
 {
     const char *field;
     json_t *value;
@@ -224,17 +225,17 @@
 }
 
 const char *
-string_or(const json_t *object, const char *field, const char *absent)
+string_or(const json_t *object, const char *field, const char *default_value)
 {
     const char *text = json_string_value(json_object_get(object, field));
-    return text == NULL ? absent : text;
+    return text == NULL ? default_value : text;
 }
 
 int64_t
-int_or(const json_t *object, const char *field, int64_t absent)
+int_or(const json_t *object, const char *field, int64_t default_value)
 {
     const json_t *value = json_object_get(object, field);
-    return json_is_integer(value) ? json_integer_value(value) : absent;
+    return json_is_integer(value) ? json_integer_value(value) : default_value;
 }
 
 bool
@@ -337,7 +338,7 @@
 record_check(AqRecordKind kind, const char *name, const json_t *record,
              AqError *error)
 {
-    if (!name_ok(name)) {
+    if (!is_valid_name(name)) {
         return AqError_Set(error, AQ_ERR_INVALID,
                            "%s name \"%.80s\" is bad; it must be " NAME_RANGE
                            "; choose another name",
--- a/packages/fleet/storage.c
+++ b/packages/fleet/storage.c
@@ -10,9 +10,9 @@
 char *
 AqFleet_EncodeHead(const AqFleet *fleet)
 {
-    json_t *head = json_pack("{s:I, s:I, s:O}", "version",
-                             (json_int_t)fleet->version, "snapshot",
-                             (json_int_t)fleet->snapshot, "tail", fleet->tail);
+    json_t *head = json_pack(
+        "{s:I, s:I, s:O}", "version", (json_int_t)fleet->version, "snapshot",
+        (json_int_t)fleet->snapshot_version, "tail", fleet->tail);
     char *text = AqJson_Dump(head);
     json_decref(head);
     return text;
@@ -22,14 +22,14 @@
 AqFleet_NeedsSnapshot(const AqFleet *fleet)
 {
     return !fleet->snapshot_stored ||
-           json_array_size(fleet->tail) >= TAIL_ENTRIES ||
-           fleet->tail_bytes > TAIL_BYTES;
+           json_array_size(fleet->tail) >= TAIL_MAX_ENTRIES ||
+           fleet->tail_bytes > TAIL_MAX_BYTES;
 }
 
 int64_t
 AqFleet_SnapshotVersion(const AqFleet *fleet)
 {
-    return fleet->snapshot;
+    return fleet->snapshot_version;
 }
 
 char *
@@ -51,7 +51,7 @@
 void
 AqFleet_SnapshotWritten(AqFleet *fleet)
 {
-    fleet->snapshot = fleet->version;
+    fleet->snapshot_version = fleet->version;
     fleet->snapshot_stored = true;
     json_array_clear(fleet->tail);
     fleet->tail_bytes = 0;
@@ -60,12 +60,12 @@
 /* ---- Loading ---------------------------------------------------------- */
 
 static AqLoadResult
-bad(AqError *error, const char *what, const char *why)
+load_error(AqError *error, const char *text_name, const char *why)
 {
     AqError_Set(error, AQ_ERR_PROTOCOL,
                 "%s cannot be read: %s; check that only daemons of this "
                 "release write under aq/fleet/",
-                what, why);
+                text_name, why);
     return AQ_LOAD_BAD;
 }
 
@@ -126,7 +126,7 @@
 
 /* Notes the operations of the tail that came after "version". */
 static void
-note_ops(AqFleet *fleet, const json_t *tail, int64_t version)
+record_ops(AqFleet *fleet, const json_t *tail, int64_t version)
 {
     size_t i;
     json_t *entry;
@@ -134,7 +134,7 @@
     {
         int64_t at = int_or(entry, "version", 0);
         if (at > version) {
-            document_note_op(
+            document_record_op(
                 fleet, json_string_value(json_object_get(entry, "op")), at);
         }
     }
@@ -162,7 +162,7 @@
         restore(fleet, undos, version, epoch);
     }
     else {
-        note_ops(fleet, tail, version);
+        record_ops(fleet, tail, version);
     }
     json_decref(undos);
     return ok;
@@ -176,7 +176,7 @@
     int64_t base = int_or(head, "snapshot", -1);
     json_t *tail = json_object_get(head, "tail");
     if (version < 0 || !check_tail(tail, base, version)) {
-        return bad(error, "head", "version, snapshot or tail is wrong");
+        return load_error(error, "head", "version, snapshot or tail is wrong");
     }
     if (version <= fleet->version) {
         return AQ_LOAD_OLDER;
@@ -190,7 +190,7 @@
     }
     json_decref(fleet->tail);
     fleet->tail = json_copy(tail);
-    fleet->snapshot = base;
+    fleet->snapshot_version = base;
     fleet->snapshot_stored = true;
     fleet->tail_bytes = size;
     return AQ_LOAD_OK;
@@ -235,9 +235,9 @@
 static void
 exchange(AqFleet *a, AqFleet *b)
 {
-    AqFleet held = *a;
+    AqFleet saved = *a;
     *a = *b;
-    *b = held;
+    *b = saved;
 }
 
 static AqLoadResult
@@ -248,14 +248,14 @@
     json_t *ops = json_object_get(snapshot, "ops");
     if (version < 0 || epoch < 0 || epoch > version ||
         !check_ops(ops, version)) {
-        return bad(error, "snapshot", "version, epoch or ops is wrong");
+        return load_error(error, "snapshot", "version, epoch or ops is wrong");
     }
     if (version <= fleet->version) {
         return AQ_LOAD_OLDER;
     }
     json_t *set = snapshot_set(json_object_get(snapshot, "records"));
     if (set == NULL) {
-        return bad(error, "snapshot", "a kind of record is missing");
+        return load_error(error, "snapshot", "a kind of record is missing");
     }
     AqFleet *fresh = AqFleet_Create();
     bool ok = document_check_set(fresh, set, error);
@@ -263,10 +263,10 @@
         document_put(fresh, set, NULL);
         fresh->version = version;
         fresh->epoch = epoch;
-        fresh->snapshot = version;
+        fresh->snapshot_version = version;
         /* It may come from a peer; head tells which snapshot is stored. */
         fresh->snapshot_stored = false;
-        fresh->switches = fleet->switches;
+        fresh->disabled = fleet->disabled;
         json_decref(fresh->ops);
         fresh->ops = json_copy(ops);
         exchange(fleet, fresh);
--- a/packages/fleet/tests/fake_daemon.c
+++ b/packages/fleet/tests/fake_daemon.c
@@ -19,14 +19,14 @@
 fake_store_clear(FakeStore *store)
 {
     free(store->head);
-    free(store->late_head);
+    free(store->delayed_head);
     json_decref(store->snapshots);
     AqFleet_Destroy(store->oracle);
     g_hash_table_destroy(store->ops);
 }
 
 static void
-note_fault(FakeStore *store, const char *rule, const char *detail)
+record_fault(FakeStore *store, const char *rule, const char *detail)
 {
     if (store->fault[0] == '\0') {
         g_snprintf(store->fault, sizeof(store->fault), "%s: %s", rule, detail);
@@ -66,21 +66,21 @@
     AqError error = {0};
     AqFleet *before = AqFleet_Clone(store->oracle);
     if (load(store, store->oracle, &error) != AQ_LOAD_OK) {
-        note_fault(store, "version went back or head is bad", error.message);
+        record_fault(store, "version went back or head is bad", error.message);
     }
     else if (store->oracle->version != before->version + 1) {
-        note_fault(store, "a commit skipped a version", "");
+        record_fault(store, "a commit skipped a version", "");
     }
     else if (!AqFleet_CheckConsistency(store->oracle, &error) ||
              !AqFleet_CheckStep(before, store->oracle, &error)) {
-        note_fault(store, "check", error.message);
+        record_fault(store, "check", error.message);
     }
     else {
         const json_t *ops = store->oracle->ops;
         const char *op = json_string_value(
             json_array_get(json_array_get(ops, json_array_size(ops) - 1), 0));
         if (!g_hash_table_add(store->ops, g_strdup(op))) {
-            note_fault(store, "an operation was applied twice", op);
+            record_fault(store, "an operation was applied twice", op);
         }
     }
     AqFleet_Destroy(before);
@@ -107,9 +107,9 @@
                FakeReply reply)
 {
     if (reply == REPLY_LATE) {
-        free(store->late_head);
-        store->late_head = strdup(text);
-        store->late_index = index;
+        free(store->delayed_head);
+        store->delayed_head = strdup(text);
+        store->delayed_index = index;
     }
     if (reply == REPLY_LATE || reply == REPLY_LOST_BEFORE) {
         return CAS_UNKNOWN;
@@ -123,10 +123,10 @@
 void
 fake_store_deliver(FakeStore *store)
 {
-    if (store->late_head != NULL) {
-        write_head(store, store->late_head, store->late_index);
-        free(store->late_head);
-        store->late_head = NULL;
+    if (store->delayed_head != NULL) {
+        write_head(store, store->delayed_head, store->delayed_index);
+        free(store->delayed_head);
+        store->delayed_head = NULL;
     }
 }
 
@@ -139,10 +139,10 @@
     AqRandom_Seed(&platform->random, seed);
     platform->vms =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    platform->now = 1000000;
-    platform->list_lag = 3000;
+    platform->now_ms = 1000000;
+    platform->list_lag_ms = 3000;
     platform->reboot_ms = 30000;
-    platform->flight_ms = 2000;
+    platform->in_flight_ms = 2000;
 }
 
 void
@@ -169,16 +169,17 @@
 {
     GHashTableIter at;
     void *value;
-    platform->now += ms;
-    bool list = platform->now - platform->list_at >= platform->list_lag;
-    platform->list_at = list ? platform->now : platform->list_at;
+    platform->now_ms += ms;
+    bool list =
+        platform->now_ms - platform->listed_at_ms >= platform->list_lag_ms;
+    platform->listed_at_ms = list ? platform->now_ms : platform->listed_at_ms;
     g_hash_table_iter_init(&at, platform->vms);
     while (g_hash_table_iter_next(&at, NULL, &value)) {
         FakeVm *vm = value;
-        if (!vm->up && vm->up_at != 0 && platform->now >= vm->up_at) {
+        if (!vm->up && vm->up_at_ms != 0 && platform->now_ms >= vm->up_at_ms) {
             vm->up = true;
             vm->leaving = false;
-            vm->up_since = vm->up_at;
+            vm->up_since_ms = vm->up_at_ms;
         }
         if (list) {
             vm->listed = !vm->up ? "down" : vm->leaving ? "leaving" : "live";
@@ -187,10 +188,10 @@
 }
 
 void
-fake_platform_fail(FakeVm *vm, int64_t up_at)
+fake_platform_fail(FakeVm *vm, int64_t up_at_ms)
 {
     vm->up = false;
-    vm->up_at = up_at;
+    vm->up_at_ms = up_at_ms;
 }
 
 void
@@ -204,12 +205,13 @@
         FakeVm *vm = fake_platform_vm(platform, json_string_value(id));
         AqVmView view;
         if (AqFleet_GetVm(fleet, json_string_value(id), &view) &&
-            view.since > vm->reboot) {
-            vm->reboot = view.since;
+            view.since > vm->last_reboot_since_ms) {
+            vm->last_reboot_since_ms = view.since;
             int64_t ms = platform->reboot_ms / 2 +
                          (int64_t)AqRandom_Below(
                              &platform->random, (uint64_t)platform->reboot_ms);
-            fake_platform_fail(vm, vm->bad ? 0 : platform->now + ms);
+            fake_platform_fail(vm,
+                               vm->never_returns ? 0 : platform->now_ms + ms);
         }
     }
 }
@@ -227,8 +229,8 @@
     AqVmView view;
     (void)version;
     AqFleet_GetVm(platform->fleet, id, &view);
-    int64_t age = platform->now - view.since;
-    return age < 1000 ? -1 : age < platform->flight_ms ? 3 : 0;
+    int64_t age = platform->now_ms - view.since;
+    return age < 1000 ? -1 : age < platform->in_flight_ms ? 3 : 0;
 }
 
 static bool
@@ -236,7 +238,8 @@
 {
     FakePlatform *platform = context;
     const FakeVm *vm = fake_platform_vm(platform, id);
-    return vm->up && !vm->sick && platform->now - vm->up_since >= ms;
+    return vm->up && !vm->unhealthy &&
+           platform->now_ms - vm->up_since_ms >= ms;
 }
 
 const AqPlannerView fake_platform_view = {
@@ -258,7 +261,7 @@
 }
 
 static void
-drop_next(FakeDaemon *daemon)
+discard_next(FakeDaemon *daemon)
 {
     AqFleet_Destroy(daemon->next);
     json_decref(daemon->set);
@@ -269,7 +272,7 @@
 void
 fake_daemon_clear(FakeDaemon *daemon)
 {
-    drop_next(daemon);
+    discard_next(daemon);
     json_decref(daemon->intent);
     AqFleet_Destroy(daemon->fleet);
     AqPlanner_Destroy(daemon->planner);
@@ -282,8 +285,8 @@
     daemon->intent = intent;
     daemon->phase = PHASE_EVALUATE;
     daemon->outcome = OUTCOME_NONE;
-    daemon->read_since = false;
-    daemon->needless = false;
+    daemon->is_head_read = false;
+    daemon->is_needless_refusal = false;
     g_strlcpy(daemon->op, op, sizeof(daemon->op));
 }
 
@@ -296,15 +299,15 @@
     if (store->head != NULL && daemon->index != store->index) {
         AqLoadResult result = load(store, daemon->fleet, &daemon->error);
         if (result == AQ_LOAD_BAD || daemon->fleet->version < version) {
-            note_fault(store, "a daemon cannot follow head",
-                       daemon->error.message);
+            record_fault(store, "a daemon cannot follow head",
+                         daemon->error.message);
         }
     }
     daemon->index = store->index;
 }
 
 static void
-end(FakeDaemon *daemon, FakeOutcome outcome)
+end_operation(FakeDaemon *daemon, FakeOutcome outcome)
 {
     FakeStore *store = daemon->store;
     bool written = g_hash_table_contains(store->ops, daemon->op);
@@ -315,13 +318,13 @@
         return;
     }
     if (written) {
-        note_fault(store, "an applied operation was reported as refused",
-                   daemon->op);
+        record_fault(store, "an applied operation was reported as refused",
+                     daemon->op);
     }
     AqError error;
     json_t *set = json_array();
-    daemon->needless = AqFleet_Evaluate(store->oracle, daemon->intent,
-                                        daemon->platform->now, set, &error);
+    daemon->is_needless_refusal = AqFleet_Evaluate(
+        store->oracle, daemon->intent, daemon->platform->now_ms, set, &error);
     json_decref(set);
 }
 
@@ -330,12 +333,12 @@
 {
     FakePlatform *platform = daemon->platform;
     if (daemon->intent != NULL) {
-        return AqFleet_Evaluate(daemon->fleet, daemon->intent, platform->now,
-                                daemon->set, &daemon->error);
+        return AqFleet_Evaluate(daemon->fleet, daemon->intent,
+                                platform->now_ms, daemon->set, &daemon->error);
     }
     json_t *reboots = json_array();
     platform->fleet = daemon->fleet;
-    AqPlanner_Step(daemon->planner, daemon->fleet, platform->now,
+    AqPlanner_Step(daemon->planner, daemon->fleet, platform->now_ms,
                    &fake_platform_view, platform, daemon->set, reboots);
     fake_platform_reboot(platform, daemon->fleet, reboots);
     json_decref(reboots);
@@ -346,16 +349,16 @@
 evaluate(FakeDaemon *daemon)
 {
     bool known = AqFleet_FindOp(daemon->fleet, daemon->op) != 0;
-    drop_next(daemon);
+    discard_next(daemon);
     if (known && !daemon->no_read_back) {
-        end(daemon, OUTCOME_ACCEPTED);
+        end_operation(daemon, OUTCOME_ACCEPTED);
         return;
     }
     daemon->set = json_array();
     if (known || !decide(daemon)) {
         /* A refusal by an old document is not the last word. */
-        if (daemon->read_since) {
-            end(daemon, OUTCOME_REFUSED);
+        if (daemon->is_head_read) {
+            end_operation(daemon, OUTCOME_REFUSED);
         }
         else {
             daemon->phase = PHASE_READ;
@@ -363,7 +366,7 @@
         return;
     }
     if (json_array_size(daemon->set) == 0) {
-        end(daemon, OUTCOME_ACCEPTED);
+        end_operation(daemon, OUTCOME_ACCEPTED);
         return;
     }
     daemon->next = AqFleet_Clone(daemon->fleet);
@@ -393,9 +396,9 @@
 {
     if (!AqFleet_Apply(daemon->next, daemon->op, daemon->set,
                        &daemon->error)) {
-        note_fault(daemon->store, "own upserts are bad",
-                   daemon->error.message);
-        end(daemon, OUTCOME_REFUSED);
+        record_fault(daemon->store, "own upserts are bad",
+                     daemon->error.message);
+        end_operation(daemon, OUTCOME_REFUSED);
         return;
     }
     char *text = AqFleet_EncodeHead(daemon->next);
@@ -407,19 +410,19 @@
         daemon->fleet = daemon->next;
         daemon->next = old;
         daemon->index = daemon->store->index;
-        end(daemon, OUTCOME_ACCEPTED);
+        end_operation(daemon, OUTCOME_ACCEPTED);
     }
     else if (result == CAS_CONFLICT && daemon->no_reevaluate) {
-        end(daemon, OUTCOME_REFUSED);
+        end_operation(daemon, OUTCOME_REFUSED);
     }
     else if (result == CAS_CONFLICT && daemon->intent == NULL) {
-        end(daemon, OUTCOME_REFUSED);
+        end_operation(daemon, OUTCOME_REFUSED);
         fake_daemon_read(daemon);
     }
     else {
         daemon->phase = PHASE_READ;
     }
-    drop_next(daemon);
+    discard_next(daemon);
 }
 
 void
@@ -428,7 +431,7 @@
     switch (daemon->phase) {
     case PHASE_READ:
         fake_daemon_read(daemon);
-        daemon->read_since = true;
+        daemon->is_head_read = true;
         daemon->phase = PHASE_EVALUATE;
         break;
     case PHASE_EVALUATE:
@@ -456,7 +459,7 @@
 void
 fake_daemon_crash(FakeDaemon *daemon)
 {
-    drop_next(daemon);
+    discard_next(daemon);
     AqFleet_Destroy(daemon->fleet);
     AqPlanner_Destroy(daemon->planner);
     daemon->fleet = AqFleet_Create();
--- a/packages/fleet/tests/fake_daemon.h
+++ b/packages/fleet/tests/fake_daemon.h
@@ -27,8 +27,8 @@
     char *head; /* NULL while absent */
     int64_t index;
     json_t *snapshots; /* key -> text */
-    char *late_head;
-    int64_t late_index;
+    char *delayed_head;
+    int64_t delayed_index;
     bool no_cas;     /* test switch: writes ignore the index */
     bool check;      /* check every version that is written */
     AqFleet *oracle; /* the document as written, with "check" */
@@ -50,21 +50,21 @@
 typedef struct {
     bool up;
     bool leaving;
-    bool bad;         /* does not come back from a reboot */
-    bool sick;        /* up, but fails its health checks */
-    int64_t up_at;    /* when a VM that is down comes up; 0: never */
-    int64_t up_since; /* start of the present healthy time */
-    int64_t reboot;   /* "since" of the last reboot order */
+    bool never_returns;  /* does not come back from a reboot */
+    bool unhealthy;      /* up, but fails its health checks */
+    int64_t up_at_ms;    /* when a VM that is down comes up; 0: never */
+    int64_t up_since_ms; /* start of the present healthy time */
+    int64_t last_reboot_since_ms; /* "since" of the last reboot order */
     const char *listed;
 } FakeVm;
 
 typedef struct {
     GHashTable *vms; /* id -> FakeVm */
-    int64_t now;
-    int64_t list_at; /* when the list was last made */
-    int64_t list_lag;
-    int64_t reboot_ms; /* mean */
-    int64_t flight_ms; /* requests in flight end this long after a drain */
+    int64_t now_ms;
+    int64_t listed_at_ms; /* when the list was last made */
+    int64_t list_lag_ms;
+    int64_t reboot_ms;    /* mean */
+    int64_t in_flight_ms; /* requests in flight end this long after a drain */
     AqRandom random;
     const AqFleet *fleet; /* of the planner that asks */
 } FakePlatform;
@@ -73,7 +73,7 @@
 void fake_platform_clear(FakePlatform *platform);
 FakeVm *fake_platform_vm(FakePlatform *platform, const char *id);
 void fake_platform_advance(FakePlatform *platform, int64_t ms);
-void fake_platform_fail(FakeVm *vm, int64_t up_at);
+void fake_platform_fail(FakeVm *vm, int64_t up_at_ms);
 void fake_platform_reboot(FakePlatform *platform, const AqFleet *fleet,
                           const json_t *reboots);
 extern const AqPlannerView fake_platform_view;
@@ -110,10 +110,11 @@
     int serial;
     FakePhase phase;
     FakeOutcome outcome;
-    bool read_since;    /* head was read since the intent came */
+    bool is_head_read;  /* head was read since the intent came */
     bool no_read_back;  /* test switch: does not look for the operation */
     bool no_reevaluate; /* test switch: refuses on a conflict */
-    bool needless;      /* refused though the newest document allows it */
+    bool
+        is_needless_refusal; /* refused though the newest document allows it */
     AqError error;
 } FakeDaemon;
 
--- a/packages/fleet/tests/test_fleet.c
+++ b/packages/fleet/tests/test_fleet.c
@@ -85,7 +85,7 @@
     /* For an error: texts its message must contain.  Otherwise: kind and
      * name of a record, field, JSON value ("" absent; no kind: no change).
      * Single quotes in all texts stand for double quotes. */
-    const char *want[4];
+    const char *expected[4];
 } IntentCase;
 
 static const IntentCase cases[] = {
@@ -107,17 +107,17 @@
 check_record(const IntentCase *at, const AqFleet *fleet)
 {
     AqRecordKind kind = AQ_REC_POOL;
-    CU_ASSERT_TRUE_FATAL(record_kind_parse(at->want[0], &kind));
-    const json_t *record = AqFleet_Get(fleet, kind, at->want[1]);
-    if (at->want[2] == NULL) {
+    CU_ASSERT_TRUE_FATAL(record_kind_parse(at->expected[0], &kind));
+    const json_t *record = AqFleet_Get(fleet, kind, at->expected[1]);
+    if (at->expected[2] == NULL) {
         CU_ASSERT_PTR_NULL(record);
         return;
     }
-    const json_t *value = json_object_get(record, at->want[2]);
+    const json_t *value = json_object_get(record, at->expected[2]);
     char *text = value == NULL ? strdup("") : AqJson_Dump(value);
-    if (strcmp(text, quoted(at->want[3])) != 0) {
+    if (strcmp(text, quoted(at->expected[3])) != 0) {
         fprintf(stderr, "%s %s: %s is %s, not %s\n", at->kind, at->args,
-                at->want[2], text, at->want[3]);
+                at->expected[2], text, at->expected[3]);
         CU_FAIL("wrong record");
     }
     free(text);
@@ -127,10 +127,10 @@
 check_message(const IntentCase *at, const AqError *error)
 {
     CU_ASSERT_EQUAL(error->kind, at->error);
-    for (int i = 0; i < 4 && at->want[i] != NULL; i++) {
-        if (strstr(error->message, quoted(at->want[i])) == NULL) {
+    for (int i = 0; i < 4 && at->expected[i] != NULL; i++) {
+        if (strstr(error->message, quoted(at->expected[i])) == NULL) {
             fprintf(stderr, "%s %s: \"%s\" not in: %s\n", at->kind, at->args,
-                    at->want[i], error->message);
+                    at->expected[i], error->message);
             CU_FAIL("message does not name it");
         }
     }
@@ -159,7 +159,7 @@
             check_message(at, &error);
             CU_ASSERT_EQUAL(json_array_size(set), 0);
         }
-        else if (at->want[0] == NULL) {
+        else if (at->expected[0] == NULL) {
             CU_ASSERT_EQUAL(json_array_size(set), 0);
         }
         else {
@@ -214,7 +214,7 @@
 test_transitions(void)
 {
     /* Rows: state before; columns: state after, in AqVmState's order. */
-    static const char *const allowed[VM_STATES] = {
+    static const char *const allowed[VM_STATE_COUNT] = {
         "yy...yy", /* serving */
         "yyy..yy", /* draining */
         "y.yy.yy", /* drained */
@@ -223,8 +223,8 @@
         "....yyy", /* failed */
         "....yyy", /* leaving */
     };
-    for (int from = 0; from < VM_STATES; from++) {
-        for (int to = 0; to < VM_STATES; to++) {
+    for (int from = 0; from < VM_STATE_COUNT; from++) {
+        for (int to = 0; to < VM_STATE_COUNT; to++) {
             AqFleet *before = AqFleet_Create();
             json_t *set = json_array();
             AqError error;
@@ -351,7 +351,7 @@
     AqFleet *far = AqFleet_Create();
     AqError error = {0};
     char *snapshot = NULL;
-    int64_t wanted = 0;
+    int64_t snapshot_version = 0;
     char *first = NULL;
     for (int i = 0; i < 300; i++) {
         if (AqFleet_NeedsSnapshot(writer)) {
@@ -360,30 +360,32 @@
             AqFleet_SnapshotWritten(writer);
         }
         add_member(writer, i);
-        CU_ASSERT_TRUE(json_array_size(writer->tail) <= TAIL_ENTRIES);
+        CU_ASSERT_TRUE(json_array_size(writer->tail) <= TAIL_MAX_ENTRIES);
         char *head = AqFleet_EncodeHead(writer);
-        CU_ASSERT_EQUAL(
-            AqFleet_LoadHead(near, head, strlen(head), &wanted, &error),
-            AQ_LOAD_OK);
-        CU_ASSERT_EQUAL(
-            AqFleet_LoadHead(near, head, strlen(head), &wanted, &error),
-            AQ_LOAD_OLDER);
+        CU_ASSERT_EQUAL(AqFleet_LoadHead(near, head, strlen(head),
+                                         &snapshot_version, &error),
+                        AQ_LOAD_OK);
+        CU_ASSERT_EQUAL(AqFleet_LoadHead(near, head, strlen(head),
+                                         &snapshot_version, &error),
+                        AQ_LOAD_OLDER);
         first = first == NULL ? strdup(head) : first;
         free(head);
     }
     char *head = AqFleet_EncodeHead(writer);
-    CU_ASSERT_EQUAL(AqFleet_LoadHead(far, head, strlen(head), &wanted, &error),
-                    AQ_LOAD_SNAPSHOT);
-    CU_ASSERT_EQUAL(wanted, writer->snapshot);
+    CU_ASSERT_EQUAL(
+        AqFleet_LoadHead(far, head, strlen(head), &snapshot_version, &error),
+        AQ_LOAD_SNAPSHOT);
+    CU_ASSERT_EQUAL(snapshot_version, writer->snapshot_version);
     CU_ASSERT_EQUAL(
         AqFleet_LoadSnapshot(far, snapshot, strlen(snapshot), &error),
         AQ_LOAD_OK);
     /* It may come from a peer and not be in the store. */
     CU_ASSERT_TRUE(AqFleet_NeedsSnapshot(far));
-    CU_ASSERT_EQUAL(AqFleet_LoadHead(far, head, strlen(head), &wanted, &error),
-                    AQ_LOAD_OK);
     CU_ASSERT_EQUAL(
-        AqFleet_LoadHead(far, first, strlen(first), &wanted, &error),
+        AqFleet_LoadHead(far, head, strlen(head), &snapshot_version, &error),
+        AQ_LOAD_OK);
+    CU_ASSERT_EQUAL(
+        AqFleet_LoadHead(far, first, strlen(first), &snapshot_version, &error),
         AQ_LOAD_OLDER);
     CU_ASSERT_EQUAL(
         AqFleet_LoadSnapshot(far, snapshot, strlen(snapshot), &error),
@@ -431,11 +433,11 @@
     };
     AqFleet *fleet = AqFleet_Create();
     char *was = AqFleet_EncodeSnapshot(fleet);
-    int64_t wanted;
+    int64_t snapshot_version;
     for (size_t i = 0; i < G_N_ELEMENTS(heads); i++) {
         AqError error = {0};
         CU_ASSERT_EQUAL(AqFleet_LoadHead(fleet, heads[i], strlen(heads[i]),
-                                         &wanted, &error),
+                                         &snapshot_version, &error),
                         AQ_LOAD_BAD);
         CU_ASSERT_NOT_EQUAL(error.kind, AQ_OK);
         CU_ASSERT_EQUAL(
--- a/packages/fleet/tests/test_fleet_random.c
+++ b/packages/fleet/tests/test_fleet_random.c
@@ -5,7 +5,7 @@
 #include "fake_daemon.h"
 
 #define SEEDS 320
-#define SWITCH_SEEDS 20
+#define DISABLED_SEEDS 20
 #define STEPS 350
 #define VMS 16
 #define OPERATORS 2
@@ -19,17 +19,17 @@
     int serial;
     int accepted;
     int refused;
-} World;
+} Fixture;
 
 static int
-below(World *world, int bound)
+random_below(Fixture *fixture, int bound)
 {
-    return (int)AqRandom_Below(&world->random, (uint64_t)bound);
+    return (int)AqRandom_Below(&fixture->random, (uint64_t)bound);
 }
 
 /* Commits the upserts directly, as the first version. */
 static void
-seed_fleet(World *world)
+seed_fleet(Fixture *fixture)
 {
     static const char *const pools[] = {"a", "b", "c", "spare"};
     json_t *set = json_array();
@@ -50,41 +50,42 @@
                           pools[i % 4], "state", "serving", "rack", rack,
                           "zone", zone, "address", "10.0.0.1:80", "since", 1,
                           "labels"));
-        fake_platform_vm(&world->platform, id);
+        fake_platform_vm(&fixture->platform, id);
     }
     AqFleet *fleet = AqFleet_Create();
     AqFleet_Apply(fleet, "setup", set, NULL);
     char *head = AqFleet_EncodeHead(fleet);
-    fake_store_cas(&world->store, head, 0, REPLY_OK);
+    fake_store_cas(&fixture->store, head, 0, REPLY_OK);
     free(head);
     json_decref(set);
     AqFleet_Destroy(fleet);
 }
 
 static void
-world_create(World *world, uint64_t seed)
+fixture_create(Fixture *fixture, uint64_t seed)
 {
-    memset(world, 0, sizeof(*world));
-    AqRandom_Seed(&world->random, seed);
-    fake_store_init(&world->store, true);
-    fake_platform_init(&world->platform, seed + 1);
+    memset(fixture, 0, sizeof(*fixture));
+    AqRandom_Seed(&fixture->random, seed);
+    fake_store_init(&fixture->store, true);
+    fake_platform_init(&fixture->platform, seed + 1);
     for (int i = 0; i < DAEMONS; i++) {
-        fake_daemon_init(&world->daemons[i], &world->store, &world->platform);
+        fake_daemon_init(&fixture->daemons[i], &fixture->store,
+                         &fixture->platform);
     }
 }
 
 static void
-world_destroy(World *world)
+fixture_destroy(Fixture *fixture)
 {
     for (int i = 0; i < DAEMONS; i++) {
-        fake_daemon_clear(&world->daemons[i]);
+        fake_daemon_clear(&fixture->daemons[i]);
     }
-    fake_store_clear(&world->store);
-    fake_platform_clear(&world->platform);
+    fake_store_clear(&fixture->store);
+    fake_platform_clear(&fixture->platform);
 }
 
 static json_t *
-random_intent(World *world, const char *op)
+random_intent(Fixture *fixture, const char *op)
 {
     static const char *const pools[] = {"a", "b", "c", "spare"};
     static const char *const vm_kinds[] = {"vm.drain", "vm.undrain",
@@ -92,22 +93,24 @@
     static const char *const wave_kinds[] = {"wave.pause", "wave.resume",
                                              "wave.abort"};
     char id[16], wave[16];
-    g_snprintf(id, sizeof(id), "v%d", below(world, VMS));
-    g_snprintf(wave, sizeof(wave), "w%d", below(world, 4));
-    switch (below(world, 12)) {
+    g_snprintf(id, sizeof(id), "v%d", random_below(fixture, VMS));
+    g_snprintf(wave, sizeof(wave), "w%d", random_below(fixture, 4));
+    switch (random_below(fixture, 12)) {
     case 0:
         return fake_intent(op, "budget.set",
                            json_pack("{s:s, s:i, s:i}", "pool",
-                                     pools[below(world, 3)], "min_serving",
-                                     below(world, 4), "max_unavailable",
-                                     1 + below(world, 3)));
+                                     pools[random_below(fixture, 3)],
+                                     "min_serving", random_below(fixture, 4),
+                                     "max_unavailable",
+                                     1 + random_below(fixture, 3)));
     case 1:
         return fake_intent(op, "wave.start",
                            json_pack("{s:s, s:i, s:s, s:s}", "name", wave,
-                                     "max_parallel", 1 + below(world, 4),
-                                     "kind", "rollout", "release", op));
+                                     "max_parallel",
+                                     1 + random_below(fixture, 4), "kind",
+                                     "rollout", "release", op));
     case 2:
-        return fake_intent(op, wave_kinds[below(world, 3)],
+        return fake_intent(op, wave_kinds[random_below(fixture, 3)],
                            json_pack("{s:s}", "name", wave));
     case 3:
         return fake_intent(op, "vm.set",
@@ -115,97 +118,100 @@
                                      "address", "10.0.0.2:80", "rack", "r9",
                                      "zone", "hal-b"));
     case 4:
-        return fake_intent(op, "weights.set",
-                           json_pack("{s:i}", "moves", 1 + below(world, 10)));
+        return fake_intent(
+            op, "weights.set",
+            json_pack("{s:i}", "moves", 1 + random_below(fixture, 10)));
     case 5:
     case 6:
     case 7:
-        return fake_intent(
-            op, "vm.move",
-            json_pack("{s:s, s:s}", "id", id, "pool", pools[below(world, 4)]));
+        return fake_intent(op, "vm.move",
+                           json_pack("{s:s, s:s}", "id", id, "pool",
+                                     pools[random_below(fixture, 4)]));
     default:
-        return fake_intent(op, vm_kinds[below(world, 4)],
+        return fake_intent(op, vm_kinds[random_below(fixture, 4)],
                            json_pack("{s:s}", "id", id));
     }
 }
 
 static void
-begin_work(World *world, int i)
+begin_operation(Fixture *fixture, int i)
 {
-    FakeDaemon *daemon = &world->daemons[i];
+    FakeDaemon *daemon = &fixture->daemons[i];
     char op[32];
-    world->accepted += daemon->outcome == OUTCOME_ACCEPTED;
-    world->refused += daemon->outcome == OUTCOME_REFUSED;
-    g_snprintf(op, sizeof(op), "d%d-%d", i, world->serial++);
-    fake_daemon_begin(daemon, i < OPERATORS ? random_intent(world, op) : NULL,
-                      op);
+    fixture->accepted += daemon->outcome == OUTCOME_ACCEPTED;
+    fixture->refused += daemon->outcome == OUTCOME_REFUSED;
+    g_snprintf(op, sizeof(op), "d%d-%d", i, fixture->serial++);
+    fake_daemon_begin(daemon,
+                      i < OPERATORS ? random_intent(fixture, op) : NULL, op);
 }
 
 static void
-disturb(World *world)
+inject_event(Fixture *fixture)
 {
     char id[16];
-    g_snprintf(id, sizeof(id), "v%d", below(world, VMS));
-    FakeVm *vm = fake_platform_vm(&world->platform, id);
-    int64_t later = world->platform.now + 5000 + below(world, 300000);
-    switch (below(world, 12)) {
+    g_snprintf(id, sizeof(id), "v%d", random_below(fixture, VMS));
+    FakeVm *vm = fake_platform_vm(&fixture->platform, id);
+    int64_t later =
+        fixture->platform.now_ms + 5000 + random_below(fixture, 300000);
+    switch (random_below(fixture, 12)) {
     case 0:
         fake_platform_fail(vm, later);
         break;
     case 1:
         vm->leaving = true;
-        vm->up_at = later;
+        vm->up_at_ms = later;
         break;
     case 2:
-        vm->bad = !vm->bad;
+        vm->never_returns = !vm->never_returns;
         break;
     case 3:
-        fake_store_deliver(&world->store);
+        fake_store_deliver(&fixture->store);
         break;
     case 4:
-        fake_daemon_crash(&world->daemons[below(world, DAEMONS)]);
+        fake_daemon_crash(&fixture->daemons[random_below(fixture, DAEMONS)]);
         break;
     case 5:
     case 6:
-        fake_daemon_read(&world->daemons[below(world, DAEMONS)]);
+        fake_daemon_read(&fixture->daemons[random_below(fixture, DAEMONS)]);
         break;
     default:
-        fake_platform_advance(&world->platform, below(world, 20000));
+        fake_platform_advance(&fixture->platform,
+                              random_below(fixture, 20000));
         break;
     }
 }
 
 static void
-run_random(World *world)
+run_random(Fixture *fixture)
 {
     static const FakeReply replies[] = {REPLY_LOST_BEFORE, REPLY_LOST_AFTER,
                                         REPLY_LATE};
-    for (int i = 0; i < STEPS && world->store.fault[0] == '\0'; i++) {
-        int at = below(world, DAEMONS);
-        FakeDaemon *daemon = &world->daemons[at];
+    for (int i = 0; i < STEPS && fixture->store.fault[0] == '\0'; i++) {
+        int at = random_below(fixture, DAEMONS);
+        FakeDaemon *daemon = &fixture->daemons[at];
         if (daemon->phase == PHASE_IDLE) {
-            begin_work(world, at);
+            begin_operation(fixture, at);
         }
-        fake_daemon_step(daemon, below(world, 6) == 0
-                                     ? replies[below(world, 3)]
+        fake_daemon_step(daemon, random_below(fixture, 6) == 0
+                                     ? replies[random_below(fixture, 3)]
                                      : REPLY_OK);
-        if (below(world, 3) == 0) {
-            disturb(world);
+        if (random_below(fixture, 3) == 0) {
+            inject_event(fixture);
         }
     }
 }
 
 /* A VM that rests serves, or an operator holds it drained. */
 static int
-count_stuck(const World *world)
+count_stuck(const Fixture *fixture)
 {
-    const AqFleet *fleet = world->store.oracle;
+    const AqFleet *fleet = fixture->store.oracle;
     int stuck = 0;
     for (guint i = 0; i < fleet->vm_order->len; i++) {
         const VmEntry *vm = fleet->vm_order->pdata[i];
         stuck += vm->state != AQ_VM_SERVING &&
-                 (vm->state != AQ_VM_DRAINED || vm->target != NULL ||
-                  vm->reboot || *vm->wave != '\0');
+                 (vm->state != AQ_VM_DRAINED || vm->target_pool != NULL ||
+                  vm->is_reboot_planned || *vm->wave != '\0');
     }
     return stuck;
 }
@@ -213,25 +219,25 @@
 /* Runs one planner without faults until the fleet rests, for at most two
  * hours: longer than RETRY_MS and every hysteresis. */
 static void
-settle(World *world)
+run_until_idle(Fixture *fixture)
 {
     GHashTableIter at;
     void *value;
     for (int i = 0; i < OPERATORS; i++) {
-        fake_daemon_finish(&world->daemons[i]);
+        fake_daemon_finish(&fixture->daemons[i]);
     }
-    g_hash_table_iter_init(&at, world->platform.vms);
+    g_hash_table_iter_init(&at, fixture->platform.vms);
     while (g_hash_table_iter_next(&at, NULL, &value)) {
         FakeVm *vm = value;
-        vm->bad = false;
+        vm->never_returns = false;
         vm->leaving = false;
-        vm->up_at = vm->up ? 0 : world->platform.now + 1000;
+        vm->up_at_ms = vm->up ? 0 : fixture->platform.now_ms + 1000;
     }
-    for (int i = 0; i < 1440 && (i < 20 || count_stuck(world) > 0); i++) {
-        FakeDaemon *daemon = &world->daemons[DAEMONS - 1];
-        fake_platform_advance(&world->platform, 5000);
+    for (int i = 0; i < 1440 && (i < 20 || count_stuck(fixture) > 0); i++) {
+        FakeDaemon *daemon = &fixture->daemons[DAEMONS - 1];
+        fake_platform_advance(&fixture->platform, 5000);
         if (daemon->phase == PHASE_IDLE) {
-            begin_work(world, DAEMONS - 1);
+            begin_operation(fixture, DAEMONS - 1);
         }
         fake_daemon_read(daemon);
         fake_daemon_finish(daemon);
@@ -248,21 +254,21 @@
     int refused = 0;
     int64_t versions = 0;
     for (uint64_t seed = 1; seed <= SEEDS; seed++) {
-        World world;
-        world_create(&world, seed);
-        seed_fleet(&world);
-        run_random(&world);
-        settle(&world);
-        int stuck = count_stuck(&world);
-        if (world.store.fault[0] != '\0' || stuck > 0) {
+        Fixture fixture;
+        fixture_create(&fixture, seed);
+        seed_fleet(&fixture);
+        run_random(&fixture);
+        run_until_idle(&fixture);
+        int stuck = count_stuck(&fixture);
+        if (fixture.store.fault[0] != '\0' || stuck > 0) {
             fprintf(stderr, "seed %d: %d stuck; %s\n", (int)seed, stuck,
-                    world.store.fault);
+                    fixture.store.fault);
             CU_FAIL("a rule was broken");
         }
-        accepted += world.accepted;
-        refused += world.refused;
-        versions += world.store.oracle->version;
-        world_destroy(&world);
+        accepted += fixture.accepted;
+        refused += fixture.refused;
+        versions += fixture.store.oracle->version;
+        fixture_destroy(&fixture);
     }
     fprintf(stderr, "%d seeds, %lld versions, %d accepted, %d refused ", SEEDS,
             (long long)versions, accepted, refused);
@@ -273,21 +279,21 @@
 
 /* Number of seeds whose run breaks a rule with switches set. */
 static int
-count_faults(unsigned switches, bool no_cas, bool no_read_back)
+count_faults(unsigned disabled, bool no_cas, bool no_read_back)
 {
     int faults = 0;
-    for (uint64_t seed = 1; seed <= SWITCH_SEEDS; seed++) {
-        World world;
-        world_create(&world, seed);
-        world.store.no_cas = no_cas;
+    for (uint64_t seed = 1; seed <= DISABLED_SEEDS; seed++) {
+        Fixture fixture;
+        fixture_create(&fixture, seed);
+        fixture.store.no_cas = no_cas;
         for (int i = 0; i < DAEMONS; i++) {
-            fleet_disable(world.daemons[i].fleet, switches);
-            world.daemons[i].no_read_back = no_read_back;
+            fleet_disable(fixture.daemons[i].fleet, disabled);
+            fixture.daemons[i].no_read_back = no_read_back;
         }
-        seed_fleet(&world);
-        run_random(&world);
-        faults += world.store.fault[0] != '\0';
-        world_destroy(&world);
+        seed_fleet(&fixture);
+        run_random(&fixture);
+        faults += fixture.store.fault[0] != '\0';
+        fixture_destroy(&fixture);
     }
     return faults;
 }
@@ -295,7 +301,7 @@
 /* Guards against checks that hold no matter what: each mechanism that is left
  * out must be noticed by the same random sequences that pass with it. */
 static void
-test_mechanisms_are_needed(void)
+test_disabled_mechanisms_are_detected(void)
 {
     int none = count_faults(0, false, false);
     int budget = count_faults(FLEET_DISABLE_BUDGET, false, false);
@@ -305,7 +311,7 @@
     fprintf(stderr,
             "broken runs of %d: none left out %d, budget %d, drain %d, "
             "compare-and-swap %d, read-back %d ",
-            SWITCH_SEEDS, none, budget, drain, cas, read_back);
+            DISABLED_SEEDS, none, budget, drain, cas, read_back);
     CU_ASSERT_EQUAL(none, 0);
     CU_ASSERT_TRUE(budget > 0);
     CU_ASSERT_TRUE(drain > 0);
@@ -315,15 +321,15 @@
 
 /* Two operators drain VMs of different pools at the same time. */
 static int
-count_needless(bool no_reevaluate)
+count_needless_refusals(bool no_reevaluate)
 {
-    World world;
+    Fixture fixture;
     char op[32], id[16];
-    world_create(&world, 5);
-    seed_fleet(&world);
-    int needless = 0;
+    fixture_create(&fixture, 5);
+    seed_fleet(&fixture);
+    int needless_refusals = 0;
     for (int i = 0; i < OPERATORS; i++) {
-        FakeDaemon *daemon = &world.daemons[i];
+        FakeDaemon *daemon = &fixture.daemons[i];
         daemon->no_reevaluate = no_reevaluate;
         fake_daemon_read(daemon);
         g_snprintf(op, sizeof(op), "op-%d", i);
@@ -334,21 +340,21 @@
         fake_daemon_step(daemon, REPLY_OK);
     }
     for (int i = 0; i < OPERATORS; i++) {
-        fake_daemon_finish(&world.daemons[i]);
-        needless += world.daemons[i].needless;
+        fake_daemon_finish(&fixture.daemons[i]);
+        needless_refusals += fixture.daemons[i].is_needless_refusal;
     }
-    CU_ASSERT_STRING_EQUAL(world.store.fault, "");
-    world_destroy(&world);
-    return needless;
+    CU_ASSERT_STRING_EQUAL(fixture.store.fault, "");
+    fixture_destroy(&fixture);
+    return needless_refusals;
 }
 
 /* Guards against an intent that is refused only because another one, which
  * it does not depend on, was committed first. */
 static void
-test_conflict_is_evaluated_again(void)
+test_intent_is_reevaluated_on_conflict(void)
 {
-    CU_ASSERT_EQUAL(count_needless(false), 0);
-    CU_ASSERT_EQUAL(count_needless(true), 1);
+    CU_ASSERT_EQUAL(count_needless_refusals(false), 0);
+    CU_ASSERT_EQUAL(count_needless_refusals(true), 1);
 }
 
 int
@@ -357,8 +363,8 @@
     CU_initialize_registry();
     CU_pSuite suite = CU_add_suite("fleet_random", NULL, NULL);
     CU_ADD_TEST(suite, test_random_sequences);
-    CU_ADD_TEST(suite, test_mechanisms_are_needed);
-    CU_ADD_TEST(suite, test_conflict_is_evaluated_again);
+    CU_ADD_TEST(suite, test_disabled_mechanisms_are_detected);
+    CU_ADD_TEST(suite, test_intent_is_reevaluated_on_conflict);
     CU_basic_set_mode(CU_BRM_VERBOSE);
     CU_basic_run_tests();
     unsigned failures = CU_get_number_of_failures();
--- a/packages/fleet/tests/test_planner.c
+++ b/packages/fleet/tests/test_planner.c
@@ -11,17 +11,17 @@
     FakePlatform platform;
     FakeDaemon daemon;
     int serial;
-} Scene;
+} Fixture;
 
 typedef struct {
     const char *name;
     int vms;
     int min;
     const char *selector; /* value of label "size"; NULL: any */
-} ScenePool;
+} FixturePool;
 
 static void
-put_pool(json_t *set, const ScenePool *pool)
+put_pool(json_t *set, const FixturePool *pool)
 {
     json_t *selector = pool->selector == NULL
                            ? json_object()
@@ -34,7 +34,7 @@
 
 /* VM i of pool p is "pI": two to a rack, data centres in turn by rack. */
 static void
-put_vms(Scene *scene, json_t *set, const ScenePool *pool)
+put_vms(Fixture *fixture, json_t *set, const FixturePool *pool)
 {
     for (int i = 0; i < pool->vms; i++) {
         char id[32], rack[32], zone[32];
@@ -47,82 +47,82 @@
                           zone, "address", "10.0.0.1:80", "since", 1, "labels",
                           "size",
                           pool->selector == NULL ? "big" : pool->selector));
-        fake_platform_vm(&scene->platform, id);
+        fake_platform_vm(&fixture->platform, id);
     }
 }
 
 static void
-scene_create(Scene *scene, const ScenePool *pools, int count,
-             unsigned switches)
+fixture_create(Fixture *fixture, const FixturePool *pools, int count,
+               unsigned disabled)
 {
-    memset(scene, 0, sizeof(*scene));
-    fake_store_init(&scene->store, true);
-    fake_platform_init(&scene->platform, 7);
-    fake_daemon_init(&scene->daemon, &scene->store, &scene->platform);
-    fleet_disable(scene->daemon.fleet, switches);
+    memset(fixture, 0, sizeof(*fixture));
+    fake_store_init(&fixture->store, true);
+    fake_platform_init(&fixture->platform, 7);
+    fake_daemon_init(&fixture->daemon, &fixture->store, &fixture->platform);
+    fleet_disable(fixture->daemon.fleet, disabled);
     json_t *set = json_array();
     for (int i = 0; i < count; i++) {
         put_pool(set, &pools[i]);
-        put_vms(scene, set, &pools[i]);
+        put_vms(fixture, set, &pools[i]);
     }
-    AqFleet *fleet = scene->daemon.fleet;
+    AqFleet *fleet = fixture->daemon.fleet;
     CU_ASSERT_TRUE(AqFleet_Apply(fleet, "setup", set, NULL));
     char *head = AqFleet_EncodeHead(fleet);
-    fake_store_cas(&scene->store, head, 0, REPLY_OK);
-    scene->daemon.index = scene->store.index;
+    fake_store_cas(&fixture->store, head, 0, REPLY_OK);
+    fixture->daemon.index = fixture->store.index;
     free(head);
     json_decref(set);
 }
 
 static void
-scene_destroy(Scene *scene)
+fixture_destroy(Fixture *fixture)
 {
-    CU_ASSERT_STRING_EQUAL(scene->store.fault, "");
-    fake_daemon_clear(&scene->daemon);
-    fake_store_clear(&scene->store);
-    fake_platform_clear(&scene->platform);
+    CU_ASSERT_STRING_EQUAL(fixture->store.fault, "");
+    fake_daemon_clear(&fixture->daemon);
+    fake_store_clear(&fixture->store);
+    fake_platform_clear(&fixture->platform);
 }
 
 static bool
-scene_intent(Scene *scene, const char *kind, json_t *args)
+run_intent(Fixture *fixture, const char *kind, json_t *args)
 {
     char op[32];
-    g_snprintf(op, sizeof(op), "op-%d", scene->serial++);
-    fake_daemon_begin(&scene->daemon, fake_intent(op, kind, args), op);
-    fake_daemon_finish(&scene->daemon);
-    return scene->daemon.outcome == OUTCOME_ACCEPTED;
+    g_snprintf(op, sizeof(op), "op-%d", fixture->serial++);
+    fake_daemon_begin(&fixture->daemon, fake_intent(op, kind, args), op);
+    fake_daemon_finish(&fixture->daemon);
+    return fixture->daemon.outcome == OUTCOME_ACCEPTED;
 }
 
 static void
-scene_step(Scene *scene)
+run_planner_step(Fixture *fixture)
 {
     char op[32];
-    g_snprintf(op, sizeof(op), "plan-%d", scene->serial++);
-    fake_daemon_begin(&scene->daemon, NULL, op);
-    fake_daemon_finish(&scene->daemon);
+    g_snprintf(op, sizeof(op), "plan-%d", fixture->serial++);
+    fake_daemon_begin(&fixture->daemon, NULL, op);
+    fake_daemon_finish(&fixture->daemon);
 }
 
 /* Runs the planner once a second of virtual time. */
 static void
-scene_run(Scene *scene, int seconds)
+run_planner(Fixture *fixture, int seconds)
 {
     for (int i = 0; i < seconds; i++) {
-        fake_platform_advance(&scene->platform, 1000);
-        scene_step(scene);
+        fake_platform_advance(&fixture->platform, 1000);
+        run_planner_step(fixture);
     }
 }
 
 static const VmEntry *
-vm_of(const Scene *scene, const char *id)
+vm_of(const Fixture *fixture, const char *id)
 {
-    return index_vm(scene->daemon.fleet, id);
+    return index_vm(fixture->daemon.fleet, id);
 }
 
 static int
-count_state(const Scene *scene, AqVmState state)
+count_state(const Fixture *fixture, AqVmState state)
 {
     int count = 0;
-    const GPtrArray *vms = scene->daemon.fleet->vm_order;
+    const GPtrArray *vms = fixture->daemon.fleet->vm_order;
     for (guint i = 0; i < vms->len; i++) {
         count += ((const VmEntry *)vms->pdata[i])->state == state;
     }
@@ -130,22 +130,22 @@
 }
 
 static const char *
-wave_state(const Scene *scene)
+wave_state(const Fixture *fixture)
 {
-    return string_or(AqFleet_Get(scene->daemon.fleet, AQ_REC_WAVE, "w"),
+    return string_or(AqFleet_Get(fixture->daemon.fleet, AQ_REC_WAVE, "w"),
                      "state", "");
 }
 
 static void
-start_wave(Scene *scene, int parallel)
+start_wave(Fixture *fixture, int parallel)
 {
-    CU_ASSERT_TRUE(scene_intent(scene, "wave.start",
-                                json_pack("{s:s, s:i, s:s, s:s}", "name", "w",
-                                          "max_parallel", parallel, "kind",
-                                          "rollout", "release", "r2")));
+    CU_ASSERT_TRUE(run_intent(fixture, "wave.start",
+                              json_pack("{s:s, s:i, s:s, s:s}", "name", "w",
+                                        "max_parallel", parallel, "kind",
+                                        "rollout", "release", "r2")));
 }
 
-static const ScenePool two_pools[] = {{"a", 6, 3, NULL}, {"b", 6, 4, NULL}};
+static const FixturePool two_pools[] = {{"a", 6, 3, NULL}, {"b", 6, 4, NULL}};
 
 /* Guards against a wave that leaves VMs out, does one twice, loses the
  * release label, goes over max_parallel, or works on two data centres of a
@@ -153,14 +153,14 @@
 static void
 test_wave(void)
 {
-    Scene scene;
-    scene_create(&scene, two_pools, 2, FLEET_DISABLE_PLACEMENT);
-    start_wave(&scene, 3);
+    Fixture fixture;
+    fixture_create(&fixture, two_pools, 2, FLEET_DISABLE_PLACEMENT);
+    start_wave(&fixture, 3);
     int seconds = 0;
-    while (strcmp(wave_state(&scene), "running") == 0 && seconds < 3600) {
-        scene_run(&scene, 1);
+    while (strcmp(wave_state(&fixture), "running") == 0 && seconds < 3600) {
+        run_planner(&fixture, 1);
         seconds++;
-        const GPtrArray *vms = scene.daemon.fleet->vm_order;
+        const GPtrArray *vms = fixture.daemon.fleet->vm_order;
         int zones[2] = {-1, -1};
         int working = 0;
         for (guint i = 0; i < vms->len; i++) {
@@ -174,36 +174,37 @@
         }
         CU_ASSERT_TRUE(working <= 3);
     }
-    CU_ASSERT_STRING_EQUAL(wave_state(&scene), "done");
-    const json_t *wave = AqFleet_Get(scene.daemon.fleet, AQ_REC_WAVE, "w");
+    CU_ASSERT_STRING_EQUAL(wave_state(&fixture), "done");
+    const json_t *wave = AqFleet_Get(fixture.daemon.fleet, AQ_REC_WAVE, "w");
     CU_ASSERT_EQUAL(int_or(wave, "done", 0), 12);
-    const GPtrArray *vms = scene.daemon.fleet->vm_order;
+    const GPtrArray *vms = fixture.daemon.fleet->vm_order;
     for (guint i = 0; i < vms->len; i++) {
         const VmEntry *vm = vms->pdata[i];
         const json_t *labels = json_object_get(vm->record, "labels");
         CU_ASSERT_STRING_EQUAL(string_or(labels, "release", ""), "r2");
         CU_ASSERT_EQUAL(vm->state, AQ_VM_SERVING);
     }
-    scene_destroy(&scene);
+    fixture_destroy(&fixture);
 }
 
 /* Number of VMs that a wave loses when every VM fails to come back. */
 static int
-wave_losses(unsigned switches)
+wave_losses(unsigned disabled)
 {
-    static const ScenePool pool = {"a", 12, 2, NULL};
-    Scene scene;
-    scene_create(&scene, &pool, 1, switches | FLEET_DISABLE_PLACEMENT);
+    static const FixturePool pool = {"a", 12, 2, NULL};
+    Fixture fixture;
+    fixture_create(&fixture, &pool, 1, disabled | FLEET_DISABLE_PLACEMENT);
     for (int i = 0; i < 12; i++) {
         char id[8];
         g_snprintf(id, sizeof(id), "a%d", i);
-        fake_platform_vm(&scene.platform, id)->bad = true;
+        fake_platform_vm(&fixture.platform, id)->never_returns = true;
     }
-    start_wave(&scene, 2);
-    scene_run(&scene, 7200);
-    int lost = count_state(&scene, AQ_VM_FAILED);
-    CU_ASSERT_EQUAL(strcmp(wave_state(&scene), "stopped") == 0, switches == 0);
-    scene_destroy(&scene);
+    start_wave(&fixture, 2);
+    run_planner(&fixture, 7200);
+    int lost = count_state(&fixture, AQ_VM_FAILED);
+    CU_ASSERT_EQUAL(strcmp(wave_state(&fixture), "stopped") == 0,
+                    disabled == 0);
+    fixture_destroy(&fixture);
     return lost;
 }
 
@@ -221,67 +222,67 @@
 static void
 test_wave_pause(void)
 {
-    Scene scene;
-    scene_create(&scene, two_pools, 2, FLEET_DISABLE_PLACEMENT);
-    start_wave(&scene, 4);
-    scene_run(&scene, 1);
-    CU_ASSERT_EQUAL(count_state(&scene, AQ_VM_DRAINING), 4);
+    Fixture fixture;
+    fixture_create(&fixture, two_pools, 2, FLEET_DISABLE_PLACEMENT);
+    start_wave(&fixture, 4);
+    run_planner(&fixture, 1);
+    CU_ASSERT_EQUAL(count_state(&fixture, AQ_VM_DRAINING), 4);
     CU_ASSERT_TRUE(
-        scene_intent(&scene, "wave.pause", json_pack("{s:s}", "name", "w")));
-    CU_ASSERT_EQUAL(count_state(&scene, AQ_VM_SERVING), 12);
-    scene_run(&scene, 60);
-    CU_ASSERT_EQUAL(count_state(&scene, AQ_VM_SERVING), 12);
+        run_intent(&fixture, "wave.pause", json_pack("{s:s}", "name", "w")));
+    CU_ASSERT_EQUAL(count_state(&fixture, AQ_VM_SERVING), 12);
+    run_planner(&fixture, 60);
+    CU_ASSERT_EQUAL(count_state(&fixture, AQ_VM_SERVING), 12);
     CU_ASSERT_TRUE(
-        scene_intent(&scene, "wave.resume", json_pack("{s:s}", "name", "w")));
-    scene_run(&scene, 1200);
-    CU_ASSERT_STRING_EQUAL(wave_state(&scene), "done");
-    scene_destroy(&scene);
+        run_intent(&fixture, "wave.resume", json_pack("{s:s}", "name", "w")));
+    run_planner(&fixture, 1200);
+    CU_ASSERT_STRING_EQUAL(wave_state(&fixture), "done");
+    fixture_destroy(&fixture);
 }
 
 /* Guards against planned stops while the VM list shows new failures or is
  * not there, and against budgets that forget failed VMs. */
 static void
-test_wave_holds_back(void)
+test_stops_wait_for_vm_list(void)
 {
-    Scene scene;
-    scene_create(&scene, two_pools, 2, FLEET_DISABLE_PLACEMENT);
+    Fixture fixture;
+    fixture_create(&fixture, two_pools, 2, FLEET_DISABLE_PLACEMENT);
     GHashTableIter at;
     void *value;
-    g_hash_table_iter_init(&at, scene.platform.vms);
+    g_hash_table_iter_init(&at, fixture.platform.vms);
     while (g_hash_table_iter_next(&at, NULL, &value)) {
         ((FakeVm *)value)->listed = NULL;
     }
-    start_wave(&scene, 6);
-    scene_step(&scene);
-    CU_ASSERT_EQUAL(count_state(&scene, AQ_VM_SERVING), 12);
-    fake_platform_fail(fake_platform_vm(&scene.platform, "a0"), 0);
-    fake_platform_fail(fake_platform_vm(&scene.platform, "a1"), 0);
-    fake_platform_vm(&scene.platform, "b5")->leaving = true;
-    fake_platform_advance(&scene.platform, 5000);
-    scene_step(&scene);
-    CU_ASSERT_EQUAL(vm_of(&scene, "a0")->state, AQ_VM_FAILED);
-    CU_ASSERT_EQUAL(vm_of(&scene, "b5")->state, AQ_VM_LEAVING);
-    CU_ASSERT_EQUAL(count_state(&scene, AQ_VM_DRAINING), 0);
-    scene_step(&scene);
+    start_wave(&fixture, 6);
+    run_planner_step(&fixture);
+    CU_ASSERT_EQUAL(count_state(&fixture, AQ_VM_SERVING), 12);
+    fake_platform_fail(fake_platform_vm(&fixture.platform, "a0"), 0);
+    fake_platform_fail(fake_platform_vm(&fixture.platform, "a1"), 0);
+    fake_platform_vm(&fixture.platform, "b5")->leaving = true;
+    fake_platform_advance(&fixture.platform, 5000);
+    run_planner_step(&fixture);
+    CU_ASSERT_EQUAL(vm_of(&fixture, "a0")->state, AQ_VM_FAILED);
+    CU_ASSERT_EQUAL(vm_of(&fixture, "b5")->state, AQ_VM_LEAVING);
+    CU_ASSERT_EQUAL(count_state(&fixture, AQ_VM_DRAINING), 0);
+    run_planner_step(&fixture);
     /* Pool a has 4 left and promises 3, pool b 5 and 4. */
-    CU_ASSERT_EQUAL(count_state(&scene, AQ_VM_DRAINING), 2);
+    CU_ASSERT_EQUAL(count_state(&fixture, AQ_VM_DRAINING), 2);
     CU_ASSERT_TRUE(
-        scene_intent(&scene, "wave.abort", json_pack("{s:s}", "name", "w")));
-    fake_platform_fail(fake_platform_vm(&scene.platform, "a0"),
-                       scene.platform.now + 1000);
-    fake_platform_fail(fake_platform_vm(&scene.platform, "b5"),
-                       scene.platform.now + 1000);
-    scene_run(&scene, 60);
-    CU_ASSERT_EQUAL(vm_of(&scene, "a0")->state, AQ_VM_SERVING);
-    CU_ASSERT_EQUAL(vm_of(&scene, "b5")->state, AQ_VM_SERVING);
-    scene_destroy(&scene);
+        run_intent(&fixture, "wave.abort", json_pack("{s:s}", "name", "w")));
+    fake_platform_fail(fake_platform_vm(&fixture.platform, "a0"),
+                       fixture.platform.now_ms + 1000);
+    fake_platform_fail(fake_platform_vm(&fixture.platform, "b5"),
+                       fixture.platform.now_ms + 1000);
+    run_planner(&fixture, 60);
+    CU_ASSERT_EQUAL(vm_of(&fixture, "a0")->state, AQ_VM_SERVING);
+    CU_ASSERT_EQUAL(vm_of(&fixture, "b5")->state, AQ_VM_SERVING);
+    fixture_destroy(&fixture);
 }
 
 static AqVmState
-state_after(Scene *scene, const char *id, int seconds)
+state_after(Fixture *fixture, const char *id, int seconds)
 {
-    scene_run(scene, seconds);
-    return vm_of(scene, id)->state;
+    run_planner(fixture, seconds);
+    return vm_of(fixture, id)->state;
 }
 
 /* Guards against a reboot that is waited for without end, a VM that is never
@@ -290,41 +291,41 @@
 static void
 test_reboot_timeout(void)
 {
-    Scene scene;
-    scene_create(&scene, two_pools, 2, FLEET_DISABLE_PLACEMENT);
-    FakeVm *down = fake_platform_vm(&scene.platform, "a0");
-    FakeVm *sick = fake_platform_vm(&scene.platform, "b0");
-    down->bad = true;
-    sick->sick = true;
+    Fixture fixture;
+    fixture_create(&fixture, two_pools, 2, FLEET_DISABLE_PLACEMENT);
+    FakeVm *down = fake_platform_vm(&fixture.platform, "a0");
+    FakeVm *sick = fake_platform_vm(&fixture.platform, "b0");
+    down->never_returns = true;
+    sick->unhealthy = true;
     CU_ASSERT_TRUE(
-        scene_intent(&scene, "vm.reboot", json_pack("{s:s}", "id", "a0")));
+        run_intent(&fixture, "vm.reboot", json_pack("{s:s}", "id", "a0")));
     CU_ASSERT_TRUE(
-        scene_intent(&scene, "vm.reboot", json_pack("{s:s}", "id", "b0")));
-    CU_ASSERT_EQUAL(state_after(&scene, "a0", 590), AQ_VM_REBOOTING);
-    CU_ASSERT_EQUAL(state_after(&scene, "b0", 0), AQ_VM_CHECKING);
-    CU_ASSERT_EQUAL(state_after(&scene, "a0", 30), AQ_VM_FAILED);
-    CU_ASSERT_EQUAL(state_after(&scene, "b0", 0), AQ_VM_FAILED);
-    fake_platform_fail(down, scene.platform.now + 1);
-    CU_ASSERT_EQUAL(state_after(&scene, "a0", 30), AQ_VM_SERVING);
-    sick->sick = false;
-    CU_ASSERT_EQUAL(state_after(&scene, "b0", 3400), AQ_VM_FAILED);
-    CU_ASSERT_EQUAL(state_after(&scene, "b0", 300), AQ_VM_SERVING);
-    scene_destroy(&scene);
+        run_intent(&fixture, "vm.reboot", json_pack("{s:s}", "id", "b0")));
+    CU_ASSERT_EQUAL(state_after(&fixture, "a0", 590), AQ_VM_REBOOTING);
+    CU_ASSERT_EQUAL(state_after(&fixture, "b0", 0), AQ_VM_CHECKING);
+    CU_ASSERT_EQUAL(state_after(&fixture, "a0", 30), AQ_VM_FAILED);
+    CU_ASSERT_EQUAL(state_after(&fixture, "b0", 0), AQ_VM_FAILED);
+    fake_platform_fail(down, fixture.platform.now_ms + 1);
+    CU_ASSERT_EQUAL(state_after(&fixture, "a0", 30), AQ_VM_SERVING);
+    sick->unhealthy = false;
+    CU_ASSERT_EQUAL(state_after(&fixture, "b0", 3400), AQ_VM_FAILED);
+    CU_ASSERT_EQUAL(state_after(&fixture, "b0", 300), AQ_VM_SERVING);
+    fixture_destroy(&fixture);
 }
 
 /* Guards against a wave that begins with many racks and finishes none. */
 static void
 test_wave_finishes_racks(void)
 {
-    static const ScenePool pool = {"a", 12, 8, NULL};
-    Scene scene;
-    scene_create(&scene, &pool, 1, FLEET_DISABLE_PLACEMENT);
-    start_wave(&scene, 1);
+    static const FixturePool pool = {"a", 12, 8, NULL};
+    Fixture fixture;
+    fixture_create(&fixture, &pool, 1, FLEET_DISABLE_PLACEMENT);
+    start_wave(&fixture, 1);
     int last = -1;
     int changes = 0;
-    while (strcmp(wave_state(&scene), "running") == 0) {
-        scene_run(&scene, 1);
-        const GPtrArray *vms = scene.daemon.fleet->vm_order;
+    while (strcmp(wave_state(&fixture), "running") == 0) {
+        run_planner(&fixture, 1);
+        const GPtrArray *vms = fixture.daemon.fleet->vm_order;
         for (guint i = 0; i < vms->len; i++) {
             const VmEntry *vm = vms->pdata[i];
             if (*vm->wave != '\0') {
@@ -335,7 +336,7 @@
     }
     /* Six racks of two VMs. */
     CU_ASSERT_EQUAL(changes, 6);
-    scene_destroy(&scene);
+    fixture_destroy(&fixture);
 }
 
 /* Seconds until a rebooted VM serves again, with a number of evaluations
@@ -343,28 +344,28 @@
 static int
 reboot_time(int dry_runs)
 {
-    Scene scene;
-    scene_create(&scene, two_pools, 2, FLEET_DISABLE_PLACEMENT);
-    scene.platform.reboot_ms = 4000;
+    Fixture fixture;
+    fixture_create(&fixture, two_pools, 2, FLEET_DISABLE_PLACEMENT);
+    fixture.platform.reboot_ms = 4000;
     CU_ASSERT_TRUE(
-        scene_intent(&scene, "vm.reboot", json_pack("{s:s}", "id", "a0")));
+        run_intent(&fixture, "vm.reboot", json_pack("{s:s}", "id", "a0")));
     int seconds = 0;
-    while (vm_of(&scene, "a0")->state != AQ_VM_SERVING && seconds < 600) {
-        fake_platform_advance(&scene.platform, 1000);
-        scene.platform.fleet = scene.daemon.fleet;
+    while (vm_of(&fixture, "a0")->state != AQ_VM_SERVING && seconds < 600) {
+        fake_platform_advance(&fixture.platform, 1000);
+        fixture.platform.fleet = fixture.daemon.fleet;
         for (int i = 0; i < dry_runs; i++) {
             json_t *set = json_array();
             json_t *reboots = json_array();
-            AqPlanner_Step(scene.daemon.planner, scene.daemon.fleet,
-                           scene.platform.now, &fake_platform_view,
-                           &scene.platform, set, reboots);
+            AqPlanner_Step(fixture.daemon.planner, fixture.daemon.fleet,
+                           fixture.platform.now_ms, &fake_platform_view,
+                           &fixture.platform, set, reboots);
             json_decref(set);
             json_decref(reboots);
         }
-        scene_step(&scene);
+        run_planner_step(&fixture);
         seconds++;
     }
-    scene_destroy(&scene);
+    fixture_destroy(&fixture);
     return seconds;
 }
 
@@ -385,49 +386,49 @@
 static void
 test_deficit_is_filled(void)
 {
-    static const ScenePool pools[] = {
+    static const FixturePool pools[] = {
         {"a", 5, 4, "big"}, {"b", 6, 3, "small"}, {"spare", 3, 0, NULL}};
-    Scene scene;
-    scene_create(&scene, pools, 3, 0);
-    fake_platform_fail(fake_platform_vm(&scene.platform, "a0"), 0);
-    fake_platform_fail(fake_platform_vm(&scene.platform, "a1"), 0);
-    scene_run(&scene, 60);
-    const PoolEntry *a = index_pool(scene.daemon.fleet, "a");
+    Fixture fixture;
+    fixture_create(&fixture, pools, 3, 0);
+    fake_platform_fail(fake_platform_vm(&fixture.platform, "a0"), 0);
+    fake_platform_fail(fake_platform_vm(&fixture.platform, "a1"), 0);
+    run_planner(&fixture, 60);
+    const PoolEntry *a = index_pool(fixture.daemon.fleet, "a");
     AqPoolStatus status;
-    CU_ASSERT_TRUE(AqFleet_GetPool(scene.daemon.fleet, "a", &status));
+    CU_ASSERT_TRUE(AqFleet_GetPool(fixture.daemon.fleet, "a", &status));
     CU_ASSERT_TRUE(status.serving >= status.min_serving);
     AqList_ForEach(at, &a->vms)
     {
-        CU_ASSERT_TRUE(AqList_Entry(at, VmEntry, link)->matches);
+        CU_ASSERT_TRUE(AqList_Entry(at, VmEntry, link)->matches_selector);
     }
-    CU_ASSERT_EQUAL(index_pool(scene.daemon.fleet, "b")->members, 6);
-    scene_destroy(&scene);
+    CU_ASSERT_EQUAL(index_pool(fixture.daemon.fleet, "b")->vm_count, 6);
+    fixture_destroy(&fixture);
 }
 
 /* Moves in 8 hours in which a VM fails for 5 minutes every 20 minutes. */
 static int
-count_moves(unsigned switches)
+count_moves(unsigned disabled)
 {
-    static const ScenePool pools[] = {
+    static const FixturePool pools[] = {
         {"a", 6, 4, NULL}, {"b", 6, 4, NULL}, {"spare", 3, 0, NULL}};
-    Scene scene;
-    scene_create(&scene, pools, 3, switches);
+    Fixture fixture;
+    fixture_create(&fixture, pools, 3, disabled);
     int moves = 0;
     for (int i = 0; i < 24; i++) {
         char id[8];
         g_snprintf(id, sizeof(id), "%c%d", i % 2 == 0 ? 'a' : 'b', i / 2 % 6);
-        FakeVm *vm = fake_platform_vm(&scene.platform, id);
-        fake_platform_fail(vm, scene.platform.now + 300000);
+        FakeVm *vm = fake_platform_vm(&fixture.platform, id);
+        fake_platform_fail(vm, fixture.platform.now_ms + 300000);
         for (int second = 0; second < 1200; second++) {
-            int64_t now = scene.platform.now + 1000;
-            scene_run(&scene, 1);
-            const GPtrArray *vms = scene.daemon.fleet->vm_order;
+            int64_t now = fixture.platform.now_ms + 1000;
+            run_planner(&fixture, 1);
+            const GPtrArray *vms = fixture.daemon.fleet->vm_order;
             for (guint v = 0; v < vms->len; v++) {
-                moves += ((const VmEntry *)vms->pdata[v])->moved == now;
+                moves += ((const VmEntry *)vms->pdata[v])->moved_at_ms == now;
             }
         }
     }
-    scene_destroy(&scene);
+    fixture_destroy(&fixture);
     return moves;
 }
 
@@ -447,24 +448,24 @@
 static void
 test_decision_time(void)
 {
-    ScenePool pools[53];
+    FixturePool pools[53];
     char names[53][8];
     for (int i = 0; i < 53; i++) {
         g_snprintf(names[i], sizeof(names[i]), "p%d-", i);
-        pools[i] = (ScenePool){names[i], 17, 13, NULL};
+        pools[i] = (FixturePool){names[i], 17, 13, NULL};
     }
-    Scene scene;
-    scene_create(&scene, pools, 53, 0);
-    start_wave(&scene, 20);
-    fake_platform_advance(&scene.platform, 4000);
-    scene.platform.fleet = scene.daemon.fleet;
+    Fixture fixture;
+    fixture_create(&fixture, pools, 53, 0);
+    start_wave(&fixture, 20);
+    fake_platform_advance(&fixture.platform, 4000);
+    fixture.platform.fleet = fixture.daemon.fleet;
     clock_t from = clock();
     for (int i = 0; i < 20; i++) {
         json_t *set = json_array();
         json_t *reboots = json_array();
-        AqPlanner_Step(scene.daemon.planner, scene.daemon.fleet,
-                       scene.platform.now, &fake_platform_view,
-                       &scene.platform, set, reboots);
+        AqPlanner_Step(fixture.daemon.planner, fixture.daemon.fleet,
+                       fixture.platform.now_ms, &fake_platform_view,
+                       &fixture.platform, set, reboots);
         CU_ASSERT_TRUE(json_array_size(set) >= 20);
         json_decref(set);
         json_decref(reboots);
@@ -472,7 +473,7 @@
     double ms = (double)(clock() - from) * 1000 / CLOCKS_PER_SEC / 20;
     fprintf(stderr, "%.2f ms per step for 901 VMs ", ms);
     CU_ASSERT_TRUE(ms < 100);
-    scene_destroy(&scene);
+    fixture_destroy(&fixture);
 }
 
 int
@@ -484,7 +485,7 @@
     CU_ADD_TEST(suite, test_wave_finishes_racks);
     CU_ADD_TEST(suite, test_wave_stops_itself);
     CU_ADD_TEST(suite, test_wave_pause);
-    CU_ADD_TEST(suite, test_wave_holds_back);
+    CU_ADD_TEST(suite, test_stops_wait_for_vm_list);
     CU_ADD_TEST(suite, test_reboot_timeout);
     CU_ADD_TEST(suite, test_step_can_be_repeated);
     CU_ADD_TEST(suite, test_deficit_is_filled);
