--- a/packages/fleet/Include/aq_fleet.h
+++ b/packages/fleet/Include/aq_fleet.h
@@ -37,37 +37,40 @@
 
 const char *AqVmState_Name(AqVmState state);
 
-/* A document of version 0 with the pool "spare" and default weights. */
+/* Returns a new document of version 0 with the pool "spare" and default
+ * weights. */
 AqFleet *AqFleet_Create(void);
 AqFleet *AqFleet_Clone(const AqFleet *fleet);
 void AqFleet_Destroy(AqFleet *fleet);
 
 int64_t AqFleet_Version(const AqFleet *fleet);
-/* Version at which the set of members last changed. */
+/* Returns the version at which the set of entry VM members last changed. */
 int64_t AqFleet_Epoch(const AqFleet *fleet);
 
-/* Records are JSON objects; borrowed from the document. */
+/* Returns a record, a JSON object borrowed from the document, or NULL when
+ * there is none of that name. */
 const json_t *AqFleet_Get(const AqFleet *fleet, AqRecordKind kind,
                           const char *name);
-/* All records of a kind: a borrowed object from name to record. */
+/* Returns all records of a kind: a borrowed object from name to record. */
 const json_t *AqFleet_All(const AqFleet *fleet, AqRecordKind kind);
 
 typedef struct {
-    const char *id; /* all borrowed from the document */
+    const char *id; /* all strings are borrowed from the document */
     const char *pool;
     const char *service; /* of its pool */
     const char *address; /* "IP:port" */
     const char *rack;
     const char *zone;
-    const char *wave; /* "" when none */
+    const char *wave; /* name of the wave that stopped it; "" when none */
     AqVmState state;
     int64_t since; /* wall ms of the last change of state */
     int slots;     /* per endpoint, of its pool */
     int connections;
 } AqVmView;
 
+/* Fills the view of a VM; false when there is no VM of that id. */
 bool AqFleet_GetVm(const AqFleet *fleet, const char *id, AqVmView *view);
-/* Calls "visit" for each VM until it returns false. */
+/* Calls "visit" with the view of each VM until it returns false. */
 void AqFleet_EachVm(const AqFleet *fleet,
                     bool (*visit)(void *context, const AqVmView *view),
                     void *context);
@@ -78,20 +81,21 @@
     int unavailable; /* in any other state */
     int min_serving;
     int max_unavailable; /* -1: unlimited */
-    int headroom;        /* planned stops that are allowed now; >= 0 */
-    int buffer_target;
+    int headroom;        /* planned stops that the budget allows now; >= 0 */
+    int buffer_target;   /* VMs to hold above min_serving */
 } AqPoolStatus;
 
+/* Fills the status of a pool; false when there is no pool of that name. */
 bool AqFleet_GetPool(const AqFleet *fleet, const char *pool,
                      AqPoolStatus *status);
 
 /* ---- Intents ---------------------------------------------------------- */
 
-/* The upserts that an intent yields: a JSON array of [kind, name, record or
- * null].  AqFleet_Evaluate appends to it. */
+/* A set of upserts is a JSON array of [kind, name, record]; null in place of
+ * the record deletes it. */
 
-/* Arguments ("?" marks optional ones; absent fields of a known pool, VM or
- * team keep their values, null gives back the default):
+/* Arguments ("?" marks optional ones; absent fields of an existing pool, VM
+ * or team keep their values, null restores the default):
  *   pool.set      {name, service?, selector?, min_serving?, max_unavailable?,
  *                  slots?, connections?, objective?}
  *   pool.delete   {name}
@@ -109,7 +113,8 @@
  *   member.add    {id, address};  member.remove {id} */
 
 /* Evaluates one intent {"op", "kind", "args"} against the document without
- * changing it.  "set" is an array that gets the upserts.  Returns false with
+ * changing it, and appends the upserts that carry it out to the array "set".
+ * "wall_ms" is the time that records get as "since".  Returns false with
  * AQ_ERR_INVALID (bad intent), AQ_ERR_NOT_FOUND or AQ_ERR_REFUSED (budget,
  * state; the message names the numbers and the remedy).  Kinds are those of
  * the design page except job.*, plus member.add {id, address} and
@@ -118,82 +123,92 @@
 bool AqFleet_Evaluate(const AqFleet *fleet, const json_t *intent,
                       int64_t wall_ms, json_t *set, AqError *error);
 
-/* Applies upserts as version AqFleet_Version + 1 under operation "op".  Fails
- * with nothing changed, with AQ_ERR_CONFLICT when the operation is already
- * among the last 256.  A committer applies to a clone, and keeps the clone
- * once the compare-and-swap on head is confirmed.  The index it swaps on must
- * be that of the head from which this document was read: a watch may bring a
- * newer one in between.  A refusal is final only when head was read after the
- * intent came. */
+/* Applies upserts as version AqFleet_Version + 1 under operation "op".  On
+ * failure nothing is changed; the error is AQ_ERR_CONFLICT when the operation
+ * is already among the last 256.
+ *
+ * A committer applies the upserts to a clone and keeps the clone only once the
+ * compare-and-swap on head has succeeded.  The store index of that write must
+ * be the one of the head from which the cloned document was read, since a
+ * watch may deliver a newer head in between.  A refusal is final only when
+ * head was read after the intent arrived. */
 bool AqFleet_Apply(AqFleet *fleet, const char *op, const json_t *set,
                    AqError *error);
-/* Version at which an operation was applied; 0 when it is not known. */
+/* Returns the version at which an operation was applied; 0 when it is not
+ * among the last 256. */
 int64_t AqFleet_FindOp(const AqFleet *fleet, const char *op);
 
 /* ---- Storage ---------------------------------------------------------- */
 
 #define AQ_FLEET_HEAD_KEY "aq/fleet/head"
-#define AQ_FLEET_SNAPSHOT_PREFIX                                              \
-    "aq/fleet/snapshot/" /* + version, decimal                                \
-                          */
+/* Followed by the version in decimal. */
+#define AQ_FLEET_SNAPSHOT_PREFIX "aq/fleet/snapshot/"
 
-/* Text of head for this document; the tail starts at the last snapshot. */
+/* Returns the text of head for this document, to be released with free().  Its
+ * tail holds the commits after the last snapshot. */
 char *AqFleet_EncodeHead(const AqFleet *fleet);
-/* Whether the next commit must write a snapshot first, and its text. */
+/* Returns whether the next commit must store a snapshot first. */
 bool AqFleet_NeedsSnapshot(const AqFleet *fleet);
+/* Returns the text of a snapshot of this version, to be released with
+ * free(). */
 char *AqFleet_EncodeSnapshot(const AqFleet *fleet);
-/* Version of the snapshot that head names; 0 when there is none. */
+/* Returns the version of the snapshot that head refers to; 0 when there is
+ * none. */
 int64_t AqFleet_SnapshotVersion(const AqFleet *fleet);
-/* After the snapshot of the current version was written. */
+/* Records that a snapshot of the current version was stored, and clears the
+ * tail. */
 void AqFleet_SnapshotWritten(AqFleet *fleet);
 
 typedef enum {
     AQ_LOAD_OK,       /* the document now has head's version */
     AQ_LOAD_OLDER,    /* head is not newer; nothing changed */
-    AQ_LOAD_SNAPSHOT, /* *snapshot is needed first; nothing changed */
-    AQ_LOAD_BAD       /* *error is filled; nothing changed */
+    AQ_LOAD_SNAPSHOT, /* load version *snapshot first; nothing changed */
+    AQ_LOAD_BAD       /* text is invalid, see *error; nothing changed */
 } AqLoadResult;
 
-/* Brings the document up to date from head's text.  Uses the tail when it
- * reaches back to the document's version. */
+/* Updates the document to the version of head's text by applying the tail.
+ * When the tail begins after the document's version, *snapshot gets the
+ * version of the snapshot to load before the next try. */
 AqLoadResult AqFleet_LoadHead(AqFleet *fleet, const char *head, size_t size,
                               int64_t *snapshot, AqError *error);
-/* Replaces the document by a snapshot when that is newer. */
+/* Replaces the document by a snapshot if the snapshot is newer. */
 AqLoadResult AqFleet_LoadSnapshot(AqFleet *fleet, const char *text,
                                   size_t size, AqError *error);
 
 /* ---- Planner ---------------------------------------------------------- */
 
+/* What the planner reads from the daemon; "context" is the one that is passed
+ * to AqPlanner_Step. */
 typedef struct {
     /* State of a VM in the platform's list: "live", "leaving", "down" or NULL
      * when it is not listed; borrowed. */
     const char *(*listed)(void *context, const char *vm);
-    /* Requests in flight on a draining VM over all entry VMs, -1 while not
-     * all have reported the version that drains it. */
+    /* Requests in flight on a draining VM, summed over all entry VMs; -1 until
+     * each of them has reported the version that began the drain. */
     int64_t (*in_flight)(void *context, const char *vm, int64_t version);
-    /* Whether health checks have succeeded for ms without a break. */
+    /* Whether all health checks of the last "ms" milliseconds succeeded. */
     bool (*healthy_for)(void *context, const char *vm, int64_t ms);
 } AqPlannerView;
 
 typedef struct AqPlanner AqPlanner;
 
-/* Keeps only memory that may be lost: when a surplus or deficit was first
- * seen, and which rebooting VMs were seen down. */
+/* Returns a planner.  Its state may be lost in a restart: since when a pool
+ * has had a surplus or deficit, and which rebooting VMs were seen down. */
 AqPlanner *AqPlanner_Create(void);
 void AqPlanner_Destroy(AqPlanner *planner);
 
-/* Decides the next background step: appends upserts to "set" (none: nothing to
- * do) and names of VMs that must be rebooted to "reboots" (array of strings;
- * for VMs in state rebooting, repeated until they come back). */
+/* Decides the next background step: appends upserts to "set" (none when there
+ * is nothing to do) and the ids of VMs to reboot to "reboots", an array of
+ * strings.  A VM in state rebooting is named in each step until it is back. */
 void AqPlanner_Step(AqPlanner *planner, const AqFleet *fleet, int64_t wall_ms,
                     const AqPlannerView *view, void *context, json_t *set,
                     json_t *reboots);
 
-/* Checks everything that must hold in one document: each VM has exactly one
- * existing pool, fields are in range, counts agree. */
+/* Checks the invariants of one document: each VM has exactly one existing
+ * pool, fields are in range, and the counts of the index are right. */
 bool AqFleet_CheckConsistency(const AqFleet *fleet, AqError *error);
-/* Checks a step from one document to the next: the version grows, no planned
- * stop overspends a budget, moves go through a drain. */
+/* Checks a step from one document to the next: the version grows, planned
+ * stops keep to the budgets, and moves go through a drain. */
 bool AqFleet_CheckStep(const AqFleet *before, const AqFleet *after,
                        AqError *error);
 
--- a/packages/fleet/budget.c
+++ b/packages/fleet/budget.c
@@ -2,14 +2,14 @@
 
 #include <math.h>
 
-/* Expected share of the time that a VM is out of service unplanned, at the
- * design size (section 1.6): 11 failures a day with about 60 min to replace
- * and 96 restarts a day with about 10 min, over 900 VMs. */
+/* Expected share of the time that a VM is out of service without a plan, at
+ * the design size of 900 VMs (section 1.6): 11 failures a day, each replaced
+ * within about 60 min, and 96 restarts a day of about 10 min. */
 #define UNPLANNED_SHARE ((11.0 * 60.0 + 96.0 * 10.0) / (900.0 * 24.0 * 60.0))
-/* Part of a pool that a running wave is expected to hold at once.  With 10%
- * the target of every pool rose when a wave began: 86 moves a day and 2903
- * buffer VM-hours at the design size, against 3 and 2573 with 5%, for a wave
- * of 0.49 h against 0.52 h. */
+/* Share of a pool that a running wave is expected to have out of service at
+ * once.  10% raises the buffer target of every pool when a wave starts: at the
+ * design size 86 moves a day and 2903 buffer VM-hours, against 3 moves and
+ * 2573 VM-hours with 5%, while the wave takes 0.49 h instead of 0.52 h. */
 #define WAVE_SHARE 0.05
 
 int
@@ -73,7 +73,8 @@
     *time = (int)int_or(weights, "time", 5);
 }
 
-/* VMs of the pool that running waves may hold at once. */
+/* Returns the number of the pool's VMs that a running wave is expected to have
+ * out of service at once, the largest over all waves with work left in it. */
 static int
 wave_held_vms(const AqFleet *fleet, const PoolEntry *pool)
 {
@@ -106,7 +107,8 @@
     return largest;
 }
 
-/* VMs of the pool in its fullest rack. */
+/* Returns the number of the pool's VMs in the rack that holds most of them,
+ * without failed and leaving VMs. */
 static int
 fullest_rack_vms(const AqFleet *fleet, const PoolEntry *pool)
 {
@@ -124,9 +126,10 @@
     return largest;
 }
 
-/* Section 7.2 and the weights of section 12.  At most min_serving: more
- * spare VMs than promised ones cannot keep the promise any better, and when
- * all VMs share one rack each added VM would raise the target again. */
+/* The larger of the fullest rack and the expected outages, scaled by the
+ * weights (sections 7.2 and 12).  At most min_serving: a buffer larger than
+ * min_serving protects it no better, and in a pool whose VMs share one rack
+ * each added VM would raise the target again. */
 int
 buffer_target(const AqFleet *fleet, PoolEntry *pool)
 {
@@ -142,7 +145,7 @@
             UNPLANNED_SHARE * pool->vm_count + wave_held_vms(fleet, pool);
         double exact_target = (racks > failures ? racks : failures) *
                               (0.5 + time / 10.0) * 5.0 / buffer;
-        /* The small term keeps ceil from rounding up an exact product. */
+        /* 1e-9 absorbs floating point error, which ceil would round up. */
         int target = (int)ceil(exact_target - 1e-9);
         target = target > pool->min_serving ? pool->min_serving : target;
         pool->buffer_target = target < 1 ? 1 : target;
--- a/packages/fleet/check.c
+++ b/packages/fleet/check.c
@@ -2,6 +2,7 @@
 
 #include <string.h>
 
+/* Reports a violated invariant of a record; returns false. */
 static bool
 inconsistency(AqError *error, const char *kind, const char *name,
               const char *why)
@@ -36,30 +37,34 @@
     bool stopped = vm->state == AQ_VM_DRAINING || vm->state == AQ_VM_DRAINED;
     if (vm->record != AqFleet_Get(fleet, AQ_REC_VM, vm->id)) {
         return inconsistency(error, "VM", vm->id,
-                             "the index has an old record");
+                             "the index refers to an outdated record");
     }
     if (AqFleet_Get(fleet, AQ_REC_POOL, name) == NULL ||
         vm->pool != index_pool(fleet, name)) {
         return inconsistency(error, "VM", vm->id, "its pool does not exist");
     }
     if (vm->target_pool != NULL && (!stopped || vm->target_pool == vm->pool)) {
-        return inconsistency(error, "VM", vm->id, "it moves without a drain");
+        return inconsistency(error, "VM", vm->id,
+                             "its target pool requires a drain and must be "
+                             "another pool");
     }
     if ((*target != '\0') != (vm->target_pool != NULL)) {
         return inconsistency(error, "VM", vm->id, "its target does not exist");
     }
     if (vm->drain_version > fleet->version ||
         vm->last_wave_id > fleet->version) {
-        return inconsistency(error, "VM", vm->id, "it names a later version");
+        return inconsistency(
+            error, "VM", vm->id,
+            "it refers to a version later than the document's");
     }
     if ((vm->state == AQ_VM_SERVING) && *vm->wave != '\0') {
         return inconsistency(error, "VM", vm->id,
-                             "it serves and is in a wave");
+                             "it is serving although a wave has stopped it");
     }
     return true;
 }
 
-/* Counts the VMs again and compares with the index. */
+/* Counts the VMs per pool and state and compares with the index. */
 static bool
 check_counts(const AqFleet *fleet, AqError *error)
 {
@@ -120,8 +125,9 @@
 
 /* ---- Steps ------------------------------------------------------------ */
 
-/* States that one commit may bring a VM to, by the state before; section 12.
- * A wave that ends puts its drained VMs back, which is an undrain. */
+/* Whether one commit may change a VM's state from "before" to "after"; section
+ * 12.  Drained to serving covers an undrain, the end of a move, and a wave
+ * that ends and returns its drained VMs to service. */
 static bool
 is_allowed_transition(AqVmState before, AqVmState after)
 {
@@ -138,7 +144,8 @@
            after == AQ_VM_LEAVING || (allowed[before] & 1u << after) != 0;
 }
 
-/* Checks one VM; *stopped tells whether a serving VM was stopped by plan. */
+/* Checks the change of one VM (NULL: removed).  *stopped says whether it is a
+ * planned stop of a serving VM. */
 static bool
 check_vm_step(const VmEntry *old, const VmEntry *vm, bool *stopped,
               AqError *error)
@@ -154,7 +161,9 @@
                              "it was removed without a drain");
     }
     if (!is_allowed_transition(old->state, vm->state)) {
-        return inconsistency(error, "VM", old->id, "its state skipped a step");
+        return inconsistency(error, "VM", old->id,
+                             "its state changed by a transition that is not "
+                             "allowed");
     }
     if (strcmp(old->pool->name, vm->pool->name) != 0 &&
         (old->state != AQ_VM_DRAINED || vm->state != AQ_VM_SERVING)) {
@@ -164,8 +173,8 @@
     return true;
 }
 
-/* One commit may stop several VMs of a pool, so the pool is checked as it is
- * after all of them. */
+/* Checks the pool as it is after the commit, since one commit may stop several
+ * of its VMs. */
 static bool
 check_budget(const PoolEntry *pool, AqError *error)
 {
@@ -189,16 +198,18 @@
 {
     if (after->version <= before->version) {
         return AqError_Set(error, AQ_ERR_CONFLICT,
-                           "version %lld follows version %lld; a document "
-                           "must never go back: read head again",
+                           "version %lld follows version %lld; the "
+                           "version must grow: read head again",
                            (long long)after->version,
                            (long long)before->version);
     }
     if (after->epoch < before->epoch) {
-        return inconsistency(error, "document", "epoch", "it went back");
+        return inconsistency(error, "document", "epoch",
+                             "it is lower than in the version before");
     }
     if (after->version > before->version + 1) {
-        /* Single commits cannot be told apart any more. */
+        /* The commits in between are not known, so their effects on a VM
+         * cannot be checked one by one. */
         return true;
     }
     for (guint i = 0; i < before->vm_order->len; i++) {
--- a/packages/fleet/document.c
+++ b/packages/fleet/document.c
@@ -5,8 +5,8 @@
 
 #include "aq_json.h"
 
-/* Records are never changed in place: every change sets a new object.  So a
- * clone and an undo list can share them. */
+/* Records are immutable: every change sets a new object.  Clones and undo
+ * lists therefore share them. */
 
 AqFleet *
 AqFleet_Create(void)
@@ -109,7 +109,8 @@
                                     record == NULL ? json_null() : record));
 }
 
-/* Whether a pool exists after the upserts of a set. */
+/* Whether a pool exists once a set of upserts is applied; "pools" maps the
+ * names of the pools that the set changes to their records or null. */
 static bool
 pool_exists_after(const AqFleet *fleet, const json_t *pools, const char *name)
 {
@@ -220,7 +221,7 @@
     if (undo != NULL) {
         set_put(undo, kind, name, json_incref(old));
     }
-    /* The index borrows from the old record until it is updated. */
+    /* The index borrows from the old record until index_update. */
     json_incref(old);
     if (json_is_null(record)) {
         index_update(fleet, kind, name, NULL);
@@ -238,7 +239,8 @@
 {
     size_t i;
     json_t *upsert;
-    /* Pools first, so that a VM finds the pool of its own commit. */
+    /* Pools that are set come first, because a VM may be in a new pool of the
+     * same set; deleted pools come with the rest. */
     for (int pools = 1; pools >= 0; pools--) {
         json_array_foreach((json_t *)set, i, upsert)
         {
--- a/packages/fleet/index.c
+++ b/packages/fleet/index.c
@@ -2,8 +2,8 @@
 
 #include <string.h>
 
-/* The index is derived from the records and updated with each of them, so
- * that counts and views need no scan over all VMs. */
+/* The index is derived from the records and updated with each change of one,
+ * so that counts and views do not scan all VMs. */
 
 static void
 free_vm(void *data)
@@ -55,6 +55,7 @@
     return g_hash_table_lookup(fleet->pools, name);
 }
 
+/* Returns the number of an interned name; equal names have equal numbers. */
 static int
 intern(AqFleet *fleet, const char *name)
 {
@@ -69,6 +70,7 @@
     return next;
 }
 
+/* Adds (delta 1) or removes (delta -1) a VM in the counts of its pools. */
 static void
 count_vm(VmEntry *vm, int delta)
 {
@@ -195,7 +197,7 @@
         update_pool(fleet, name, record);
     }
     else if (kind == AQ_REC_WAVE || kind == AQ_REC_WEIGHTS) {
-        /* Both enter into every pool's buffer target. */
+        /* The buffer target of every pool depends on both. */
         for (guint i = 0; i < fleet->pool_order->len; i++) {
             ((PoolEntry *)fleet->pool_order->pdata[i])->buffer_target = -1;
         }
--- a/packages/fleet/intents.c
+++ b/packages/fleet/intents.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 /* Handlers check the fields, then the state, then append upserts.  A handler
- * whose effect already holds appends none. */
+ * appends none when the document already has the requested effect. */
 
 static bool
 check_args(const Intent *intent, const char *const *allowed, AqError *error)
@@ -20,7 +20,8 @@
                        field, name);
 }
 
-/* Copies the fields that are present in args; null removes a field. */
+/* Returns a copy of "base" with those of the named fields that args contains;
+ * null removes a field. */
 static json_t *
 merge_fields(const json_t *base, const json_t *args, const char *const *fields)
 {
@@ -37,7 +38,8 @@
     return record;
 }
 
-/* Checks a record and puts it when it differs from the present one. */
+/* Checks a record (stolen) and appends an upsert when it differs from the one
+ * in the document. */
 static bool
 check_and_put(const Intent *intent, AqRecordKind kind, const char *name,
               json_t *record, AqError *error)
@@ -74,7 +76,8 @@
     json_t *base = json_pack("{s:s, s:{}, s:i, s:i, s:i, s:i}", "service",
                              name, "selector", "min_serving", 0, "slots", 8,
                              "connections", 64, "objective", 999);
-    /* Null gives back the default; only max_unavailable may be absent. */
+    /* A field that null removed gets its default again, except
+     * max_unavailable, which has none. */
     json_t *record =
         merge_fields(old == NULL ? base : old, intent->args, allowed + 1);
     json_object_update_missing(record, base);
--- a/packages/fleet/intents_vm.c
+++ b/packages/fleet/intents_vm.c
@@ -2,7 +2,8 @@
 
 #include <string.h>
 
-/* Finds the VM that "id" names when the other fields are known too. */
+/* Returns the VM named by field "id"; NULL with an error when there is none or
+ * a field is not allowed. */
 static VmEntry *
 find_vm(const Intent *intent, const char *const *allowed, AqError *error)
 {
@@ -21,6 +22,8 @@
     return vm;
 }
 
+/* Reports that a VM's state rules out an action (a past participle); returns
+ * false. */
 static bool
 refuse_state(const VmEntry *vm, const char *action, const char *remedy,
              AqError *error)
@@ -39,8 +42,8 @@
     return vm->state == AQ_VM_DRAINING || vm->state == AQ_VM_DRAINED;
 }
 
-/* A label that the pool's selector wants and the VM lacks is reported with
- * both values. */
+/* Checks labels of a VM (NULL: a new one) against the selector of a pool.  The
+ * error names the label that does not match, with both values. */
 static bool
 check_selector(const VmEntry *vm, const json_t *labels, const PoolEntry *pool,
                AqError *error)
@@ -164,7 +167,8 @@
         return false;
     }
     if (is_drained(vm)) {
-        /* The operator takes over a drain that a wave or move began. */
+        /* The drain of a wave, move or reboot becomes one that the operator
+         * ends. */
         if (*vm->wave != '\0' || vm->target_pool != NULL ||
             vm->is_reboot_planned) {
             json_t *next = json_copy((json_t *)vm->record);
@@ -206,8 +210,9 @@
     return true;
 }
 
-/* A stop for a move or a reboot: drains a serving VM within the budget, and
- * changes the plan of one that is drained already. */
+/* Returns the record of a VM that is stopped for a move or a reboot: a serving
+ * VM begins to drain if the budget allows it, and one that is draining or
+ * drained loses its previous plan.  NULL with an error otherwise. */
 static json_t *
 planned_stop(const Intent *intent, const VmEntry *vm, const char *action,
              AqError *error)
@@ -227,6 +232,7 @@
     return vm_draining(intent->fleet, vm, intent->wall_ms);
 }
 
+/* Appends an upsert for a new record (stolen) that differs from the VM's. */
 static void
 put_if_changed(const Intent *intent, const VmEntry *vm, json_t *next)
 {
@@ -255,7 +261,7 @@
                            name);
     }
     if (pool == vm->pool) {
-        /* A move back to its own pool cancels the move that is under way. */
+        /* A move to the VM's own pool cancels the move in progress. */
         if (vm->target_pool != NULL) {
             set_put(intent->set, AQ_REC_VM, vm->id,
                     vm_serving(vm, intent->wall_ms));
--- a/packages/fleet/intents_wave.c
+++ b/packages/fleet/intents_wave.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* Finished waves that are kept for operators to read. */
+/* Finished waves that stay in the document for operators to list. */
 #define WAVES_KEPT 16
 
 static bool
@@ -12,7 +12,7 @@
     return strcmp(state, "done") == 0 || strcmp(state, "aborted") == 0;
 }
 
-/* Deletes the oldest finished waves beyond WAVES_KEPT. */
+/* Deletes the oldest finished wave when there are more than WAVES_KEPT. */
 static void
 prune_waves(const Intent *intent)
 {
@@ -76,8 +76,8 @@
         !field_name(intent->args, "name", &name, error)) {
         return false;
     }
-    /* The id orders waves without clocks: VMs keep the id of the last wave
-     * that finished on them. */
+    /* The version serves as id, which orders waves independently of clocks: a
+     * VM keeps the id of the last wave that finished on it. */
     json_t *record = json_pack(
         "{s:{}, s:s, s:s, s:i, s:I, s:I, s:i, s:i, s:s}", "selector", "kind",
         "reboot", "state", "running", "max_parallel", 1, "id",
@@ -121,7 +121,8 @@
     }
 }
 
-/* Brings a wave from one of "from" to the state "to". */
+/* Changes the state of a wave to "to" if it is one of "from"; succeeds without
+ * upserts when the wave has that state already. */
 static bool
 change_state(const Intent *intent, const char *const *from, const char *to,
              AqError *error)
@@ -153,7 +154,8 @@
     json_t *next = json_copy((json_t *)wave);
     json_object_set_new(next, "state", json_string(to));
     if (strcmp(to, "running") == 0) {
-        /* The operator has seen the failures; only new ones count. */
+        /* Resuming acknowledges earlier failures; only new ones count towards
+         * stopping the wave. */
         json_object_set_new(next, "recent", json_string(""));
         json_object_del(next, "reason");
     }
--- a/packages/fleet/planner.c
+++ b/packages/fleet/planner.c
@@ -2,10 +2,12 @@
 
 #include <string.h>
 
-/* A VM comes back into service after its checks have passed this long. */
+/* A VM returns to service once its health checks have succeeded for this
+ * time. */
 #define MIN_HEALTHY_MS 5000
-/* When no planner saw a rebooting VM go down, it is taken to be back if it
- * is listed live this long after the order.  Longer than the list's lag. */
+/* A rebooting VM that this planner did not see down counts as rebooted when it
+ * is listed live this long after the order.  Longer than the delay with which
+ * the VM list shows an outage. */
 #define REBOOT_ASSUMED_DONE_MS (30 * 1000)
 
 AqPlanner *
@@ -38,7 +40,8 @@
     PoolPlan *pool = &step->pools[vm->pool->number];
     bool served = vm->state == AQ_VM_SERVING;
     bool serves = state == AQ_VM_SERVING;
-    /* A failure counts even when its upsert has to wait for the next step. */
+    /* Counted also when the upsert does not fit into this step, so that a
+     * failure reduces the budget at once. */
     pool->serving += serves - served;
     pool->unavailable += served - serves;
     step->is_changed[vm->number] = 1;
@@ -90,7 +93,7 @@
     step->hold = true;
 }
 
-/* Follows the VM list; true when the VM changed. */
+/* Applies the VM list to the state of a VM; returns whether it changed. */
 static bool
 apply_listing(PlanStep *step, const VmEntry *vm, Listing listing)
 {
@@ -111,7 +114,7 @@
         plan_put_vm(step, vm, vm_checking(vm, step->wall_ms), AQ_VM_CHECKING);
         return true;
     }
-    /* Rebooting and checking VMs may be down; "due" bounds them. */
+    /* Rebooting and checking VMs may be down; their deadline limits that. */
     if ((listing == LISTED_DOWN || listing == LISTED_ABSENT) &&
         (vm->state == AQ_VM_SERVING || vm->state == AQ_VM_DRAINING ||
          vm->state == AQ_VM_DRAINED)) {
@@ -121,7 +124,8 @@
     return false;
 }
 
-/* Whether a VM is no longer in the reboot in which it was seen down. */
+/* Whether an entry of AqPlanner.down is obsolete: the VM is no longer in the
+ * reboot during which it was seen down.  For g_hash_table_foreach_remove. */
 static gboolean
 is_outage_obsolete(void *id, void *since, void *fleet)
 {
@@ -130,9 +134,9 @@
            vm->since_ms != *(const int64_t *)since;
 }
 
-/* Whether a rebooting VM has been down and is listed live again.  The note of
- * the outage is kept: a step is evaluated again before and after a conflict,
- * and must come to the same result. */
+/* Whether a rebooting VM has been down and is listed live again.  Its entry in
+ * AqPlanner.down stays, since a step is evaluated once more before its commit
+ * and after a conflict, and must have the same result. */
 static bool
 is_back_from_reboot(PlanStep *step, const VmEntry *vm, Listing listing)
 {
@@ -153,6 +157,7 @@
     return false;
 }
 
+/* Advances a VM in state rebooting or checking. */
 static void
 advance_reboot(PlanStep *step, const VmEntry *vm, Listing listing)
 {
@@ -186,11 +191,13 @@
     json_object_set_new(next, "due",
                         json_integer(step->wall_ms + WAVE_RETURN_LIMIT_MS));
     if (plan_put_vm(step, vm, next, AQ_VM_REBOOTING)) {
-        /* The reboot itself is asked for once the commit holds. */
+        /* The next step requests the reboot from the platform, when this
+         * commit has succeeded. */
         plan_wave_add_in_progress(step, vm);
     }
 }
 
+/* Advances a VM in state draining or drained. */
 static void
 advance_drain(PlanStep *step, const VmEntry *vm)
 {
@@ -235,8 +242,8 @@
     plan_waves_load(step);
 }
 
-/* First the VM list and the ends of reboots, which may stop a wave; then the
- * drains, which depend on the state of their wave. */
+/* Advances all VMs: first by the VM list and the ends of reboots, which may
+ * stop a wave, then the drains, which depend on the state of their wave. */
 static void
 advance_vms(PlanStep *step)
 {
@@ -279,7 +286,7 @@
                                 (void *)fleet);
     step_init(&step);
     advance_vms(&step);
-    /* Without a VM list failed VMs cannot be seen. */
+    /* Without a VM list, failed VMs are not known. */
     step.hold |= !step.list_known;
     plan_waves_run(&step);
     if ((fleet->disabled & FLEET_DISABLE_PLACEMENT) == 0) {
--- a/packages/fleet/planner_place.c
+++ b/packages/fleet/planner_place.c
@@ -3,18 +3,21 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Section 7.2; all three grow with weights.moves / 5. */
+/* Hysteresis of moves, section 7.2: the surplus that a pool may keep, the time
+ * that a surplus or deficit must persist, and the time that a VM stays in a
+ * pool after a move.  All three are scaled by weights.moves / 5. */
 #define TOLERATED_SURPLUS_VMS 1
 #define IMBALANCE_MIN_MS (10 * 60 * 1000)
 #define MIN_STAY_MS (30 * 60 * 1000)
-/* Moves begun in one step; the rest follows in the next ones. */
+/* Most moves that one step begins; later steps begin the others. */
 #define STEP_MOVES_MAX 16
 
+/* A VM that may move to a pool in deficit. */
 typedef struct {
     const VmEntry *vm;
-    int spare;   /* 1: from the spare pool */
-    int surplus; /* of its pool */
-    int rack;    /* VMs of the destination in the same rack */
+    int spare;   /* 1: the VM is in the spare pool */
+    int surplus; /* surplus of its pool, in VMs */
+    int rack;    /* VMs of the destination pool in the same rack */
 } Source;
 
 typedef struct {
@@ -23,10 +26,11 @@
     int64_t imbalance_min_ms;
     int64_t min_stay_ms;
     int moves;
-    int *racks; /* VMs per rack of the destination, cleared after use */
+    int *racks; /* VMs per rack of one pool, cleared after use */
     Source *sources;
 } Placement;
 
+/* Whether a VM is drained, or draining, on the order of an operator alone. */
 static bool
 is_held_by_operator(const VmEntry *vm)
 {
@@ -41,8 +45,9 @@
     return strcmp(pool->name, SPARE_POOL) == 0;
 }
 
-/* A VM that an operator holds drained for longer than a surplus must last is
- * no capacity any more.  VMs under reboot are: the buffer covers them. */
+/* Counts capacity and need of each pool.  A VM that an operator holds drained
+ * for longer than imbalance_min_ms is not capacity any more.  Rebooting VMs
+ * are, since the buffer covers their outage. */
 static void
 count_capacity(Placement *place)
 {
@@ -66,6 +71,7 @@
     }
 }
 
+/* Returns the surplus of a pool in VMs; negative for a deficit. */
 static int
 surplus_of(const Placement *place, const PoolEntry *pool)
 {
@@ -73,7 +79,9 @@
     return plan->capacity_vms - plan->needed_vms;
 }
 
-/* Whether a VM may be moved at all now. */
+/* Whether a VM may leave its pool in this step: it serves, is unchanged so
+ * far, has stayed for min_stay_ms, and the budget of the pool allows a stop.
+ */
 static bool
 is_movable(const Placement *place, const VmEntry *vm)
 {
@@ -84,6 +92,7 @@
            plan_headroom(step, vm->pool) > 0;
 }
 
+/* Begins the move of a VM; false when the step is full. */
 static bool
 start_move(Placement *place, const VmEntry *vm, const PoolEntry *to)
 {
@@ -105,8 +114,8 @@
     return true;
 }
 
-/* Whether a condition has lasted long enough for a pool; "seen" remembers
- * when it was first met. */
+/* Whether a condition of a pool has been met for imbalance_min_ms; "seen" maps
+ * pool names to the wall time at which it was first met. */
 static bool
 has_persisted(const Placement *place, GHashTable *seen, const PoolEntry *pool,
               bool met)
@@ -127,8 +136,8 @@
 
 /* ---- Pools in deficit ------------------------------------------------- */
 
-/* Spare VMs first, then the largest surplus; among those the rack that the
- * destination uses least. */
+/* Orders spare VMs first, then by the rack that the destination uses least,
+ * then by the largest surplus. */
 static int
 compare_sources(const void *left, const void *right)
 {
@@ -146,8 +155,8 @@
     return strcmp(a->vm->id, b->vm->id);
 }
 
-/* Counts the VMs per rack (step 1) or clears the counts (step -1); returns
- * the largest count. */
+/* Counts the VMs of a pool per rack (step 1) or clears the counts (step -1);
+ * returns the largest count. */
 static int
 count_racks(Placement *place, const PoolEntry *pool, int step)
 {
@@ -162,6 +171,8 @@
     return largest;
 }
 
+/* Fills place->sources with the VMs that may move to a pool, best first;
+ * returns their number. */
 static int
 collect_sources(Placement *place, const PoolEntry *to,
                 const GPtrArray *pool_list)
@@ -189,8 +200,8 @@
     return count;
 }
 
-/* Whether one more VM of this rack leaves the deficit as it is, because it
- * raises the largest rack share and with it the buffer target. */
+/* Whether one more VM of this rack leaves the deficit unchanged, because the
+ * fullest rack grows and the buffer target with it. */
 static bool
 cannot_reduce_deficit(const Placement *place, const PoolEntry *to,
                       const Source *source, int largest)
@@ -201,6 +212,7 @@
            plan->needed_vms < 2 * to->min_serving;
 }
 
+/* Begins moves to a pool until its deficit is filled. */
 static void
 fill_pool(Placement *place, const PoolEntry *to)
 {
@@ -233,9 +245,9 @@
     return d != 0 ? d : strcmp(a->name, b->name);
 }
 
-/* A pool below its promise gets VMs at once.  When only its buffer is short,
- * the VMs that are away are often back within minutes: filling it at once
- * gave 20 moves a day at the design size, against 3. */
+/* A pool with capacity below min_serving gets VMs at once.  When only its
+ * buffer is short, the missing VMs often return within minutes: filling it at
+ * once makes 20 moves a day at the design size, against 3 after a delay. */
 static bool
 is_fill_due(const Placement *place, const PoolEntry *pool)
 {
@@ -265,8 +277,9 @@
 
 /* ---- Pools in surplus ------------------------------------------------- */
 
-/* Gives the surplus over the hysteresis to the spare pool, from the fullest
- * racks; VMs that the pool's selector no longer takes go first. */
+/* Begins moves to the spare pool: of all VMs that the pool's selector no
+ * longer matches, and if the surplus persisted, of VMs in the fullest racks
+ * until it is within tolerated_surplus_vms. */
 static void
 release_pool_surplus(Placement *place, const PoolEntry *pool, bool persisted)
 {
--- a/packages/fleet/planner_waves.c
+++ b/packages/fleet/planner_waves.c
@@ -3,7 +3,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A wave stops itself when this many of the last VMs failed; section 7.1. */
+/* A wave stops when FAILED_RESULTS_LIMIT of its last RECENT_RESULTS_MAX VMs
+ * failed; section 7.1. */
 #define RECENT_RESULTS_MAX 10
 #define FAILED_RESULTS_LIMIT 2
 
@@ -56,8 +57,9 @@
     json_object_set_new(wave, field, json_integer(int_or(wave, field, 0) + 1));
 }
 
-/* Appends to "recent", a string of "o" (back) and "x" (failed); returns the
- * number of failed VMs in it. */
+/* Appends a result to the field "recent", a string of "o" (returned to
+ * service) and "x" (failed) for the last VMs; returns the number of failures
+ * in it. */
 static int
 append_recent(json_t *wave, bool returned)
 {
@@ -89,7 +91,8 @@
                  bool returned)
 {
     WavePlan *wave = plan_wave(step, vm->wave);
-    /* A full step leaves the VM, and with it the result, to the next one. */
+    /* In a full step the VM keeps its record, so the next step counts its
+     * result. */
     if (wave == NULL || step->upserts >= STEP_UPSERTS_MAX) {
         return;
     }
@@ -121,11 +124,11 @@
 
 typedef struct {
     const VmEntry *vm;
-    bool started; /* the wave has begun to work on its rack */
+    bool started; /* the wave has already worked on a VM of its rack */
 } Candidate;
 
-/* Orders by pool; within a pool racks in work come first, then data centre
- * by data centre and rack by rack. */
+/* Orders candidates by pool; within a pool racks that the wave has started
+ * come first, then by data centre and by rack. */
 static int
 compare_candidates(const void *left, const void *right)
 {
@@ -149,11 +152,13 @@
 typedef struct {
     Candidate *list;
     int count;
-    int pending; /* VMs that the wave has not finished, stopped or not */
-    int *first;  /* by pool: next candidate, and the end of its list */
-    int *end;
+    int pending; /* VMs left for the wave in any state, serving or not */
+    int *first;  /* by PoolEntry.number: position of the next candidate */
+    int *end;    /* by PoolEntry.number: position after the last one */
 } CandidateList;
 
+/* Whether a wave has to work on a VM: the selector matches, the wave has not
+ * finished on it, and it does not have the wave's release yet. */
 static bool
 wave_includes(const WavePlan *wave, const VmEntry *vm)
 {
@@ -166,6 +171,7 @@
             strcmp(string_or(labels, "release", ""), release) != 0);
 }
 
+/* Collects and orders the serving VMs that a wave may stop. */
 static void
 candidates_create(CandidateList *candidates, const PlanStep *step,
                   const WavePlan *wave)
@@ -213,8 +219,8 @@
     g_free(candidates->end);
 }
 
-/* The next candidate of a pool that its data centre in work and its budget
- * allow, or NULL. */
+/* Returns the next candidate of a pool that its budget and its active data
+ * centre allow, or NULL. */
 static const Candidate *
 pool_candidate(CandidateList *candidates, const PlanStep *step,
                const PoolEntry *pool)
@@ -233,7 +239,8 @@
     return NULL;
 }
 
-/* Racks already started first, then the pool with most headroom. */
+/* Returns the VM to stop next and removes it from the candidates, or NULL.
+ * Prefers VMs in racks that are started, then the pool with most headroom. */
 static const VmEntry *
 choose_vm(CandidateList *candidates, const PlanStep *step)
 {
@@ -260,6 +267,8 @@
     return best->vm;
 }
 
+/* Begins drains up to max_parallel; the wave is done when no VM is in progress
+ * or left. */
 static void
 run_wave(PlanStep *step, WavePlan *wave)
 {
--- a/packages/fleet/record.c
+++ b/packages/fleet/record.c
@@ -9,7 +9,7 @@
 
 #define NAME_MAX_LENGTH 64
 #define LABELS_MAX 32
-#define SIZE_LIMIT 1000000000 /* cores, MB or accelerators of a VM */
+#define SIZE_LIMIT 1000000000 /* most cores, MB or accelerators of a VM */
 #define NAME_RANGE                                                            \
     "1 to 64 letters, digits, \".\", \"_\" or \"-\", the first a letter or "  \
     "digit"
@@ -74,7 +74,8 @@
     return true;
 }
 
-/* Reports a field with its value (cut to 80 bytes) and what is allowed. */
+/* Reports a missing or invalid field with its value (truncated to 80 bytes)
+ * and the values that are allowed; returns false. */
 bool
 field_error(const json_t *object, const char *field, const char *expected,
             AqError *error)
@@ -268,7 +269,8 @@
            field_int(pool, "objective", 0, 1000, error);
 }
 
-/* What jobs may use of a VM; absent means none. */
+/* Checks the resources of a VM that jobs may use; an absent field means
+ * none. */
 static bool
 check_sizes(const json_t *vm, AqError *error)
 {
--- a/packages/fleet/storage.c
+++ b/packages/fleet/storage.c
@@ -5,8 +5,8 @@
 
 #include "aq_json.h"
 
-/* Every daemon reads head once a second, so it holds only what the last
- * snapshot does not: the older operation ids are in the snapshot. */
+/* Head holds only what the last snapshot lacks, because every daemon reads it
+ * once a second; older operation ids are in the snapshot. */
 char *
 AqFleet_EncodeHead(const AqFleet *fleet)
 {
@@ -59,6 +59,7 @@
 
 /* ---- Loading ---------------------------------------------------------- */
 
+/* Reports a malformed head or snapshot; returns AQ_LOAD_BAD. */
 static AqLoadResult
 load_error(AqError *error, const char *text_name, const char *why)
 {
@@ -88,7 +89,8 @@
     return true;
 }
 
-/* The tail must hold every version after the snapshot, in order. */
+/* Whether the tail has one entry for each version after the snapshot, in
+ * order. */
 static bool
 check_tail(const json_t *tail, int64_t snapshot, int64_t version)
 {
@@ -108,7 +110,8 @@
     return true;
 }
 
-/* Restores records from undo lists, newest first. */
+/* Reverts records with undo lists, in reverse order, and resets version and
+ * epoch. */
 static void
 restore(AqFleet *fleet, const json_t *undos, int64_t version, int64_t epoch)
 {
@@ -124,7 +127,7 @@
     fleet->epoch = epoch;
 }
 
-/* Notes the operations of the tail that came after "version". */
+/* Records the operation ids of tail entries after "version". */
 static void
 record_ops(AqFleet *fleet, const json_t *tail, int64_t version)
 {
@@ -209,7 +212,8 @@
     return result;
 }
 
-/* All records of a snapshot as one set of upserts; NULL when malformed. */
+/* Returns all records of a snapshot as one set of upserts; NULL when a kind of
+ * record is missing. */
 static json_t *
 snapshot_set(const json_t *records)
 {
@@ -231,7 +235,7 @@
     return set;
 }
 
-/* Exchanges the contents of two documents. */
+/* Swaps the contents of two documents. */
 static void
 exchange(AqFleet *a, AqFleet *b)
 {
@@ -264,7 +268,8 @@
         fresh->version = version;
         fresh->epoch = epoch;
         fresh->snapshot_version = version;
-        /* It may come from a peer; head tells which snapshot is stored. */
+        /* The text may come from a peer without being in the store; only head
+         * says which snapshot is stored. */
         fresh->snapshot_stored = false;
         fresh->disabled = fleet->disabled;
         json_decref(fresh->ops);
--- a/packages/fleet/vm_record.c
+++ b/packages/fleet/vm_record.c
@@ -26,8 +26,8 @@
     json_object_del(record, "reboot");
 }
 
-/* The commit that drains a VM gets the next version, since it succeeds only
- * as a compare-and-swap on this one. */
+/* The commit that begins the drain has the next version, since it succeeds
+ * only as a compare-and-swap on the current one. */
 json_t *
 vm_draining(const AqFleet *fleet, const VmEntry *vm, int64_t wall_ms)
 {
