--- a/packages/fleet/bench/bench.h
+++ b/packages/fleet/bench/bench.h
@@ -1,8 +1,9 @@
 #ifndef FLEET_BENCH_H
 #define FLEET_BENCH_H
 
-/* Evaluation again on a conflict against plain refusal, under 2, 4 and 8
- * concurrent operators; prints a table. */
+/* Prints the rates of accepted and refused intents for 2, 4 and 8 concurrent
+ * operators, when a conflict makes a daemon evaluate the intent again and when
+ * it makes the daemon refuse the intent. */
 void measure_operators(void);
 
 #endif
--- a/packages/fleet/bench/bench_fleet.c
+++ b/packages/fleet/bench/bench_fleet.c
@@ -1,6 +1,7 @@
 /* Measures waves, placement and commits on virtual time, with 20 fixed seeds:
  *   bench_fleet [waves-small | waves-design | operators]...
- * Without arguments it runs all three.  Only decision times are real. */
+ * Without arguments it runs all three.  Only the durations of planner steps
+ * are CPU time. */
 
 #include <math.h>
 #include <stdio.h>
@@ -26,12 +27,13 @@
     int pools;
     int zones;
     const int *sizes; /* VMs per pool; NULL: an even share, varied by 20% */
-    int buffer;       /* weights */
+    int buffer;       /* weights of the document */
     int moves;
     int time;
 } Site;
 
-/* Section 1.1: the pools of both sites, and what weighs most there. */
+/* Section 1.1: the pools of both sites and the weights that are highest
+ * there. */
 static const int small_sizes[] = {9, 9, 11, 12, 8};
 static const Site small_sites[] = {
     {"site 1: 50 VMs, 5 pools, moves and time weigh most", 50, 5, 3,
@@ -52,8 +54,8 @@
 typedef struct {
     const char *name;
     bool placement;
-    double extra;    /* VMs over min_serving per pool: share, at least 1 */
-    double parallel; /* share of the fleet; 0: one VM */
+    double extra;    /* VMs above min_serving per pool: share, at least 1 */
+    double parallel; /* max_parallel: share of the fleet; 0: one VM */
     double max_unavailable; /* share of a pool; 0: unlimited */
 } Strategy;
 
@@ -64,14 +66,14 @@
 };
 
 typedef struct {
-    double buffer_hours;  /* VMs of pools over min_serving, per day */
+    double buffer_hours;  /* VMs of pools above min_serving, per day */
     double spare_hours;   /* VMs of the spare pool, per day */
-    double missing_hours; /* VMs under min_serving, per day */
+    double missing_hours; /* VMs lacking to min_serving, per day */
     double wave_hours;
     double wave_failed;
     double moves;
-    double writes;      /* per second, over all */
-    double wave_writes; /* per second, while the wave runs */
+    double writes;      /* store writes per second, all measured time */
+    double wave_writes; /* store writes per second during the wave */
     double step_us;
     double step_us_max;
     double head_bytes;
@@ -86,10 +88,10 @@
     FakePlatform platform;
     AqRandom random;
     Result result;
-    int64_t writes;
-    int64_t steps;
-    int64_t heads;
-    int serial;
+    int64_t writes; /* writes to the store so far */
+    int64_t steps;  /* planner steps so far */
+    int64_t heads;  /* heads whose size was added to the result */
+    int serial;     /* number of the next operation */
     bool measuring;
 } Run;
 
@@ -126,8 +128,8 @@
     fake_platform_vm(&run->platform, id);
 }
 
-/* Promises 87% of the size of each pool, and deals the VMs of the racks to
- * the pools at random; the rest is spare. */
+/* Sets min_serving to 87% of the size of each pool and assigns the VMs of all
+ * racks to the pools at random; the others are spare. */
 static void
 build_fleet(Run *run)
 {
@@ -227,7 +229,7 @@
         AqFleet_SnapshotWritten(run->fleet);
         run->writes++;
     }
-    /* As long as the ids that operators' commands generate. */
+    /* The id has the length of those that operators' commands generate. */
     g_snprintf(op, sizeof(op), "planner-entry-1-%012d", run->serial++);
     if (!AqFleet_Apply(run->fleet, op, set, &error)) {
         fprintf(stderr, "commit failed: %s\n", error.message);
@@ -281,6 +283,7 @@
     json_decref(reboots);
 }
 
+/* Adds the VM-hours of one step to the result. */
 static void
 count_buffer(Run *run)
 {
@@ -396,7 +399,7 @@
     return (a > b) - (a < b);
 }
 
-/* Median and range over the seeds of one field. */
+/* Prints median and range of one field of the results over the seeds. */
 static void
 print_field(const char *name, const Result *results, size_t offset)
 {
--- a/packages/fleet/bench/bench_operators.c
+++ b/packages/fleet/bench/bench_operators.c
@@ -1,7 +1,7 @@
-/* Evaluation again on a conflict against plain refusal, under concurrent
- * operators on different daemons.  Virtual time: a read takes 4 ms, a write
- * 6 ms, a watch brings a commit after 4 ms, and an operator waits 20 ms on
- * average between intents. */
+/* Compares evaluating an intent again on a conflict with refusing it, for
+ * concurrent operators on different daemons.  In virtual time a read takes
+ * 4 ms, a write 6 ms, a watch delivers a commit after 4 ms, and an operator
+ * waits 20 ms on average between intents. */
 
 #include <stdio.h>
 #include <stdlib.h>
@@ -23,16 +23,16 @@
 typedef struct {
     int accepted;
     int refused;
-    int needless_refusals;
-    int conflicts; /* writes that did not take effect */
+    int needless_refusals; /* refused though the stored document allows it */
+    int conflicts;         /* writes that did not take effect */
 } Totals;
 
 typedef struct {
     FakeStore store;
     FakePlatform platform;
     FakeDaemon daemons[OPERATORS_MAX];
-    int64_t due_ms[OPERATORS_MAX]; /* virtual ms at which the step is made */
-    int64_t committed_ms;          /* virtual ms of the last commit */
+    int64_t due_ms[OPERATORS_MAX]; /* virtual time of its next step */
+    int64_t committed_ms;          /* virtual time of the last commit */
     AqRandom random;
     int serial;
 } OperatorRun;
@@ -98,7 +98,7 @@
         (int64_t)AqRandom_Exponential(&run->random, MEAN_THINK_MS);
 }
 
-/* Makes the step of one daemon whose time has come. */
+/* Makes the next step of the daemon with index "at". */
 static void
 advance(OperatorRun *run, int at, Totals *totals)
 {
--- a/packages/fleet/tests/fake_daemon.c
+++ b/packages/fleet/tests/fake_daemon.c
@@ -25,6 +25,7 @@
     g_hash_table_destroy(store->ops);
 }
 
+/* Keeps the first violated invariant. */
 static void
 record_fault(FakeStore *store, const char *rule, const char *detail)
 {
@@ -33,7 +34,7 @@
     }
 }
 
-/* Loads a head, with its snapshot when that is needed. */
+/* Updates a document from head, with the snapshot when that is needed. */
 static AqLoadResult
 load(FakeStore *store, AqFleet *fleet, AqError *error)
 {
@@ -59,14 +60,15 @@
                : result;
 }
 
-/* Checks the version just written against the one before. */
+/* Checks the version just written against the previous one. */
 static void
 check_written(FakeStore *store)
 {
     AqError error = {0};
     AqFleet *before = AqFleet_Clone(store->oracle);
     if (load(store, store->oracle, &error) != AQ_LOAD_OK) {
-        record_fault(store, "version went back or head is bad", error.message);
+        record_fault(store, "head is invalid or its version is not newer",
+                     error.message);
     }
     else if (store->oracle->version != before->version + 1) {
         record_fault(store, "a commit skipped a version", "");
@@ -299,8 +301,11 @@
     if (store->head != NULL && daemon->index != store->index) {
         AqLoadResult result = load(store, daemon->fleet, &daemon->error);
         if (result == AQ_LOAD_BAD || daemon->fleet->version < version) {
-            record_fault(store, "a daemon cannot follow head",
-                         daemon->error.message);
+            record_fault(
+                store,
+                "a daemon could not load head or went back to an older "
+                "version",
+                daemon->error.message);
         }
     }
     daemon->index = store->index;
@@ -356,7 +361,8 @@
     }
     daemon->set = json_array();
     if (known || !decide(daemon)) {
-        /* A refusal by an old document is not the last word. */
+        /* A refusal is final only if head was read since the intent arrived;
+         * an older document may refuse what the newest allows. */
         if (daemon->is_head_read) {
             end_operation(daemon, OUTCOME_REFUSED);
         }
@@ -396,7 +402,8 @@
 {
     if (!AqFleet_Apply(daemon->next, daemon->op, daemon->set,
                        &daemon->error)) {
-        record_fault(daemon->store, "own upserts are bad",
+        record_fault(daemon->store,
+                     "the upserts of an evaluated operation are invalid",
                      daemon->error.message);
         end_operation(daemon, OUTCOME_REFUSED);
         return;
--- a/packages/fleet/tests/test_fleet.c
+++ b/packages/fleet/tests/test_fleet.c
@@ -5,7 +5,7 @@
 #include "aq_json.h"
 #include "fake_daemon.h"
 
-#define NOW 1000000000
+#define NOW_MS 1000000000 /* wall time of all intents */
 
 /* ---- Fixture ---------------------------------------------------------- */
 
@@ -35,8 +35,9 @@
     set_put(set, AQ_REC_POOL, name, pool);
 }
 
-/* Pool "a" has headroom 1, "b" none by min_serving, "m" none by
- * max_unavailable; "gpu" takes no VM of the others. */
+/* Returns a document in which pool "a" has headroom 1, "b" none because of
+ * min_serving, and "m" none because of max_unavailable; the selector of "gpu"
+ * matches no VM. */
 static AqFleet *
 make_fleet(void)
 {
@@ -82,9 +83,11 @@
     const char *kind;
     const char *args;
     AqErrorKind error;
-    /* For an error: texts its message must contain.  Otherwise: kind and
-     * name of a record, field, JSON value ("" absent; no kind: no change).
-     * Single quotes in all texts stand for double quotes. */
+    /* With an error: texts that its message must contain.  With AQ_OK: kind
+     * and name of a record, a field of it and the JSON value of that field (""
+     * if absent).  Without a field the record must be deleted, and without a
+     * kind the intent must yield no upserts.  Single quotes in all texts stand
+     * for double quotes. */
     const char *expected[4];
 } IntentCase;
 
@@ -92,7 +95,8 @@
 #include "intent_cases.inc"
 };
 
-/* A copy with double quotes, in one of four static buffers used in turn. */
+/* Returns a copy with double quotes, in one of four static buffers that are
+ * used in turn. */
 static const char *
 quoted(const char *text)
 {
@@ -131,14 +135,14 @@
         if (strstr(error->message, quoted(at->expected[i])) == NULL) {
             fprintf(stderr, "%s %s: \"%s\" not in: %s\n", at->kind, at->args,
                     at->expected[i], error->message);
-            CU_FAIL("message does not name it");
+            CU_FAIL("the message lacks an expected text");
         }
     }
 }
 
-/* Guards against intents that accept what they must refuse, change the wrong
- * record, or report an error without field, value, range, numbers or
- * remedy. */
+/* Guards against intents that are accepted although they must be refused,
+ * change the wrong record, or report an error without field, value, range,
+ * numbers or remedy. */
 static void
 test_intents(void)
 {
@@ -150,7 +154,7 @@
         json_t *set = json_array();
         json_t *intent = fake_intent("op-1", at->kind,
                                      json_loads(quoted(at->args), 0, NULL));
-        bool ok = AqFleet_Evaluate(fleet, intent, NOW, set, &error);
+        bool ok = AqFleet_Evaluate(fleet, intent, NOW_MS, set, &error);
         if (ok != (at->error == AQ_OK)) {
             fprintf(stderr, "%s %s: %s\n", at->kind, at->args, error.message);
             CU_FAIL("wrong result");
@@ -179,7 +183,8 @@
     }
 }
 
-/* Guards against envelopes that are let through without an operation id. */
+/* Guards against accepting an intent with a missing or invalid "op", "kind" or
+ * "args", or with an unknown field. */
 static void
 test_envelope(void)
 {
@@ -197,7 +202,7 @@
         AqError error = {0};
         json_t *set = json_array();
         json_t *intent = json_loads(bad[i][0], 0, NULL);
-        CU_ASSERT_FALSE(AqFleet_Evaluate(fleet, intent, NOW, set, &error));
+        CU_ASSERT_FALSE(AqFleet_Evaluate(fleet, intent, NOW_MS, set, &error));
         CU_ASSERT_EQUAL(error.kind, AQ_ERR_INVALID);
         CU_ASSERT_PTR_NOT_NULL(strstr(error.message, bad[i][1]));
         json_decref(intent);
@@ -208,12 +213,13 @@
 
 /* ---- Steps and storage ------------------------------------------------ */
 
-/* Guards against a transition that section 12 does not allow, or a check
- * that refuses one that it allows. */
+/* Guards against a step check that accepts a change of state that section 12
+ * does not allow, or rejects one that it allows. */
 static void
 test_transitions(void)
 {
-    /* Rows: state before; columns: state after, in AqVmState's order. */
+    /* Rows: state before; columns: state after, in the order of AqVmState;
+     * "y": allowed. */
     static const char *const allowed[VM_STATE_COUNT] = {
         "yy...yy", /* serving */
         "yyy..yy", /* draining */
@@ -245,8 +251,8 @@
     }
 }
 
-/* Guards against a step check that misses an overspent budget, a move
- * without a drain, a removal without a drain or a version that goes back. */
+/* Guards against a step check that accepts a planned stop beyond the budget, a
+ * move or removal without a drain, or a version that does not grow. */
 static void
 test_step_check(void)
 {
@@ -290,7 +296,7 @@
     }
 }
 
-/* Guards against upserts that break the document being applied in part. */
+/* Guards against invalid sets of upserts being applied in part. */
 static void
 test_apply_is_atomic(void)
 {
@@ -341,8 +347,9 @@
     json_decref(set);
 }
 
-/* Guards against a reader that misses versions, takes an older head, loses
- * the epoch or the operation ids, or a tail that grows without bound. */
+/* Guards against a reader that misses versions, accepts an older head, or
+ * loses the epoch or operation ids, and against a tail that grows without
+ * limit. */
 static void
 test_storage(void)
 {
@@ -379,7 +386,7 @@
     CU_ASSERT_EQUAL(
         AqFleet_LoadSnapshot(far, snapshot, strlen(snapshot), &error),
         AQ_LOAD_OK);
-    /* It may come from a peer and not be in the store. */
+    /* The snapshot may come from a peer without being in the store. */
     CU_ASSERT_TRUE(AqFleet_NeedsSnapshot(far));
     CU_ASSERT_EQUAL(
         AqFleet_LoadHead(far, head, strlen(head), &snapshot_version, &error),
@@ -411,8 +418,8 @@
     AqFleet_Destroy(far);
 }
 
-/* Guards against a damaged head or snapshot that crashes a reader or leaves
- * it with half of the changes. */
+/* Guards against a damaged head or snapshot that crashes a reader or is
+ * applied in part. */
 static void
 test_bad_texts(void)
 {
--- a/packages/fleet/tests/test_fleet_random.c
+++ b/packages/fleet/tests/test_fleet_random.c
@@ -9,7 +9,7 @@
 #define STEPS 350
 #define VMS 16
 #define OPERATORS 2
-#define DAEMONS 4 /* two with operators, two planners */
+#define DAEMONS 4 /* two that serve operators, two that run planners */
 
 typedef struct {
     FakeStore store;
@@ -27,7 +27,7 @@
     return (int)AqRandom_Below(&fixture->random, (uint64_t)bound);
 }
 
-/* Commits the upserts directly, as the first version. */
+/* Writes pools and VMs to the store as version 1. */
 static void
 seed_fleet(Fixture *fixture)
 {
@@ -201,7 +201,8 @@
     }
 }
 
-/* A VM that rests serves, or an operator holds it drained. */
+/* Returns the number of VMs in a state from which the planner should bring
+ * them further: any but serving or drained by an operator alone. */
 static int
 count_stuck(const Fixture *fixture)
 {
@@ -216,8 +217,8 @@
     return stuck;
 }
 
-/* Runs one planner without faults until the fleet rests, for at most two
- * hours: longer than RETRY_MS and every hysteresis. */
+/* Runs one planner without faults until no VM is stuck, for at most two hours
+ * of virtual time: longer than VM_RETRY_MS and every hysteresis. */
 static void
 run_until_idle(Fixture *fixture)
 {
@@ -244,9 +245,9 @@
     }
 }
 
-/* Guards against every broken rule of sections 1.2 and 4.1 that a sequence of
- * conflicts, crashes, lost and late replies, late watches and VM failures can
- * bring about, and against VMs that stay between states for good. */
+/* Guards against violations of the invariants of sections 1.2 and 4.1 through
+ * sequences of conflicts, crashes, lost and late replies, late watches and VM
+ * failures, and against VMs that never leave an intermediate state. */
 static void
 test_random_sequences(void)
 {
@@ -263,7 +264,7 @@
         if (fixture.store.fault[0] != '\0' || stuck > 0) {
             fprintf(stderr, "seed %d: %d stuck; %s\n", (int)seed, stuck,
                     fixture.store.fault);
-            CU_FAIL("a rule was broken");
+            CU_FAIL("an invariant was violated or a VM is stuck");
         }
         accepted += fixture.accepted;
         refused += fixture.refused;
@@ -277,7 +278,8 @@
 
 /* ---- Test switches ---------------------------------------------------- */
 
-/* Number of seeds whose run breaks a rule with switches set. */
+/* Returns the number of seeds whose run violates an invariant with mechanisms
+ * disabled. */
 static int
 count_faults(unsigned disabled, bool no_cas, bool no_read_back)
 {
@@ -298,8 +300,8 @@
     return faults;
 }
 
-/* Guards against checks that hold no matter what: each mechanism that is left
- * out must be noticed by the same random sequences that pass with it. */
+/* Guards against checks that cannot fail: the random sequences that pass with
+ * all mechanisms must detect each one that is disabled. */
 static void
 test_disabled_mechanisms_are_detected(void)
 {
@@ -309,7 +311,8 @@
     int cas = count_faults(0, true, false);
     int read_back = count_faults(0, false, true);
     fprintf(stderr,
-            "broken runs of %d: none left out %d, budget %d, drain %d, "
+            "runs of %d with a violation: none disabled %d, budget %d, "
+            "drain %d, "
             "compare-and-swap %d, read-back %d ",
             DISABLED_SEEDS, none, budget, drain, cas, read_back);
     CU_ASSERT_EQUAL(none, 0);
@@ -319,7 +322,8 @@
     CU_ASSERT_TRUE(read_back > 0);
 }
 
-/* Two operators drain VMs of different pools at the same time. */
+/* Returns the number of refusals that the document in the store does not call
+ * for, when two operators drain VMs of different pools at the same time. */
 static int
 count_needless_refusals(bool no_reevaluate)
 {
@@ -348,8 +352,8 @@
     return needless_refusals;
 }
 
-/* Guards against an intent that is refused only because another one, which
- * it does not depend on, was committed first. */
+/* Guards against refusing an intent only because an independent one was
+ * committed first, which happens when a conflict is not evaluated again. */
 static void
 test_intent_is_reevaluated_on_conflict(void)
 {
--- a/packages/fleet/tests/test_planner.c
+++ b/packages/fleet/tests/test_planner.c
@@ -5,7 +5,8 @@
 
 #include "fake_daemon.h"
 
-/* One planner over a small fleet on virtual time; every commit is checked. */
+/* One planner on a small fleet in virtual time; the store checks every
+ * commit. */
 typedef struct {
     FakeStore store;
     FakePlatform platform;
@@ -16,7 +17,7 @@
 typedef struct {
     const char *name;
     int vms;
-    int min;
+    int min;              /* min_serving */
     const char *selector; /* value of label "size"; NULL: any */
 } FixturePool;
 
@@ -32,7 +33,8 @@
                       8, "connections", 64, "objective", 999));
 }
 
-/* VM i of pool p is "pI": two to a rack, data centres in turn by rack. */
+/* Puts the VMs of a pool: number i of pool "a" is "ai", two VMs share a rack,
+ * and the racks alternate between three data centres. */
 static void
 put_vms(Fixture *fixture, json_t *set, const FixturePool *pool)
 {
@@ -83,6 +85,7 @@
     fake_platform_clear(&fixture->platform);
 }
 
+/* Runs an intent to its end; returns whether it was accepted. */
 static bool
 run_intent(Fixture *fixture, const char *kind, json_t *args)
 {
@@ -102,7 +105,7 @@
     fake_daemon_finish(&fixture->daemon);
 }
 
-/* Runs the planner once a second of virtual time. */
+/* Makes one planner step per second of virtual time. */
 static void
 run_planner(Fixture *fixture, int seconds)
 {
@@ -147,9 +150,9 @@
 
 static const FixturePool two_pools[] = {{"a", 6, 3, NULL}, {"b", 6, 4, NULL}};
 
-/* Guards against a wave that leaves VMs out, does one twice, loses the
- * release label, goes over max_parallel, or works on two data centres of a
- * pool at once. */
+/* Guards against a wave that skips a VM, reboots one twice, does not set the
+ * release label, exceeds max_parallel, or stops VMs in two data centres of a
+ * pool at the same time. */
 static void
 test_wave(void)
 {
@@ -187,7 +190,8 @@
     fixture_destroy(&fixture);
 }
 
-/* Number of VMs that a wave loses when every VM fails to come back. */
+/* Returns the number of VMs that fail in a wave when no VM comes up after its
+ * reboot. */
 static int
 wave_losses(unsigned disabled)
 {
@@ -208,8 +212,8 @@
     return lost;
 }
 
-/* Guards against a wave that goes on when VMs do not come back: two are lost
- * before it stops, and without the stop all that the budget allows. */
+/* Guards against a wave that continues although its VMs fail: it stops after
+ * two, and with the stop disabled it takes all that the budget allows. */
 static void
 test_wave_stops_itself(void)
 {
@@ -217,8 +221,8 @@
     CU_ASSERT_EQUAL(wave_losses(FLEET_DISABLE_WAVE_STOP), 10);
 }
 
-/* Guards against a reboot that a paused or aborted wave still begins, and a
- * paused wave that keeps VMs out of service. */
+/* Guards against a paused wave that still begins reboots or keeps its VMs out
+ * of service; an aborted wave takes the same path. */
 static void
 test_wave_pause(void)
 {
@@ -239,8 +243,8 @@
     fixture_destroy(&fixture);
 }
 
-/* Guards against planned stops while the VM list shows new failures or is
- * not there, and against budgets that forget failed VMs. */
+/* Guards against planned stops while the VM list shows new failures or is not
+ * available, and against budgets that do not count failed VMs. */
 static void
 test_stops_wait_for_vm_list(void)
 {
@@ -264,7 +268,7 @@
     CU_ASSERT_EQUAL(vm_of(&fixture, "b5")->state, AQ_VM_LEAVING);
     CU_ASSERT_EQUAL(count_state(&fixture, AQ_VM_DRAINING), 0);
     run_planner_step(&fixture);
-    /* Pool a has 4 left and promises 3, pool b 5 and 4. */
+    /* Pool a has 4 VMs serving with min_serving 3, pool b 5 with 4. */
     CU_ASSERT_EQUAL(count_state(&fixture, AQ_VM_DRAINING), 2);
     CU_ASSERT_TRUE(
         run_intent(&fixture, "wave.abort", json_pack("{s:s}", "name", "w")));
@@ -285,9 +289,9 @@
     return vm_of(fixture, id)->state;
 }
 
-/* Guards against a reboot that is waited for without end, a VM that is never
- * tried again after it, and one that is listed live but does not pass its
- * checks being tried all the time. */
+/* Guards against a reboot without a time limit, a VM that never returns to
+ * service although it comes up after the limit, and a VM that is listed live
+ * but fails its health checks being checked again without a delay. */
 static void
 test_reboot_timeout(void)
 {
@@ -313,7 +317,8 @@
     fixture_destroy(&fixture);
 }
 
-/* Guards against a wave that begins with many racks and finishes none. */
+/* Guards against a wave that starts a rack before it has finished the previous
+ * one. */
 static void
 test_wave_finishes_racks(void)
 {
@@ -339,8 +344,8 @@
     fixture_destroy(&fixture);
 }
 
-/* Seconds until a rebooted VM serves again, with a number of evaluations
- * before each step that are not committed. */
+/* Returns the seconds of virtual time until a rebooted VM serves again, when
+ * "dry_runs" steps are evaluated without a commit before each planner step. */
 static int
 reboot_time(int dry_runs)
 {
@@ -369,9 +374,9 @@
     return seconds;
 }
 
-/* Guards against an evaluation that uses up what the planner has seen: the
- * daemon evaluates a step to learn whether there is work, and again to commit
- * it, and every reboot then took the 30 s of SETTLE_MS. */
+/* Guards against an evaluation that clears the planner's record of an outage.
+ * The daemon evaluates a step once to see whether there is work and again to
+ * commit it; every reboot then took the 30 s of REBOOT_ASSUMED_DONE_MS. */
 static void
 test_step_can_be_repeated(void)
 {
@@ -381,8 +386,8 @@
     CU_ASSERT_EQUAL(reboot_time(2), once);
 }
 
-/* Guards against a deficit that is not filled, a VM whose labels do not fit,
- * and more moves than VMs missing. */
+/* Guards against a deficit that is not filled, a move of a VM whose labels do
+ * not match the selector, and more moves than VMs are missing. */
 static void
 test_deficit_is_filled(void)
 {
@@ -405,7 +410,8 @@
     fixture_destroy(&fixture);
 }
 
-/* Moves in 8 hours in which a VM fails for 5 minutes every 20 minutes. */
+/* Returns the number of moves in 8 hours during which a VM fails for 5 minutes
+ * every 20 minutes. */
 static int
 count_moves(unsigned disabled)
 {
@@ -432,7 +438,7 @@
     return moves;
 }
 
-/* Guards against VMs that move to and fro with every failure. */
+/* Guards against moves back and forth with every short failure. */
 static void
 test_hysteresis(void)
 {
@@ -443,8 +449,9 @@
     CU_ASSERT_TRUE(without > 2 * with);
 }
 
-/* Guards against decisions that take much longer than one scan at the design
- * size.  The bound leaves room for a sanitized build on a busy machine. */
+/* Guards against a planner step that takes much longer than one scan of the
+ * VMs at the design size.  The bound allows for a sanitizer build on a busy
+ * machine. */
 static void
 test_decision_time(void)
 {
