--- a/packages/fleet/bench/bench_fleet.c
+++ b/packages/fleet/bench/bench_fleet.c
@@ -66,9 +66,9 @@
 };
 
 typedef struct {
-    double buffer_hours;  /* VMs of pools above min_serving, per day */
-    double spare_hours;   /* VMs of the spare pool, per day */
-    double missing_hours; /* VMs lacking to min_serving, per day */
+    double buffer_hours;  /* VM-hours above min_serving, per day */
+    double spare_hours;   /* VM-hours in the spare pool, per day */
+    double missing_hours; /* VM-hours below min_serving, per day */
     double wave_hours;
     double wave_failed;
     double moves;
--- a/packages/fleet/budget.c
+++ b/packages/fleet/budget.c
@@ -2,9 +2,9 @@
 
 #include <math.h>
 
-/* Expected share of the time that a VM is out of service without a plan, at
- * the design size of 900 VMs (section 1.6): 11 failures a day, each replaced
- * within about 60 min, and 96 restarts a day of about 10 min. */
+/* Expected share of the time that a VM is out of service for unplanned
+ * reasons, at the design size of 900 VMs (section 1.6): 11 failures a day,
+ * each replaced within about 60 min, and 96 restarts a day of about 10 min. */
 #define UNPLANNED_SHARE ((11.0 * 60.0 + 96.0 * 10.0) / (900.0 * 24.0 * 60.0))
 /* Share of a pool that a running wave is expected to have out of service at
  * once.  10% raises the buffer target of every pool when a wave starts: at the
--- a/packages/fleet/fleet_internal.h
+++ b/packages/fleet/fleet_internal.h
@@ -67,7 +67,7 @@
 
 struct AqFleet {
     int64_t version;
-    int64_t epoch;            /* version at which the members last changed */
+    int64_t epoch; /* version of the last change of entry VM members */
     int64_t snapshot_version; /* version of the last snapshot */
     bool snapshot_stored;     /* that snapshot is known to be in the store */
     unsigned disabled;        /* FLEET_DISABLE_* flags */
--- a/packages/fleet/planner.h
+++ b/packages/fleet/planner.h
@@ -28,7 +28,8 @@
     int active_zone;
 } PoolPlan;
 
-/* Upserts of one step: about 35 KB in head's tail, half of its limit. */
+/* VM upserts of one step: about 35 KB in head's tail, half of the limit for
+ * head. */
 #define STEP_UPSERTS_MAX 128
 
 #define ZONE_NONE (-1)
--- a/packages/fleet/planner_place.c
+++ b/packages/fleet/planner_place.c
@@ -30,7 +30,8 @@
     Source *sources;
 } Placement;
 
-/* Whether a VM is drained, or draining, on the order of an operator alone. */
+/* Whether an operator has drained a VM, or drains it: no wave, move or reboot
+ * has stopped it. */
 static bool
 is_held_by_operator(const VmEntry *vm)
 {
--- a/packages/fleet/record.c
+++ b/packages/fleet/record.c
@@ -9,8 +9,8 @@
 
 #define NAME_MAX_LENGTH 64
 #define LABELS_MAX 32
-#define SIZE_LIMIT 1000000000 /* most cores, MB or accelerators of a VM */
-#define NAME_RANGE                                                            \
+#define RESOURCE_MAX 1000000000 /* most cores, MB or accelerators of a VM */
+#define NAME_FORMAT                                                           \
     "1 to 64 letters, digits, \".\", \"_\" or \"-\", the first a letter or "  \
     "digit"
 
@@ -101,7 +101,7 @@
 {
     const char *text = json_string_value(json_object_get(object, field));
     if (text == NULL || !is_valid_name(text)) {
-        return field_error(object, field, "a string of " NAME_RANGE, error);
+        return field_error(object, field, "a string of " NAME_FORMAT, error);
     }
     if (value != NULL) {
         *value = text;
@@ -177,7 +177,7 @@
     if (!ok) {
         return field_error(object, field,
                            "an object of at most 32 labels, names and values "
-                           "strings of " NAME_RANGE,
+                           "strings of " NAME_FORMAT,
                            error);
     }
     return true;
@@ -272,12 +272,12 @@
 /* Checks the resources of a VM that jobs may use; an absent field means
  * none. */
 static bool
-check_sizes(const json_t *vm, AqError *error)
+check_resources(const json_t *vm, AqError *error)
 {
     static const char *const fields[] = {"cores", "memory_mb", "accelerators"};
     for (size_t i = 0; i < G_N_ELEMENTS(fields); i++) {
         if (json_object_get(vm, fields[i]) != NULL &&
-            !field_int(vm, fields[i], 0, SIZE_LIMIT, error)) {
+            !field_int(vm, fields[i], 0, RESOURCE_MAX, error)) {
             return false;
         }
     }
@@ -294,7 +294,7 @@
            field_name(vm, "zone", NULL, error) &&
            field_labels(vm, "labels", error) &&
            field_int(vm, "since", 0, INT64_MAX, error) &&
-           check_sizes(vm, error) &&
+           check_resources(vm, error) &&
            (json_object_get(vm, "wave") == NULL ||
             field_name(vm, "wave", NULL, error)) &&
            (json_object_get(vm, "target") == NULL ||
@@ -342,7 +342,7 @@
 {
     if (!is_valid_name(name)) {
         return AqError_Set(error, AQ_ERR_INVALID,
-                           "%s name \"%.80s\" is bad; it must be " NAME_RANGE
+                           "%s name \"%.80s\" is bad; it must be " NAME_FORMAT
                            "; choose another name",
                            kind_names[kind], name);
     }
--- a/packages/fleet/storage.c
+++ b/packages/fleet/storage.c
@@ -237,7 +237,7 @@
 
 /* Swaps the contents of two documents. */
 static void
-exchange(AqFleet *a, AqFleet *b)
+swap_documents(AqFleet *a, AqFleet *b)
 {
     AqFleet saved = *a;
     *a = *b;
@@ -274,7 +274,7 @@
         fresh->disabled = fleet->disabled;
         json_decref(fresh->ops);
         fresh->ops = json_copy(ops);
-        exchange(fleet, fresh);
+        swap_documents(fleet, fresh);
     }
     json_decref(set);
     AqFleet_Destroy(fresh);
--- a/packages/fleet/tests/fake_daemon.h
+++ b/packages/fleet/tests/fake_daemon.h
@@ -134,8 +134,8 @@
 void fake_daemon_clear(FakeDaemon *daemon);
 /* Begins an intent (stolen) or, with NULL, a planner step. */
 void fake_daemon_begin(FakeDaemon *daemon, json_t *intent, const char *op);
-/* Makes one step of the commit procedure; "reply" is the fate of a write of
- * head in it. */
+/* Makes one step of the commit procedure; "reply" is what happens to a
+ * write of head in it. */
 void fake_daemon_step(FakeDaemon *daemon, FakeReply reply);
 /* Makes steps without faults until the operation has ended. */
 void fake_daemon_finish(FakeDaemon *daemon);
--- a/packages/fleet/tests/test_fleet_random.c
+++ b/packages/fleet/tests/test_fleet_random.c
@@ -201,8 +201,8 @@
     }
 }
 
-/* Returns the number of VMs in a state from which the planner should bring
- * them further: any but serving or drained by an operator alone. */
+/* Returns the number of VMs that the planner should still advance: all but
+ * those that serve and those that an operator holds drained. */
 static int
 count_stuck(const Fixture *fixture)
 {
@@ -303,7 +303,7 @@
 /* Guards against checks that cannot fail: the random sequences that pass with
  * all mechanisms must detect each one that is disabled. */
 static void
-test_disabled_mechanisms_are_detected(void)
+test_mechanisms_are_needed(void)
 {
     int none = count_faults(0, false, false);
     int budget = count_faults(FLEET_DISABLE_BUDGET, false, false);
@@ -355,7 +355,7 @@
 /* Guards against refusing an intent only because an independent one was
  * committed first, which happens when a conflict is not evaluated again. */
 static void
-test_intent_is_reevaluated_on_conflict(void)
+test_conflict_is_evaluated_again(void)
 {
     CU_ASSERT_EQUAL(count_needless_refusals(false), 0);
     CU_ASSERT_EQUAL(count_needless_refusals(true), 1);
@@ -367,8 +367,8 @@
     CU_initialize_registry();
     CU_pSuite suite = CU_add_suite("fleet_random", NULL, NULL);
     CU_ADD_TEST(suite, test_random_sequences);
-    CU_ADD_TEST(suite, test_disabled_mechanisms_are_detected);
-    CU_ADD_TEST(suite, test_intent_is_reevaluated_on_conflict);
+    CU_ADD_TEST(suite, test_mechanisms_are_needed);
+    CU_ADD_TEST(suite, test_conflict_is_evaluated_again);
     CU_basic_set_mode(CU_BRM_VERBOSE);
     CU_basic_run_tests();
     unsigned failures = CU_get_number_of_failures();
--- a/packages/fleet/tests/test_planner.c
+++ b/packages/fleet/tests/test_planner.c
@@ -246,7 +246,7 @@
 /* Guards against planned stops while the VM list shows new failures or is not
  * available, and against budgets that do not count failed VMs. */
 static void
-test_stops_wait_for_vm_list(void)
+test_wave_holds_back(void)
 {
     Fixture fixture;
     fixture_create(&fixture, two_pools, 2, FLEET_DISABLE_PLACEMENT);
@@ -492,7 +492,7 @@
     CU_ADD_TEST(suite, test_wave_finishes_racks);
     CU_ADD_TEST(suite, test_wave_stops_itself);
     CU_ADD_TEST(suite, test_wave_pause);
-    CU_ADD_TEST(suite, test_stops_wait_for_vm_list);
+    CU_ADD_TEST(suite, test_wave_holds_back);
     CU_ADD_TEST(suite, test_reboot_timeout);
     CU_ADD_TEST(suite, test_step_can_be_repeated);
     CU_ADD_TEST(suite, test_deficit_is_filled);
