--- a/packages/fleet/Include/aq_fleet.h
+++ b/packages/fleet/Include/aq_fleet.h
@@ -11,7 +11,7 @@
 
 /* The versioned fleet document: records of pools, VMs, waves, teams, weights
  * and entry VM members.  Design page, section 4.1.  Times in records are Unix
- * ms ("wall_ms"), because they outlive a daemon. */
+ * ms ("wall_ms"), because records outlive a daemon. */
 
 typedef struct AqFleet AqFleet;
 
@@ -20,7 +20,7 @@
     AQ_REC_VM,
     AQ_REC_WAVE,
     AQ_REC_TEAM,
-    AQ_REC_WEIGHTS, /* one record, named "weights" */
+    AQ_REC_WEIGHTS, /* the only such record is named "weights" */
     AQ_REC_MEMBER,
     AQ_REC_KINDS
 } AqRecordKind;
@@ -44,33 +44,36 @@
 void AqFleet_Destroy(AqFleet *fleet);
 
 int64_t AqFleet_Version(const AqFleet *fleet);
-/* Returns the version at which the set of entry VM members last changed. */
+/* Returns the document version at which the set of entry VM members last
+ * changed. */
 int64_t AqFleet_Epoch(const AqFleet *fleet);
 
-/* Returns a record, a JSON object borrowed from the document, or NULL when
- * there is none of that name. */
+/* Returns a record, a JSON object owned by the document, or NULL when the
+ * document has no record of that kind and name. */
 const json_t *AqFleet_Get(const AqFleet *fleet, AqRecordKind kind,
                           const char *name);
-/* Returns all records of a kind: a borrowed object from name to record. */
+/* Returns all records of a kind as a JSON object from name to record, which
+ * the document owns. */
 const json_t *AqFleet_All(const AqFleet *fleet, AqRecordKind kind);
 
 typedef struct {
-    const char *id; /* all strings are borrowed from the document */
+    /* VM id; the document owns it and all strings of this view */
+    const char *id;
     const char *pool;
-    const char *service; /* of its pool */
-    const char *address; /* "IP:port" */
+    const char *service; /* service that the VM's pool provides */
+    const char *address; /* "IP:port" at which the VM serves requests */
     const char *rack;
     const char *zone;
-    const char *wave; /* name of the wave that stopped it; "" when none */
+    const char *wave; /* wave that stopped the VM; "" when none did */
     AqVmState state;
-    int64_t since; /* wall ms of the last change of state */
-    int slots;     /* per endpoint, of its pool */
+    int64_t since; /* Unix ms of the VM's last change of state */
+    int slots; /* request slots of the VM's endpoint, as its pool sets them */
     int connections;
 } AqVmView;
 
 /* Fills the view of a VM; false when there is no VM of that id. */
 bool AqFleet_GetVm(const AqFleet *fleet, const char *id, AqVmView *view);
-/* Calls "visit" with the view of each VM until it returns false. */
+/* Calls "visit" with the view of each VM until "visit" returns false. */
 void AqFleet_EachVm(const AqFleet *fleet,
                     bool (*visit)(void *context, const AqVmView *view),
                     void *context);
@@ -78,11 +81,13 @@
 typedef struct {
     int members; /* VMs that belong to the pool */
     int serving;
-    int unavailable; /* in any other state */
+    int unavailable; /* VMs of the pool in any state but serving */
     int min_serving;
-    int max_unavailable; /* -1: unlimited */
-    int headroom;        /* planned stops that the budget allows now; >= 0 */
-    int buffer_target;   /* VMs to hold above min_serving */
+    /* no planned stop may raise "unavailable" above this; -1: unlimited */
+    int max_unavailable;
+    /* further planned stops of VMs that the pool's budget allows now; >= 0 */
+    int headroom;
+    int buffer_target; /* VMs that the pool should have above min_serving */
 } AqPoolStatus;
 
 /* Fills the status of a pool; false when there is no pool of that name. */
@@ -92,10 +97,11 @@
 /* ---- Intents ---------------------------------------------------------- */
 
 /* A set of upserts is a JSON array of [kind, name, record]; null in place of
- * the record deletes it. */
+ * the record deletes the record of that kind and name. */
 
-/* Arguments ("?" marks optional ones; absent fields of an existing pool, VM
- * or team keep their values, null restores the default):
+/* Arguments of each kind of intent ("?" marks optional ones, with the default
+ * in parentheses; absent fields of an existing pool, VM or team keep their
+ * values, and null restores the default of a field of a pool or team):
  *   pool.set      {name, service?, selector?, min_serving?, max_unavailable?,
  *                  slots?, connections?, objective?}
  *   pool.delete   {name}
@@ -113,102 +119,117 @@
  *   member.add    {id, address};  member.remove {id} */
 
 /* Evaluates one intent {"op", "kind", "args"} against the document without
- * changing it, and appends the upserts that carry it out to the array "set".
- * "wall_ms" is the time that records get as "since".  Returns false with
- * AQ_ERR_INVALID (bad intent), AQ_ERR_NOT_FOUND or AQ_ERR_REFUSED (budget,
- * state; the message names the numbers and the remedy).  Kinds are those of
- * the design page except job.*, plus member.add {id, address} and
- * member.remove {id}.  An intent whose effect already holds yields no
- * upserts and succeeds. */
+ * changing the document, and appends the upserts that carry the intent out to
+ * the array "set".  Records whose state changes get "wall_ms" (Unix ms) as
+ * "since".  Returns false with AQ_ERR_INVALID (bad intent), AQ_ERR_NOT_FOUND
+ * or AQ_ERR_REFUSED (the budget of a pool or the state of a VM or wave forbids
+ * the intent; the message names the numbers and the remedy).  Kinds of intents
+ * are those of the design page except job.*, plus member.add {id, address} and
+ * member.remove {id}.  An intent whose effect already holds yields no upserts
+ * and succeeds. */
 bool AqFleet_Evaluate(const AqFleet *fleet, const json_t *intent,
                       int64_t wall_ms, json_t *set, AqError *error);
 
-/* Applies upserts as version AqFleet_Version + 1 under operation "op".  On
- * failure nothing is changed; the error is AQ_ERR_CONFLICT when the operation
- * is already among the last 256.
+/* Applies upserts as version AqFleet_Version + 1 under the operation id "op".
+ * On failure nothing is changed; the error is AQ_ERR_CONFLICT when "op" is
+ * already among the last 256 operation ids applied to the document.
  *
  * A committer applies the upserts to a clone and keeps the clone only once the
- * compare-and-swap on head has succeeded.  The store index of that write must
- * be the one of the head from which the cloned document was read, since a
- * watch may deliver a newer head in between.  A refusal is final only when
- * head was read after the intent arrived. */
+ * compare-and-swap on head (the store key AQ_FLEET_HEAD_KEY) has succeeded.
+ * The compare-and-swap must expect the store revision of the head from which
+ * the cloned document was read, since a watch may deliver a newer head before
+ * the compare-and-swap.  An intent may be refused only after an evaluation on
+ * a head that was read after the intent arrived. */
 bool AqFleet_Apply(AqFleet *fleet, const char *op, const json_t *set,
                    AqError *error);
-/* Returns the version at which an operation was applied; 0 when it is not
- * among the last 256. */
+/* Returns the document version at which the operation with id "op" was
+ * applied; 0 when "op" is not among the last 256 operation ids. */
 int64_t AqFleet_FindOp(const AqFleet *fleet, const char *op);
 
 /* ---- Storage ---------------------------------------------------------- */
 
 #define AQ_FLEET_HEAD_KEY "aq/fleet/head"
-/* Followed by the version in decimal. */
+/* Prefix of the store keys of snapshots, followed by the document version of
+ * the snapshot in decimal. */
 #define AQ_FLEET_SNAPSHOT_PREFIX "aq/fleet/snapshot/"
 
-/* Returns the text of head for this document, to be released with free().  Its
- * tail holds the commits after the last snapshot. */
+/* Returns the value of the store key AQ_FLEET_HEAD_KEY for this document, to
+ * be released with free().  The tail in it holds the commits after the last
+ * snapshot. */
 char *AqFleet_EncodeHead(const AqFleet *fleet);
-/* Returns whether the next commit must store a snapshot first. */
+/* Returns whether the next commit must first store a snapshot of this
+ * document. */
 bool AqFleet_NeedsSnapshot(const AqFleet *fleet);
-/* Returns the text of a snapshot of this version, to be released with
- * free(). */
+/* Returns the text of a snapshot of the document at its current version, to be
+ * released with free(). */
 char *AqFleet_EncodeSnapshot(const AqFleet *fleet);
-/* Returns the version of the snapshot that head refers to; 0 when there is
- * none. */
+/* Returns the document version of the snapshot that head (AQ_FLEET_HEAD_KEY)
+ * refers to; 0 when head refers to none. */
 int64_t AqFleet_SnapshotVersion(const AqFleet *fleet);
-/* Records that a snapshot of the current version was stored, and clears the
- * tail. */
+/* Records that a snapshot of the document's current version was stored, and
+ * clears the tail (the commits after the last snapshot). */
 void AqFleet_SnapshotWritten(AqFleet *fleet);
 
 typedef enum {
-    AQ_LOAD_OK,       /* the document now has head's version */
-    AQ_LOAD_OLDER,    /* head is not newer; nothing changed */
-    AQ_LOAD_SNAPSHOT, /* load version *snapshot first; nothing changed */
-    AQ_LOAD_BAD       /* text is invalid, see *error; nothing changed */
+    AQ_LOAD_OK, /* the document now has the version of the text */
+    /* the text is not newer than the document; nothing changed */
+    AQ_LOAD_OLDER,
+    /* load the snapshot of version *snapshot first; nothing changed */
+    AQ_LOAD_SNAPSHOT,
+    AQ_LOAD_BAD /* the text is invalid, see *error; nothing changed */
 } AqLoadResult;
 
-/* Updates the document to the version of head's text by applying the tail.
- * When the tail begins after the document's version, *snapshot gets the
- * version of the snapshot to load before the next try. */
+/* Updates the document to the version of "head", the value of
+ * AQ_FLEET_HEAD_KEY, by applying the tail in it.  When the tail begins after
+ * the document's next version, *snapshot gets the version of the snapshot to
+ * load before the next try. */
 AqLoadResult AqFleet_LoadHead(AqFleet *fleet, const char *head, size_t size,
                               int64_t *snapshot, AqError *error);
-/* Replaces the document by a snapshot if the snapshot is newer. */
+/* Replaces the document by the snapshot in "text" if the snapshot is newer. */
 AqLoadResult AqFleet_LoadSnapshot(AqFleet *fleet, const char *text,
                                   size_t size, AqError *error);
 
 /* ---- Planner ---------------------------------------------------------- */
 
-/* What the planner reads from the daemon; "context" is the one that is passed
- * to AqPlanner_Step. */
+/* What the planner reads from the daemon; "context" is the pointer that was
+ * passed to AqPlanner_Step. */
 typedef struct {
-    /* State of a VM in the platform's list: "live", "leaving", "down" or NULL
-     * when it is not listed; borrowed. */
+    /* State of a VM in the platform's VM list: "live", "leaving", "down" or
+     * NULL when the VM is not listed; the callee owns the string. */
     const char *(*listed)(void *context, const char *vm);
     /* Requests in flight on a draining VM, summed over all entry VMs; -1 until
-     * each of them has reported the version that began the drain. */
+     * each entry VM has reported a document version of at least "version", the
+     * one that began the drain. */
     int64_t (*in_flight)(void *context, const char *vm, int64_t version);
-    /* Whether all health checks of the last "ms" milliseconds succeeded. */
+    /* Whether all health checks of the VM in the last "ms" milliseconds
+     * succeeded. */
     bool (*healthy_for)(void *context, const char *vm, int64_t ms);
 } AqPlannerView;
 
 typedef struct AqPlanner AqPlanner;
 
-/* Returns a planner.  Its state may be lost in a restart: since when a pool
- * has had a surplus or deficit, and which rebooting VMs were seen down. */
+/* Returns a planner.  Its memory need not outlive a restart of the daemon:
+ * since when a pool has had a surplus or deficit of VMs, and which rebooting
+ * VMs the VM list has shown down. */
 AqPlanner *AqPlanner_Create(void);
 void AqPlanner_Destroy(AqPlanner *planner);
 
-/* Decides the next background step: appends upserts to "set" (none when there
- * is nothing to do) and the ids of VMs to reboot to "reboots", an array of
- * strings.  A VM in state rebooting is named in each step until it is back. */
+/* Decides the next planner step: appends upserts to "set" (none when there is
+ * nothing to do) and the ids of VMs to reboot to "reboots", an array of
+ * strings.  The id of a VM in state rebooting is appended in each step until
+ * the VM is found rebooted or counts as failed. */
 void AqPlanner_Step(AqPlanner *planner, const AqFleet *fleet, int64_t wall_ms,
                     const AqPlannerView *view, void *context, json_t *set,
                     json_t *reboots);
 
 /* Checks the invariants of one document: each VM has exactly one existing
- * pool, fields are in range, and the counts of the index are right. */
+ * pool, fields of records are in range, and the VM counts per pool in the
+ * index agree with the records.  Returns false with an error otherwise. */
 bool AqFleet_CheckConsistency(const AqFleet *fleet, AqError *error);
-/* Checks a step from one document to the next: the version grows, planned
- * stops keep to the budgets, and moves go through a drain. */
+/* Checks the change from document "before" to document "after": the version
+ * grows, planned stops keep to the budgets of their pools, and a VM changes
+ * its pool only at the end of a drain.  Returns false with an error
+ * otherwise. */
 bool AqFleet_CheckStep(const AqFleet *before, const AqFleet *after,
                        AqError *error);
 
--- a/packages/fleet/bench/bench_fleet.c
+++ b/packages/fleet/bench/bench_fleet.c
@@ -1,7 +1,7 @@
-/* Measures waves, placement and commits on virtual time, with 20 fixed seeds:
+/* Measures waves, placement and commits in virtual time, with 20 fixed seeds:
  *   bench_fleet [waves-small | waves-design | operators]...
- * Without arguments it runs all three.  Only the durations of planner steps
- * are CPU time. */
+ * Without arguments bench_fleet runs all three measurements.  Only the
+ * durations of planner steps are CPU time. */
 
 #include <math.h>
 #include <stdio.h>
@@ -26,14 +26,15 @@
     int vms;
     int pools;
     int zones;
-    const int *sizes; /* VMs per pool; NULL: an even share, varied by 20% */
-    int buffer;       /* weights of the document */
+    /* VMs of each pool; NULL: an even share, varied by 20% */
+    const int *sizes;
+    int buffer; /* weight "buffer" of the fleet document, 1 to 10 */
     int moves;
     int time;
 } Site;
 
-/* Section 1.1: the pools of both sites and the weights that are highest
- * there. */
+/* Design page, section 1.1: VMs of each pool at sites 1 and 2, and the weights
+ * that are highest at each of these sites. */
 static const int small_sizes[] = {9, 9, 11, 12, 8};
 static const Site small_sites[] = {
     {"site 1: 50 VMs, 5 pools, moves and time weigh most", 50, 5, 3,
@@ -54,9 +55,13 @@
 typedef struct {
     const char *name;
     bool placement;
-    double extra;    /* VMs above min_serving per pool: share, at least 1 */
-    double parallel; /* max_parallel: share of the fleet; 0: one VM */
-    double max_unavailable; /* share of a pool; 0: unlimited */
+    /* VMs of a pool above min_serving at the start, as a share of min_serving;
+     * at least one VM */
+    double extra;
+    /* max_parallel of the wave as a share of the fleet's VMs; 0: one VM */
+    double parallel;
+    /* max_unavailable of a pool as a share of min_serving; 0: unlimited */
+    double max_unavailable;
 } Strategy;
 
 static const Strategy strategies[] = {
@@ -66,9 +71,11 @@
 };
 
 typedef struct {
-    double buffer_hours;  /* VM-hours above min_serving, per day */
-    double spare_hours;   /* VM-hours in the spare pool, per day */
-    double missing_hours; /* VM-hours below min_serving, per day */
+    /* VM-hours that pools have above min_serving, per day */
+    double buffer_hours;
+    double spare_hours; /* VM-hours in the spare pool, per day */
+    /* VM-hours that pools lack below min_serving, per day */
+    double missing_hours;
     double wave_hours;
     double wave_failed;
     double moves;
@@ -90,8 +97,8 @@
     Result result;
     int64_t writes; /* writes to the store so far */
     int64_t steps;  /* planner steps so far */
-    int64_t heads;  /* heads whose size was added to the result */
-    int serial;     /* number of the next operation */
+    int64_t heads;  /* heads whose length was added to result.head_bytes */
+    int serial;     /* number in the id of the next operation */
     bool measuring;
 } Run;
 
@@ -128,8 +135,9 @@
     fake_platform_vm(&run->platform, id);
 }
 
-/* Sets min_serving to 87% of the size of each pool and assigns the VMs of all
- * racks to the pools at random; the others are spare. */
+/* Sets min_serving of each pool to 87% of its size and assigns min_serving VMs
+ * and the strategy's extra VMs to the pool at random over all racks; the
+ * remaining VMs go to the spare pool. */
 static void
 build_fleet(Run *run)
 {
@@ -180,9 +188,11 @@
     return fake_platform_vm(&run->platform, id);
 }
 
-/* Unplanned events at the rates of section 1.6, scaled to the fleet: 11
- * failures (60 min) and 96 restarts or replacements (leaving for 2 min, down
- * for about 8) a day over 900 VMs, and a rack (2 h) every 45 days. */
+/* Causes unplanned outages of VMs at the rates of the design page, section
+ * 1.6.  Scaled to the number of VMs: 11 failures (60 min) and 96 restarts or
+ * replacements (leaving for 2 min, which is left out here, then down for about
+ * 8) a day over 900 VMs.  Not scaled: the outage of one rack (2 h) every 45
+ * days. */
 static void
 fail_vms(Run *run)
 {
@@ -229,7 +239,8 @@
         AqFleet_SnapshotWritten(run->fleet);
         run->writes++;
     }
-    /* The id has the length of those that operators' commands generate. */
+    /* The operation id has the length of the ids that operators' commands
+     * generate, so that head has its usual size. */
     g_snprintf(op, sizeof(op), "planner-entry-1-%012d", run->serial++);
     if (!AqFleet_Apply(run->fleet, op, set, &error)) {
         fprintf(stderr, "commit failed: %s\n", error.message);
@@ -283,7 +294,8 @@
     json_decref(reboots);
 }
 
-/* Adds the VM-hours of one step to the result. */
+/* Adds the VM-hours of one planner step interval (STEP_INTERVAL_MS) to the
+ * result. */
 static void
 count_buffer(Run *run)
 {
@@ -399,7 +411,8 @@
     return (a > b) - (a < b);
 }
 
-/* Prints median and range of one field of the results over the seeds. */
+/* Prints median and range of the field at "offset" in the results, one per
+ * seed. */
 static void
 print_field(const char *name, const Result *results, size_t offset)
 {
--- a/packages/fleet/bench/bench_operators.c
+++ b/packages/fleet/bench/bench_operators.c
@@ -1,7 +1,7 @@
-/* Compares evaluating an intent again on a conflict with refusing it, for
- * concurrent operators on different daemons.  In virtual time a read takes
- * 4 ms, a write 6 ms, a watch delivers a commit after 4 ms, and an operator
- * waits 20 ms on average between intents. */
+/* Compares evaluating an intent again after a conflicting commit with refusing
+ * the intent, for concurrent operators on different daemons.  In virtual time
+ * a read of the store takes 4 ms, a write 6 ms, a watch delivers a commit
+ * after 4 ms, and an operator waits 20 ms on average between intents. */
 
 #include <stdio.h>
 #include <stdlib.h>
@@ -23,16 +23,18 @@
 typedef struct {
     int accepted;
     int refused;
-    int needless_refusals; /* refused though the stored document allows it */
-    int conflicts;         /* writes that did not take effect */
+    /* intents refused though the document in the store allows them */
+    int needless_refusals;
+    int conflicts; /* writes of head that did not take effect */
 } Totals;
 
 typedef struct {
     FakeStore store;
     FakePlatform platform;
     FakeDaemon daemons[OPERATORS_MAX];
-    int64_t due_ms[OPERATORS_MAX]; /* virtual time of its next step */
-    int64_t committed_ms;          /* virtual time of the last commit */
+    /* virtual time of each daemon's next action */
+    int64_t due_ms[OPERATORS_MAX];
+    int64_t committed_ms; /* virtual time of the last commit */
     AqRandom random;
     int serial;
 } OperatorRun;
@@ -98,7 +100,8 @@
         (int64_t)AqRandom_Exponential(&run->random, MEAN_THINK_MS);
 }
 
-/* Makes the next step of the daemon with index "at". */
+/* Makes the next step in the commit procedure of daemon number "at"; begins a
+ * new intent if the daemon is idle. */
 static void
 advance(OperatorRun *run, int at, Totals *totals)
 {
--- a/packages/fleet/budget.c
+++ b/packages/fleet/budget.c
@@ -3,13 +3,14 @@
 #include <math.h>
 
 /* Expected share of the time that a VM is out of service for unplanned
- * reasons, at the design size of 900 VMs (section 1.6): 11 failures a day,
- * each replaced within about 60 min, and 96 restarts a day of about 10 min. */
+ * reasons, at the design size of 900 VMs (design page, section 1.6): 11
+ * failures a day, each replaced within about 60 min, and 96 restarts a day of
+ * about 10 min. */
 #define UNPLANNED_SHARE ((11.0 * 60.0 + 96.0 * 10.0) / (900.0 * 24.0 * 60.0))
-/* Share of a pool that a running wave is expected to have out of service at
- * once.  10% raises the buffer target of every pool when a wave starts: at the
- * design size 86 moves a day and 2903 buffer VM-hours, against 3 moves and
- * 2573 VM-hours with 5%, while the wave takes 0.49 h instead of 0.52 h. */
+/* Share of a pool's VMs that a running wave is expected to have out of service
+ * at once.  At the design size of 900 VMs, 10% raises the buffer target of
+ * every pool when a wave starts: 86 VM moves and 2903 buffer VM-hours a day,
+ * and 0.49 h for a wave, against 3 moves, 2573 VM-hours and 0.52 h with 5%. */
 #define WAVE_SHARE 0.05
 
 int
@@ -74,7 +75,8 @@
 }
 
 /* Returns the number of the pool's VMs that a running wave is expected to have
- * out of service at once, the largest over all waves with work left in it. */
+ * out of service at once: the largest number over all running waves that still
+ * have VMs of the pool to work on. */
 static int
 wave_held_vms(const AqFleet *fleet, const PoolEntry *pool)
 {
@@ -107,8 +109,8 @@
     return largest;
 }
 
-/* Returns the number of the pool's VMs in the rack that holds most of them,
- * without failed and leaving VMs. */
+/* Returns the number of the pool's VMs, without failed and leaving ones, in
+ * the rack that holds most of them. */
 static int
 fullest_rack_vms(const AqFleet *fleet, const PoolEntry *pool)
 {
@@ -126,10 +128,11 @@
     return largest;
 }
 
-/* The larger of the fullest rack and the expected outages, scaled by the
- * weights (sections 7.2 and 12).  At most min_serving: a buffer larger than
- * min_serving protects it no better, and in a pool whose VMs share one rack
- * each added VM would raise the target again. */
+/* The target is the larger of two numbers of the pool's VMs, those in the
+ * fullest rack and those expected out of service, scaled by the weights
+ * (design page, sections 7.2 and 12).  It is at most min_serving: a larger
+ * buffer protects min_serving no better, and in a pool whose VMs share one
+ * rack each added VM would raise the target again. */
 int
 buffer_target(const AqFleet *fleet, PoolEntry *pool)
 {
@@ -145,7 +148,8 @@
             UNPLANNED_SHARE * pool->vm_count + wave_held_vms(fleet, pool);
         double exact_target = (racks > failures ? racks : failures) *
                               (0.5 + time / 10.0) * 5.0 / buffer;
-        /* 1e-9 absorbs floating point error, which ceil would round up. */
+        /* 1e-9 absorbs the floating point error in exact_target, which ceil
+         * would round up to one more VM. */
         int target = (int)ceil(exact_target - 1e-9);
         target = target > pool->min_serving ? pool->min_serving : target;
         pool->buffer_target = target < 1 ? 1 : target;
--- a/packages/fleet/check.c
+++ b/packages/fleet/check.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* Reports a violated invariant of a record; returns false. */
+/* Fills *error for the violated invariant "why" of a record; returns false. */
 static bool
 inconsistency(AqError *error, const char *kind, const char *name,
               const char *why)
@@ -64,7 +64,8 @@
     return true;
 }
 
-/* Counts the VMs per pool and state and compares with the index. */
+/* Counts the VMs per pool and state and compares the counts with those of the
+ * VM and pool index. */
 static bool
 check_counts(const AqFleet *fleet, AqError *error)
 {
@@ -125,9 +126,10 @@
 
 /* ---- Steps ------------------------------------------------------------ */
 
-/* Whether one commit may change a VM's state from "before" to "after"; section
- * 12.  Drained to serving covers an undrain, the end of a move, and a wave
- * that ends and returns its drained VMs to service. */
+/* Whether one commit may change a VM's state from "before" to "after"; design
+ * page, section 12.  The change from drained to serving covers an undrain, the
+ * end of a move, and a wave that ends and returns its drained VMs to
+ * service. */
 static bool
 is_allowed_transition(AqVmState before, AqVmState after)
 {
@@ -144,8 +146,8 @@
            after == AQ_VM_LEAVING || (allowed[before] & 1u << after) != 0;
 }
 
-/* Checks the change of one VM (NULL: removed).  *stopped says whether it is a
- * planned stop of a serving VM. */
+/* Checks the change of one VM from "old" to "vm" (NULL: removed).  Sets
+ * *stopped to whether the change is a planned stop of a serving VM. */
 static bool
 check_vm_step(const VmEntry *old, const VmEntry *vm, bool *stopped,
               AqError *error)
@@ -173,8 +175,9 @@
     return true;
 }
 
-/* Checks the pool as it is after the commit, since one commit may stop several
- * of its VMs. */
+/* Checks a pool against its budget (min_serving and max_unavailable).  "pool"
+ * is the pool after the commit, since one commit may stop several VMs of a
+ * pool. */
 static bool
 check_budget(const PoolEntry *pool, AqError *error)
 {
@@ -208,8 +211,8 @@
                              "it is lower than in the version before");
     }
     if (after->version > before->version + 1) {
-        /* The commits in between are not known, so their effects on a VM
-         * cannot be checked one by one. */
+        /* The commits between the two versions are not known, so the changes
+         * of a VM's state cannot be checked one by one. */
         return true;
     }
     for (guint i = 0; i < before->vm_order->len; i++) {
--- a/packages/fleet/document.c
+++ b/packages/fleet/document.c
@@ -5,8 +5,9 @@
 
 #include "aq_json.h"
 
-/* Records are immutable: every change sets a new object.  Clones and undo
- * lists therefore share them. */
+/* Records are immutable: every change of a record puts a new JSON object in
+ * place of the old.  Clones of a document and undo lists therefore share the
+ * objects of records. */
 
 AqFleet *
 AqFleet_Create(void)
@@ -109,8 +110,9 @@
                                     record == NULL ? json_null() : record));
 }
 
-/* Whether a pool exists once a set of upserts is applied; "pools" maps the
- * names of the pools that the set changes to their records or null. */
+/* Whether pool "name" exists once a set of upserts is applied; "pools" maps
+ * the name of each pool that the set changes to the pool's record, or to null
+ * when the set deletes the pool. */
 static bool
 pool_exists_after(const AqFleet *fleet, const json_t *pools, const char *name)
 {
@@ -221,7 +223,7 @@
     if (undo != NULL) {
         set_put(undo, kind, name, json_incref(old));
     }
-    /* The index borrows from the old record until index_update. */
+    /* The index points into the old record until index_update has run. */
     json_incref(old);
     if (json_is_null(record)) {
         index_update(fleet, kind, name, NULL);
@@ -239,8 +241,8 @@
 {
     size_t i;
     json_t *upsert;
-    /* Pools that are set come first, because a VM may be in a new pool of the
-     * same set; deleted pools come with the rest. */
+    /* Upserts that set a pool are applied first, because a VM may be in a new
+     * pool of the same set; those that delete a pool come with the rest. */
     for (int pools = 1; pools >= 0; pools--) {
         json_array_foreach((json_t *)set, i, upsert)
         {
--- a/packages/fleet/fleet_internal.h
+++ b/packages/fleet/fleet_internal.h
@@ -9,93 +9,120 @@
 #define SPARE_POOL "spare"
 #define WEIGHTS_NAME "weights"
 #define VM_STATE_COUNT 7
-/* Operation ids that a document remembers; AqFleet_Apply refuses these. */
+/* A document keeps the ids of this many last operations; AqFleet_Apply refuses
+ * an operation whose id is among them. */
 #define OPERATION_IDS_MAX 256
-/* A snapshot is due at this many tail entries, or above this many bytes. */
+/* Once head's tail has this many entries, one per commit, the next commit
+ * first stores a snapshot and clears the tail. */
 #define TAIL_MAX_ENTRIES 16
-/* Each daemon reads head once a second: 4 KB are 5.5 KB/s in base64. */
+/* Above this many bytes of tail the next commit first stores a snapshot, too.
+ * Each daemon reads head once a second: 4 KB are 5.5 KB/s in base64. */
 #define TAIL_MAX_BYTES 4096
 
-/* Limit for a reboot and the health checks after it together, after which
- * the VM counts as failed; section 7.1. */
+/* Limit for a reboot and the health checks after it together, after which the
+ * VM counts as failed; design page, section 7.1. */
 #define WAVE_RETURN_LIMIT_MS (10 * 60 * 1000)
-/* Delay before a VM that is listed live but failed its health checks is
- * checked again, so that a broken VM costs two commits an hour. */
+/* Delay before a VM that is listed live but has failed its health checks is
+ * checked again, so that a broken VM costs only two commits of the fleet
+ * document an hour. */
 #define VM_RETRY_MS (60 * 60 * 1000)
 
 typedef struct PoolEntry PoolEntry;
 
-/* Index entries cache the record fields that are read often.  Strings and
- * JSON values are borrowed from the record; id and name are owned. */
+/* Entries of the VM and pool index (VmEntry, PoolEntry) cache the record
+ * fields that are read often.  Strings and JSON values are owned by the
+ * record; only the id of a VM and the name of a pool are owned by the
+ * entry. */
 typedef struct {
     char *id;
     const json_t *record;
     PoolEntry *pool;
-    PoolEntry *target_pool; /* pool it moves to; NULL when it does not move */
-    AqLink link;            /* in pool->vms */
-    int number;             /* position in AqFleet.vm_order */
-    int rack;               /* number of the interned rack name */
-    int zone;               /* number of the interned data centre name */
+    PoolEntry *target_pool; /* pool to which the VM is being moved, or NULL */
+    AqLink link;            /* links the VM in the list pool->vms */
+    int number;             /* position of this VM in AqFleet.vm_order */
+    int rack; /* number of the rack's name in AqFleet.interned_names */
+    int zone; /* number of the data centre's name in AqFleet.interned_names */
     AqVmState state;
-    bool is_reboot_planned; /* reboot once drained, outside of a wave */
-    bool matches_selector;  /* labels match the selector of its pool */
-    int64_t since_ms;       /* wall time of the last change of state */
-    int64_t moved_at_ms;    /* wall time of the last move; 0: never */
-    int64_t drain_version;  /* document version that began its drain */
-    int64_t last_wave_id;   /* id of the last wave that finished on it */
-    int64_t deadline_ms;    /* wall time when rebooting or checking fails */
-    int64_t retry_at_ms;    /* wall time before which it stays failed */
-    const char *wave;       /* name of the wave that stopped it, or "" */
+    /* the planner reboots the VM once drained; set by vm.reboot, not by
+     * waves */
+    bool is_reboot_planned;
+    bool matches_selector; /* the VM's labels match its pool's selector */
+    int64_t since_ms;      /* wall time of the VM's last change of state */
+    /* wall time of the VM's last change of pool; 0: never moved */
+    int64_t moved_at_ms;
+    /* document version in which the VM began to drain */
+    int64_t drain_version;
+    /* id of the last wave that finished its work on the VM; 0: none */
+    int64_t last_wave_id;
+    /* wall time at which a VM still rebooting or checking counts as failed */
+    int64_t deadline_ms;
+    /* wall time before which a failed VM is not checked again */
+    int64_t retry_at_ms;
+    const char *wave; /* name of the wave that stopped the VM, or "" */
 } VmEntry;
 
 struct PoolEntry {
     char *name;
     const json_t *record;
-    AqLink vms;                   /* members, linked by VmEntry.link */
-    int number;                   /* position in AqFleet.pool_order */
-    int vm_count;                 /* members of the pool */
-    int by_state[VM_STATE_COUNT]; /* members per AqVmState */
-    int incoming; /* VMs of other pools whose target is this pool */
+    AqLink vms;   /* VMs of the pool, linked by VmEntry.link */
+    int number;   /* position of this pool in AqFleet.pool_order */
+    int vm_count; /* VMs in the pool */
+    int by_state[VM_STATE_COUNT]; /* VMs in the pool, per AqVmState */
+    int incoming; /* VMs of other pools that are being moved to this pool */
     int min_serving;
-    int max_unavailable; /* -1: unlimited */
+    /* no planned stop may put more VMs of the pool than this out of service;
+     * -1: unlimited */
+    int max_unavailable;
     int slots;
     int connections;
     const char *service;
     const json_t *selector;
-    int buffer_target; /* cached buffer target in VMs; -1: not computed */
+    int buffer_target; /* buffer target in VMs, cached; -1: must be computed */
 };
 
 struct AqFleet {
     int64_t version;
-    int64_t epoch; /* version of the last change of entry VM members */
-    int64_t snapshot_version; /* version of the last snapshot */
-    bool snapshot_stored;     /* that snapshot is known to be in the store */
-    unsigned disabled;        /* FLEET_DISABLE_* flags */
-    json_t *records[AQ_REC_KINDS]; /* objects from name to record */
-    json_t *ops;                   /* [[op, version]...], oldest first */
-    json_t *tail;               /* one entry per version after the snapshot */
-    size_t tail_bytes;          /* length of the tail as JSON text */
-    GHashTable *vms;            /* id -> VmEntry */
-    GHashTable *pools;          /* name -> PoolEntry */
-    GPtrArray *vm_order;        /* VmEntry, by VmEntry.number */
-    GPtrArray *pool_order;      /* PoolEntry, by PoolEntry.number */
-    GHashTable *interned_names; /* rack or zone name -> number */
+    /* document version in which the set of entry VM members last changed */
+    int64_t epoch;
+    int64_t snapshot_version; /* document version of the last snapshot */
+    bool snapshot_stored; /* the last snapshot is known to be in the store */
+    /* mechanisms that a test disables: FLEET_DISABLE_* flags */
+    unsigned disabled;
+    /* per AqRecordKind: JSON object from name to record */
+    json_t *records[AQ_REC_KINDS];
+    /* last operations, oldest first: [[operation id, document version]...] */
+    json_t *ops;
+    /* commits after the last snapshot: one entry per document version */
+    json_t *tail;
+    /* length of the tail as JSON text; of all of head after
+     * AqFleet_LoadHead */
+    size_t tail_bytes;
+    GHashTable *vms;     /* VM id -> VmEntry */
+    GHashTable *pools;   /* pool name -> PoolEntry */
+    GPtrArray *vm_order; /* VmEntry of each VM, at position VmEntry.number */
+    /* PoolEntry of each pool, at position PoolEntry.number */
+    GPtrArray *pool_order;
+    /* name of a rack or data centre -> its number */
+    GHashTable *interned_names;
 };
 
-/* Mechanisms that a test disables to show that its checks detect their
- * absence.  Never set outside of tests and benchmarks. */
+/* A test disables one of these mechanisms to show that the checks of the test
+ * notice when the mechanism is missing.  Never set outside of tests and
+ * benchmarks. */
 enum {
     FLEET_DISABLE_BUDGET = 1 << 0, /* planned stops ignore budgets */
-    FLEET_DISABLE_DRAIN = 1 << 1,  /* moves change the pool of a serving VM */
-    FLEET_DISABLE_WAVE_STOP = 1 << 2,  /* waves go on after failed VMs */
-    FLEET_DISABLE_HYSTERESIS = 1 << 3, /* every surplus moves at once */
-    FLEET_DISABLE_PLACEMENT = 1 << 4   /* the planner moves no VMs */
+    /* a move changes the pool of a serving VM without a drain */
+    FLEET_DISABLE_DRAIN = 1 << 1,
+    FLEET_DISABLE_WAVE_STOP = 1 << 2, /* waves do not stop after failed VMs */
+    /* the planner moves VMs at the first sign of surplus or deficit */
+    FLEET_DISABLE_HYSTERESIS = 1 << 3,
+    FLEET_DISABLE_PLACEMENT = 1 << 4 /* the planner moves no VMs */
 };
 void fleet_disable(AqFleet *fleet, unsigned disabled);
 
-/* record.c: names of kinds and states, validation of fields and records.
- * Functions that return bool and take an error return false and fill it when
- * the value is not valid; the message names field, value and valid range. */
+/* record.c: names of record kinds and VM states, validation of fields and
+ * records.  The functions that take an AqError return whether the value is
+ * valid; if not, the error message names field, value and valid range. */
 const char *record_kind_name(AqRecordKind kind);
 bool record_kind_parse(const char *name, AqRecordKind *kind);
 bool vm_state_parse(const char *name, AqVmState *state);
@@ -112,80 +139,98 @@
 bool field_labels(const json_t *object, const char *field, AqError *error);
 bool field_choice(const json_t *object, const char *field,
                   const char *const *choices, AqError *error);
-/* Fails with the first field that is not in the NULL-terminated list. */
+/* Whether every field of "object" is in the NULL-terminated list "allowed";
+ * the error message names the first field that is not. */
 bool check_known_fields(const json_t *object, const char *const *allowed,
                         AqError *error);
 /* Value of a string field, or the default when the field is absent or of
  * another type.  The string is borrowed from the object. */
 const char *string_or(const json_t *object, const char *field,
                       const char *default_value);
-/* The same for an integer field. */
+/* Value of an integer field, or the default when the field is absent or of
+ * another type. */
 int64_t int_or(const json_t *object, const char *field, int64_t default_value);
 /* Whether the labels contain every label of the selector with its value. */
 bool selector_matches(const json_t *selector, const json_t *labels);
 
-/* index.c: entries of VMs and pools by name, kept in step with the records.
- * The lookups return NULL when there is no such VM or pool. */
+/* index.c: VmEntry by VM id and PoolEntry by pool name, updated with each
+ * change of a record.  index_vm and index_pool return NULL when there is no
+ * such VM or pool. */
 void index_create(AqFleet *fleet);
 void index_destroy(AqFleet *fleet);
-/* Updates the index for a record that was just set, or deleted (NULL). */
+/* Updates the VM and pool index for a record that was just set, or deleted
+ * ("record" NULL). */
 void index_update(AqFleet *fleet, AqRecordKind kind, const char *name,
                   const json_t *record);
 VmEntry *index_vm(const AqFleet *fleet, const char *id);
 PoolEntry *index_pool(const AqFleet *fleet, const char *name);
 
 /* document.c: validation and application of sets of upserts. */
-/* Whether every upsert is well formed and the pools that VMs name exist once
- * all are applied; changes nothing. */
+/* Whether every upsert in "set" is well formed and the pools that VMs name
+ * exist once all upserts are applied; does not change the document. */
 bool document_check_set(const AqFleet *fleet, const json_t *set,
                         AqError *error);
-/* Applies checked upserts without changing the version.  Appends to "undo"
- * (may be NULL) the upserts that restore the old records, in the order of
- * application. */
+/* Applies upserts that document_check_set has accepted, without changing the
+ * document's version.  Appends to "undo" (may be NULL) the upserts that
+ * restore the old records, in the order of application. */
 void document_put(AqFleet *fleet, const json_t *set, json_t *undo);
-/* Checks and applies upserts as the next version, with the epoch, but without
- * a tail entry or an operation id. */
+/* Checks and applies upserts as the next version of the document, and sets the
+ * epoch when the set of entry VM members changes; adds no tail entry and no
+ * operation id. */
 bool document_advance(AqFleet *fleet, const json_t *set, json_t *undo,
                       AqError *error);
-/* Appends an operation id and drops the oldest above OPERATION_IDS_MAX. */
+/* Adds the id "op" of an operation applied at document version "version" to
+ * the ids that the document keeps, and drops the oldest ids above
+ * OPERATION_IDS_MAX. */
 void document_record_op(AqFleet *fleet, const char *op, int64_t version);
-/* Appends the upsert [kind, name, record] to a set; steals the reference to
- * the record (NULL: delete). */
+/* Appends the upsert [kind, name, record] to the array "set"; steals the
+ * reference to the record (NULL: the upsert deletes the record). */
 void set_put(json_t *set, AqRecordKind kind, const char *name, json_t *record);
 
-/* budget.c: disruption budgets and buffer targets. */
+/* budget.c: disruption budgets and buffer targets.  pool_serving counts the
+ * VMs of a pool in state serving, pool_unavailable those in other states. */
 int pool_serving(const PoolEntry *pool);
 int pool_unavailable(const PoolEntry *pool);
-/* Number of VMs that may be stopped as planned work before a budget of
- * min_serving and max_unavailable (-1: unlimited) is used up; >= 0. */
+/* Number of further VMs of a pool that may be stopped as planned work before
+ * the pool's budget of min_serving and max_unavailable (-1: unlimited) is used
+ * up; >= 0. */
 int budget_headroom(int serving, int unavailable, int min_serving,
                     int max_unavailable);
-/* Whether the budget allows the planned stop of one more serving VM; the error
- * message names pool, numbers and remedy. */
+/* Whether the budget of "pool" allows the planned stop of the serving VM "vm";
+ * if not, the error message names pool, numbers and remedy. */
 bool budget_allow_stop(const AqFleet *fleet, const PoolEntry *pool,
                        const char *vm, AqError *error);
-/* VMs that a pool should hold above min_serving; 0 for the spare pool.  Cached
- * in the pool until a record that it depends on changes. */
+/* Number of VMs that a pool should have above min_serving; 0 for the spare
+ * pool.  The number is cached in the pool until a record on which it depends
+ * changes. */
 int buffer_target(const AqFleet *fleet, PoolEntry *pool);
 /* Reads the three weights (1 to 10) of the document. */
 void buffer_weights(const AqFleet *fleet, int *buffer, int *moves, int *time);
 
-/* vm_record.c: new VM records made from old ones; each returns a new
- * reference.  "wall_ms" becomes the time of the change of state. */
+/* vm_record.c: each function with a json_t result returns a new VM record made
+ * from the VM's present one, as a new reference.  "wall_ms" becomes the time
+ * of the last change of state in the new record. */
 json_t *vm_in_state(const json_t *record, AqVmState state, int64_t wall_ms);
-/* Draining, beginning with the next version of the document. */
+/* Returns the record of a VM that begins to drain with the next version of the
+ * document. */
 json_t *vm_draining(const AqFleet *fleet, const VmEntry *vm, int64_t wall_ms);
-/* Serving, without a wave, move or reboot planned. */
+/* Returns the record of a VM in state serving, for which no wave, move or
+ * reboot is planned. */
 json_t *vm_serving(const VmEntry *vm, int64_t wall_ms);
-/* Health checks before service; a rebooted VM keeps its deadline. */
+/* Returns the record of a VM in state checking (health checks before
+ * service).  A VM that was in state rebooting keeps its deadline; a VM that
+ * was in another state gets a new deadline. */
 json_t *vm_checking(const VmEntry *vm, int64_t wall_ms);
-/* Serving in another pool, as the end of a move. */
+/* Returns the record of a VM in state serving in "pool", as the end of a
+ * move. */
 json_t *vm_in_pool(const VmEntry *vm, const char *pool, int64_t wall_ms);
-/* Removes the wave, move and reboot that are planned for the VM. */
+/* Removes from a VM record the wave, move and reboot that are planned for the
+ * VM. */
 void vm_clear_plan(json_t *record);
 
-/* Intent handlers (intents*.c): validate the arguments and the state, then
- * append upserts to Intent.set; false with an error otherwise. */
+/* Intent handlers (intents*.c) validate the arguments of the intent and the
+ * state of its VM, pool or wave, then append upserts to Intent.set.  When the
+ * intent is not allowed, they return false with an error. */
 typedef struct {
     const AqFleet *fleet;
     const json_t *args; /* object "args" of the intent */
@@ -205,8 +250,8 @@
 bool intent_wave_pause(const Intent *intent, AqError *error);
 bool intent_wave_resume(const Intent *intent, AqError *error);
 bool intent_wave_abort(const Intent *intent, AqError *error);
-/* Appends upserts that return the VMs which a wave has begun to drain or has
- * drained, but not rebooted, to service. */
+/* Appends to "set" upserts that return to service the VMs that the wave "wave"
+ * drains or has drained; VMs that it is rebooting stay out of service. */
 void wave_release_vms(const AqFleet *fleet, const char *wave, int64_t wall_ms,
                       json_t *set);
 
--- a/packages/fleet/index.c
+++ b/packages/fleet/index.c
@@ -2,8 +2,8 @@
 
 #include <string.h>
 
-/* The index is derived from the records and updated with each change of one,
- * so that counts and views do not scan all VMs. */
+/* The index of VMs and pools is derived from the records and updated with each
+ * change of a record, so that counts and views do not scan all VMs. */
 
 static void
 free_vm(void *data)
@@ -55,7 +55,8 @@
     return g_hash_table_lookup(fleet->pools, name);
 }
 
-/* Returns the number of an interned name; equal names have equal numbers. */
+/* Returns the number that stands for the name of a rack or data centre; equal
+ * names have equal numbers. */
 static int
 intern(AqFleet *fleet, const char *name)
 {
@@ -70,7 +71,8 @@
     return next;
 }
 
-/* Adds (delta 1) or removes (delta -1) a VM in the counts of its pools. */
+/* Adds a VM to the counts of its pool and target pool (delta 1) or removes the
+ * VM from these counts (delta -1). */
 static void
 count_vm(VmEntry *vm, int delta)
 {
@@ -197,7 +199,8 @@
         update_pool(fleet, name, record);
     }
     else if (kind == AQ_REC_WAVE || kind == AQ_REC_WEIGHTS) {
-        /* The buffer target of every pool depends on both. */
+        /* The buffer target of every pool depends on the waves and weights;
+         * with -1 the function buffer_target computes the target again. */
         for (guint i = 0; i < fleet->pool_order->len; i++) {
             ((PoolEntry *)fleet->pool_order->pdata[i])->buffer_target = -1;
         }
--- a/packages/fleet/intents.c
+++ b/packages/fleet/intents.c
@@ -2,8 +2,9 @@
 
 #include <string.h>
 
-/* Handlers check the fields, then the state, then append upserts.  A handler
- * appends none when the document already has the requested effect. */
+/* Intent handlers check the fields of the intent, then the state of the VM,
+ * pool or wave, then append upserts.  A handler appends no upserts when the
+ * document already has the requested effect. */
 
 static bool
 check_args(const Intent *intent, const char *const *allowed, AqError *error)
@@ -20,8 +21,8 @@
                        field, name);
 }
 
-/* Returns a copy of "base" with those of the named fields that args contains;
- * null removes a field. */
+/* Returns a copy of "base" with those of the named fields that "args"
+ * contains; a null value in "args" removes the field from the copy. */
 static json_t *
 merge_fields(const json_t *base, const json_t *args, const char *const *fields)
 {
@@ -38,8 +39,8 @@
     return record;
 }
 
-/* Checks a record (stolen) and appends an upsert when it differs from the one
- * in the document. */
+/* Checks a record (stolen) and appends an upsert of the record unless the
+ * document has an equal record of that kind and name. */
 static bool
 check_and_put(const Intent *intent, AqRecordKind kind, const char *name,
               json_t *record, AqError *error)
@@ -76,8 +77,8 @@
     json_t *base = json_pack("{s:s, s:{}, s:i, s:i, s:i, s:i}", "service",
                              name, "selector", "min_serving", 0, "slots", 8,
                              "connections", 64, "objective", 999);
-    /* A field that null removed gets its default again, except
-     * max_unavailable, which has none. */
+    /* A field of the pool that null removed gets its default again, except
+     * max_unavailable, which has no default. */
     json_t *record =
         merge_fields(old == NULL ? base : old, intent->args, allowed + 1);
     json_object_update_missing(record, base);
--- a/packages/fleet/intents_vm.c
+++ b/packages/fleet/intents_vm.c
@@ -2,8 +2,8 @@
 
 #include <string.h>
 
-/* Returns the VM named by field "id"; NULL with an error when there is none or
- * a field is not allowed. */
+/* Returns the VM named by field "id" of the intent; NULL with an error when
+ * there is no such VM or the intent has a field not in "allowed". */
 static VmEntry *
 find_vm(const Intent *intent, const char *const *allowed, AqError *error)
 {
@@ -22,8 +22,8 @@
     return vm;
 }
 
-/* Reports that a VM's state rules out an action (a past participle); returns
- * false. */
+/* Fills *error because a VM's state rules out an action ("action" is a past
+ * participle such as "moved"); returns false. */
 static bool
 refuse_state(const VmEntry *vm, const char *action, const char *remedy,
              AqError *error)
@@ -42,8 +42,9 @@
     return vm->state == AQ_VM_DRAINING || vm->state == AQ_VM_DRAINED;
 }
 
-/* Checks labels of a VM (NULL: a new one) against the selector of a pool.  The
- * error names the label that does not match, with both values. */
+/* Checks the labels of a VM ("vm" NULL: a new VM) against the selector of a
+ * pool.  The error message names the label that does not match, with the value
+ * that the pool selects and that of the VM. */
 static bool
 check_selector(const VmEntry *vm, const json_t *labels, const PoolEntry *pool,
                AqError *error)
@@ -108,7 +109,8 @@
     bool moved = strcmp(string_or(next, "address", ""),
                         string_or(vm->record, "address", "")) != 0;
     bool ok = record_check(AQ_REC_VM, vm->id, next, error);
-    /* Requests may be in flight on the old address. */
+    /* A serving or draining VM must keep its address, since requests may be in
+     * flight on the old one. */
     if (ok && moved &&
         (vm->state == AQ_VM_SERVING || vm->state == AQ_VM_DRAINING)) {
         ok = refuse_state(vm, "given another address",
@@ -167,8 +169,8 @@
         return false;
     }
     if (is_drained(vm)) {
-        /* The drain of a wave, move or reboot becomes one that the operator
-         * ends. */
+        /* A drain that was part of a wave, move or reboot now lasts until an
+         * operator ends it. */
         if (*vm->wave != '\0' || vm->target_pool != NULL ||
             vm->is_reboot_planned) {
             json_t *next = json_copy((json_t *)vm->record);
@@ -210,9 +212,11 @@
     return true;
 }
 
-/* Returns the record of a VM that is stopped for a move or a reboot: a serving
- * VM begins to drain if the budget allows it, and one that is draining or
- * drained loses its previous plan.  NULL with an error otherwise. */
+/* Returns the new record of a VM that is to be stopped for a move or a reboot:
+ * a serving VM begins to drain if the budget of its pool allows the stop, and
+ * a draining or drained VM loses its planned wave, move or reboot.  Returns
+ * NULL with an error when the VM has another state or the budget forbids the
+ * stop. */
 static json_t *
 planned_stop(const Intent *intent, const VmEntry *vm, const char *action,
              AqError *error)
@@ -232,7 +236,8 @@
     return vm_draining(intent->fleet, vm, intent->wall_ms);
 }
 
-/* Appends an upsert for a new record (stolen) that differs from the VM's. */
+/* Appends an upsert for the new record "next" (stolen) of a VM when it differs
+ * from the VM's present record. */
 static void
 put_if_changed(const Intent *intent, const VmEntry *vm, json_t *next)
 {
@@ -261,7 +266,7 @@
                            name);
     }
     if (pool == vm->pool) {
-        /* A move to the VM's own pool cancels the move in progress. */
+        /* A move to the VM's own pool cancels the VM's move in progress. */
         if (vm->target_pool != NULL) {
             set_put(intent->set, AQ_REC_VM, vm->id,
                     vm_serving(vm, intent->wall_ms));
--- a/packages/fleet/intents_wave.c
+++ b/packages/fleet/intents_wave.c
@@ -2,7 +2,8 @@
 
 #include <string.h>
 
-/* Finished waves that stay in the document for operators to list. */
+/* Most finished waves that stay in the document for operators to list;
+ * wave.start deletes the oldest one above this number. */
 #define WAVES_KEPT 16
 
 static bool
@@ -12,7 +13,8 @@
     return strcmp(state, "done") == 0 || strcmp(state, "aborted") == 0;
 }
 
-/* Deletes the oldest finished wave when there are more than WAVES_KEPT. */
+/* Appends an upsert that deletes the oldest finished wave when more than
+ * WAVES_KEPT waves are finished. */
 static void
 prune_waves(const Intent *intent)
 {
@@ -76,8 +78,9 @@
         !field_name(intent->args, "name", &name, error)) {
         return false;
     }
-    /* The version serves as id, which orders waves independently of clocks: a
-     * VM keeps the id of the last wave that finished on it. */
+    /* The document version of this commit serves as the wave's id, so that ids
+     * order waves independently of clocks: a VM keeps the id of the last wave
+     * that finished on it. */
     json_t *record = json_pack(
         "{s:{}, s:s, s:s, s:i, s:I, s:I, s:i, s:i, s:s}", "selector", "kind",
         "reboot", "state", "running", "max_parallel", 1, "id",
@@ -121,8 +124,9 @@
     }
 }
 
-/* Changes the state of a wave to "to" if it is one of "from"; succeeds without
- * upserts when the wave has that state already. */
+/* Changes the state of the wave named in the intent to "to" if its present
+ * state is one of "from"; succeeds without upserts when the wave has state
+ * "to" already. */
 static bool
 change_state(const Intent *intent, const char *const *from, const char *to,
              AqError *error)
@@ -154,8 +158,8 @@
     json_t *next = json_copy((json_t *)wave);
     json_object_set_new(next, "state", json_string(to));
     if (strcmp(to, "running") == 0) {
-        /* Resuming acknowledges earlier failures; only new ones count towards
-         * stopping the wave. */
+        /* Resuming acknowledges the failures of VMs so far; only later
+         * failures count towards stopping the wave. */
         json_object_set_new(next, "recent", json_string(""));
         json_object_del(next, "reason");
     }
--- a/packages/fleet/planner.c
+++ b/packages/fleet/planner.c
@@ -2,12 +2,12 @@
 
 #include <string.h>
 
-/* A VM returns to service once its health checks have succeeded for this
- * time. */
+/* A VM in state checking returns to service once its health checks have
+ * succeeded for this time. */
 #define MIN_HEALTHY_MS 5000
-/* A rebooting VM that this planner did not see down counts as rebooted when it
- * is listed live this long after the order.  Longer than the delay with which
- * the VM list shows an outage. */
+/* A rebooting VM that this planner has not seen down in the VM list counts as
+ * rebooted when the VM is listed live this long after it entered state
+ * rebooting.  Longer than the delay with which the VM list shows an outage. */
 #define REBOOT_ASSUMED_DONE_MS (30 * 1000)
 
 AqPlanner *
@@ -40,8 +40,8 @@
     PoolPlan *pool = &step->pools[vm->pool->number];
     bool served = vm->state == AQ_VM_SERVING;
     bool serves = state == AQ_VM_SERVING;
-    /* Counted also when the upsert does not fit into this step, so that a
-     * failure reduces the budget at once. */
+    /* The VM is counted also when its upsert does not fit into this step, so
+     * that a failed VM reduces the headroom of its pool at once. */
     pool->serving += serves - served;
     pool->unavailable += served - serves;
     step->is_changed[vm->number] = 1;
@@ -93,7 +93,8 @@
     step->hold = true;
 }
 
-/* Applies the VM list to the state of a VM; returns whether it changed. */
+/* Changes the state of a VM as its state in the platform's VM list ("listing")
+ * requires; returns whether the VM changed. */
 static bool
 apply_listing(PlanStep *step, const VmEntry *vm, Listing listing)
 {
@@ -114,7 +115,8 @@
         plan_put_vm(step, vm, vm_checking(vm, step->wall_ms), AQ_VM_CHECKING);
         return true;
     }
-    /* Rebooting and checking VMs may be down; their deadline limits that. */
+    /* A rebooting or checking VM may be down; deadline_ms limits for how
+     * long. */
     if ((listing == LISTED_DOWN || listing == LISTED_ABSENT) &&
         (vm->state == AQ_VM_SERVING || vm->state == AQ_VM_DRAINING ||
          vm->state == AQ_VM_DRAINED)) {
@@ -125,7 +127,8 @@
 }
 
 /* Whether an entry of AqPlanner.down is obsolete: the VM is no longer in the
- * reboot during which it was seen down.  For g_hash_table_foreach_remove. */
+ * reboot during which the VM list showed it down.  For
+ * g_hash_table_foreach_remove. */
 static gboolean
 is_outage_obsolete(void *id, void *since, void *fleet)
 {
@@ -134,9 +137,10 @@
            vm->since_ms != *(const int64_t *)since;
 }
 
-/* Whether a rebooting VM has been down and is listed live again.  Its entry in
- * AqPlanner.down stays, since a step is evaluated once more before its commit
- * and after a conflict, and must have the same result. */
+/* Whether a rebooting VM has been down and is listed live again.  The VM's
+ * entry in AqPlanner.down stays, since a planner step is evaluated once more
+ * before its commit and after a conflict, and each evaluation must have the
+ * same result. */
 static bool
 is_back_from_reboot(PlanStep *step, const VmEntry *vm, Listing listing)
 {
@@ -157,7 +161,8 @@
     return false;
 }
 
-/* Advances a VM in state rebooting or checking. */
+/* Advances a VM in state rebooting or checking to its next state, if that is
+ * due: checking, serving, or failed after deadline_ms. */
 static void
 advance_reboot(PlanStep *step, const VmEntry *vm, Listing listing)
 {
@@ -191,13 +196,14 @@
     json_object_set_new(next, "due",
                         json_integer(step->wall_ms + WAVE_RETURN_LIMIT_MS));
     if (plan_put_vm(step, vm, next, AQ_VM_REBOOTING)) {
-        /* The next step requests the reboot from the platform, when this
-         * commit has succeeded. */
+        /* The next planner step requests the reboot from the platform, once
+         * this step's commit has succeeded. */
         plan_wave_add_in_progress(step, vm);
     }
 }
 
-/* Advances a VM in state draining or drained. */
+/* Advances a VM in state draining or drained to its next state, if that is
+ * due: drained, rebooting, or serving. */
 static void
 advance_drain(PlanStep *step, const VmEntry *vm)
 {
@@ -243,7 +249,8 @@
 }
 
 /* Advances all VMs: first by the VM list and the ends of reboots, which may
- * stop a wave, then the drains, which depend on the state of their wave. */
+ * stop a wave, then the draining and drained VMs, whose next state depends on
+ * the state of the wave that stopped them. */
 static void
 advance_vms(PlanStep *step)
 {
@@ -286,7 +293,8 @@
                                 (void *)fleet);
     step_init(&step);
     advance_vms(&step);
-    /* Without a VM list, failed VMs are not known. */
+    /* Without a VM list it is not known which VMs have failed, so the step
+     * begins no planned stops. */
     step.hold |= !step.list_known;
     plan_waves_run(&step);
     if ((fleet->disabled & FLEET_DISABLE_PLACEMENT) == 0) {
--- a/packages/fleet/planner.h
+++ b/packages/fleet/planner.h
@@ -3,9 +3,10 @@
 
 #include "fleet_internal.h"
 
-/* State of one planner step.  Counts start with the values of the document
- * and include the upserts made so far, so that several stops in one commit
- * share a budget. */
+/* State of one planner step (one call of AqPlanner_Step, whose upserts form
+ * one commit).  Counts of VMs start with the values of the document and
+ * include the upserts that the step has made so far, so that several planned
+ * stops in one commit share a budget. */
 
 /* State of a VM in the platform's VM list. */
 typedef enum {
@@ -15,34 +16,38 @@
     LISTED_ABSENT
 } Listing;
 
-/* Counts of a pool within a step. */
+/* Counts of one pool's VMs within a planner step. */
 typedef struct {
-    int serving;     /* VMs in state serving */
-    int unavailable; /* VMs in any other state */
-    /* VMs that serve or will serve again, including those that move here and
-     * without those that move away. */
+    int serving;     /* VMs of the pool in state serving */
+    int unavailable; /* VMs of the pool in any state but serving */
+    /* VMs that serve in the pool or will serve again, including VMs that are
+     * moving into the pool and without those that are moving out of it. */
     int capacity_vms;
-    int needed_vms; /* min_serving + buffer target */
-    /* Data centre in which waves have stopped VMs of the pool, or ZONE_NONE,
-     * ZONE_MANY. */
+    /* VMs that the pool should have: min_serving + buffer target */
+    int needed_vms;
+    /* Number of the data centre in which VMs of the pool are stopped by waves;
+     * ZONE_NONE: no VM is, ZONE_MANY: VMs in several data centres are. */
     int active_zone;
 } PoolPlan;
 
-/* VM upserts of one step: about 35 KB in head's tail, half of the limit for
- * head. */
+/* Most VM upserts of one planner step; later steps make the others.  128 take
+ * about 35 KB in head's tail, half of the limit for head. */
 #define STEP_UPSERTS_MAX 128
 
 #define ZONE_NONE (-1)
 #define ZONE_MANY (-2)
 
 typedef struct {
-    const char *name; /* borrowed from the document */
-    json_t *record;   /* owned copy that the step changes */
-    bool changed;     /* the record differs from the document's */
+    const char *name; /* name of the wave, owned by the document */
+    /* owned copy of the wave's record, which the step changes */
+    json_t *record;
+    bool changed; /* "record" differs from the wave's record in the document */
     bool running;
     int64_t id;
     int max_parallel;
-    int in_progress; /* VMs that the wave has stopped and not finished */
+    /* VMs that the wave has stopped and that neither serve again nor have
+     * failed */
+    int in_progress;
 } WavePlan;
 
 typedef struct {
@@ -53,20 +58,23 @@
     void *context;
     json_t *set;
     json_t *reboots;
-    PoolPlan *pools;           /* by PoolEntry.number */
-    unsigned char *is_changed; /* by VmEntry.number: changed in this step */
+    PoolPlan *pools; /* counts of each pool, by PoolEntry.number */
+    /* by VmEntry.number; 1: this step changes the VM */
+    unsigned char *is_changed;
     WavePlan *waves;
     int wave_count;
-    int upserts;     /* VM upserts made so far */
+    int upserts;     /* VM upserts that this step has made so far */
     bool list_known; /* the VM list names at least one VM */
-    bool hold;       /* begin no planned stop in this step */
+    bool hold;       /* this step begins no planned stop of a VM */
 } PlanStep;
 
 struct AqPlanner {
-    GHashTable *surplus; /* pool name -> wall ms of its first surplus */
-    GHashTable *deficit; /* pool name -> wall ms of its first deficit */
-    /* Id of a rebooting VM -> "since" of the reboot during which the VM list
-     * showed the VM not live. */
+    /* pool name -> wall ms since which the pool has had a surplus of VMs */
+    GHashTable *surplus;
+    /* pool name -> wall ms since which the pool has had a deficit of VMs */
+    GHashTable *deficit;
+    /* Id of a VM that the VM list has shown not live while rebooting -> wall
+     * ms at which the VM entered state rebooting. */
     GHashTable *down;
 };
 
@@ -75,22 +83,24 @@
  * then keeps its record until a later step. */
 bool plan_put_vm(PlanStep *step, const VmEntry *vm, json_t *record,
                  AqVmState state);
-/* Returns the number of planned stops of the pool that its budget still
- * allows in this step. */
+/* Returns the number of further planned stops of VMs of the pool that the
+ * pool's budget allows in this step. */
 int plan_headroom(const PlanStep *step, const PoolEntry *pool);
 
 /* Reads the waves of the document into step->waves. */
 void plan_waves_load(PlanStep *step);
 /* Returns the wave of that name, or NULL; "" names no wave. */
 WavePlan *plan_wave(PlanStep *step, const char *name);
-/* Counts a VM that a wave has stopped and that does not serve again yet; does
- * nothing when no wave stopped the VM. */
+/* Counts a VM that a wave has stopped and that does not serve again yet as in
+ * progress for that wave; does nothing when no wave stopped the VM. */
 void plan_wave_add_in_progress(PlanStep *step, const VmEntry *vm);
-/* Counts the result of a wave for a VM ("returned": it serves again), enters
- * it into the VM's new record, and stops the wave after too many failures. */
+/* Counts in the wave that stopped a VM whether the VM serves again
+ * ("returned") or failed, enters the wave as finished into the VM's new
+ * record, and stops the wave after too many failed VMs. */
 void plan_wave_result(PlanStep *step, const VmEntry *vm, json_t *record,
                       bool returned);
-/* Begins drains for the running waves and ends those without VMs left. */
+/* Begins drains of VMs for the running waves and ends the waves that have no
+ * VMs left to work on. */
 void plan_waves_run(PlanStep *step);
 /* Appends the changed wave records to the upserts and frees the waves. */
 void plan_waves_finish(PlanStep *step);
--- a/packages/fleet/planner_place.c
+++ b/packages/fleet/planner_place.c
@@ -3,9 +3,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Hysteresis of moves, section 7.2: the surplus that a pool may keep, the time
- * that a surplus or deficit must persist, and the time that a VM stays in a
- * pool after a move.  All three are scaled by weights.moves / 5. */
+/* Hysteresis of moves between pools (design page, section 7.2): the surplus
+ * that a pool may keep, the time that a surplus or deficit must persist, and
+ * the time that a VM stays in a pool after a move.  All three are scaled by
+ * weights.moves / 5. */
 #define TOLERATED_SURPLUS_VMS 1
 #define IMBALANCE_MIN_MS (10 * 60 * 1000)
 #define MIN_STAY_MS (30 * 60 * 1000)
@@ -16,8 +17,8 @@
 typedef struct {
     const VmEntry *vm;
     int spare;   /* 1: the VM is in the spare pool */
-    int surplus; /* surplus of its pool, in VMs */
-    int rack;    /* VMs of the destination pool in the same rack */
+    int surplus; /* surplus of the VM's pool, in VMs */
+    int rack;    /* VMs of the destination pool in the rack of this VM */
 } Source;
 
 typedef struct {
@@ -26,12 +27,13 @@
     int64_t imbalance_min_ms;
     int64_t min_stay_ms;
     int moves;
-    int *racks; /* VMs per rack of one pool, cleared after use */
+    /* by VmEntry.rack: VMs of one pool in that rack; all 0 between uses */
+    int *racks;
     Source *sources;
 } Placement;
 
-/* Whether an operator has drained a VM, or drains it: no wave, move or reboot
- * has stopped it. */
+/* Whether an operator has drained a VM, or drains it, by vm.drain: no wave,
+ * move or reboot has stopped the VM. */
 static bool
 is_held_by_operator(const VmEntry *vm)
 {
@@ -46,9 +48,10 @@
     return strcmp(pool->name, SPARE_POOL) == 0;
 }
 
-/* Counts capacity and need of each pool.  A VM that an operator holds drained
- * for longer than imbalance_min_ms is not capacity any more.  Rebooting VMs
- * are, since the buffer covers their outage. */
+/* Sets capacity_vms and needed_vms of each pool.  A VM that an operator keeps
+ * drained for imbalance_min_ms or longer is no longer capacity, nor is a
+ * failed or leaving VM.  Rebooting VMs are, since the buffer covers their
+ * outage. */
 static void
 count_capacity(Placement *place)
 {
@@ -80,9 +83,9 @@
     return plan->capacity_vms - plan->needed_vms;
 }
 
-/* Whether a VM may leave its pool in this step: it serves, is unchanged so
- * far, has stayed for min_stay_ms, and the budget of the pool allows a stop.
- */
+/* Whether a VM may leave its pool in this planner step: it serves, the step
+ * has not changed it so far, its last move is at least min_stay_ms ago, and
+ * the budget of its pool allows a planned stop. */
 static bool
 is_movable(const Placement *place, const VmEntry *vm)
 {
@@ -93,7 +96,8 @@
            plan_headroom(step, vm->pool) > 0;
 }
 
-/* Begins the move of a VM; false when the step is full. */
+/* Begins the move of a VM to the pool "to"; returns false when the planner
+ * step has no room for more upserts. */
 static bool
 start_move(Placement *place, const VmEntry *vm, const PoolEntry *to)
 {
@@ -115,8 +119,8 @@
     return true;
 }
 
-/* Whether a condition of a pool has been met for imbalance_min_ms; "seen" maps
- * pool names to the wall time at which it was first met. */
+/* Whether a condition of a pool ("met") has been true for imbalance_min_ms;
+ * "seen" maps names of pools to the wall ms since which it has been true. */
 static bool
 has_persisted(const Placement *place, GHashTable *seen, const PoolEntry *pool,
               bool met)
@@ -137,8 +141,9 @@
 
 /* ---- Pools in deficit ------------------------------------------------- */
 
-/* Orders spare VMs first, then by the rack that the destination uses least,
- * then by the largest surplus. */
+/* Orders the VMs that may move to a pool: VMs of the spare pool first, then by
+ * the number of the destination's VMs in the VM's rack, fewest first, then by
+ * the surplus of the VM's pool, largest first. */
 static int
 compare_sources(const void *left, const void *right)
 {
@@ -156,8 +161,8 @@
     return strcmp(a->vm->id, b->vm->id);
 }
 
-/* Counts the VMs of a pool per rack (step 1) or clears the counts (step -1);
- * returns the largest count. */
+/* Adds the VMs of a pool to the counts per rack in place->racks (step 1) or
+ * subtracts them (step -1); returns the largest count met. */
 static int
 count_racks(Placement *place, const PoolEntry *pool, int step)
 {
@@ -172,8 +177,8 @@
     return largest;
 }
 
-/* Fills place->sources with the VMs that may move to a pool, best first;
- * returns their number. */
+/* Fills place->sources with the VMs that may move to the pool "to", in the
+ * order of compare_sources; returns their number. */
 static int
 collect_sources(Placement *place, const PoolEntry *to,
                 const GPtrArray *pool_list)
@@ -201,8 +206,9 @@
     return count;
 }
 
-/* Whether one more VM of this rack leaves the deficit unchanged, because the
- * fullest rack grows and the buffer target with it. */
+/* Whether adding the VM of "source" to the pool "to" leaves the pool's deficit
+ * unchanged, because its fullest rack grows and the buffer target with it.
+ * "largest" is the number of the pool's VMs in its fullest rack. */
 static bool
 cannot_reduce_deficit(const Placement *place, const PoolEntry *to,
                       const Source *source, int largest)
@@ -213,7 +219,8 @@
            plan->needed_vms < 2 * to->min_serving;
 }
 
-/* Begins moves to a pool until its deficit is filled. */
+/* Begins moves of VMs to the pool "to" until its deficit is filled, no VM may
+ * move, or the planner step has no room for more. */
 static void
 fill_pool(Placement *place, const PoolEntry *to)
 {
@@ -246,9 +253,10 @@
     return d != 0 ? d : strcmp(a->name, b->name);
 }
 
-/* A pool with capacity below min_serving gets VMs at once.  When only its
- * buffer is short, the missing VMs often return within minutes: filling it at
- * once makes 20 moves a day at the design size, against 3 after a delay. */
+/* Whether moves to a pool in deficit are due.  A pool with capacity below
+ * min_serving gets VMs at once.  When only the pool's buffer is short, the
+ * missing VMs often return within minutes: filling the buffer at once makes 20
+ * moves a day at the design size of 900 VMs, against 3 after a delay. */
 static bool
 is_fill_due(const Placement *place, const PoolEntry *pool)
 {
@@ -279,8 +287,8 @@
 /* ---- Pools in surplus ------------------------------------------------- */
 
 /* Begins moves to the spare pool: of all VMs that the pool's selector no
- * longer matches, and if the surplus persisted, of VMs in the fullest racks
- * until it is within tolerated_surplus_vms. */
+ * longer matches, and if the pool's surplus persisted, of VMs in its fullest
+ * racks until the surplus is within tolerated_surplus_vms. */
 static void
 release_pool_surplus(Placement *place, const PoolEntry *pool, bool persisted)
 {
--- a/packages/fleet/planner_waves.c
+++ b/packages/fleet/planner_waves.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 /* A wave stops when FAILED_RESULTS_LIMIT of its last RECENT_RESULTS_MAX VMs
- * failed; section 7.1. */
+ * failed; design page, section 7.1. */
 #define RECENT_RESULTS_MAX 10
 #define FAILED_RESULTS_LIMIT 2
 
@@ -57,9 +57,9 @@
     json_object_set_new(wave, field, json_integer(int_or(wave, field, 0) + 1));
 }
 
-/* Appends a result to the field "recent", a string of "o" (returned to
- * service) and "x" (failed) for the last VMs; returns the number of failures
- * in it. */
+/* Appends the result for a VM to the field "recent" of a wave's record, a
+ * string of "o" (returned to service) and "x" (failed) for the wave's last
+ * VMs; returns the number of failures in the new string. */
 static int
 append_recent(json_t *wave, bool returned)
 {
@@ -91,8 +91,8 @@
                  bool returned)
 {
     WavePlan *wave = plan_wave(step, vm->wave);
-    /* In a full step the VM keeps its record, so the next step counts its
-     * result. */
+    /* A step with STEP_UPSERTS_MAX upserts does not change the VM's record, so
+     * a later step counts the result. */
     if (wave == NULL || step->upserts >= STEP_UPSERTS_MAX) {
         return;
     }
@@ -124,11 +124,12 @@
 
 typedef struct {
     const VmEntry *vm;
-    bool started; /* the wave has already worked on a VM of its rack */
+    /* the wave is working or has worked on a VM of this VM's rack */
+    bool started;
 } Candidate;
 
-/* Orders candidates by pool; within a pool racks that the wave has started
- * come first, then by data centre and by rack. */
+/* Orders VMs that a wave may stop by pool; within a pool VMs in racks on which
+ * the wave has worked already come first, then by data centre and by rack. */
 static int
 compare_candidates(const void *left, const void *right)
 {
@@ -152,13 +153,19 @@
 typedef struct {
     Candidate *list;
     int count;
-    int pending; /* VMs left for the wave in any state, serving or not */
-    int *first;  /* by PoolEntry.number: position of the next candidate */
-    int *end;    /* by PoolEntry.number: position after the last one */
+    /* VMs that the wave has yet to stop, serving or not, without failed and
+     * leaving ones */
+    int pending;
+    /* by PoolEntry.number: position in "list" of the pool's next candidate */
+    int *first;
+    /* by PoolEntry.number: position after the pool's last candidate in
+     * "list" */
+    int *end;
 } CandidateList;
 
-/* Whether a wave has to work on a VM: the selector matches, the wave has not
- * finished on it, and it does not have the wave's release yet. */
+/* Whether a wave has to work on a VM: the wave's selector matches the VM, the
+ * wave has not finished on the VM, and the VM does not have the release of the
+ * wave yet. */
 static bool
 wave_includes(const WavePlan *wave, const VmEntry *vm)
 {
@@ -171,7 +178,8 @@
             strcmp(string_or(labels, "release", ""), release) != 0);
 }
 
-/* Collects and orders the serving VMs that a wave may stop. */
+/* Collects and orders the serving VMs that a wave may stop; candidates_destroy
+ * frees the list. */
 static void
 candidates_create(CandidateList *candidates, const PlanStep *step,
                   const WavePlan *wave)
@@ -219,8 +227,9 @@
     g_free(candidates->end);
 }
 
-/* Returns the next candidate of a pool that its budget and its active data
- * centre allow, or NULL. */
+/* Returns the next VM of a pool for the wave to stop; NULL when the pool's
+ * budget allows no stop or no candidate is in the data centre in which waves
+ * work on the pool. */
 static const Candidate *
 pool_candidate(CandidateList *candidates, const PlanStep *step,
                const PoolEntry *pool)
@@ -239,8 +248,9 @@
     return NULL;
 }
 
-/* Returns the VM to stop next and removes it from the candidates, or NULL.
- * Prefers VMs in racks that are started, then the pool with most headroom. */
+/* Returns the VM that the wave stops next and removes it from the candidates;
+ * NULL when there is none.  Prefers VMs in racks on which the wave has worked
+ * already, then VMs of the pool whose budget allows most planned stops. */
 static const VmEntry *
 choose_vm(CandidateList *candidates, const PlanStep *step)
 {
@@ -267,8 +277,8 @@
     return best->vm;
 }
 
-/* Begins drains up to max_parallel; the wave is done when no VM is in progress
- * or left. */
+/* Begins drains of VMs until max_parallel VMs of the wave are in progress;
+ * sets the wave to done when none is in progress or left. */
 static void
 run_wave(PlanStep *step, WavePlan *wave)
 {
--- a/packages/fleet/record.c
+++ b/packages/fleet/record.c
@@ -9,7 +9,8 @@
 
 #define NAME_MAX_LENGTH 64
 #define LABELS_MAX 32
-#define RESOURCE_MAX 1000000000 /* most cores, MB or accelerators of a VM */
+/* most cores, MB of memory or accelerators of a VM */
+#define RESOURCE_MAX 1000000000
 #define NAME_FORMAT                                                           \
     "1 to 64 letters, digits, \".\", \"_\" or \"-\", the first a letter or "  \
     "digit"
@@ -74,8 +75,9 @@
     return true;
 }
 
-/* Reports a missing or invalid field with its value (truncated to 80 bytes)
- * and the values that are allowed; returns false. */
+/* Fills *error for a missing or invalid field, with the field's value
+ * (truncated to 80 bytes) and the allowed values ("expected"); returns
+ * false. */
 bool
 field_error(const json_t *object, const char *field, const char *expected,
             AqError *error)
@@ -269,8 +271,8 @@
            field_int(pool, "objective", 0, 1000, error);
 }
 
-/* Checks the resources of a VM that jobs may use; an absent field means
- * none. */
+/* Checks the resources of a VM that jobs may use; an absent field means that
+ * the VM has none of that resource. */
 static bool
 check_resources(const json_t *vm, AqError *error)
 {
--- a/packages/fleet/storage.c
+++ b/packages/fleet/storage.c
@@ -5,8 +5,8 @@
 
 #include "aq_json.h"
 
-/* Head holds only what the last snapshot lacks, because every daemon reads it
- * once a second; older operation ids are in the snapshot. */
+/* Head holds only what the last snapshot lacks, because every daemon reads
+ * head once a second; older operation ids are in the snapshot. */
 char *
 AqFleet_EncodeHead(const AqFleet *fleet)
 {
@@ -59,7 +59,7 @@
 
 /* ---- Loading ---------------------------------------------------------- */
 
-/* Reports a malformed head or snapshot; returns AQ_LOAD_BAD. */
+/* Fills *error for a malformed head or snapshot; returns AQ_LOAD_BAD. */
 static AqLoadResult
 load_error(AqError *error, const char *text_name, const char *why)
 {
@@ -89,8 +89,8 @@
     return true;
 }
 
-/* Whether the tail has one entry for each version after the snapshot, in
- * order. */
+/* Whether the tail has one entry for each document version from "snapshot" + 1
+ * to "version", in order. */
 static bool
 check_tail(const json_t *tail, int64_t snapshot, int64_t version)
 {
@@ -110,8 +110,8 @@
     return true;
 }
 
-/* Reverts records with undo lists, in reverse order, and resets version and
- * epoch. */
+/* Reverts records with undo lists, applied in reverse order, and resets the
+ * document's version and epoch to the given ones. */
 static void
 restore(AqFleet *fleet, const json_t *undos, int64_t version, int64_t epoch)
 {
@@ -127,7 +127,8 @@
     fleet->epoch = epoch;
 }
 
-/* Records the operation ids of tail entries after "version". */
+/* Records in the document the operation ids of tail entries for document
+ * versions after "version". */
 static void
 record_ops(AqFleet *fleet, const json_t *tail, int64_t version)
 {
@@ -268,8 +269,8 @@
         fresh->version = version;
         fresh->epoch = epoch;
         fresh->snapshot_version = version;
-        /* The text may come from a peer without being in the store; only head
-         * says which snapshot is stored. */
+        /* The snapshot may come from a peer without being in the store; only
+         * head says which snapshot is stored. */
         fresh->snapshot_stored = false;
         fresh->disabled = fleet->disabled;
         json_decref(fresh->ops);
--- a/packages/fleet/tests/fake_daemon.c
+++ b/packages/fleet/tests/fake_daemon.c
@@ -25,7 +25,7 @@
     g_hash_table_destroy(store->ops);
 }
 
-/* Keeps the first violated invariant. */
+/* Records a violated invariant, unless one was recorded before. */
 static void
 record_fault(FakeStore *store, const char *rule, const char *detail)
 {
@@ -34,7 +34,8 @@
     }
 }
 
-/* Updates a document from head, with the snapshot when that is needed. */
+/* Updates a document from head, loading first the snapshot that head refers to
+ * when the tail in head is not enough. */
 static AqLoadResult
 load(FakeStore *store, AqFleet *fleet, AqError *error)
 {
@@ -60,7 +61,8 @@
                : result;
 }
 
-/* Checks the version just written against the previous one. */
+/* Checks the document version just written to head against the previous
+ * one. */
 static void
 check_written(FakeStore *store)
 {
@@ -361,8 +363,9 @@
     }
     daemon->set = json_array();
     if (known || !decide(daemon)) {
-        /* A refusal is final only if head was read since the intent arrived;
-         * an older document may refuse what the newest allows. */
+        /* A refusal of an intent is final only if head was read since the
+         * intent arrived; an older document may refuse what the newest
+         * allows. */
         if (daemon->is_head_read) {
             end_operation(daemon, OUTCOME_REFUSED);
         }
--- a/packages/fleet/tests/fake_daemon.h
+++ b/packages/fleet/tests/fake_daemon.h
@@ -5,48 +5,53 @@
 #include "fleet_internal.h"
 
 /* Stand-ins for the store's head key, the platform's VMs and the commit
- * procedure of a daemon (section 4.1).  A daemon makes one store call per
- * step, so that a test can interleave daemons and crash them between any two.
- */
+ * procedure of a daemon (design page, section 4.1).  fake_daemon_step makes
+ * one part of the procedure, with at most one write to the store, so that a
+ * test can interleave daemons and crash a daemon between any two parts. */
 
 /* ---- Store ------------------------------------------------------------ */
 
-/* What happens to a write; without REPLY_OK the daemon gets no reply. */
+/* What happens to a daemon's write of head; only with REPLY_OK does the daemon
+ * get a reply. */
 typedef enum {
     REPLY_OK,
     REPLY_LOST_BEFORE, /* the write does not reach the store */
-    REPLY_LOST_AFTER,  /* the write takes effect */
-    REPLY_LATE         /* fake_store_deliver applies the write */
+    REPLY_LOST_AFTER,  /* the write takes effect, but its reply is lost */
+    REPLY_LATE /* the write waits until fake_store_deliver applies it */
 } FakeReply;
 
-/* Result of a compare-and-swap as the daemon sees it. */
+/* Result of a compare-and-swap on head as the daemon sees it. */
 typedef enum {
     CAS_DONE,
     CAS_CONFLICT,
-    CAS_UNKNOWN /* no reply */
+    CAS_UNKNOWN /* no reply: the write may have taken effect or not */
 } FakeCas;
 
 typedef struct {
-    char *head;            /* text of head; NULL before the first write */
-    int64_t index;         /* store index of head */
-    json_t *snapshots;     /* key -> text */
-    char *delayed_head;    /* text of a delayed write, or NULL */
-    int64_t delayed_index; /* index that this write compares */
-    bool no_cas;           /* test switch: writes ignore the index */
-    bool check;            /* check every version that is written */
-    AqFleet *oracle;       /* with "check": the document as written */
-    GHashTable *ops;       /* with "check": all operation ids written */
-    char fault[600];       /* first violated invariant; "" when none */
+    char *head;        /* value of the head key; NULL before the first write */
+    int64_t index;     /* store revision of head */
+    json_t *snapshots; /* store key -> text of the snapshot */
+    char *delayed_head; /* value of head in a delayed write, or NULL */
+    /* store revision of head that the delayed write expects */
+    int64_t delayed_index;
+    /* test switch: writes of head succeed at any store revision */
+    bool no_cas;
+    bool check;      /* check every document version that is written to head */
+    AqFleet *oracle; /* with "check": the document as last written */
+    GHashTable *ops; /* with "check": ids of all operations written */
+    /* message of the first violated invariant; "" when none was */
+    char fault[600];
     int64_t writes;
     int64_t reads;
 } FakeStore;
 
 void fake_store_init(FakeStore *store, bool check);
 void fake_store_clear(FakeStore *store);
-/* Writes head if "index" is its current index. */
+/* Writes "text" to head if the store revision of head is "index"; "reply" says
+ * what happens to the write. */
 FakeCas fake_store_cas(FakeStore *store, const char *text, int64_t index,
                        FakeReply reply);
-/* Applies the delayed write, if there is one. */
+/* Applies the write delayed by REPLY_LATE, if there is one. */
 void fake_store_deliver(FakeStore *store);
 
 /* ---- Platform --------------------------------------------------------- */
@@ -54,35 +59,41 @@
 typedef struct {
     bool up;
     bool leaving;
-    bool never_returns; /* stays down after a reboot */
-    bool unhealthy;     /* up, but fails its health checks */
-    int64_t up_at_ms; /* time at which a VM that is down comes up; 0: never */
-    int64_t up_since_ms;          /* time since which it has been up */
-    int64_t last_reboot_since_ms; /* "since" of the last reboot order */
-    const char *listed;           /* state in the VM list, or NULL */
+    bool never_returns; /* the VM stays down after a reboot */
+    bool unhealthy; /* the VM fails its health checks also while it is up */
+    /* virtual time at which the VM, if down, comes up; 0: never */
+    int64_t up_at_ms;
+    int64_t up_since_ms; /* virtual time since which the VM has been up */
+    /* "since" of the VM's record in the last reboot order carried out */
+    int64_t last_reboot_since_ms;
+    const char *listed; /* state of the VM in the VM list; NULL: not listed */
 } FakeVm;
 
 typedef struct {
-    GHashTable *vms; /* id -> FakeVm */
+    GHashTable *vms; /* VM id -> FakeVm */
     int64_t now_ms;
-    int64_t listed_at_ms; /* time of the last update of the VM list */
-    int64_t list_lag_ms;  /* time between updates of the VM list */
+    int64_t listed_at_ms; /* virtual time of the last update of the VM list */
+    int64_t list_lag_ms;  /* virtual time between updates of the VM list */
     int64_t reboot_ms;    /* mean duration of a reboot */
-    /* Time from the begin of a drain until no request is in flight. */
+    /* Virtual time from the begin of a VM's drain until no request is in
+     * flight on the VM. */
     int64_t in_flight_ms;
     AqRandom random;
-    const AqFleet *fleet; /* document of the planner that makes a step */
+    const AqFleet *fleet; /* fleet document of the planner step in progress */
 } FakePlatform;
 
 void fake_platform_init(FakePlatform *platform, uint64_t seed);
 void fake_platform_clear(FakePlatform *platform);
-/* Returns the VM of that id; adds it, up and listed live, if it is new. */
+/* Returns the VM of that id; adds it, up and listed live, if the platform has
+ * none. */
 FakeVm *fake_platform_vm(FakePlatform *platform, const char *id);
-/* Advances virtual time. */
+/* Advances virtual time by "ms"; VMs come up and the VM list is updated when
+ * due. */
 void fake_platform_advance(FakePlatform *platform, int64_t ms);
-/* Takes a VM down until "up_at_ms"; 0: for good. */
+/* Takes a VM down until the virtual time "up_at_ms"; 0: for good. */
 void fake_platform_fail(FakeVm *vm, int64_t up_at_ms);
-/* Carries out the reboot orders of a planner step, each of them once. */
+/* Carries out the reboot orders of a planner step; an order that later steps
+ * repeat is carried out only once. */
 void fake_platform_reboot(FakePlatform *platform, const AqFleet *fleet,
                           const json_t *reboots);
 extern const AqPlannerView fake_platform_view;
@@ -108,23 +119,29 @@
     FakeStore *store;
     FakePlatform *platform;
     AqFleet *fleet;
-    int64_t index; /* store index of the head from which "fleet" was read */
-    AqFleet *next; /* clone of "fleet" that the next write commits, or NULL */
-    /* Store index of the head on which "next" was evaluated.  A watch may
-     * deliver a newer head before the compare-and-swap. */
+    int64_t index; /* store revision of the head from which "fleet" was read */
+    /* clone of "fleet" that the next write of head commits, or NULL */
+    AqFleet *next;
+    /* Store revision of the head on which the intent or planner step was
+     * evaluated.  A watch may deliver a newer head before the
+     * compare-and-swap. */
     int64_t next_index;
     AqPlanner *planner;
-    json_t *intent; /* NULL: planner step */
-    json_t *set;    /* upserts of the operation */
-    char op[64];    /* id of the operation */
+    /* intent that the daemon carries out; NULL: a planner step */
+    json_t *intent;
+    json_t *set; /* upserts of the intent or planner step in progress */
+    char op[64]; /* operation id of the intent or planner step in progress */
     int serial;
     FakePhase phase;
     FakeOutcome outcome;
-    bool is_head_read; /* head was read since the intent arrived */
-    /* Test switch: does not look for its operation id after a lost reply. */
+    bool is_head_read; /* the daemon has read head since the intent arrived */
+    /* Test switch: after a lost reply the daemon does not look for its
+     * operation id in the document. */
     bool no_read_back;
-    bool no_reevaluate; /* test switch: refuses an intent on a conflict */
-    /* Refused although the document in the store allows the intent. */
+    /* test switch: the daemon refuses an intent on a conflict */
+    bool no_reevaluate;
+    /* The daemon refused the intent although the document in the store allows
+     * the intent. */
     bool is_needless_refusal;
     AqError error;
 } FakeDaemon;
@@ -134,15 +151,16 @@
 void fake_daemon_clear(FakeDaemon *daemon);
 /* Begins an intent (stolen) or, with NULL, a planner step. */
 void fake_daemon_begin(FakeDaemon *daemon, json_t *intent, const char *op);
-/* Makes one step of the commit procedure; "reply" is what happens to a
- * write of head in it. */
+/* Makes one part of the daemon's commit procedure, as "phase" says; "reply" is
+ * what happens to a write of head in this part. */
 void fake_daemon_step(FakeDaemon *daemon, FakeReply reply);
-/* Makes steps without faults until the operation has ended. */
+/* Continues the daemon's commit procedure with REPLY_OK until the intent or
+ * planner step in progress has ended. */
 void fake_daemon_finish(FakeDaemon *daemon);
 /* Restarts the daemon without its memory.  A running intent is sent again by
  * the operator's client; a planner step is lost. */
 void fake_daemon_crash(FakeDaemon *daemon);
-/* Reads head, as a watch does. */
+/* Reads head from the store into the daemon's document, as a watch does. */
 void fake_daemon_read(FakeDaemon *daemon);
 
 /* Returns a new intent; "args" is stolen. */
--- a/packages/fleet/tests/test_fleet.c
+++ b/packages/fleet/tests/test_fleet.c
@@ -5,7 +5,7 @@
 #include "aq_json.h"
 #include "fake_daemon.h"
 
-#define NOW_MS 1000000000 /* wall time of all intents */
+#define NOW_MS 1000000000 /* wall time at which all intents are evaluated */
 
 /* ---- Fixture ---------------------------------------------------------- */
 
@@ -35,9 +35,9 @@
     set_put(set, AQ_REC_POOL, name, pool);
 }
 
-/* Returns a document in which pool "a" has headroom 1, "b" none because of
- * min_serving, and "m" none because of max_unavailable; the selector of "gpu"
- * matches no VM. */
+/* Returns a document in which the budget of pool "a" allows 1 planned stop,
+ * that of "b" none because of min_serving, and that of "m" none because of
+ * max_unavailable; the selector of "gpu" matches no VM. */
 static AqFleet *
 make_fleet(void)
 {
@@ -83,11 +83,11 @@
     const char *kind;
     const char *args;
     AqErrorKind error;
-    /* With an error: texts that its message must contain.  With AQ_OK: kind
-     * and name of a record, a field of it and the JSON value of that field (""
-     * if absent).  Without a field the record must be deleted, and without a
-     * kind the intent must yield no upserts.  Single quotes in all texts stand
-     * for double quotes. */
+    /* When "error" is set: texts that the error message must contain.  When it
+     * is AQ_OK: kind and name of a record, a field of the record and the JSON
+     * value of that field ("" if absent).  Without a field the record must be
+     * deleted, and without a kind the intent must yield no upserts.  Single
+     * quotes in all texts stand for double quotes. */
     const char *expected[4];
 } IntentCase;
 
@@ -95,8 +95,8 @@
 #include "intent_cases.inc"
 };
 
-/* Returns a copy with double quotes, in one of four static buffers that are
- * used in turn. */
+/* Returns a copy of "text" with double quotes for single quotes, in one of
+ * four static buffers that are used in turn. */
 static const char *
 quoted(const char *text)
 {
@@ -213,21 +213,22 @@
 
 /* ---- Steps and storage ------------------------------------------------ */
 
-/* Guards against a step check that accepts a change of state that section 12
- * does not allow, or rejects one that it allows. */
+/* Guards against AqFleet_CheckStep accepting a change of a VM's state that
+ * section 12 of the design page does not allow, or rejecting one that the
+ * section allows. */
 static void
 test_transitions(void)
 {
-    /* Rows: state before; columns: state after, in the order of AqVmState;
-     * "y": allowed. */
+    /* Rows: state of the VM before the change; columns: state after it, in the
+     * order of AqVmState; "y": allowed. */
     static const char *const allowed[VM_STATE_COUNT] = {
-        "yy...yy", /* serving */
-        "yyy..yy", /* draining */
-        "y.yy.yy", /* drained */
-        "...yyyy", /* rebooting */
-        "y...yyy", /* checking */
-        "....yyy", /* failed */
-        "....yyy", /* leaving */
+        "yy...yy", /* serving to itself, draining, failed, leaving */
+        "yyy..yy", /* draining to itself, serving, drained, failed, leaving */
+        "y.yy.yy", /* drained to itself, serving, rebooting, failed, leaving */
+        "...yyyy", /* rebooting to itself, checking, failed, leaving */
+        "y...yyy", /* checking to itself, serving, failed, leaving */
+        "....yyy", /* failed to itself, checking, leaving */
+        "....yyy", /* leaving to itself, checking, failed */
     };
     for (int from = 0; from < VM_STATE_COUNT; from++) {
         for (int to = 0; to < VM_STATE_COUNT; to++) {
@@ -251,8 +252,9 @@
     }
 }
 
-/* Guards against a step check that accepts a planned stop beyond the budget, a
- * move or removal without a drain, or a version that does not grow. */
+/* Guards against AqFleet_CheckStep accepting a planned stop of a VM beyond its
+ * pool's budget, a move or removal of a VM without a drain, or a document
+ * version that does not grow. */
 static void
 test_step_check(void)
 {
@@ -260,7 +262,8 @@
         const char *vm;
         const char *pool;
         const char *state;
-        const char *fault; /* NULL: allowed */
+        /* text that the error must contain; NULL: the change is allowed */
+        const char *fault;
     } steps[] = {
         {"a1", "a", "draining", NULL},
         {"b1", "b", "draining", "planned stop"},
@@ -347,9 +350,9 @@
     json_decref(set);
 }
 
-/* Guards against a reader that misses versions, accepts an older head, or
- * loses the epoch or operation ids, and against a tail that grows without
- * limit. */
+/* Guards against a reader of head that misses document versions, accepts an
+ * older head, or loses the epoch or operation ids, and against a tail in head
+ * that grows without limit. */
 static void
 test_storage(void)
 {
@@ -386,7 +389,8 @@
     CU_ASSERT_EQUAL(
         AqFleet_LoadSnapshot(far, snapshot, strlen(snapshot), &error),
         AQ_LOAD_OK);
-    /* The snapshot may come from a peer without being in the store. */
+    /* The loaded snapshot may have come from a peer without being in the
+     * store, so the next commit must store one. */
     CU_ASSERT_TRUE(AqFleet_NeedsSnapshot(far));
     CU_ASSERT_EQUAL(
         AqFleet_LoadHead(far, head, strlen(head), &snapshot_version, &error),
@@ -418,8 +422,8 @@
     AqFleet_Destroy(far);
 }
 
-/* Guards against a damaged head or snapshot that crashes a reader or is
- * applied in part. */
+/* Guards against a damaged head or snapshot that crashes the daemon reading it
+ * or is applied in part. */
 static void
 test_bad_texts(void)
 {
--- a/packages/fleet/tests/test_fleet_random.c
+++ b/packages/fleet/tests/test_fleet_random.c
@@ -9,7 +9,7 @@
 #define STEPS 350
 #define VMS 16
 #define OPERATORS 2
-#define DAEMONS 4 /* two that serve operators, two that run planners */
+#define DAEMONS 4 /* two daemons serve operators, two run planners */
 
 typedef struct {
     FakeStore store;
@@ -27,7 +27,7 @@
     return (int)AqRandom_Below(&fixture->random, (uint64_t)bound);
 }
 
-/* Writes pools and VMs to the store as version 1. */
+/* Writes pools and VMs to the store as version 1 of the fleet document. */
 static void
 seed_fleet(Fixture *fixture)
 {
@@ -202,7 +202,7 @@
 }
 
 /* Returns the number of VMs that the planner should still advance: all but
- * those that serve and those that an operator holds drained. */
+ * those that serve and those that an operator keeps drained. */
 static int
 count_stuck(const Fixture *fixture)
 {
@@ -217,8 +217,9 @@
     return stuck;
 }
 
-/* Runs one planner without faults until no VM is stuck, for at most two hours
- * of virtual time: longer than VM_RETRY_MS and every hysteresis. */
+/* Runs one planner without faults until no VM is left that the planner should
+ * advance, for at most two hours of virtual time: longer than VM_RETRY_MS and
+ * every delay in the planner's hysteresis of moves. */
 static void
 run_until_idle(Fixture *fixture)
 {
@@ -245,9 +246,10 @@
     }
 }
 
-/* Guards against violations of the invariants of sections 1.2 and 4.1 through
- * sequences of conflicts, crashes, lost and late replies, late watches and VM
- * failures, and against VMs that never leave an intermediate state. */
+/* Guards against violations of the invariants in sections 1.2 and 4.1 of the
+ * design page through sequences of conflicts, crashes of daemons, lost and
+ * late replies of the store, late watches and failures of VMs, and against VMs
+ * that never leave an intermediate state. */
 static void
 test_random_sequences(void)
 {
@@ -278,8 +280,8 @@
 
 /* ---- Test switches ---------------------------------------------------- */
 
-/* Returns the number of seeds whose run violates an invariant with mechanisms
- * disabled. */
+/* Returns for how many of DISABLED_SEEDS seeds a random sequence violates an
+ * invariant when the given mechanisms are disabled. */
 static int
 count_faults(unsigned disabled, bool no_cas, bool no_read_back)
 {
@@ -300,8 +302,9 @@
     return faults;
 }
 
-/* Guards against checks that cannot fail: the random sequences that pass with
- * all mechanisms must detect each one that is disabled. */
+/* Guards against checks that cannot fail: random sequences, which violate no
+ * invariant with all mechanisms, must violate one when any of the mechanisms
+ * is disabled. */
 static void
 test_mechanisms_are_needed(void)
 {
@@ -322,8 +325,9 @@
     CU_ASSERT_TRUE(read_back > 0);
 }
 
-/* Returns the number of refusals that the document in the store does not call
- * for, when two operators drain VMs of different pools at the same time. */
+/* Returns the number of intents that are refused although the document in the
+ * store allows them, when two operators drain VMs of different pools at the
+ * same time. */
 static int
 count_needless_refusals(bool no_reevaluate)
 {
@@ -352,8 +356,9 @@
     return needless_refusals;
 }
 
-/* Guards against refusing an intent only because an independent one was
- * committed first, which happens when a conflict is not evaluated again. */
+/* Guards against refusing an intent only because an independent intent was
+ * committed first, which happens when the daemon does not evaluate an intent
+ * again after a conflict. */
 static void
 test_conflict_is_evaluated_again(void)
 {
--- a/packages/fleet/tests/test_planner.c
+++ b/packages/fleet/tests/test_planner.c
@@ -17,8 +17,9 @@
 typedef struct {
     const char *name;
     int vms;
-    int min;              /* min_serving */
-    const char *selector; /* value of label "size"; NULL: any */
+    int min; /* min_serving of the pool */
+    /* value of label "size" that the pool selects; NULL: any */
+    const char *selector;
 } FixturePool;
 
 static void
@@ -33,8 +34,8 @@
                       8, "connections", 64, "objective", 999));
 }
 
-/* Puts the VMs of a pool: number i of pool "a" is "ai", two VMs share a rack,
- * and the racks alternate between three data centres. */
+/* Appends upserts for the VMs of a pool: VM i of pool "a" has id "a<i>", two
+ * VMs share a rack, and the racks alternate between three data centres. */
 static void
 put_vms(Fixture *fixture, json_t *set, const FixturePool *pool)
 {
@@ -150,9 +151,9 @@
 
 static const FixturePool two_pools[] = {{"a", 6, 3, NULL}, {"b", 6, 4, NULL}};
 
-/* Guards against a wave that skips a VM, reboots one twice, does not set the
- * release label, exceeds max_parallel, or stops VMs in two data centres of a
- * pool at the same time. */
+/* Guards against a wave that skips a VM, reboots a VM twice, does not set the
+ * release label, has more than max_parallel VMs out of service, or stops VMs
+ * of a pool in two data centres at the same time. */
 static void
 test_wave(void)
 {
@@ -190,8 +191,8 @@
     fixture_destroy(&fixture);
 }
 
-/* Returns the number of VMs that fail in a wave when no VM comes up after its
- * reboot. */
+/* Returns the number of VMs that fail in a wave over 12 VMs when no VM comes
+ * up after its reboot. */
 static int
 wave_losses(unsigned disabled)
 {
@@ -212,8 +213,9 @@
     return lost;
 }
 
-/* Guards against a wave that continues although its VMs fail: it stops after
- * two, and with the stop disabled it takes all that the budget allows. */
+/* Guards against a wave that continues although its VMs fail: the wave must
+ * stop after two failed VMs, and with that stop disabled it loses all VMs that
+ * the budget of the pool allows to be stopped. */
 static void
 test_wave_stops_itself(void)
 {
@@ -221,8 +223,8 @@
     CU_ASSERT_EQUAL(wave_losses(FLEET_DISABLE_WAVE_STOP), 10);
 }
 
-/* Guards against a paused wave that still begins reboots or keeps its VMs out
- * of service; an aborted wave takes the same path. */
+/* Guards against a paused wave that still begins reboots of VMs or keeps its
+ * VMs out of service; an abort of a wave runs the same code. */
 static void
 test_wave_pause(void)
 {
@@ -268,7 +270,8 @@
     CU_ASSERT_EQUAL(vm_of(&fixture, "b5")->state, AQ_VM_LEAVING);
     CU_ASSERT_EQUAL(count_state(&fixture, AQ_VM_DRAINING), 0);
     run_planner_step(&fixture);
-    /* Pool a has 4 VMs serving with min_serving 3, pool b 5 with 4. */
+    /* Pool a has 4 VMs serving with min_serving 3, pool b 5 VMs with
+     * min_serving 4, so each budget allows one planned stop. */
     CU_ASSERT_EQUAL(count_state(&fixture, AQ_VM_DRAINING), 2);
     CU_ASSERT_TRUE(
         run_intent(&fixture, "wave.abort", json_pack("{s:s}", "name", "w")));
@@ -317,8 +320,8 @@
     fixture_destroy(&fixture);
 }
 
-/* Guards against a wave that starts a rack before it has finished the previous
- * one. */
+/* Guards against a wave that starts on a rack before it has finished the VMs
+ * of the previous rack. */
 static void
 test_wave_finishes_racks(void)
 {
@@ -339,7 +342,7 @@
             }
         }
     }
-    /* Six racks of two VMs. */
+    /* The pool has six racks of two VMs, and the wave works on each once. */
     CU_ASSERT_EQUAL(changes, 6);
     fixture_destroy(&fixture);
 }
@@ -374,9 +377,10 @@
     return seconds;
 }
 
-/* Guards against an evaluation that clears the planner's record of an outage.
- * The daemon evaluates a step once to see whether there is work and again to
- * commit it; every reboot then took the 30 s of REBOOT_ASSUMED_DONE_MS. */
+/* Guards against a planner step whose evaluation clears the planner's record
+ * that a VM was down.  The daemon evaluates a step once to see whether there
+ * is work and again to commit the step; every reboot then took the 30 s of
+ * REBOOT_ASSUMED_DONE_MS. */
 static void
 test_step_can_be_repeated(void)
 {
@@ -386,8 +390,9 @@
     CU_ASSERT_EQUAL(reboot_time(2), once);
 }
 
-/* Guards against a deficit that is not filled, a move of a VM whose labels do
- * not match the selector, and more moves than VMs are missing. */
+/* Guards against a pool's deficit of VMs that is not filled, a move of a VM
+ * whose labels do not match the selector of the pool, and more moves than VMs
+ * are missing. */
 static void
 test_deficit_is_filled(void)
 {
@@ -410,8 +415,8 @@
     fixture_destroy(&fixture);
 }
 
-/* Returns the number of moves in 8 hours during which a VM fails for 5 minutes
- * every 20 minutes. */
+/* Returns the number of VM moves between pools in 8 hours of virtual time,
+ * during which a VM fails for 5 minutes every 20 minutes. */
 static int
 count_moves(unsigned disabled)
 {
@@ -438,7 +443,8 @@
     return moves;
 }
 
-/* Guards against moves back and forth with every short failure. */
+/* Guards against VMs that move back and forth between pools with every short
+ * failure of a VM. */
 static void
 test_hysteresis(void)
 {
@@ -450,8 +456,8 @@
 }
 
 /* Guards against a planner step that takes much longer than one scan of the
- * VMs at the design size.  The bound allows for a sanitizer build on a busy
- * machine. */
+ * VMs at the design size of about 900 VMs.  The bound of 100 ms allows for a
+ * sanitizer build on a busy machine. */
 static void
 test_decision_time(void)
 {
--- a/packages/fleet/vm_record.c
+++ b/packages/fleet/vm_record.c
@@ -26,8 +26,9 @@
     json_object_del(record, "reboot");
 }
 
-/* The commit that begins the drain has the next version, since it succeeds
- * only as a compare-and-swap on the current one. */
+/* The commit that begins the drain creates the document's next version, since
+ * that commit succeeds only as a compare-and-swap of head at the current
+ * version. */
 json_t *
 vm_draining(const AqFleet *fleet, const VmEntry *vm, int64_t wall_ms)
 {
