--- a/packages/fleet/Include/aq_fleet.h
+++ b/packages/fleet/Include/aq_fleet.h
@@ -64,7 +64,7 @@
     const char *address; /* "IP:port" at which the VM serves requests */
     const char *rack;
     const char *zone;
-    const char *wave; /* wave that stopped the VM; "" when none did */
+    const char *wave; /* name of the wave that keeps the VM stopped, or "" */
     AqVmState state;
     int64_t since; /* Unix ms of the VM's last change of state */
     int slots; /* request slots of the VM's endpoint, as its pool sets them */
@@ -171,12 +171,17 @@
 void AqFleet_SnapshotWritten(AqFleet *fleet);
 
 typedef enum {
-    AQ_LOAD_OK, /* the document now has the version of the text */
-    /* the text is not newer than the document; nothing changed */
+    /* the document now has the version of the head or snapshot passed in */
+    AQ_LOAD_OK,
+    /* the head or snapshot passed in has the document's version or an older
+     * one; the document is unchanged */
     AQ_LOAD_OLDER,
-    /* load the snapshot of version *snapshot first; nothing changed */
+    /* AqFleet_LoadHead only: the caller must first load the snapshot of
+     * version *snapshot; the document is unchanged */
     AQ_LOAD_SNAPSHOT,
-    AQ_LOAD_BAD /* the text is invalid, see *error; nothing changed */
+    /* the head or snapshot passed in is invalid, as *error says; the document
+     * is unchanged */
+    AQ_LOAD_BAD
 } AqLoadResult;
 
 /* Updates the document to the version of "head", the value of
@@ -185,7 +190,8 @@
  * load before the next try. */
 AqLoadResult AqFleet_LoadHead(AqFleet *fleet, const char *head, size_t size,
                               int64_t *snapshot, AqError *error);
-/* Replaces the document by the snapshot in "text" if the snapshot is newer. */
+/* Replaces the document by the snapshot in "text" if the snapshot has a higher
+ * version than the document. */
 AqLoadResult AqFleet_LoadSnapshot(AqFleet *fleet, const char *text,
                                   size_t size, AqError *error);
 
--- a/packages/fleet/bench/bench_fleet.c
+++ b/packages/fleet/bench/bench_fleet.c
@@ -33,9 +33,10 @@
     int time;
 } Site;
 
-/* Design page, section 1.1: VMs of each pool at sites 1 and 2, and the weights
- * that are highest at each of these sites. */
+/* VMs of each pool at sites 1 and 2; design page, section 1.1. */
 static const int small_sizes[] = {9, 9, 11, 12, 8};
+/* Sites 1 and 2 of the design page, section 1.1, with the weights that are
+ * highest at each of the two sites. */
 static const Site small_sites[] = {
     {"site 1: 50 VMs, 5 pools, moves and time weigh most", 50, 5, 3,
      small_sizes, 5, 8, 8},
@@ -189,10 +190,10 @@
 }
 
 /* Causes unplanned outages of VMs at the rates of the design page, section
- * 1.6.  Scaled to the number of VMs: 11 failures (60 min) and 96 restarts or
- * replacements (leaving for 2 min, which is left out here, then down for about
- * 8) a day over 900 VMs.  Not scaled: the outage of one rack (2 h) every 45
- * days. */
+ * 1.6.  Scaled to the number of VMs: 11 failures (down for 60 min) and 96
+ * restarts or replacements (leaving for 2 min, which is left out here, then
+ * down for about 8 min) a day over 900 VMs.  Not scaled: the outage of one
+ * rack (down for 2 h) every 45 days. */
 static void
 fail_vms(Run *run)
 {
--- a/packages/fleet/budget.c
+++ b/packages/fleet/budget.c
@@ -128,8 +128,8 @@
     return largest;
 }
 
-/* The target is the larger of two numbers of the pool's VMs, those in the
- * fullest rack and those expected out of service, scaled by the weights
+/* The buffer target is the larger of two numbers of the pool's VMs, those in
+ * the fullest rack and those expected out of service, scaled by the weights
  * (design page, sections 7.2 and 12).  It is at most min_serving: a larger
  * buffer protects min_serving no better, and in a pool whose VMs share one
  * rack each added VM would raise the target again. */
--- a/packages/fleet/document.c
+++ b/packages/fleet/document.c
@@ -5,10 +5,6 @@
 
 #include "aq_json.h"
 
-/* Records are immutable: every change of a record puts a new JSON object in
- * place of the old.  Clones of a document and undo lists therefore share the
- * objects of records. */
-
 AqFleet *
 AqFleet_Create(void)
 {
--- a/packages/fleet/fleet_internal.h
+++ b/packages/fleet/fleet_internal.h
@@ -12,15 +12,18 @@
 /* A document keeps the ids of this many last operations; AqFleet_Apply refuses
  * an operation whose id is among them. */
 #define OPERATION_IDS_MAX 256
-/* Once head's tail has this many entries, one per commit, the next commit
- * first stores a snapshot and clears the tail. */
+/* The tail in head (AQ_FLEET_HEAD_KEY) has one entry per commit after the last
+ * snapshot.  At this many entries the next commit, before it writes head,
+ * stores a snapshot and clears the tail. */
 #define TAIL_MAX_ENTRIES 16
-/* Above this many bytes of tail the next commit first stores a snapshot, too.
- * Each daemon reads head once a second: 4 KB are 5.5 KB/s in base64. */
+/* When the tail in head (AQ_FLEET_HEAD_KEY), the commits after the last
+ * snapshot, has more bytes of JSON text than this, the next commit stores a
+ * snapshot and clears the tail before it writes head.  Each daemon reads head
+ * once a second: 4 KB in base64 are 5.5 KB/s for each daemon. */
 #define TAIL_MAX_BYTES 4096
 
-/* Limit for a reboot and the health checks after it together, after which the
- * VM counts as failed; design page, section 7.1. */
+/* Time limit for the reboot of a VM and the health checks after the reboot
+ * together, after which the VM counts as failed; design page, section 7.1. */
 #define WAVE_RETURN_LIMIT_MS (10 * 60 * 1000)
 /* Delay before a VM that is listed live but has failed its health checks is
  * checked again, so that a broken VM costs only two commits of the fleet
@@ -40,25 +43,28 @@
     PoolEntry *target_pool; /* pool to which the VM is being moved, or NULL */
     AqLink link;            /* links the VM in the list pool->vms */
     int number;             /* position of this VM in AqFleet.vm_order */
-    int rack; /* number of the rack's name in AqFleet.interned_names */
-    int zone; /* number of the data centre's name in AqFleet.interned_names */
+    /* number that AqFleet.interned_names maps the name of the VM's rack to */
+    int rack;
+    /* number that AqFleet.interned_names maps the name of the VM's data centre
+     * to */
+    int zone;
     AqVmState state;
-    /* the planner reboots the VM once drained; set by vm.reboot, not by
-     * waves */
+    /* the planner reboots the VM once it is drained; set by the intent
+     * vm.reboot, not by waves */
     bool is_reboot_planned;
     bool matches_selector; /* the VM's labels match its pool's selector */
     int64_t since_ms;      /* wall time of the VM's last change of state */
     /* wall time of the VM's last change of pool; 0: never moved */
     int64_t moved_at_ms;
-    /* document version in which the VM began to drain */
+    /* document version in which the VM last began to drain */
     int64_t drain_version;
     /* id of the last wave that finished its work on the VM; 0: none */
     int64_t last_wave_id;
     /* wall time at which a VM still rebooting or checking counts as failed */
     int64_t deadline_ms;
-    /* wall time before which a failed VM is not checked again */
+    /* wall time before which a failed VM gets no new health checks */
     int64_t retry_at_ms;
-    const char *wave; /* name of the wave that stopped the VM, or "" */
+    const char *wave; /* name of the wave that keeps the VM stopped, or "" */
 } VmEntry;
 
 struct PoolEntry {
@@ -77,7 +83,10 @@
     int connections;
     const char *service;
     const json_t *selector;
-    int buffer_target; /* buffer target in VMs, cached; -1: must be computed */
+    /* VMs that the pool should have above min_serving for failures and waves,
+     * as the function buffer_target computed it; -1: not computed since a
+     * record on which it depends changed */
+    int buffer_target;
 };
 
 struct AqFleet {
@@ -85,24 +94,30 @@
     /* document version in which the set of entry VM members last changed */
     int64_t epoch;
     int64_t snapshot_version; /* document version of the last snapshot */
-    bool snapshot_stored; /* the last snapshot is known to be in the store */
+    /* the snapshot of version snapshot_version is known to be in the store */
+    bool snapshot_stored;
     /* mechanisms that a test disables: FLEET_DISABLE_* flags */
     unsigned disabled;
-    /* per AqRecordKind: JSON object from name to record */
+    /* Per AqRecordKind: JSON object from name to record.  Records are
+     * immutable: every change of a record puts a new JSON object in place of
+     * the old.  Clones of a document and undo lists therefore share the
+     * objects of records. */
     json_t *records[AQ_REC_KINDS];
-    /* last operations, oldest first: [[operation id, document version]...] */
+    /* last OPERATION_IDS_MAX operations applied to the document, oldest first:
+     * [[operation id, document version]...] */
     json_t *ops;
     /* commits after the last snapshot: one entry per document version */
     json_t *tail;
-    /* length of the tail as JSON text; of all of head after
-     * AqFleet_LoadHead */
+    /* bytes of JSON text in the tail; AqFleet_LoadHead sets it to the bytes of
+     * the whole head, to which later commits add their tail entries */
     size_t tail_bytes;
     GHashTable *vms;     /* VM id -> VmEntry */
     GHashTable *pools;   /* pool name -> PoolEntry */
     GPtrArray *vm_order; /* VmEntry of each VM, at position VmEntry.number */
     /* PoolEntry of each pool, at position PoolEntry.number */
     GPtrArray *pool_order;
-    /* name of a rack or data centre -> its number */
+    /* name of a rack or data centre -> number that stands for the name in
+     * VmEntry.rack and VmEntry.zone */
     GHashTable *interned_names;
 };
 
@@ -114,9 +129,10 @@
     /* a move changes the pool of a serving VM without a drain */
     FLEET_DISABLE_DRAIN = 1 << 1,
     FLEET_DISABLE_WAVE_STOP = 1 << 2, /* waves do not stop after failed VMs */
-    /* the planner moves VMs at the first sign of surplus or deficit */
+    /* the planner moves VMs as soon as a pool has a surplus or deficit of VMs,
+     * however small or short */
     FLEET_DISABLE_HYSTERESIS = 1 << 3,
-    FLEET_DISABLE_PLACEMENT = 1 << 4 /* the planner moves no VMs */
+    FLEET_DISABLE_PLACEMENT = 1 << 4 /* the planner begins no moves of VMs */
 };
 void fleet_disable(AqFleet *fleet, unsigned disabled);
 
@@ -153,8 +169,9 @@
 /* Whether the labels contain every label of the selector with its value. */
 bool selector_matches(const json_t *selector, const json_t *labels);
 
-/* index.c: VmEntry by VM id and PoolEntry by pool name, updated with each
- * change of a record.  index_vm and index_pool return NULL when there is no
+/* index.c: VmEntry by VM id and PoolEntry by pool name, derived from the
+ * records and updated with each change of a record, so that counts and views
+ * do not scan all VMs.  index_vm and index_pool return NULL when there is no
  * such VM or pool. */
 void index_create(AqFleet *fleet);
 void index_destroy(AqFleet *fleet);
@@ -175,8 +192,9 @@
  * restore the old records, in the order of application. */
 void document_put(AqFleet *fleet, const json_t *set, json_t *undo);
 /* Checks and applies upserts as the next version of the document, and sets the
- * epoch when the set of entry VM members changes; adds no tail entry and no
- * operation id. */
+ * epoch to that version when the set of entry VM members changes; adds no tail
+ * entry and no operation id.  Returns false, with nothing changed, when an
+ * upsert is invalid. */
 bool document_advance(AqFleet *fleet, const json_t *set, json_t *undo,
                       AqError *error);
 /* Adds the id "op" of an operation applied at document version "version" to
@@ -204,38 +222,42 @@
  * pool.  The number is cached in the pool until a record on which it depends
  * changes. */
 int buffer_target(const AqFleet *fleet, PoolEntry *pool);
-/* Reads the three weights (1 to 10) of the document. */
+/* Sets *buffer, *moves and *time to the weights in the document, each 1 to 10
+ * with default 5. */
 void buffer_weights(const AqFleet *fleet, int *buffer, int *moves, int *time);
 
 /* vm_record.c: each function with a json_t result returns a new VM record made
  * from the VM's present one, as a new reference.  "wall_ms" becomes the time
  * of the last change of state in the new record. */
 json_t *vm_in_state(const json_t *record, AqVmState state, int64_t wall_ms);
-/* Returns the record of a VM that begins to drain with the next version of the
- * document. */
+/* Returns a new record of the VM in state draining; the drain begins with the
+ * next version of the document. */
 json_t *vm_draining(const AqFleet *fleet, const VmEntry *vm, int64_t wall_ms);
-/* Returns the record of a VM in state serving, for which no wave, move or
+/* Returns a new record of the VM in state serving, for which no wave, move or
  * reboot is planned. */
 json_t *vm_serving(const VmEntry *vm, int64_t wall_ms);
-/* Returns the record of a VM in state checking (health checks before
+/* Returns a new record of the VM in state checking (health checks before
  * service).  A VM that was in state rebooting keeps its deadline; a VM that
  * was in another state gets a new deadline. */
 json_t *vm_checking(const VmEntry *vm, int64_t wall_ms);
-/* Returns the record of a VM in state serving in "pool", as the end of a
- * move. */
+/* Returns a new record for the end of the VM's move to another pool: the VM
+ * belongs to the pool "pool" and is in state serving. */
 json_t *vm_in_pool(const VmEntry *vm, const char *pool, int64_t wall_ms);
 /* Removes from a VM record the wave, move and reboot that are planned for the
  * VM. */
 void vm_clear_plan(json_t *record);
 
-/* Intent handlers (intents*.c) validate the arguments of the intent and the
- * state of its VM, pool or wave, then append upserts to Intent.set.  When the
- * intent is not allowed, they return false with an error. */
+/* Intent handlers (intents*.c) check the arguments of the intent, then the
+ * state of its VM, pool or wave, then append upserts to Intent.set.  A handler
+ * appends no upserts when the document already has the requested effect, and
+ * returns false with an error when the intent is not allowed. */
 typedef struct {
     const AqFleet *fleet;
     const json_t *args; /* object "args" of the intent */
     int64_t wall_ms;
-    json_t *set; /* receives the upserts */
+    /* array to which the handler appends the upserts that carry out the
+     * intent */
+    json_t *set;
 } Intent;
 
 typedef bool (*IntentHandler)(const Intent *intent, AqError *error);
@@ -251,7 +273,8 @@
 bool intent_wave_resume(const Intent *intent, AqError *error);
 bool intent_wave_abort(const Intent *intent, AqError *error);
 /* Appends to "set" upserts that return to service the VMs that the wave "wave"
- * drains or has drained; VMs that it is rebooting stay out of service. */
+ * drains or has drained; VMs that the wave is rebooting stay out of
+ * service. */
 void wave_release_vms(const AqFleet *fleet, const char *wave, int64_t wall_ms,
                       json_t *set);
 
--- a/packages/fleet/index.c
+++ b/packages/fleet/index.c
@@ -2,9 +2,6 @@
 
 #include <string.h>
 
-/* The index of VMs and pools is derived from the records and updated with each
- * change of a record, so that counts and views do not scan all VMs. */
-
 static void
 free_vm(void *data)
 {
--- a/packages/fleet/intents.c
+++ b/packages/fleet/intents.c
@@ -2,10 +2,6 @@
 
 #include <string.h>
 
-/* Intent handlers check the fields of the intent, then the state of the VM,
- * pool or wave, then append upserts.  A handler appends no upserts when the
- * document already has the requested effect. */
-
 static bool
 check_args(const Intent *intent, const char *const *allowed, AqError *error)
 {
--- a/packages/fleet/intents_vm.c
+++ b/packages/fleet/intents_vm.c
@@ -110,7 +110,7 @@
                         string_or(vm->record, "address", "")) != 0;
     bool ok = record_check(AQ_REC_VM, vm->id, next, error);
     /* A serving or draining VM must keep its address, since requests may be in
-     * flight on the old one. */
+     * flight on the old address. */
     if (ok && moved &&
         (vm->state == AQ_VM_SERVING || vm->state == AQ_VM_DRAINING)) {
         ok = refuse_state(vm, "given another address",
--- a/packages/fleet/planner.c
+++ b/packages/fleet/planner.c
@@ -41,7 +41,8 @@
     bool served = vm->state == AQ_VM_SERVING;
     bool serves = state == AQ_VM_SERVING;
     /* The VM is counted also when its upsert does not fit into this step, so
-     * that a failed VM reduces the headroom of its pool at once. */
+     * that a failed VM at once reduces the number of planned stops that the
+     * budget of its pool allows. */
     pool->serving += serves - served;
     pool->unavailable += served - serves;
     step->is_changed[vm->number] = 1;
@@ -115,8 +116,8 @@
         plan_put_vm(step, vm, vm_checking(vm, step->wall_ms), AQ_VM_CHECKING);
         return true;
     }
-    /* A rebooting or checking VM may be down; deadline_ms limits for how
-     * long. */
+    /* A rebooting or checking VM may be down; VmEntry.deadline_ms
+     * limits for how long. */
     if ((listing == LISTED_DOWN || listing == LISTED_ABSENT) &&
         (vm->state == AQ_VM_SERVING || vm->state == AQ_VM_DRAINING ||
          vm->state == AQ_VM_DRAINED)) {
--- a/packages/fleet/planner.h
+++ b/packages/fleet/planner.h
@@ -3,11 +3,6 @@
 
 #include "fleet_internal.h"
 
-/* State of one planner step (one call of AqPlanner_Step, whose upserts form
- * one commit).  Counts of VMs start with the values of the document and
- * include the upserts that the step has made so far, so that several planned
- * stops in one commit share a budget. */
-
 /* State of a VM in the platform's VM list. */
 typedef enum {
     LISTED_LIVE,
@@ -23,15 +18,17 @@
     /* VMs that serve in the pool or will serve again, including VMs that are
      * moving into the pool and without those that are moving out of it. */
     int capacity_vms;
-    /* VMs that the pool should have: min_serving + buffer target */
+    /* VMs that the pool should have: min_serving plus the result of the
+     * function buffer_target */
     int needed_vms;
-    /* Number of the data centre in which VMs of the pool are stopped by waves;
-     * ZONE_NONE: no VM is, ZONE_MANY: VMs in several data centres are. */
+    /* Number (VmEntry.zone) of the data centre in which waves keep VMs of the
+     * pool stopped; ZONE_NONE: in no data centre, ZONE_MANY: in several. */
     int active_zone;
 } PoolPlan;
 
-/* Most VM upserts of one planner step; later steps make the others.  128 take
- * about 35 KB in head's tail, half of the limit for head. */
+/* Most VM upserts of one planner step; later steps make the others.  128 VM
+ * upserts take about 35 KB in the tail of head (AQ_FLEET_HEAD_KEY), half of
+ * the size limit for head. */
 #define STEP_UPSERTS_MAX 128
 
 #define ZONE_NONE (-1)
@@ -50,6 +47,10 @@
     int in_progress;
 } WavePlan;
 
+/* State of one planner step (one call of AqPlanner_Step, whose upserts form
+ * one commit).  Counts of VMs start with the values of the document and
+ * include the upserts that the step has made so far, so that several planned
+ * stops in one commit share a budget. */
 typedef struct {
     AqPlanner *planner;
     const AqFleet *fleet;
@@ -58,8 +59,8 @@
     void *context;
     json_t *set;
     json_t *reboots;
-    PoolPlan *pools; /* counts of each pool, by PoolEntry.number */
-    /* by VmEntry.number; 1: this step changes the VM */
+    PoolPlan *pools; /* VM counts of each pool, by PoolEntry.number */
+    /* for each VM, by VmEntry.number, 1 if this step has changed the VM */
     unsigned char *is_changed;
     WavePlan *waves;
     int wave_count;
@@ -78,9 +79,10 @@
     GHashTable *down;
 };
 
-/* Appends a VM's new record (stolen) and counts the VM in its new state.
- * Returns false when the step has STEP_UPSERTS_MAX upserts already; the VM
- * then keeps its record until a later step. */
+/* Appends an upsert with the new record (stolen) of a VM to the step's set and
+ * counts the VM as being in state "state".  Returns false when the step has
+ * STEP_UPSERTS_MAX upserts already; the VM then keeps its record until a later
+ * step. */
 bool plan_put_vm(PlanStep *step, const VmEntry *vm, json_t *record,
                  AqVmState state);
 /* Returns the number of further planned stops of VMs of the pool that the
@@ -95,8 +97,9 @@
  * progress for that wave; does nothing when no wave stopped the VM. */
 void plan_wave_add_in_progress(PlanStep *step, const VmEntry *vm);
 /* Counts in the wave that stopped a VM whether the VM serves again
- * ("returned") or failed, enters the wave as finished into the VM's new
- * record, and stops the wave after too many failed VMs. */
+ * ("returned") or failed, enters into the VM's new record that the wave has
+ * finished on the VM, and stops the wave when too many of the last VMs of the
+ * wave have failed. */
 void plan_wave_result(PlanStep *step, const VmEntry *vm, json_t *record,
                       bool returned);
 /* Begins drains of VMs for the running waves and ends the waves that have no
--- a/packages/fleet/planner_place.c
+++ b/packages/fleet/planner_place.c
@@ -10,7 +10,8 @@
 #define TOLERATED_SURPLUS_VMS 1
 #define IMBALANCE_MIN_MS (10 * 60 * 1000)
 #define MIN_STAY_MS (30 * 60 * 1000)
-/* Most moves that one step begins; later steps begin the others. */
+/* Most moves of VMs that one planner step begins; later steps begin the
+ * others. */
 #define STEP_MOVES_MAX 16
 
 /* A VM that may move to a pool in deficit. */
@@ -27,7 +28,8 @@
     int64_t imbalance_min_ms;
     int64_t min_stay_ms;
     int moves;
-    /* by VmEntry.rack: VMs of one pool in that rack; all 0 between uses */
+    /* Number of VMs of one pool in each rack, by VmEntry.rack; all 0 except
+     * while fill_pool or release_pool_surplus works on that pool. */
     int *racks;
     Source *sources;
 } Placement;
@@ -50,8 +52,8 @@
 
 /* Sets capacity_vms and needed_vms of each pool.  A VM that an operator keeps
  * drained for imbalance_min_ms or longer is no longer capacity, nor is a
- * failed or leaving VM.  Rebooting VMs are, since the buffer covers their
- * outage. */
+ * failed or leaving VM.  A rebooting VM is capacity, since the VMs above
+ * min_serving cover its outage. */
 static void
 count_capacity(Placement *place)
 {
@@ -97,7 +99,7 @@
 }
 
 /* Begins the move of a VM to the pool "to"; returns false when the planner
- * step has no room for more upserts. */
+ * step has STEP_UPSERTS_MAX upserts already. */
 static bool
 start_move(Placement *place, const VmEntry *vm, const PoolEntry *to)
 {
@@ -162,7 +164,8 @@
 }
 
 /* Adds the VMs of a pool to the counts per rack in place->racks (step 1) or
- * subtracts them (step -1); returns the largest count met. */
+ * subtracts them (step -1); with step 1 returns the largest count of a
+ * rack. */
 static int
 count_racks(Placement *place, const PoolEntry *pool, int step)
 {
@@ -177,8 +180,9 @@
     return largest;
 }
 
-/* Fills place->sources with the VMs that may move to the pool "to", in the
- * order of compare_sources; returns their number. */
+/* Fills place->sources with the VMs that may move to the pool "to" and returns
+ * their number.  VMs of the spare pool come first, then VMs in racks with few
+ * VMs of the pool "to", then VMs of pools with a large surplus. */
 static int
 collect_sources(Placement *place, const PoolEntry *to,
                 const GPtrArray *pool_list)
@@ -207,8 +211,9 @@
 }
 
 /* Whether adding the VM of "source" to the pool "to" leaves the pool's deficit
- * unchanged, because its fullest rack grows and the buffer target with it.
- * "largest" is the number of the pool's VMs in its fullest rack. */
+ * unchanged, because the pool's fullest rack grows and with the rack the
+ * buffer target (VMs that the pool should have above min_serving). "largest"
+ * is the number of the pool's VMs in its fullest rack. */
 static bool
 cannot_reduce_deficit(const Placement *place, const PoolEntry *to,
                       const Source *source, int largest)
@@ -219,8 +224,9 @@
            plan->needed_vms < 2 * to->min_serving;
 }
 
-/* Begins moves of VMs to the pool "to" until its deficit is filled, no VM may
- * move, or the planner step has no room for more. */
+/* Begins moves of VMs to the pool "to" until its deficit is filled, no further
+ * VM may move to it, or the planner step has begun STEP_MOVES_MAX moves or has
+ * STEP_UPSERTS_MAX upserts. */
 static void
 fill_pool(Placement *place, const PoolEntry *to)
 {
@@ -256,7 +262,8 @@
 /* Whether moves to a pool in deficit are due.  A pool with capacity below
  * min_serving gets VMs at once.  When only the pool's buffer is short, the
  * missing VMs often return within minutes: filling the buffer at once makes 20
- * moves a day at the design size of 900 VMs, against 3 after a delay. */
+ * moves a day at the design size of 900 VMs, against 3 after a delay of
+ * IMBALANCE_MIN_MS. */
 static bool
 is_fill_due(const Placement *place, const PoolEntry *pool)
 {
--- a/packages/fleet/planner_waves.c
+++ b/packages/fleet/planner_waves.c
@@ -59,7 +59,8 @@
 
 /* Appends the result for a VM to the field "recent" of a wave's record, a
  * string of "o" (returned to service) and "x" (failed) for the wave's last
- * VMs; returns the number of failures in the new string. */
+ * RECENT_RESULTS_MAX VMs, the latest at the end; returns the number of
+ * failures in the new string. */
 static int
 append_recent(json_t *wave, bool returned)
 {
@@ -278,7 +279,7 @@
 }
 
 /* Begins drains of VMs until max_parallel VMs of the wave are in progress;
- * sets the wave to done when none is in progress or left. */
+ * sets the wave's state to done when no VM is in progress or left to stop. */
 static void
 run_wave(PlanStep *step, WavePlan *wave)
 {
--- a/packages/fleet/storage.c
+++ b/packages/fleet/storage.c
@@ -5,8 +5,8 @@
 
 #include "aq_json.h"
 
-/* Head holds only what the last snapshot lacks, because every daemon reads
- * head once a second; older operation ids are in the snapshot. */
+/* Head holds only the commits after the last snapshot, because every daemon
+ * reads head once a second; older operation ids are in the snapshot. */
 char *
 AqFleet_EncodeHead(const AqFleet *fleet)
 {
@@ -269,8 +269,8 @@
         fresh->version = version;
         fresh->epoch = epoch;
         fresh->snapshot_version = version;
-        /* The snapshot may come from a peer without being in the store; only
-         * head says which snapshot is stored. */
+        /* The snapshot may come from another daemon without being in the
+         * store; only head says which snapshot is stored. */
         fresh->snapshot_stored = false;
         fresh->disabled = fleet->disabled;
         json_decref(fresh->ops);
--- a/packages/fleet/tests/fake_daemon.h
+++ b/packages/fleet/tests/fake_daemon.h
@@ -31,7 +31,8 @@
     char *head;        /* value of the head key; NULL before the first write */
     int64_t index;     /* store revision of head */
     json_t *snapshots; /* store key -> text of the snapshot */
-    char *delayed_head; /* value of head in a delayed write, or NULL */
+    /* value of head in the write delayed by REPLY_LATE; NULL: no such write */
+    char *delayed_head;
     /* store revision of head that the delayed write expects */
     int64_t delayed_index;
     /* test switch: writes of head succeed at any store revision */
@@ -64,7 +65,8 @@
     /* virtual time at which the VM, if down, comes up; 0: never */
     int64_t up_at_ms;
     int64_t up_since_ms; /* virtual time since which the VM has been up */
-    /* "since" of the VM's record in the last reboot order carried out */
+    /* AqVmView.since of the VM at the last reboot order carried out, in ms; an
+     * order at the same "since" repeats that order */
     int64_t last_reboot_since_ms;
     const char *listed; /* state of the VM in the VM list; NULL: not listed */
 } FakeVm;
@@ -75,7 +77,7 @@
     int64_t listed_at_ms; /* virtual time of the last update of the VM list */
     int64_t list_lag_ms;  /* virtual time between updates of the VM list */
     int64_t reboot_ms;    /* mean duration of a reboot */
-    /* Virtual time from the begin of a VM's drain until no request is in
+    /* Virtual time from the beginning of a VM's drain until no request is in
      * flight on the VM. */
     int64_t in_flight_ms;
     AqRandom random;
--- a/packages/fleet/tests/test_fleet.c
+++ b/packages/fleet/tests/test_fleet.c
@@ -83,11 +83,12 @@
     const char *kind;
     const char *args;
     AqErrorKind error;
-    /* When "error" is set: texts that the error message must contain.  When it
-     * is AQ_OK: kind and name of a record, a field of the record and the JSON
-     * value of that field ("" if absent).  Without a field the record must be
-     * deleted, and without a kind the intent must yield no upserts.  Single
-     * quotes in all texts stand for double quotes. */
+    /* With "error" other than AQ_OK: texts that the error message must
+     * contain.  With AQ_OK: kind and name of a record, a field of the record
+     * and the JSON value that the field must have after the intent ("" if
+     * absent).  Without a field the intent must delete the record, and without
+     * a kind the intent must yield no upserts.  Single quotes in all texts
+     * stand for double quotes. */
     const char *expected[4];
 } IntentCase;
 
@@ -188,6 +189,8 @@
 static void
 test_envelope(void)
 {
+    /* Each row: an intent that must be refused, and a text that the error
+     * message must contain. */
     static const char *const bad[][2] = {
         {"[]", "not a JSON object"},
         {"{\"kind\": \"vm.drain\", \"args\": {}}", "\"op\" is missing"},
@@ -219,16 +222,38 @@
 static void
 test_transitions(void)
 {
-    /* Rows: state of the VM before the change; columns: state after it, in the
-     * order of AqVmState; "y": allowed. */
+    /* One row per state of a VM before a change and one character per state
+     * after it, both in the order of AqVmState; "y": AqFleet_CheckStep must
+     * accept the change, ".": it must reject the change. */
     static const char *const allowed[VM_STATE_COUNT] = {
-        "yy...yy", /* serving to itself, draining, failed, leaving */
-        "yyy..yy", /* draining to itself, serving, drained, failed, leaving */
-        "y.yy.yy", /* drained to itself, serving, rebooting, failed, leaving */
-        "...yyyy", /* rebooting to itself, checking, failed, leaving */
-        "y...yyy", /* checking to itself, serving, failed, leaving */
-        "....yyy", /* failed to itself, checking, leaving */
-        "....yyy", /* leaving to itself, checking, failed */
+        /* One character per next state in the order of AqVmState, "y" if
+         * allowed: a serving VM may stay so or become draining, failed or
+         * leaving. */
+        "yy...yy",
+        /* One character per next state in the order of AqVmState, "y" if
+         * allowed: a draining VM may become serving, stay draining, or become
+         * drained, failed or leaving. */
+        "yyy..yy",
+        /* One character per next state in the order of AqVmState, "y" if
+         * allowed: a drained VM may become serving, stay drained, or become
+         * rebooting, failed or leaving. */
+        "y.yy.yy",
+        /* One character per next state in the order of AqVmState, "y" if
+         * allowed: a rebooting VM may stay so or become checking, failed or
+         * leaving. */
+        "...yyyy",
+        /* One character per next state in the order of AqVmState, "y" if
+         * allowed: a checking VM may become serving, stay checking, or become
+         * failed or leaving. */
+        "y...yyy",
+        /* One character per next state in the order of AqVmState, "y" if
+         * allowed: a failed VM may become checking, stay failed, or become
+         * leaving. */
+        "....yyy",
+        /* One character per next state in the order of AqVmState, "y" if
+         * allowed: a leaving VM may become checking or failed, or stay
+         * leaving. */
+        "....yyy",
     };
     for (int from = 0; from < VM_STATE_COUNT; from++) {
         for (int to = 0; to < VM_STATE_COUNT; to++) {
@@ -259,10 +284,12 @@
 test_step_check(void)
 {
     static const struct {
-        const char *vm;
+        const char *vm; /* id of the VM of make_fleet that is changed */
+        /* pool of the VM after the change; NULL: the VM is removed */
         const char *pool;
-        const char *state;
-        /* text that the error must contain; NULL: the change is allowed */
+        const char *state; /* state of the VM after the change */
+        /* text that the error message of AqFleet_CheckStep must contain; NULL:
+         * AqFleet_CheckStep must accept the change */
         const char *fault;
     } steps[] = {
         {"a1", "a", "draining", NULL},
@@ -389,8 +416,8 @@
     CU_ASSERT_EQUAL(
         AqFleet_LoadSnapshot(far, snapshot, strlen(snapshot), &error),
         AQ_LOAD_OK);
-    /* The loaded snapshot may have come from a peer without being in the
-     * store, so the next commit must store one. */
+    /* The loaded snapshot may have come from another daemon without being in
+     * the store, so the next commit must store a snapshot. */
     CU_ASSERT_TRUE(AqFleet_NeedsSnapshot(far));
     CU_ASSERT_EQUAL(
         AqFleet_LoadHead(far, head, strlen(head), &snapshot_version, &error),
--- a/packages/fleet/tests/test_planner.c
+++ b/packages/fleet/tests/test_planner.c
@@ -86,7 +86,8 @@
     fake_platform_clear(&fixture->platform);
 }
 
-/* Runs an intent to its end; returns whether it was accepted. */
+/* Lets the daemon carry out an intent to its end; returns whether the daemon
+ * accepted the intent. */
 static bool
 run_intent(Fixture *fixture, const char *kind, json_t *args)
 {
@@ -106,7 +107,7 @@
     fake_daemon_finish(&fixture->daemon);
 }
 
-/* Makes one planner step per second of virtual time. */
+/* Advances virtual time by "seconds", with one planner step each second. */
 static void
 run_planner(Fixture *fixture, int seconds)
 {
@@ -192,7 +193,7 @@
 }
 
 /* Returns the number of VMs that fail in a wave over 12 VMs when no VM comes
- * up after its reboot. */
+ * up after its reboot; "disabled": FLEET_DISABLE_* flags. */
 static int
 wave_losses(unsigned disabled)
 {
@@ -347,8 +348,9 @@
     fixture_destroy(&fixture);
 }
 
-/* Returns the seconds of virtual time until a rebooted VM serves again, when
- * "dry_runs" steps are evaluated without a commit before each planner step. */
+/* Returns the seconds of virtual time from the intent vm.reboot for a VM until
+ * the VM serves again, when the planner evaluates "dry_runs" steps without a
+ * commit before each step that it commits. */
 static int
 reboot_time(int dry_runs)
 {
@@ -379,8 +381,8 @@
 
 /* Guards against a planner step whose evaluation clears the planner's record
  * that a VM was down.  The daemon evaluates a step once to see whether there
- * is work and again to commit the step; every reboot then took the 30 s of
- * REBOOT_ASSUMED_DONE_MS. */
+ * is work and again to commit the step; with this fault every reboot took the
+ * 30 s of REBOOT_ASSUMED_DONE_MS. */
 static void
 test_step_can_be_repeated(void)
 {
@@ -416,7 +418,8 @@
 }
 
 /* Returns the number of VM moves between pools in 8 hours of virtual time,
- * during which a VM fails for 5 minutes every 20 minutes. */
+ * during which a VM fails for 5 minutes every 20 minutes; "disabled":
+ * FLEET_DISABLE_* flags. */
 static int
 count_moves(unsigned disabled)
 {
