--- a/packages/fleet/Include/aq_fleet.h
+++ b/packages/fleet/Include/aq_fleet.h
@@ -64,7 +64,8 @@
     const char *address; /* "IP:port" at which the VM serves requests */
     const char *rack;
     const char *zone;
-    const char *wave; /* name of the wave that keeps the VM stopped, or "" */
+    /* name of the wave that keeps the VM out of service, or "" */
+    const char *wave;
     AqVmState state;
     int64_t since; /* Unix ms of the VM's last change of state */
     int slots; /* request slots of the VM's endpoint, as its pool sets them */
@@ -83,9 +84,9 @@
     int serving;
     int unavailable; /* VMs of the pool in any state but serving */
     int min_serving;
-    /* no planned stop may raise "unavailable" above this; -1: unlimited */
+    /* no drain of a VM may raise "unavailable" above this; -1: unlimited */
     int max_unavailable;
-    /* further planned stops of VMs that the pool's budget allows now; >= 0 */
+    /* further VMs that the pool's budget allows to be drained now; >= 0 */
     int headroom;
     int buffer_target; /* VMs that the pool should have above min_serving */
 } AqPoolStatus;
@@ -123,10 +124,10 @@
  * the array "set".  Records whose state changes get "wall_ms" (Unix ms) as
  * "since".  Returns false with AQ_ERR_INVALID (bad intent), AQ_ERR_NOT_FOUND
  * or AQ_ERR_REFUSED (the budget of a pool or the state of a VM or wave forbids
- * the intent; the message names the numbers and the remedy).  Kinds of intents
- * are those of the design page except job.*, plus member.add {id, address} and
- * member.remove {id}.  An intent whose effect already holds yields no upserts
- * and succeeds. */
+ * the intent; the message names the VM counts and the remedy).  Kinds of
+ * intents are those of the design page except job.*, plus member.add {id,
+ * address} and member.remove {id}.  An intent whose effect already holds
+ * yields no upserts and succeeds. */
 bool AqFleet_Evaluate(const AqFleet *fleet, const json_t *intent,
                       int64_t wall_ms, json_t *set, AqError *error);
 
@@ -186,8 +187,8 @@
 
 /* Updates the document to the version of "head", the value of
  * AQ_FLEET_HEAD_KEY, by applying the tail in it.  When the tail begins after
- * the document's next version, *snapshot gets the version of the snapshot to
- * load before the next try. */
+ * the document's next version, *snapshot gets the version of the snapshot that
+ * the caller must load before it calls this function again. */
 AqLoadResult AqFleet_LoadHead(AqFleet *fleet, const char *head, size_t size,
                               int64_t *snapshot, AqError *error);
 /* Replaces the document by the snapshot in "text" if the snapshot has a higher
@@ -203,9 +204,9 @@
     /* State of a VM in the platform's VM list: "live", "leaving", "down" or
      * NULL when the VM is not listed; the callee owns the string. */
     const char *(*listed)(void *context, const char *vm);
-    /* Requests in flight on a draining VM, summed over all entry VMs; -1 until
-     * each entry VM has reported a document version of at least "version", the
-     * one that began the drain. */
+    /* Requests in flight on a draining VM, summed over all entry VMs.
+     * "version" is the document version in which the drain began; -1 until
+     * each entry VM has reported this version or a later one. */
     int64_t (*in_flight)(void *context, const char *vm, int64_t version);
     /* Whether all health checks of the VM in the last "ms" milliseconds
      * succeeded. */
@@ -214,9 +215,9 @@
 
 typedef struct AqPlanner AqPlanner;
 
-/* Returns a planner.  Its memory need not outlive a restart of the daemon:
- * since when a pool has had a surplus or deficit of VMs, and which rebooting
- * VMs the VM list has shown down. */
+/* Returns a new planner.  It remembers since when a pool has had a surplus or
+ * deficit of VMs and which rebooting VMs the VM list has shown down; the
+ * daemon may lose this memory when it restarts. */
 AqPlanner *AqPlanner_Create(void);
 void AqPlanner_Destroy(AqPlanner *planner);
 
@@ -233,8 +234,8 @@
  * index agree with the records.  Returns false with an error otherwise. */
 bool AqFleet_CheckConsistency(const AqFleet *fleet, AqError *error);
 /* Checks the change from document "before" to document "after": the version
- * grows, planned stops keep to the budgets of their pools, and a VM changes
- * its pool only at the end of a drain.  Returns false with an error
+ * grows, the budget of each pool allows the drains of its VMs, and a VM
+ * changes its pool only at the end of a drain.  Returns false with an error
  * otherwise. */
 bool AqFleet_CheckStep(const AqFleet *before, const AqFleet *after,
                        AqError *error);
--- a/packages/fleet/bench/bench.h
+++ b/packages/fleet/bench/bench.h
@@ -2,8 +2,9 @@
 #define FLEET_BENCH_H
 
 /* Prints the rates per second of accepted and refused intents for 2, 4 and 8
- * concurrent operators: once when a daemon evaluates an intent again after a
- * conflict, and once when the daemon refuses the intent then. */
+ * concurrent operators: once with daemons that evaluate an intent again after
+ * a conflict, and once with daemons that refuse the intent after a
+ * conflict. */
 void measure_operators(void);
 
 #endif
--- a/packages/fleet/bench/bench_fleet.c
+++ b/packages/fleet/bench/bench_fleet.c
@@ -26,7 +26,7 @@
     int vms;
     int pools;
     int zones;
-    /* VMs of each pool; NULL: an even share, varied by 20% */
+    /* number of VMs of each pool; NULL: 80% to 120% of an even share */
     const int *sizes;
     int buffer; /* weight "buffer" of the fleet document, 1 to 10 */
     int moves;
@@ -35,8 +35,8 @@
 
 /* VMs of each pool at sites 1 and 2; design page, section 1.1. */
 static const int small_sizes[] = {9, 9, 11, 12, 8};
-/* Sites 1 and 2 of the design page, section 1.1, with the weights that are
- * highest at each of the two sites. */
+/* Sites 1 and 2 of the design page, section 1.1; the weights that each site
+ * sets highest are above the default of 5. */
 static const Site small_sites[] = {
     {"site 1: 50 VMs, 5 pools, moves and time weigh most", 50, 5, 3,
      small_sizes, 5, 8, 8},
@@ -72,15 +72,19 @@
 };
 
 typedef struct {
-    /* VM-hours that pools have above min_serving, per day */
+    /* VM-hours per day by which pools, except the spare pool, have more VMs
+     * than min_serving; failed and leaving VMs do not count */
     double buffer_hours;
-    double spare_hours; /* VM-hours in the spare pool, per day */
-    /* VM-hours that pools lack below min_serving, per day */
+    /* VM-hours per day of the VMs in the spare pool; failed and leaving VMs do
+     * not count */
+    double spare_hours;
+    /* VM-hours per day by which pools have fewer serving VMs than
+     * min_serving */
     double missing_hours;
     double wave_hours;
     double wave_failed;
     double moves;
-    double writes;      /* store writes per second, all measured time */
+    double writes;      /* store writes per second over all measured time */
     double wave_writes; /* store writes per second during the wave */
     double step_us;
     double step_us_max;
@@ -295,8 +299,8 @@
     json_decref(reboots);
 }
 
-/* Adds the VM-hours of one planner step interval (STEP_INTERVAL_MS) to the
- * result. */
+/* Adds the VM-hours of one planner step interval (STEP_INTERVAL_MS) to
+ * buffer_hours, spare_hours and missing_hours of the result. */
 static void
 count_buffer(Run *run)
 {
@@ -412,8 +416,8 @@
     return (a > b) - (a < b);
 }
 
-/* Prints median and range of the field at "offset" in the results, one per
- * seed. */
+/* Prints the median and range over all seeds of one field of Result, which is
+ * at "offset"; "results" has one entry per seed. */
 static void
 print_field(const char *name, const Result *results, size_t offset)
 {
--- a/packages/fleet/bench/bench_operators.c
+++ b/packages/fleet/bench/bench_operators.c
@@ -25,7 +25,8 @@
     int refused;
     /* intents refused though the document in the store allows them */
     int needless_refusals;
-    int conflicts; /* writes of head that did not take effect */
+    /* writes of head that failed because another commit came first */
+    int conflicts;
 } Totals;
 
 typedef struct {
--- a/packages/fleet/budget.c
+++ b/packages/fleet/budget.c
@@ -109,8 +109,8 @@
     return largest;
 }
 
-/* Returns the number of the pool's VMs, without failed and leaving ones, in
- * the rack that holds most of them. */
+/* Returns the largest number of VMs that the pool has in one rack; failed and
+ * leaving VMs do not count. */
 static int
 fullest_rack_vms(const AqFleet *fleet, const PoolEntry *pool)
 {
@@ -128,11 +128,11 @@
     return largest;
 }
 
-/* The buffer target is the larger of two numbers of the pool's VMs, those in
- * the fullest rack and those expected out of service, scaled by the weights
- * (design page, sections 7.2 and 12).  It is at most min_serving: a larger
- * buffer protects min_serving no better, and in a pool whose VMs share one
- * rack each added VM would raise the target again. */
+/* The buffer target is the number of the pool's VMs in its fullest rack or the
+ * number expected to be out of service, whichever is larger, scaled by the
+ * weights (design page, sections 7.2 and 12).  The target is at most
+ * min_serving: a larger buffer protects min_serving no better, and in a pool
+ * whose VMs share one rack each added VM would raise the target again. */
 int
 buffer_target(const AqFleet *fleet, PoolEntry *pool)
 {
--- a/packages/fleet/check.c
+++ b/packages/fleet/check.c
@@ -2,7 +2,8 @@
 
 #include <string.h>
 
-/* Fills *error for the violated invariant "why" of a record; returns false. */
+/* Fills *error with the kind and name of a record and the invariant "why" that
+ * the record violates; returns false. */
 static bool
 inconsistency(AqError *error, const char *kind, const char *name,
               const char *why)
@@ -64,8 +65,8 @@
     return true;
 }
 
-/* Counts the VMs per pool and state and compares the counts with those of the
- * VM and pool index. */
+/* Counts the VMs per pool and state; returns false with an error when the VM
+ * and pool index has other counts. */
 static bool
 check_counts(const AqFleet *fleet, AqError *error)
 {
@@ -146,8 +147,9 @@
            after == AQ_VM_LEAVING || (allowed[before] & 1u << after) != 0;
 }
 
-/* Checks the change of one VM from "old" to "vm" (NULL: removed).  Sets
- * *stopped to whether the change is a planned stop of a serving VM. */
+/* Checks that the change of one VM from "old" to "vm" (NULL: removed) is
+ * allowed.  Sets *stopped to whether the VM was serving and now drains or is
+ * removed. */
 static bool
 check_vm_step(const VmEntry *old, const VmEntry *vm, bool *stopped,
               AqError *error)
@@ -175,9 +177,9 @@
     return true;
 }
 
-/* Checks a pool against its budget (min_serving and max_unavailable).  "pool"
- * is the pool after the commit, since one commit may stop several VMs of a
- * pool. */
+/* Checks that a pool keeps to its budget (min_serving and max_unavailable).
+ * "pool" is the pool after the commit, since one commit may drain several VMs
+ * of a pool. */
 static bool
 check_budget(const PoolEntry *pool, AqError *error)
 {
@@ -211,8 +213,9 @@
                              "it is lower than in the version before");
     }
     if (after->version > before->version + 1) {
-        /* The commits between the two versions are not known, so the changes
-         * of a VM's state cannot be checked one by one. */
+        /* The commits between the document versions "before" and "after" are
+         * not known, so the changes of a VM's state cannot be checked one by
+         * one. */
         return true;
     }
     for (guint i = 0; i < before->vm_order->len; i++) {
--- a/packages/fleet/document.c
+++ b/packages/fleet/document.c
@@ -219,7 +219,8 @@
     if (undo != NULL) {
         set_put(undo, kind, name, json_incref(old));
     }
-    /* The index points into the old record until index_update has run. */
+    /* The VM and pool index points into the old record until index_update has
+     * run, so the old record is kept until then. */
     json_incref(old);
     if (json_is_null(record)) {
         index_update(fleet, kind, name, NULL);
--- a/packages/fleet/fleet_internal.h
+++ b/packages/fleet/fleet_internal.h
@@ -25,9 +25,9 @@
 /* Time limit for the reboot of a VM and the health checks after the reboot
  * together, after which the VM counts as failed; design page, section 7.1. */
 #define WAVE_RETURN_LIMIT_MS (10 * 60 * 1000)
-/* Delay before a VM that is listed live but has failed its health checks is
- * checked again, so that a broken VM costs only two commits of the fleet
- * document an hour. */
+/* Time for which a VM that failed while it was listed live gets no new health
+ * checks, so that a broken VM costs only two commits of the fleet document an
+ * hour. */
 #define VM_RETRY_MS (60 * 60 * 1000)
 
 typedef struct PoolEntry PoolEntry;
@@ -43,10 +43,9 @@
     PoolEntry *target_pool; /* pool to which the VM is being moved, or NULL */
     AqLink link;            /* links the VM in the list pool->vms */
     int number;             /* position of this VM in AqFleet.vm_order */
-    /* number that AqFleet.interned_names maps the name of the VM's rack to */
+    /* number of the VM's rack in AqFleet.interned_names */
     int rack;
-    /* number that AqFleet.interned_names maps the name of the VM's data centre
-     * to */
+    /* number of the VM's data centre in AqFleet.interned_names */
     int zone;
     AqVmState state;
     /* the planner reboots the VM once it is drained; set by the intent
@@ -60,11 +59,13 @@
     int64_t drain_version;
     /* id of the last wave that finished its work on the VM; 0: none */
     int64_t last_wave_id;
-    /* wall time at which a VM still rebooting or checking counts as failed */
+    /* wall time from which the VM counts as failed if it is still rebooting or
+     * checking */
     int64_t deadline_ms;
     /* wall time before which a failed VM gets no new health checks */
     int64_t retry_at_ms;
-    const char *wave; /* name of the wave that keeps the VM stopped, or "" */
+    /* name of the wave that keeps the VM out of service, or "" */
+    const char *wave;
 } VmEntry;
 
 struct PoolEntry {
@@ -76,7 +77,7 @@
     int by_state[VM_STATE_COUNT]; /* VMs in the pool, per AqVmState */
     int incoming; /* VMs of other pools that are being moved to this pool */
     int min_serving;
-    /* no planned stop may put more VMs of the pool than this out of service;
+    /* no drain of a VM may put more VMs of the pool than this out of service;
      * -1: unlimited */
     int max_unavailable;
     int slots;
@@ -108,8 +109,9 @@
     json_t *ops;
     /* commits after the last snapshot: one entry per document version */
     json_t *tail;
-    /* bytes of JSON text in the tail; AqFleet_LoadHead sets it to the bytes of
-     * the whole head, to which later commits add their tail entries */
+    /* bytes of JSON text in the tail; AqFleet_LoadHead sets this to the bytes
+     * of the whole head, and each later commit adds the bytes of its tail
+     * entry */
     size_t tail_bytes;
     GHashTable *vms;     /* VM id -> VmEntry */
     GHashTable *pools;   /* pool name -> PoolEntry */
@@ -125,12 +127,12 @@
  * notice when the mechanism is missing.  Never set outside of tests and
  * benchmarks. */
 enum {
-    FLEET_DISABLE_BUDGET = 1 << 0, /* planned stops ignore budgets */
+    FLEET_DISABLE_BUDGET = 1 << 0, /* drains ignore the pools' budgets */
     /* a move changes the pool of a serving VM without a drain */
     FLEET_DISABLE_DRAIN = 1 << 1,
     FLEET_DISABLE_WAVE_STOP = 1 << 2, /* waves do not stop after failed VMs */
     /* the planner moves VMs as soon as a pool has a surplus or deficit of VMs,
-     * however small or short */
+     * however small and new the surplus or deficit is */
     FLEET_DISABLE_HYSTERESIS = 1 << 3,
     FLEET_DISABLE_PLACEMENT = 1 << 4 /* the planner begins no moves of VMs */
 };
@@ -166,7 +168,8 @@
 /* Value of an integer field, or the default when the field is absent or of
  * another type. */
 int64_t int_or(const json_t *object, const char *field, int64_t default_value);
-/* Whether the labels contain every label of the selector with its value. */
+/* Whether "labels" has every label that "selector" names, with the value that
+ * "selector" gives for it. */
 bool selector_matches(const json_t *selector, const json_t *labels);
 
 /* index.c: VmEntry by VM id and PoolEntry by pool name, derived from the
@@ -197,25 +200,26 @@
  * upsert is invalid. */
 bool document_advance(AqFleet *fleet, const json_t *set, json_t *undo,
                       AqError *error);
-/* Adds the id "op" of an operation applied at document version "version" to
- * the ids that the document keeps, and drops the oldest ids above
+/* Adds "op", applied at document version "version", to the operation ids that
+ * the document keeps.  Drops the oldest ids when the document has more than
  * OPERATION_IDS_MAX. */
 void document_record_op(AqFleet *fleet, const char *op, int64_t version);
-/* Appends the upsert [kind, name, record] to the array "set"; steals the
- * reference to the record (NULL: the upsert deletes the record). */
+/* Appends the upsert [kind, name, record] to the array "set"; with NULL as the
+ * record, the upsert deletes the record of that kind and name.  Takes over the
+ * caller's reference to the record. */
 void set_put(json_t *set, AqRecordKind kind, const char *name, json_t *record);
 
 /* budget.c: disruption budgets and buffer targets.  pool_serving counts the
  * VMs of a pool in state serving, pool_unavailable those in other states. */
 int pool_serving(const PoolEntry *pool);
 int pool_unavailable(const PoolEntry *pool);
-/* Number of further VMs of a pool that may be stopped as planned work before
- * the pool's budget of min_serving and max_unavailable (-1: unlimited) is used
- * up; >= 0. */
+/* Returns how many further VMs of a pool the pool's budget of min_serving and
+ * max_unavailable (-1: unlimited) allows to be drained; >= 0. */
 int budget_headroom(int serving, int unavailable, int min_serving,
                     int max_unavailable);
-/* Whether the budget of "pool" allows the planned stop of the serving VM "vm";
- * if not, the error message names pool, numbers and remedy. */
+/* Whether the budget of "pool" allows the serving VM "vm" to be drained.  If
+ * not, the error message names the pool, the VM, the pool's VM counts, the
+ * limit in the budget and the remedy. */
 bool budget_allow_stop(const AqFleet *fleet, const PoolEntry *pool,
                        const char *vm, AqError *error);
 /* Number of VMs that a pool should have above min_serving; 0 for the spare
@@ -243,8 +247,8 @@
 /* Returns a new record for the end of the VM's move to another pool: the VM
  * belongs to the pool "pool" and is in state serving. */
 json_t *vm_in_pool(const VmEntry *vm, const char *pool, int64_t wall_ms);
-/* Removes from a VM record the wave, move and reboot that are planned for the
- * VM. */
+/* Removes the wave, move and reboot that are planned for a VM from the VM's
+ * record. */
 void vm_clear_plan(json_t *record);
 
 /* Intent handlers (intents*.c) check the arguments of the intent, then the
--- a/packages/fleet/index.c
+++ b/packages/fleet/index.c
@@ -52,8 +52,8 @@
     return g_hash_table_lookup(fleet->pools, name);
 }
 
-/* Returns the number that stands for the name of a rack or data centre; equal
- * names have equal numbers. */
+/* Returns the number that VmEntry.rack or VmEntry.zone holds for this name of
+ * a rack or data centre; equal names have equal numbers. */
 static int
 intern(AqFleet *fleet, const char *name)
 {
--- a/packages/fleet/intents.c
+++ b/packages/fleet/intents.c
@@ -35,8 +35,9 @@
     return record;
 }
 
-/* Checks a record (stolen) and appends an upsert of the record unless the
- * document has an equal record of that kind and name. */
+/* Checks a new record and appends an upsert of it to the intent's set, unless
+ * the document has an equal record of that kind and name.  Takes over the
+ * caller's reference to the record. */
 static bool
 check_and_put(const Intent *intent, AqRecordKind kind, const char *name,
               json_t *record, AqError *error)
@@ -73,8 +74,8 @@
     json_t *base = json_pack("{s:s, s:{}, s:i, s:i, s:i, s:i}", "service",
                              name, "selector", "min_serving", 0, "slots", 8,
                              "connections", 64, "objective", 999);
-    /* A field of the pool that null removed gets its default again, except
-     * max_unavailable, which has no default. */
+    /* Null as the value of an argument sets that field of the pool back to its
+     * default; max_unavailable has no default and is removed. */
     json_t *record =
         merge_fields(old == NULL ? base : old, intent->args, allowed + 1);
     json_object_update_missing(record, base);
--- a/packages/fleet/intents_vm.c
+++ b/packages/fleet/intents_vm.c
@@ -22,8 +22,8 @@
     return vm;
 }
 
-/* Fills *error because a VM's state rules out an action ("action" is a past
- * participle such as "moved"); returns false. */
+/* Fills *error for an action that a VM's state does not allow ("action" is a
+ * past participle such as "moved"); returns false. */
 static bool
 refuse_state(const VmEntry *vm, const char *action, const char *remedy,
              AqError *error)
@@ -212,11 +212,11 @@
     return true;
 }
 
-/* Returns the new record of a VM that is to be stopped for a move or a reboot:
- * a serving VM begins to drain if the budget of its pool allows the stop, and
- * a draining or drained VM loses its planned wave, move or reboot.  Returns
- * NULL with an error when the VM has another state or the budget forbids the
- * stop. */
+/* Returns a new record of a VM that must be drained for a move or a reboot.  A
+ * serving VM begins to drain if the budget of its pool allows the drain, and a
+ * draining or drained VM loses its planned wave, move or reboot.  Returns NULL
+ * with an error when the VM has another state or the budget forbids the
+ * drain. */
 static json_t *
 planned_stop(const Intent *intent, const VmEntry *vm, const char *action,
              AqError *error)
@@ -236,8 +236,9 @@
     return vm_draining(intent->fleet, vm, intent->wall_ms);
 }
 
-/* Appends an upsert for the new record "next" (stolen) of a VM when it differs
- * from the VM's present record. */
+/* Appends to the intent's set an upsert that gives a VM the record "next",
+ * unless the VM has an equal record already.  Takes over the caller's
+ * reference to "next". */
 static void
 put_if_changed(const Intent *intent, const VmEntry *vm, json_t *next)
 {
--- a/packages/fleet/intents_wave.c
+++ b/packages/fleet/intents_wave.c
@@ -2,8 +2,8 @@
 
 #include <string.h>
 
-/* Most finished waves that stay in the document for operators to list;
- * wave.start deletes the oldest one above this number. */
+/* Most finished waves that stay in the document for operators to list; if
+ * there are more, wave.start deletes the oldest one. */
 #define WAVES_KEPT 16
 
 static bool
@@ -13,8 +13,8 @@
     return strcmp(state, "done") == 0 || strcmp(state, "aborted") == 0;
 }
 
-/* Appends an upsert that deletes the oldest finished wave when more than
- * WAVES_KEPT waves are finished. */
+/* Appends to the intent's set an upsert that deletes the oldest finished wave,
+ * if the document has more than WAVES_KEPT finished waves. */
 static void
 prune_waves(const Intent *intent)
 {
@@ -78,9 +78,9 @@
         !field_name(intent->args, "name", &name, error)) {
         return false;
     }
-    /* The document version of this commit serves as the wave's id, so that ids
-     * order waves independently of clocks: a VM keeps the id of the last wave
-     * that finished on it. */
+    /* The document version of the commit that starts the wave serves as the
+     * wave's id, so that ids order waves independently of clocks: a VM keeps
+     * the id of the last wave that finished on it. */
     json_t *record = json_pack(
         "{s:{}, s:s, s:s, s:i, s:I, s:I, s:i, s:i, s:s}", "selector", "kind",
         "reboot", "state", "running", "max_parallel", 1, "id",
@@ -158,8 +158,8 @@
     json_t *next = json_copy((json_t *)wave);
     json_object_set_new(next, "state", json_string(to));
     if (strcmp(to, "running") == 0) {
-        /* Resuming acknowledges the failures of VMs so far; only later
-         * failures count towards stopping the wave. */
+        /* Resuming a wave clears the results of its last VMs, so that only
+         * later failures of VMs count towards stopping the wave. */
         json_object_set_new(next, "recent", json_string(""));
         json_object_del(next, "reason");
     }
--- a/packages/fleet/planner.c
+++ b/packages/fleet/planner.c
@@ -41,8 +41,8 @@
     bool served = vm->state == AQ_VM_SERVING;
     bool serves = state == AQ_VM_SERVING;
     /* The VM is counted also when its upsert does not fit into this step, so
-     * that a failed VM at once reduces the number of planned stops that the
-     * budget of its pool allows. */
+     * that a failed VM at once reduces the number of VMs that the budget of
+     * its pool allows to be drained. */
     pool->serving += serves - served;
     pool->unavailable += served - serves;
     step->is_changed[vm->number] = 1;
@@ -138,10 +138,11 @@
            vm->since_ms != *(const int64_t *)since;
 }
 
-/* Whether a rebooting VM has been down and is listed live again.  The VM's
- * entry in AqPlanner.down stays, since a planner step is evaluated once more
- * before its commit and after a conflict, and each evaluation must have the
- * same result. */
+/* Whether a rebooting VM is listed live, either after the VM list has shown it
+ * as not live or REBOOT_ASSUMED_DONE_MS after it entered state rebooting.  The
+ * VM's entry in AqPlanner.down stays, since a planner step is evaluated once
+ * more before its commit and after a conflict, and each evaluation must have
+ * the same result. */
 static bool
 is_back_from_reboot(PlanStep *step, const VmEntry *vm, Listing listing)
 {
@@ -249,9 +250,10 @@
     plan_waves_load(step);
 }
 
-/* Advances all VMs: first by the VM list and the ends of reboots, which may
- * stop a wave, then the draining and drained VMs, whose next state depends on
- * the state of the wave that stopped them. */
+/* Advances all VMs.  The VMs that the VM list or the end of a reboot changes
+ * come first, since their failures may stop a wave; then come the draining and
+ * drained VMs, whose next state depends on whether the wave that drains them
+ * still runs. */
 static void
 advance_vms(PlanStep *step)
 {
@@ -295,7 +297,7 @@
     step_init(&step);
     advance_vms(&step);
     /* Without a VM list it is not known which VMs have failed, so the step
-     * begins no planned stops. */
+     * begins no drains of VMs. */
     step.hold |= !step.list_known;
     plan_waves_run(&step);
     if ((fleet->disabled & FLEET_DISABLE_PLACEMENT) == 0) {
--- a/packages/fleet/planner.h
+++ b/packages/fleet/planner.h
@@ -3,7 +3,7 @@
 
 #include "fleet_internal.h"
 
-/* State of a VM in the platform's VM list. */
+/* State of a VM as the platform's VM list shows it. */
 typedef enum {
     LISTED_LIVE,
     LISTED_LEAVING,
@@ -22,7 +22,8 @@
      * function buffer_target */
     int needed_vms;
     /* Number (VmEntry.zone) of the data centre in which waves keep VMs of the
-     * pool stopped; ZONE_NONE: in no data centre, ZONE_MANY: in several. */
+     * pool out of service; ZONE_NONE: in no data centre, ZONE_MANY: in
+     * several. */
     int active_zone;
 } PoolPlan;
 
@@ -42,15 +43,15 @@
     bool running;
     int64_t id;
     int max_parallel;
-    /* VMs that the wave has stopped and that neither serve again nor have
-     * failed */
+    /* VMs that the wave has taken out of service and that neither serve again
+     * nor have failed */
     int in_progress;
 } WavePlan;
 
 /* State of one planner step (one call of AqPlanner_Step, whose upserts form
  * one commit).  Counts of VMs start with the values of the document and
- * include the upserts that the step has made so far, so that several planned
- * stops in one commit share a budget. */
+ * include the upserts that the step has made so far, so that all drains that
+ * one commit begins in a pool share the pool's budget. */
 typedef struct {
     AqPlanner *planner;
     const AqFleet *fleet;
@@ -66,7 +67,7 @@
     int wave_count;
     int upserts;     /* VM upserts that this step has made so far */
     bool list_known; /* the VM list names at least one VM */
-    bool hold;       /* this step begins no planned stop of a VM */
+    bool hold;       /* this step begins no drain of a VM */
 } PlanStep;
 
 struct AqPlanner {
@@ -74,38 +75,40 @@
     GHashTable *surplus;
     /* pool name -> wall ms since which the pool has had a deficit of VMs */
     GHashTable *deficit;
-    /* Id of a VM that the VM list has shown not live while rebooting -> wall
-     * ms at which the VM entered state rebooting. */
+    /* Id of a rebooting VM that the VM list has shown as not live -> wall ms
+     * at which the VM entered state rebooting. */
     GHashTable *down;
 };
 
-/* Appends an upsert with the new record (stolen) of a VM to the step's set and
- * counts the VM as being in state "state".  Returns false when the step has
- * STEP_UPSERTS_MAX upserts already; the VM then keeps its record until a later
- * step. */
+/* Appends to step->set an upsert that gives a VM the new record "record", and
+ * counts the VM as being in state "state".  Takes over the caller's reference
+ * to the record.  Returns false when the step has STEP_UPSERTS_MAX upserts
+ * already; the VM then keeps its old record until a later step. */
 bool plan_put_vm(PlanStep *step, const VmEntry *vm, json_t *record,
                  AqVmState state);
-/* Returns the number of further planned stops of VMs of the pool that the
- * pool's budget allows in this step. */
+/* Returns how many further VMs of the pool the pool's budget allows to be
+ * drained in this step. */
 int plan_headroom(const PlanStep *step, const PoolEntry *pool);
 
 /* Reads the waves of the document into step->waves. */
 void plan_waves_load(PlanStep *step);
 /* Returns the wave of that name, or NULL; "" names no wave. */
 WavePlan *plan_wave(PlanStep *step, const char *name);
-/* Counts a VM that a wave has stopped and that does not serve again yet as in
- * progress for that wave; does nothing when no wave stopped the VM. */
+/* Counts a VM as in progress for the wave that keeps it out of service, and
+ * enters the VM's data centre in active_zone of the VM's pool.  Does nothing
+ * when no wave keeps the VM out of service. */
 void plan_wave_add_in_progress(PlanStep *step, const VmEntry *vm);
-/* Counts in the wave that stopped a VM whether the VM serves again
- * ("returned") or failed, enters into the VM's new record that the wave has
- * finished on the VM, and stops the wave when too many of the last VMs of the
- * wave have failed. */
+/* Adds the result for a VM, which serves again ("returned") or has failed, to
+ * the record of the wave that took the VM out of service.  Enters into the
+ * VM's new record "record" that the wave has finished on the VM.  Stops the
+ * wave when too many of its last VMs have failed. */
 void plan_wave_result(PlanStep *step, const VmEntry *vm, json_t *record,
                       bool returned);
-/* Begins drains of VMs for the running waves and ends the waves that have no
- * VMs left to work on. */
+/* Begins drains of VMs for the running waves and ends each running wave that
+ * has no VMs left to work on. */
 void plan_waves_run(PlanStep *step);
-/* Appends the changed wave records to the upserts and frees the waves. */
+/* Appends upserts of the changed wave records to step->set and frees
+ * step->waves. */
 void plan_waves_finish(PlanStep *step);
 
 /* Begins moves of VMs between pools: fills deficits and returns surpluses to
--- a/packages/fleet/planner_place.c
+++ b/packages/fleet/planner_place.c
@@ -19,7 +19,7 @@
     const VmEntry *vm;
     int spare;   /* 1: the VM is in the spare pool */
     int surplus; /* surplus of the VM's pool, in VMs */
-    int rack;    /* VMs of the destination pool in the rack of this VM */
+    int rack;    /* number of the destination pool's VMs in this VM's rack */
 } Source;
 
 typedef struct {
@@ -34,8 +34,8 @@
     Source *sources;
 } Placement;
 
-/* Whether an operator has drained a VM, or drains it, by vm.drain: no wave,
- * move or reboot has stopped the VM. */
+/* Whether an operator drains or has drained a VM by vm.drain, so that the
+ * drain is not part of a wave, move or reboot. */
 static bool
 is_held_by_operator(const VmEntry *vm)
 {
@@ -77,7 +77,8 @@
     }
 }
 
-/* Returns the surplus of a pool in VMs; negative for a deficit. */
+/* Returns by how many VMs a pool's capacity_vms exceeds its needed_vms;
+ * negative for a deficit. */
 static int
 surplus_of(const Placement *place, const PoolEntry *pool)
 {
@@ -87,7 +88,7 @@
 
 /* Whether a VM may leave its pool in this planner step: it serves, the step
  * has not changed it so far, its last move is at least min_stay_ms ago, and
- * the budget of its pool allows a planned stop. */
+ * the budget of its pool allows one more VM to be drained. */
 static bool
 is_movable(const Placement *place, const VmEntry *vm)
 {
@@ -121,8 +122,10 @@
     return true;
 }
 
-/* Whether a condition of a pool ("met") has been true for imbalance_min_ms;
- * "seen" maps names of pools to the wall ms since which it has been true. */
+/* Whether a condition of a pool has been true for imbalance_min_ms; "met" says
+ * whether the condition is true now.  "seen" maps the name of each pool for
+ * which the condition was true at the last call to the wall ms since which it
+ * has been true. */
 static bool
 has_persisted(const Placement *place, GHashTable *seen, const PoolEntry *pool,
               bool met)
@@ -143,9 +146,9 @@
 
 /* ---- Pools in deficit ------------------------------------------------- */
 
-/* Orders the VMs that may move to a pool: VMs of the spare pool first, then by
- * the number of the destination's VMs in the VM's rack, fewest first, then by
- * the surplus of the VM's pool, largest first. */
+/* Orders the VMs that may move to a destination pool: VMs of the spare pool
+ * first, then by the number of the destination pool's VMs in the VM's rack,
+ * fewest first, then by the surplus of the VM's own pool, largest first. */
 static int
 compare_sources(const void *left, const void *right)
 {
@@ -210,10 +213,10 @@
     return count;
 }
 
-/* Whether adding the VM of "source" to the pool "to" leaves the pool's deficit
- * unchanged, because the pool's fullest rack grows and with the rack the
- * buffer target (VMs that the pool should have above min_serving). "largest"
- * is the number of the pool's VMs in its fullest rack. */
+/* Whether a move of the VM of "source" to the pool "to" leaves that pool's
+ * deficit unchanged: the VM is in the pool's fullest rack, so the move also
+ * raises the buffer target (VMs that the pool should have above min_serving).
+ * "largest" is the number of the pool's VMs in its fullest rack. */
 static bool
 cannot_reduce_deficit(const Placement *place, const PoolEntry *to,
                       const Source *source, int largest)
@@ -261,9 +264,9 @@
 
 /* Whether moves to a pool in deficit are due.  A pool with capacity below
  * min_serving gets VMs at once.  When only the pool's buffer is short, the
- * missing VMs often return within minutes: filling the buffer at once makes 20
- * moves a day at the design size of 900 VMs, against 3 after a delay of
- * IMBALANCE_MIN_MS. */
+ * missing VMs often return within minutes: at the design size of 900 VMs,
+ * filling the buffer at once takes 20 moves a day, and filling it after a
+ * delay of IMBALANCE_MIN_MS takes 3. */
 static bool
 is_fill_due(const Placement *place, const PoolEntry *pool)
 {
@@ -293,9 +296,10 @@
 
 /* ---- Pools in surplus ------------------------------------------------- */
 
-/* Begins moves to the spare pool: of all VMs that the pool's selector no
- * longer matches, and if the pool's surplus persisted, of VMs in its fullest
- * racks until the surplus is within tolerated_surplus_vms. */
+/* Begins moves of VMs from a pool to the spare pool.  Moves all VMs that the
+ * pool's selector no longer matches.  If the pool's surplus has lasted for
+ * imbalance_min_ms ("persisted"), also moves VMs in the pool's fullest racks
+ * until the surplus is at most tolerated_surplus_vms. */
 static void
 release_pool_surplus(Placement *place, const PoolEntry *pool, bool persisted)
 {
--- a/packages/fleet/planner_waves.c
+++ b/packages/fleet/planner_waves.c
@@ -129,8 +129,9 @@
     bool started;
 } Candidate;
 
-/* Orders VMs that a wave may stop by pool; within a pool VMs in racks on which
- * the wave has worked already come first, then by data centre and by rack. */
+/* Orders VMs that a wave may drain by their pools.  Within a pool, VMs in
+ * racks on which the wave has worked already come first; the order is then by
+ * data centre, by rack and by id. */
 static int
 compare_candidates(const void *left, const void *right)
 {
@@ -154,13 +155,14 @@
 typedef struct {
     Candidate *list;
     int count;
-    /* VMs that the wave has yet to stop, serving or not, without failed and
-     * leaving ones */
+    /* VMs that the wave has yet to drain, in any state but failed and
+     * leaving */
     int pending;
-    /* by PoolEntry.number: position in "list" of the pool's next candidate */
+    /* for each pool, by PoolEntry.number: position in "list" of the pool's
+     * next candidate */
     int *first;
-    /* by PoolEntry.number: position after the pool's last candidate in
-     * "list" */
+    /* for each pool, by PoolEntry.number: position in "list" after the pool's
+     * last candidate */
     int *end;
 } CandidateList;
 
@@ -179,8 +181,8 @@
             strcmp(string_or(labels, "release", ""), release) != 0);
 }
 
-/* Collects and orders the serving VMs that a wave may stop; candidates_destroy
- * frees the list. */
+/* Collects and orders the serving VMs that a wave may drain;
+ * candidates_destroy frees the list. */
 static void
 candidates_create(CandidateList *candidates, const PlanStep *step,
                   const WavePlan *wave)
@@ -228,9 +230,9 @@
     g_free(candidates->end);
 }
 
-/* Returns the next VM of a pool for the wave to stop; NULL when the pool's
- * budget allows no stop or no candidate is in the data centre in which waves
- * work on the pool. */
+/* Returns the VM of a pool that the wave drains next; NULL when the pool's
+ * budget allows no further drain or no candidate is in the data centre in
+ * which waves work on the pool. */
 static const Candidate *
 pool_candidate(CandidateList *candidates, const PlanStep *step,
                const PoolEntry *pool)
@@ -249,9 +251,9 @@
     return NULL;
 }
 
-/* Returns the VM that the wave stops next and removes it from the candidates;
+/* Returns the VM that the wave drains next and removes it from the candidates;
  * NULL when there is none.  Prefers VMs in racks on which the wave has worked
- * already, then VMs of the pool whose budget allows most planned stops. */
+ * already, then VMs of the pool whose budget allows most further drains. */
 static const VmEntry *
 choose_vm(CandidateList *candidates, const PlanStep *step)
 {
@@ -279,7 +281,7 @@
 }
 
 /* Begins drains of VMs until max_parallel VMs of the wave are in progress;
- * sets the wave's state to done when no VM is in progress or left to stop. */
+ * sets the wave's state to done when no VM is in progress or left to drain. */
 static void
 run_wave(PlanStep *step, WavePlan *wave)
 {
--- a/packages/fleet/record.c
+++ b/packages/fleet/record.c
@@ -9,7 +9,7 @@
 
 #define NAME_MAX_LENGTH 64
 #define LABELS_MAX 32
-/* most cores, MB of memory or accelerators of a VM */
+/* largest allowed number of cores, MB of memory or accelerators of one VM */
 #define RESOURCE_MAX 1000000000
 #define NAME_FORMAT                                                           \
     "1 to 64 letters, digits, \".\", \"_\" or \"-\", the first a letter or "  \
--- a/packages/fleet/storage.c
+++ b/packages/fleet/storage.c
@@ -59,7 +59,8 @@
 
 /* ---- Loading ---------------------------------------------------------- */
 
-/* Fills *error for a malformed head or snapshot; returns AQ_LOAD_BAD. */
+/* Fills *error with the reason "why" for which a head or snapshot cannot be
+ * read; returns AQ_LOAD_BAD. */
 static AqLoadResult
 load_error(AqError *error, const char *text_name, const char *why)
 {
@@ -110,8 +111,9 @@
     return true;
 }
 
-/* Reverts records with undo lists, applied in reverse order, and resets the
- * document's version and epoch to the given ones. */
+/* Restores the old records of a document by applying the undo lists "undos" in
+ * reverse order, and sets the document's version and epoch to the given
+ * ones. */
 static void
 restore(AqFleet *fleet, const json_t *undos, int64_t version, int64_t epoch)
 {
@@ -127,8 +129,8 @@
     fleet->epoch = epoch;
 }
 
-/* Records in the document the operation ids of tail entries for document
- * versions after "version". */
+/* Adds the operation ids of the tail to those that the document keeps; leaves
+ * out tail entries of document version "version" and older ones. */
 static void
 record_ops(AqFleet *fleet, const json_t *tail, int64_t version)
 {
--- a/packages/fleet/tests/fake_daemon.c
+++ b/packages/fleet/tests/fake_daemon.c
@@ -25,7 +25,8 @@
     g_hash_table_destroy(store->ops);
 }
 
-/* Records a violated invariant, unless one was recorded before. */
+/* Records a violated invariant in store->fault, unless one was recorded there
+ * before. */
 static void
 record_fault(FakeStore *store, const char *rule, const char *detail)
 {
--- a/packages/fleet/tests/fake_daemon.h
+++ b/packages/fleet/tests/fake_daemon.h
@@ -37,10 +37,16 @@
     int64_t delayed_index;
     /* test switch: writes of head succeed at any store revision */
     bool no_cas;
-    bool check;      /* check every document version that is written to head */
-    AqFleet *oracle; /* with "check": the document as last written */
-    GHashTable *ops; /* with "check": ids of all operations written */
-    /* message of the first violated invariant; "" when none was */
+    /* check the invariants of every document version written to head */
+    bool check;
+    /* document that the store read from head after the last write of head;
+     * NULL unless "check" is set */
+    AqFleet *oracle;
+    /* ids of all operations that writes of head have committed; empty unless
+     * "check" is set */
+    GHashTable *ops;
+    /* message about the first violated invariant; "" when no invariant was
+     * violated */
     char fault[600];
     int64_t writes;
     int64_t reads;
@@ -52,7 +58,7 @@
  * what happens to the write. */
 FakeCas fake_store_cas(FakeStore *store, const char *text, int64_t index,
                        FakeReply reply);
-/* Applies the write delayed by REPLY_LATE, if there is one. */
+/* Applies the write of head that REPLY_LATE has delayed, if there is one. */
 void fake_store_deliver(FakeStore *store);
 
 /* ---- Platform --------------------------------------------------------- */
@@ -65,8 +71,9 @@
     /* virtual time at which the VM, if down, comes up; 0: never */
     int64_t up_at_ms;
     int64_t up_since_ms; /* virtual time since which the VM has been up */
-    /* AqVmView.since of the VM at the last reboot order carried out, in ms; an
-     * order at the same "since" repeats that order */
+    /* AqVmView.since of the VM, in ms, when the platform last carried out a
+     * reboot order for the VM; an order at the same "since" is a repetition
+     * and has no effect */
     int64_t last_reboot_since_ms;
     const char *listed; /* state of the VM in the VM list; NULL: not listed */
 } FakeVm;
@@ -86,11 +93,11 @@
 
 void fake_platform_init(FakePlatform *platform, uint64_t seed);
 void fake_platform_clear(FakePlatform *platform);
-/* Returns the VM of that id; adds it, up and listed live, if the platform has
- * none. */
+/* Returns the VM of that id.  If the platform has no such VM, adds one that is
+ * up and listed live. */
 FakeVm *fake_platform_vm(FakePlatform *platform, const char *id);
-/* Advances virtual time by "ms"; VMs come up and the VM list is updated when
- * due. */
+/* Advances virtual time by "ms", brings up the VMs whose up_at_ms has come,
+ * and updates the VM list if its last update was list_lag_ms ago. */
 void fake_platform_advance(FakePlatform *platform, int64_t ms);
 /* Takes a VM down until the virtual time "up_at_ms"; 0: for good. */
 void fake_platform_fail(FakeVm *vm, int64_t up_at_ms);
@@ -122,7 +129,8 @@
     FakePlatform *platform;
     AqFleet *fleet;
     int64_t index; /* store revision of the head from which "fleet" was read */
-    /* clone of "fleet" that the next write of head commits, or NULL */
+    /* clone of "fleet" that the daemon's next write of head commits; NULL: the
+     * daemon has no write in preparation */
     AqFleet *next;
     /* Store revision of the head on which the intent or planner step was
      * evaluated.  A watch may deliver a newer head before the
@@ -131,7 +139,8 @@
     AqPlanner *planner;
     /* intent that the daemon carries out; NULL: a planner step */
     json_t *intent;
-    json_t *set; /* upserts of the intent or planner step in progress */
+    /* upserts that the intent or planner step in progress has made */
+    json_t *set;
     char op[64]; /* operation id of the intent or planner step in progress */
     int serial;
     FakePhase phase;
@@ -140,7 +149,8 @@
     /* Test switch: after a lost reply the daemon does not look for its
      * operation id in the document. */
     bool no_read_back;
-    /* test switch: the daemon refuses an intent on a conflict */
+    /* Test switch: when another commit makes the daemon's write of head fail,
+     * the daemon refuses the intent instead of evaluating it again. */
     bool no_reevaluate;
     /* The daemon refused the intent although the document in the store allows
      * the intent. */
@@ -151,7 +161,8 @@
 void fake_daemon_init(FakeDaemon *daemon, FakeStore *store,
                       FakePlatform *platform);
 void fake_daemon_clear(FakeDaemon *daemon);
-/* Begins an intent (stolen) or, with NULL, a planner step. */
+/* Begins an intent or, if "intent" is NULL, a planner step, under the
+ * operation id "op".  Takes over the caller's reference to the intent. */
 void fake_daemon_begin(FakeDaemon *daemon, json_t *intent, const char *op);
 /* Makes one part of the daemon's commit procedure, as "phase" says; "reply" is
  * what happens to a write of head in this part. */
@@ -159,13 +170,14 @@
 /* Continues the daemon's commit procedure with REPLY_OK until the intent or
  * planner step in progress has ended. */
 void fake_daemon_finish(FakeDaemon *daemon);
-/* Restarts the daemon without its memory.  A running intent is sent again by
- * the operator's client; a planner step is lost. */
+/* Restarts the daemon without its memory.  The daemon begins its intent in
+ * progress again, as if the operator's client had sent the intent once more; a
+ * planner step in progress is lost. */
 void fake_daemon_crash(FakeDaemon *daemon);
 /* Reads head from the store into the daemon's document, as a watch does. */
 void fake_daemon_read(FakeDaemon *daemon);
 
-/* Returns a new intent; "args" is stolen. */
+/* Returns a new intent; takes over the caller's reference to "args". */
 json_t *fake_intent(const char *op, const char *kind, json_t *args);
 
 #endif
--- a/packages/fleet/tests/test_fleet.c
+++ b/packages/fleet/tests/test_fleet.c
@@ -35,9 +35,9 @@
     set_put(set, AQ_REC_POOL, name, pool);
 }
 
-/* Returns a document in which the budget of pool "a" allows 1 planned stop,
- * that of "b" none because of min_serving, and that of "m" none because of
- * max_unavailable; the selector of "gpu" matches no VM. */
+/* Returns a document in which the budget of pool "a" allows one VM to be
+ * drained, that of "b" none because of min_serving, and that of "m" none
+ * because of max_unavailable; the selector of pool "gpu" matches no VM. */
 static AqFleet *
 make_fleet(void)
 {
@@ -141,9 +141,10 @@
     }
 }
 
-/* Guards against intents that are accepted although they must be refused,
- * change the wrong record, or report an error without field, value, range,
- * numbers or remedy. */
+/* Guards against intents that are accepted although they must be refused, or
+ * that change the wrong record.  Guards also against error messages that do
+ * not name the field, its value and valid range, or the pool's VM counts and
+ * the remedy. */
 static void
 test_intents(void)
 {
@@ -277,14 +278,14 @@
     }
 }
 
-/* Guards against AqFleet_CheckStep accepting a planned stop of a VM beyond its
- * pool's budget, a move or removal of a VM without a drain, or a document
- * version that does not grow. */
+/* Guards against AqFleet_CheckStep accepting a drain of a VM beyond its pool's
+ * budget, a move or removal of a VM without a drain, or a document version
+ * that does not grow. */
 static void
 test_step_check(void)
 {
     static const struct {
-        const char *vm; /* id of the VM of make_fleet that is changed */
+        const char *vm; /* id of the VM that is changed; make_fleet adds it */
         /* pool of the VM after the change; NULL: the VM is removed */
         const char *pool;
         const char *state; /* state of the VM after the change */
@@ -326,7 +327,7 @@
     }
 }
 
-/* Guards against invalid sets of upserts being applied in part. */
+/* Guards against a set of upserts that is invalid but is applied in part. */
 static void
 test_apply_is_atomic(void)
 {
--- a/packages/fleet/tests/test_fleet_random.c
+++ b/packages/fleet/tests/test_fleet_random.c
@@ -280,10 +280,10 @@
 
 /* ---- Test switches ---------------------------------------------------- */
 
-/* Returns for how many of DISABLED_SEEDS seeds a random sequence violates an
- * invariant.  "disabled" are FLEET_DISABLE_* flags, "no_cas" the test switch
- * FakeStore.no_cas and "no_read_back" the test switch
- * FakeDaemon.no_read_back. */
+/* Returns the number of seeds, out of DISABLED_SEEDS, with which a random
+ * sequence violates an invariant.  "disabled" are FLEET_DISABLE_* flags,
+ * "no_cas" is the test switch FakeStore.no_cas, and "no_read_back" is the test
+ * switch FakeDaemon.no_read_back. */
 static int
 count_faults(unsigned disabled, bool no_cas, bool no_read_back)
 {
--- a/packages/fleet/tests/test_planner.c
+++ b/packages/fleet/tests/test_planner.c
@@ -18,7 +18,7 @@
     const char *name;
     int vms;
     int min; /* min_serving of the pool */
-    /* value of label "size" that the pool selects; NULL: any */
+    /* value that the label "size" must have on VMs of the pool; NULL: any */
     const char *selector;
 } FixturePool;
 
@@ -34,8 +34,9 @@
                       8, "connections", 64, "objective", 999));
 }
 
-/* Appends upserts for the VMs of a pool: VM i of pool "a" has id "a<i>", two
- * VMs share a rack, and the racks alternate between three data centres. */
+/* Appends to "set" upserts that add the VMs of a pool: VM i of pool "a" has id
+ * "a<i>", two VMs share a rack, and the racks alternate between three data
+ * centres. */
 static void
 put_vms(Fixture *fixture, json_t *set, const FixturePool *pool)
 {
@@ -153,8 +154,8 @@
 static const FixturePool two_pools[] = {{"a", 6, 3, NULL}, {"b", 6, 4, NULL}};
 
 /* Guards against a wave that skips a VM, reboots a VM twice, does not set the
- * release label, has more than max_parallel VMs out of service, or stops VMs
- * of a pool in two data centres at the same time. */
+ * release label, has more than max_parallel VMs out of service, or has VMs of
+ * a pool out of service in two data centres at the same time. */
 static void
 test_wave(void)
 {
@@ -215,8 +216,8 @@
 }
 
 /* Guards against a wave that continues although its VMs fail: the wave must
- * stop after two failed VMs, and with that stop disabled it loses all VMs that
- * the budget of the pool allows to be stopped. */
+ * stop after two failed VMs.  With FLEET_DISABLE_WAVE_STOP it loses all VMs
+ * that the budget of the pool allows to be drained. */
 static void
 test_wave_stops_itself(void)
 {
@@ -246,8 +247,8 @@
     fixture_destroy(&fixture);
 }
 
-/* Guards against planned stops while the VM list shows new failures or is not
- * available, and against budgets that do not count failed VMs. */
+/* Guards against a drain that begins while the VM list shows new failures or
+ * is not available, and against budgets that do not count failed VMs. */
 static void
 test_wave_holds_back(void)
 {
@@ -271,8 +272,8 @@
     CU_ASSERT_EQUAL(vm_of(&fixture, "b5")->state, AQ_VM_LEAVING);
     CU_ASSERT_EQUAL(count_state(&fixture, AQ_VM_DRAINING), 0);
     run_planner_step(&fixture);
-    /* Pool a has 4 VMs serving with min_serving 3, pool b 5 VMs with
-     * min_serving 4, so each budget allows one planned stop. */
+    /* Pool "a" has 4 VMs serving with min_serving 3, pool "b" 5 VMs with
+     * min_serving 4, so each budget allows one VM to be drained. */
     CU_ASSERT_EQUAL(count_state(&fixture, AQ_VM_DRAINING), 2);
     CU_ASSERT_TRUE(
         run_intent(&fixture, "wave.abort", json_pack("{s:s}", "name", "w")));
@@ -343,7 +344,8 @@
             }
         }
     }
-    /* The pool has six racks of two VMs, and the wave works on each once. */
+    /* The pool has six racks of two VMs, and the wave finishes each rack
+     * before it begins the next. */
     CU_ASSERT_EQUAL(changes, 6);
     fixture_destroy(&fixture);
 }
