--- a/packages/fleet/Include/aq_fleet.h
+++ b/packages/fleet/Include/aq_fleet.h
@@ -204,9 +204,10 @@
     /* State of a VM in the platform's VM list: "live", "leaving", "down" or
      * NULL when the VM is not listed; the callee owns the string. */
     const char *(*listed)(void *context, const char *vm);
-    /* Requests in flight on a draining VM, summed over all entry VMs.
-     * "version" is the document version in which the drain began; -1 until
-     * each entry VM has reported this version or a later one. */
+    /* Returns the number of requests in flight on a draining VM, summed over
+     * all entry VMs.  "version" is the document version in which the drain
+     * began; the result is -1 until each entry VM has reported this version or
+     * a later one. */
     int64_t (*in_flight)(void *context, const char *vm, int64_t version);
     /* Whether all health checks of the VM in the last "ms" milliseconds
      * succeeded. */
@@ -215,9 +216,9 @@
 
 typedef struct AqPlanner AqPlanner;
 
-/* Returns a new planner.  It remembers since when a pool has had a surplus or
- * deficit of VMs and which rebooting VMs the VM list has shown down; the
- * daemon may lose this memory when it restarts. */
+/* Returns a new planner.  The planner remembers since when each pool has had a
+ * surplus or deficit of VMs, and which rebooting VMs the VM list has shown
+ * down.  A daemon that restarts need not restore this knowledge. */
 AqPlanner *AqPlanner_Create(void);
 void AqPlanner_Destroy(AqPlanner *planner);
 
@@ -236,7 +237,8 @@
 /* Checks the change from document "before" to document "after": the version
  * grows, the budget of each pool allows the drains of its VMs, and a VM
  * changes its pool only at the end of a drain.  Returns false with an error
- * otherwise. */
+ * otherwise.  When "after" is more than one version later than "before",
+ * checks only that the version grows and the epoch does not fall. */
 bool AqFleet_CheckStep(const AqFleet *before, const AqFleet *after,
                        AqError *error);
 
--- a/packages/fleet/bench/bench_fleet.c
+++ b/packages/fleet/bench/bench_fleet.c
@@ -100,8 +100,8 @@
     FakePlatform platform;
     AqRandom random;
     Result result;
-    int64_t writes; /* writes to the store so far */
-    int64_t steps;  /* planner steps so far */
+    int64_t writes; /* writes to the store in this run so far */
+    int64_t steps;  /* planner steps counted in result.step_us so far */
     int64_t heads;  /* heads whose length was added to result.head_bytes */
     int serial;     /* number in the id of the next operation */
     bool measuring;
@@ -193,7 +193,8 @@
     return fake_platform_vm(&run->platform, id);
 }
 
-/* Causes unplanned outages of VMs at the rates of the design page, section
+/* Begins, at random, the unplanned outages of VMs that fall into one planner
+ * step interval (STEP_INTERVAL_MS), at the rates of the design page, section
  * 1.6.  Scaled to the number of VMs: 11 failures (down for 60 min) and 96
  * restarts or replacements (leaving for 2 min, which is left out here, then
  * down for about 8 min) a day over 900 VMs.  Not scaled: the outage of one
--- a/packages/fleet/bench/bench_operators.c
+++ b/packages/fleet/bench/bench_operators.c
@@ -101,8 +101,8 @@
         (int64_t)AqRandom_Exponential(&run->random, MEAN_THINK_MS);
 }
 
-/* Makes the next step in the commit procedure of daemon number "at"; begins a
- * new intent if the daemon is idle. */
+/* Runs the next part of the commit procedure of daemon number "at"; if the
+ * daemon is idle, first gives the daemon a new intent. */
 static void
 advance(OperatorRun *run, int at, Totals *totals)
 {
--- a/packages/fleet/check.c
+++ b/packages/fleet/check.c
@@ -213,9 +213,9 @@
                              "it is lower than in the version before");
     }
     if (after->version > before->version + 1) {
-        /* The commits between the document versions "before" and "after" are
-         * not known, so the changes of a VM's state cannot be checked one by
-         * one. */
+        /* More than one commit lies between the documents "before" and
+         * "after", and the document after each single commit is not known, so
+         * the changes of VMs and budgets cannot be checked. */
         return true;
     }
     for (guint i = 0; i < before->vm_order->len; i++) {
--- a/packages/fleet/document.c
+++ b/packages/fleet/document.c
@@ -238,8 +238,9 @@
 {
     size_t i;
     json_t *upsert;
-    /* Upserts that set a pool are applied first, because a VM may be in a new
-     * pool of the same set; those that delete a pool come with the rest. */
+    /* Applies the upserts that set a pool first, because a VM may be in a new
+     * pool of the same set.  Applies all other upserts, also those that delete
+     * a pool, after that. */
     for (int pools = 1; pools >= 0; pools--) {
         json_array_foreach((json_t *)set, i, upsert)
         {
--- a/packages/fleet/fleet_internal.h
+++ b/packages/fleet/fleet_internal.h
@@ -84,9 +84,9 @@
     int connections;
     const char *service;
     const json_t *selector;
-    /* VMs that the pool should have above min_serving for failures and waves,
-     * as the function buffer_target computed it; -1: not computed since a
-     * record on which it depends changed */
+    /* number of VMs that the pool should have above min_serving for failures
+     * and waves, as the function buffer_target computed it; -1: to be computed
+     * again, since a record that enters into the number has changed */
     int buffer_target;
 };
 
@@ -161,12 +161,13 @@
  * the error message names the first field that is not. */
 bool check_known_fields(const json_t *object, const char *const *allowed,
                         AqError *error);
-/* Value of a string field, or the default when the field is absent or of
- * another type.  The string is borrowed from the object. */
+/* Returns the value of the string field "field" of a JSON object, or
+ * default_value when the field is absent or of another type.  The object owns
+ * the string. */
 const char *string_or(const json_t *object, const char *field,
                       const char *default_value);
-/* Value of an integer field, or the default when the field is absent or of
- * another type. */
+/* Returns the value of the integer field "field" of a JSON object, or
+ * default_value when the field is absent or of another type. */
 int64_t int_or(const json_t *object, const char *field, int64_t default_value);
 /* Whether "labels" has every label that "selector" names, with the value that
  * "selector" gives for it. */
@@ -186,13 +187,14 @@
 PoolEntry *index_pool(const AqFleet *fleet, const char *name);
 
 /* document.c: validation and application of sets of upserts. */
-/* Whether every upsert in "set" is well formed and the pools that VMs name
- * exist once all upserts are applied; does not change the document. */
+/* Whether every upsert in "set" is well formed, and whether every pool named
+ * in a VM record exists once all upserts are applied; does not change the
+ * document. */
 bool document_check_set(const AqFleet *fleet, const json_t *set,
                         AqError *error);
 /* Applies upserts that document_check_set has accepted, without changing the
- * document's version.  Appends to "undo" (may be NULL) the upserts that
- * restore the old records, in the order of application. */
+ * document's version.  For each applied upsert, in order, appends to "undo"
+ * (may be NULL) an upsert that restores the old record. */
 void document_put(AqFleet *fleet, const json_t *set, json_t *undo);
 /* Checks and applies upserts as the next version of the document, and sets the
  * epoch to that version when the set of entry VM members changes; adds no tail
@@ -247,8 +249,7 @@
 /* Returns a new record for the end of the VM's move to another pool: the VM
  * belongs to the pool "pool" and is in state serving. */
 json_t *vm_in_pool(const VmEntry *vm, const char *pool, int64_t wall_ms);
-/* Removes the wave, move and reboot that are planned for a VM from the VM's
- * record. */
+/* Removes from a VM's record the wave, move and reboot planned for the VM. */
 void vm_clear_plan(json_t *record);
 
 /* Intent handlers (intents*.c) check the arguments of the intent, then the
@@ -276,8 +277,8 @@
 bool intent_wave_pause(const Intent *intent, AqError *error);
 bool intent_wave_resume(const Intent *intent, AqError *error);
 bool intent_wave_abort(const Intent *intent, AqError *error);
-/* Appends to "set" upserts that return to service the VMs that the wave "wave"
- * drains or has drained; VMs that the wave is rebooting stay out of
+/* Returns to service, by upserts appended to "set", all VMs in state draining
+ * or drained for the wave "wave".  VMs that the wave is rebooting stay out of
  * service. */
 void wave_release_vms(const AqFleet *fleet, const char *wave, int64_t wall_ms,
                       json_t *set);
--- a/packages/fleet/intents.c
+++ b/packages/fleet/intents.c
@@ -17,8 +17,9 @@
                        field, name);
 }
 
-/* Returns a copy of "base" with those of the named fields that "args"
- * contains; a null value in "args" removes the field from the copy. */
+/* Returns a copy of "base" with new values for the fields listed in "fields":
+ * each of them that "args" contains gets the value in "args", and a null value
+ * removes the field. */
 static json_t *
 merge_fields(const json_t *base, const json_t *args, const char *const *fields)
 {
--- a/packages/fleet/intents_wave.c
+++ b/packages/fleet/intents_wave.c
@@ -78,9 +78,10 @@
         !field_name(intent->args, "name", &name, error)) {
         return false;
     }
-    /* The document version of the commit that starts the wave serves as the
-     * wave's id, so that ids order waves independently of clocks: a VM keeps
-     * the id of the last wave that finished on it. */
+    /* The wave's id is the document version of the commit that starts the
+     * wave, so that a wave started later has a higher id whatever the clocks
+     * show.  The record of a VM keeps the id of the last wave that finished on
+     * the VM. */
     json_t *record = json_pack(
         "{s:{}, s:s, s:s, s:i, s:I, s:I, s:i, s:i, s:s}", "selector", "kind",
         "reboot", "state", "running", "max_parallel", 1, "id",
@@ -158,8 +159,9 @@
     json_t *next = json_copy((json_t *)wave);
     json_object_set_new(next, "state", json_string(to));
     if (strcmp(to, "running") == 0) {
-        /* Resuming a wave clears the results of its last VMs, so that only
-         * later failures of VMs count towards stopping the wave. */
+        /* "recent" has the wave's latest results for VMs.  Resuming the wave
+         * clears them, so that only VMs that fail from now on count towards
+         * stopping the wave. */
         json_object_set_new(next, "recent", json_string(""));
         json_object_del(next, "reason");
     }
--- a/packages/fleet/planner.c
+++ b/packages/fleet/planner.c
@@ -40,9 +40,9 @@
     PoolPlan *pool = &step->pools[vm->pool->number];
     bool served = vm->state == AQ_VM_SERVING;
     bool serves = state == AQ_VM_SERVING;
-    /* The VM is counted also when its upsert does not fit into this step, so
-     * that a failed VM at once reduces the number of VMs that the budget of
-     * its pool allows to be drained. */
+    /* Counts the VM in its new state even if its upsert no longer fits into
+     * this step: a VM that has failed then at once reduces how many VMs the
+     * pool's budget allows to be drained. */
     pool->serving += serves - served;
     pool->unavailable += served - serves;
     step->is_changed[vm->number] = 1;
@@ -250,10 +250,10 @@
     plan_waves_load(step);
 }
 
-/* Advances all VMs.  The VMs that the VM list or the end of a reboot changes
- * come first, since their failures may stop a wave; then come the draining and
- * drained VMs, whose next state depends on whether the wave that drains them
- * still runs. */
+/* Advances all VMs.  First applies the VM list to all VMs and advances the
+ * rebooting and checking VMs, since a failure of one of these may stop a
+ * wave.  Then advances the draining and drained VMs: a VM whose wave no longer
+ * runs returns to service. */
 static void
 advance_vms(PlanStep *step)
 {
--- a/packages/fleet/planner.h
+++ b/packages/fleet/planner.h
@@ -65,9 +65,11 @@
     unsigned char *is_changed;
     WavePlan *waves;
     int wave_count;
-    int upserts;     /* VM upserts that this step has made so far */
-    bool list_known; /* the VM list names at least one VM */
-    bool hold;       /* this step begins no drain of a VM */
+    int upserts; /* VM upserts that this step has made so far */
+    /* the platform's VM list has at least one VM of the fleet document; if
+     * not, the step treats the VM list as not available */
+    bool list_known;
+    bool hold; /* this step begins no drain of a VM */
 } PlanStep;
 
 struct AqPlanner {
@@ -92,20 +94,22 @@
 
 /* Reads the waves of the document into step->waves. */
 void plan_waves_load(PlanStep *step);
-/* Returns the wave of that name, or NULL; "" names no wave. */
+/* Returns the wave "name" of step->waves; NULL when the document has no such
+ * wave or "name" is "". */
 WavePlan *plan_wave(PlanStep *step, const char *name);
 /* Counts a VM as in progress for the wave that keeps it out of service, and
  * enters the VM's data centre in active_zone of the VM's pool.  Does nothing
  * when no wave keeps the VM out of service. */
 void plan_wave_add_in_progress(PlanStep *step, const VmEntry *vm);
-/* Adds the result for a VM, which serves again ("returned") or has failed, to
- * the record of the wave that took the VM out of service.  Enters into the
- * VM's new record "record" that the wave has finished on the VM.  Stops the
- * wave when too many of its last VMs have failed. */
+/* Enters the result of a VM into the record of the wave that took the VM out
+ * of service: the VM serves again ("returned") or has failed.  Also marks in
+ * "record", the new record of the VM, that the wave has finished on the VM.
+ * Stops the wave when the wave's latest RECENT_RESULTS_MAX results include
+ * FAILED_RESULTS_LIMIT or more failures. */
 void plan_wave_result(PlanStep *step, const VmEntry *vm, json_t *record,
                       bool returned);
-/* Begins drains of VMs for the running waves and ends each running wave that
- * has no VMs left to work on. */
+/* Begins drains of VMs for the running waves; sets the state of a running wave
+ * to done when the wave has no VMs left to work on. */
 void plan_waves_run(PlanStep *step);
 /* Appends upserts of the changed wave records to step->set and frees
  * step->waves. */
--- a/packages/fleet/planner_place.c
+++ b/packages/fleet/planner_place.c
@@ -34,8 +34,8 @@
     Source *sources;
 } Placement;
 
-/* Whether an operator drains or has drained a VM by vm.drain, so that the
- * drain is not part of a wave, move or reboot. */
+/* Whether a VM is draining or drained because of an operator's intent
+ * vm.drain, not for a wave, move or reboot. */
 static bool
 is_held_by_operator(const VmEntry *vm)
 {
--- a/packages/fleet/planner_waves.c
+++ b/packages/fleet/planner_waves.c
@@ -3,8 +3,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A wave stops when FAILED_RESULTS_LIMIT of its last RECENT_RESULTS_MAX VMs
- * failed; design page, section 7.1. */
+/* A wave has one result for each VM on which it has finished: returned to
+ * service or failed.  The planner stops a wave when the wave's latest
+ * RECENT_RESULTS_MAX results include FAILED_RESULTS_LIMIT or more failures;
+ * design page, section 7.1. */
 #define RECENT_RESULTS_MAX 10
 #define FAILED_RESULTS_LIMIT 2
 
@@ -57,10 +59,10 @@
     json_object_set_new(wave, field, json_integer(int_or(wave, field, 0) + 1));
 }
 
-/* Appends the result for a VM to the field "recent" of a wave's record, a
- * string of "o" (returned to service) and "x" (failed) for the wave's last
- * RECENT_RESULTS_MAX VMs, the latest at the end; returns the number of
- * failures in the new string. */
+/* Appends the result of a wave for one VM to the field "recent" of the wave's
+ * record and returns the number of failures in the field.  The field has one
+ * character for each of the latest RECENT_RESULTS_MAX results, the latest at
+ * the end: "o" (VM returned to service) or "x" (VM failed). */
 static int
 append_recent(json_t *wave, bool returned)
 {
@@ -230,9 +232,9 @@
     g_free(candidates->end);
 }
 
-/* Returns the VM of a pool that the wave drains next; NULL when the pool's
- * budget allows no further drain or no candidate is in the data centre in
- * which waves work on the pool. */
+/* Returns the candidate in a pool that the wave drains next.  Returns NULL
+ * when the pool's budget allows no further drain, or when waves already work
+ * on the pool and no candidate is in the data centre where they work. */
 static const Candidate *
 pool_candidate(CandidateList *candidates, const PlanStep *step,
                const PoolEntry *pool)
--- a/packages/fleet/tests/fake_daemon.c
+++ b/packages/fleet/tests/fake_daemon.c
@@ -35,8 +35,9 @@
     }
 }
 
-/* Updates a document from head, loading first the snapshot that head refers to
- * when the tail in head is not enough. */
+/* Updates a document to the version of head.  When the tail in head begins
+ * after the document's next version, first loads the snapshot that head refers
+ * to. */
 static AqLoadResult
 load(FakeStore *store, AqFleet *fleet, AqError *error)
 {
--- a/packages/fleet/tests/fake_daemon.h
+++ b/packages/fleet/tests/fake_daemon.h
@@ -5,19 +5,22 @@
 #include "fleet_internal.h"
 
 /* Stand-ins for the store's head key, the platform's VMs and the commit
- * procedure of a daemon (design page, section 4.1).  fake_daemon_step makes
+ * procedure of a daemon (design page, section 4.1).  fake_daemon_step runs
  * one part of the procedure, with at most one write to the store, so that a
  * test can interleave daemons and crash a daemon between any two parts. */
 
 /* ---- Store ------------------------------------------------------------ */
 
-/* What happens to a daemon's write of head; only with REPLY_OK does the daemon
- * get a reply. */
+/* What happens to a daemon's write of head and to the store's reply; the
+ * daemon gets the reply only with REPLY_OK. */
 typedef enum {
     REPLY_OK,
-    REPLY_LOST_BEFORE, /* the write does not reach the store */
-    REPLY_LOST_AFTER,  /* the write takes effect, but its reply is lost */
-    REPLY_LATE /* the write waits until fake_store_deliver applies it */
+    /* the write of head does not reach the store */
+    REPLY_LOST_BEFORE,
+    /* the write of head reaches the store, but the store's reply is lost */
+    REPLY_LOST_AFTER,
+    /* the write of head is delayed until fake_store_deliver applies it */
+    REPLY_LATE
 } FakeReply;
 
 /* Result of a compare-and-swap on head as the daemon sees it. */
@@ -37,7 +40,8 @@
     int64_t delayed_index;
     /* test switch: writes of head succeed at any store revision */
     bool no_cas;
-    /* check the invariants of every document version written to head */
+    /* the store checks the invariants of every document version written to
+     * head */
     bool check;
     /* document that the store read from head after the last write of head;
      * NULL unless "check" is set */
@@ -55,7 +59,7 @@
 void fake_store_init(FakeStore *store, bool check);
 void fake_store_clear(FakeStore *store);
 /* Writes "text" to head if the store revision of head is "index"; "reply" says
- * what happens to the write. */
+ * what happens to the write and to the store's reply. */
 FakeCas fake_store_cas(FakeStore *store, const char *text, int64_t index,
                        FakeReply reply);
 /* Applies the write of head that REPLY_LATE has delayed, if there is one. */
@@ -71,11 +75,12 @@
     /* virtual time at which the VM, if down, comes up; 0: never */
     int64_t up_at_ms;
     int64_t up_since_ms; /* virtual time since which the VM has been up */
-    /* AqVmView.since of the VM, in ms, when the platform last carried out a
-     * reboot order for the VM; an order at the same "since" is a repetition
-     * and has no effect */
+    /* AqVmView.since of the VM, in ms, at the last reboot order that the
+     * platform carried out for the VM; a further order at the same "since"
+     * repeats that order and has no effect */
     int64_t last_reboot_since_ms;
-    const char *listed; /* state of the VM in the VM list; NULL: not listed */
+    /* state of the VM in the platform's VM list; NULL: not listed */
+    const char *listed;
 } FakeVm;
 
 typedef struct {
@@ -101,15 +106,15 @@
 void fake_platform_advance(FakePlatform *platform, int64_t ms);
 /* Takes a VM down until the virtual time "up_at_ms"; 0: for good. */
 void fake_platform_fail(FakeVm *vm, int64_t up_at_ms);
-/* Carries out the reboot orders of a planner step; an order that later steps
- * repeat is carried out only once. */
+/* Reboots the VMs whose ids a planner step has put into "reboots"; when later
+ * steps repeat the order for a VM, the VM is rebooted only once. */
 void fake_platform_reboot(FakePlatform *platform, const AqFleet *fleet,
                           const json_t *reboots);
 extern const AqPlannerView fake_platform_view;
 
 /* ---- Daemon ----------------------------------------------------------- */
 
-/* Next step of a daemon's commit procedure. */
+/* Part of a daemon's commit procedure that fake_daemon_step runs next. */
 typedef enum {
     PHASE_IDLE,
     PHASE_READ,
@@ -132,9 +137,9 @@
     /* clone of "fleet" that the daemon's next write of head commits; NULL: the
      * daemon has no write in preparation */
     AqFleet *next;
-    /* Store revision of the head on which the intent or planner step was
-     * evaluated.  A watch may deliver a newer head before the
-     * compare-and-swap. */
+    /* Store revision of the head on which the intent or planner step in
+     * progress was evaluated.  The compare-and-swap expects this revision,
+     * since a watch may have delivered a newer head after the evaluation. */
     int64_t next_index;
     AqPlanner *planner;
     /* intent that the daemon carries out; NULL: a planner step */
@@ -164,15 +169,17 @@
 /* Begins an intent or, if "intent" is NULL, a planner step, under the
  * operation id "op".  Takes over the caller's reference to the intent. */
 void fake_daemon_begin(FakeDaemon *daemon, json_t *intent, const char *op);
-/* Makes one part of the daemon's commit procedure, as "phase" says; "reply" is
- * what happens to a write of head in this part. */
+/* Runs the part of the daemon's commit procedure that daemon->phase names.  If
+ * this part writes head, "reply" says what happens to the write and to the
+ * store's reply. */
 void fake_daemon_step(FakeDaemon *daemon, FakeReply reply);
-/* Continues the daemon's commit procedure with REPLY_OK until the intent or
- * planner step in progress has ended. */
+/* Runs the daemon's commit procedure until the intent or planner step in
+ * progress has ended.  The store replies to each write of head on the way
+ * (REPLY_OK). */
 void fake_daemon_finish(FakeDaemon *daemon);
-/* Restarts the daemon without its memory.  The daemon begins its intent in
- * progress again, as if the operator's client had sent the intent once more; a
- * planner step in progress is lost. */
+/* Crashes and restarts the daemon, which loses its document and planner.  The
+ * daemon begins an intent in progress again, as if the operator's client had
+ * sent the intent once more; a planner step in progress is lost. */
 void fake_daemon_crash(FakeDaemon *daemon);
 /* Reads head from the store into the daemon's document, as a watch does. */
 void fake_daemon_read(FakeDaemon *daemon);
--- a/packages/fleet/tests/test_fleet_random.c
+++ b/packages/fleet/tests/test_fleet_random.c
@@ -201,8 +201,8 @@
     }
 }
 
-/* Returns the number of VMs that the planner should still advance: all but
- * those that serve and those that an operator keeps drained. */
+/* Returns the number of VMs that the planner still has to bring to another
+ * state: all but those that serve and those that an operator keeps drained. */
 static int
 count_stuck(const Fixture *fixture)
 {
--- a/packages/fleet/tests/test_planner.c
+++ b/packages/fleet/tests/test_planner.c
@@ -344,8 +344,9 @@
             }
         }
     }
-    /* The pool has six racks of two VMs, and the wave finishes each rack
-     * before it begins the next. */
+    /* "changes" counts how often the wave went on to a VM in another rack.
+     * The pool has six racks of two VMs, so a wave that finishes each rack
+     * before it begins the next enters six racks. */
     CU_ASSERT_EQUAL(changes, 6);
     fixture_destroy(&fixture);
 }
--- a/packages/fleet/vm_record.c
+++ b/packages/fleet/vm_record.c
@@ -26,9 +26,10 @@
     json_object_del(record, "reboot");
 }
 
-/* The commit that begins the drain creates the document's next version, since
- * that commit succeeds only as a compare-and-swap of head at the current
- * version. */
+/* Returns a new record of the VM in state draining, with field "drain" set to
+ * the document's current version plus 1.  The commit that stores the record
+ * creates exactly that version: its compare-and-swap on head fails if another
+ * commit came first. */
 json_t *
 vm_draining(const AqFleet *fleet, const VmEntry *vm, int64_t wall_ms)
 {
