--- a/packages/fleet/Include/aq_fleet.h
+++ b/packages/fleet/Include/aq_fleet.h
@@ -11,7 +11,7 @@
 
 /* The versioned fleet document: records of pools, VMs, waves, teams, weights
  * and entry VM members.  Design page, section 4.1.  Times in records are Unix
- * ms ("wall_ms"), because they outlive a daemon. */
+ * ms ("wall_ms"), because records outlive a daemon. */
 
 typedef struct AqFleet AqFleet;
 
@@ -20,7 +20,7 @@
     AQ_REC_VM,
     AQ_REC_WAVE,
     AQ_REC_TEAM,
-    AQ_REC_WEIGHTS, /* one record, named "weights" */
+    AQ_REC_WEIGHTS, /* the only such record is named "weights" */
     AQ_REC_MEMBER,
     AQ_REC_KINDS
 } AqRecordKind;
@@ -37,37 +37,44 @@
 
 const char *AqVmState_Name(AqVmState state);
 
-/* A document of version 0 with the pool "spare" and default weights. */
+/* Returns a new document of version 0 with the pool "spare" and default
+ * weights. */
 AqFleet *AqFleet_Create(void);
 AqFleet *AqFleet_Clone(const AqFleet *fleet);
 void AqFleet_Destroy(AqFleet *fleet);
 
 int64_t AqFleet_Version(const AqFleet *fleet);
-/* Version at which the set of members last changed. */
+/* Returns the document version at which the set of entry VM members last
+ * changed. */
 int64_t AqFleet_Epoch(const AqFleet *fleet);
 
-/* Records are JSON objects; borrowed from the document. */
+/* Returns a record, a JSON object owned by the document, or NULL when the
+ * document has no record of that kind and name. */
 const json_t *AqFleet_Get(const AqFleet *fleet, AqRecordKind kind,
                           const char *name);
-/* All records of a kind: a borrowed object from name to record. */
+/* Returns all records of a kind as a JSON object from name to record, which
+ * the document owns. */
 const json_t *AqFleet_All(const AqFleet *fleet, AqRecordKind kind);
 
 typedef struct {
-    const char *id; /* all borrowed from the document */
+    /* VM id; the document owns it and all strings of this view */
+    const char *id;
     const char *pool;
-    const char *service; /* of its pool */
-    const char *address; /* "IP:port" */
+    const char *service; /* service that the VM's pool provides */
+    const char *address; /* "IP:port" at which the VM serves requests */
     const char *rack;
     const char *zone;
-    const char *wave; /* "" when none */
+    /* name of the wave that keeps the VM out of service, or "" */
+    const char *wave;
     AqVmState state;
-    int64_t since; /* wall ms of the last change of state */
-    int slots;     /* per endpoint, of its pool */
+    int64_t since; /* Unix ms of the VM's last change of state */
+    int slots; /* request slots of the VM's endpoint, as its pool sets them */
     int connections;
 } AqVmView;
 
+/* Fills the view of a VM; false when there is no VM of that id. */
 bool AqFleet_GetVm(const AqFleet *fleet, const char *id, AqVmView *view);
-/* Calls "visit" for each VM until it returns false. */
+/* Calls "visit" with the view of each VM until "visit" returns false. */
 void AqFleet_EachVm(const AqFleet *fleet,
                     bool (*visit)(void *context, const AqVmView *view),
                     void *context);
@@ -75,23 +82,27 @@
 typedef struct {
     int members; /* VMs that belong to the pool */
     int serving;
-    int unavailable; /* in any other state */
+    int unavailable; /* VMs of the pool in any state but serving */
     int min_serving;
-    int max_unavailable; /* -1: unlimited */
-    int headroom;        /* planned stops that are allowed now; >= 0 */
-    int buffer_target;
+    /* no drain of a VM may raise "unavailable" above this; -1: unlimited */
+    int max_unavailable;
+    /* further VMs that the pool's budget allows to be drained now; >= 0 */
+    int headroom;
+    int buffer_target; /* VMs that the pool should have above min_serving */
 } AqPoolStatus;
 
+/* Fills the status of a pool; false when there is no pool of that name. */
 bool AqFleet_GetPool(const AqFleet *fleet, const char *pool,
                      AqPoolStatus *status);
 
 /* ---- Intents ---------------------------------------------------------- */
 
-/* The upserts that an intent yields: a JSON array of [kind, name, record or
- * null].  AqFleet_Evaluate appends to it. */
+/* A set of upserts is a JSON array of [kind, name, record]; null in place of
+ * the record deletes the record of that kind and name. */
 
-/* Arguments ("?" marks optional ones; absent fields of a known pool, VM or
- * team keep their values, null gives back the default):
+/* Arguments of each kind of intent ("?" marks optional ones, with the default
+ * in parentheses; absent fields of an existing pool, VM or team keep their
+ * values, and null restores the default of a field of a pool or team):
  *   pool.set      {name, service?, selector?, min_serving?, max_unavailable?,
  *                  slots?, connections?, objective?}
  *   pool.delete   {name}
@@ -109,91 +120,125 @@
  *   member.add    {id, address};  member.remove {id} */
 
 /* Evaluates one intent {"op", "kind", "args"} against the document without
- * changing it.  "set" is an array that gets the upserts.  Returns false with
- * AQ_ERR_INVALID (bad intent), AQ_ERR_NOT_FOUND or AQ_ERR_REFUSED (budget,
- * state; the message names the numbers and the remedy).  Kinds are those of
- * the design page except job.*, plus member.add {id, address} and
- * member.remove {id}.  An intent whose effect already holds yields no
- * upserts and succeeds. */
+ * changing the document, and appends the upserts that carry the intent out to
+ * the array "set".  Records whose state changes get "wall_ms" (Unix ms) as
+ * "since".  Returns false with AQ_ERR_INVALID (bad intent), AQ_ERR_NOT_FOUND
+ * or AQ_ERR_REFUSED (the budget of a pool or the state of a VM or wave forbids
+ * the intent; the message names the VM counts and the remedy).  Kinds of
+ * intents are those of the design page except job.*, plus member.add {id,
+ * address} and member.remove {id}.  An intent whose effect already holds
+ * yields no upserts and succeeds. */
 bool AqFleet_Evaluate(const AqFleet *fleet, const json_t *intent,
                       int64_t wall_ms, json_t *set, AqError *error);
 
-/* Applies upserts as version AqFleet_Version + 1 under operation "op".  Fails
- * with nothing changed, with AQ_ERR_CONFLICT when the operation is already
- * among the last 256.  A committer applies to a clone, and keeps the clone
- * once the compare-and-swap on head is confirmed.  The index it swaps on must
- * be that of the head from which this document was read: a watch may bring a
- * newer one in between.  A refusal is final only when head was read after the
- * intent came. */
+/* Applies upserts as version AqFleet_Version + 1 under the operation id "op".
+ * On failure nothing is changed; the error is AQ_ERR_CONFLICT when "op" is
+ * already among the last 256 operation ids applied to the document.
+ *
+ * A committer applies the upserts to a clone and keeps the clone only once the
+ * compare-and-swap on head (the store key AQ_FLEET_HEAD_KEY) has succeeded.
+ * The compare-and-swap must expect the store revision of the head from which
+ * the cloned document was read, since a watch may deliver a newer head before
+ * the compare-and-swap.  An intent may be refused only after an evaluation on
+ * a head that was read after the intent arrived. */
 bool AqFleet_Apply(AqFleet *fleet, const char *op, const json_t *set,
                    AqError *error);
-/* Version at which an operation was applied; 0 when it is not known. */
+/* Returns the document version at which the operation with id "op" was
+ * applied; 0 when "op" is not among the last 256 operation ids. */
 int64_t AqFleet_FindOp(const AqFleet *fleet, const char *op);
 
 /* ---- Storage ---------------------------------------------------------- */
 
 #define AQ_FLEET_HEAD_KEY "aq/fleet/head"
-#define AQ_FLEET_SNAPSHOT_PREFIX                                              \
-    "aq/fleet/snapshot/" /* + version, decimal                                \
-                          */
+/* Prefix of the store keys of snapshots, followed by the document version of
+ * the snapshot in decimal. */
+#define AQ_FLEET_SNAPSHOT_PREFIX "aq/fleet/snapshot/"
 
-/* Text of head for this document; the tail starts at the last snapshot. */
+/* Returns the value of the store key AQ_FLEET_HEAD_KEY for this document, to
+ * be released with free().  The tail in it holds the commits after the last
+ * snapshot. */
 char *AqFleet_EncodeHead(const AqFleet *fleet);
-/* Whether the next commit must write a snapshot first, and its text. */
+/* Returns whether the next commit must first store a snapshot of this
+ * document. */
 bool AqFleet_NeedsSnapshot(const AqFleet *fleet);
+/* Returns the text of a snapshot of the document at its current version, to be
+ * released with free(). */
 char *AqFleet_EncodeSnapshot(const AqFleet *fleet);
-/* Version of the snapshot that head names; 0 when there is none. */
+/* Returns the document version of the snapshot that head (AQ_FLEET_HEAD_KEY)
+ * refers to; 0 when head refers to none. */
 int64_t AqFleet_SnapshotVersion(const AqFleet *fleet);
-/* After the snapshot of the current version was written. */
+/* Records that a snapshot of the document's current version was stored, and
+ * clears the tail (the commits after the last snapshot). */
 void AqFleet_SnapshotWritten(AqFleet *fleet);
 
 typedef enum {
-    AQ_LOAD_OK,       /* the document now has head's version */
-    AQ_LOAD_OLDER,    /* head is not newer; nothing changed */
-    AQ_LOAD_SNAPSHOT, /* *snapshot is needed first; nothing changed */
-    AQ_LOAD_BAD       /* *error is filled; nothing changed */
+    /* the document now has the version of the head or snapshot passed in */
+    AQ_LOAD_OK,
+    /* the head or snapshot passed in has the document's version or an older
+     * one; the document is unchanged */
+    AQ_LOAD_OLDER,
+    /* AqFleet_LoadHead only: the caller must first load the snapshot of
+     * version *snapshot; the document is unchanged */
+    AQ_LOAD_SNAPSHOT,
+    /* the head or snapshot passed in is invalid, as *error says; the document
+     * is unchanged */
+    AQ_LOAD_BAD
 } AqLoadResult;
 
-/* Brings the document up to date from head's text.  Uses the tail when it
- * reaches back to the document's version. */
+/* Updates the document to the version of "head", the value of
+ * AQ_FLEET_HEAD_KEY, by applying the tail in it.  When the tail begins after
+ * the document's next version, *snapshot gets the version of the snapshot that
+ * the caller must load before it calls this function again. */
 AqLoadResult AqFleet_LoadHead(AqFleet *fleet, const char *head, size_t size,
                               int64_t *snapshot, AqError *error);
-/* Replaces the document by a snapshot when that is newer. */
+/* Replaces the document by the snapshot in "text" if the snapshot has a higher
+ * version than the document. */
 AqLoadResult AqFleet_LoadSnapshot(AqFleet *fleet, const char *text,
                                   size_t size, AqError *error);
 
 /* ---- Planner ---------------------------------------------------------- */
 
+/* What the planner reads from the daemon; "context" is the pointer that was
+ * passed to AqPlanner_Step. */
 typedef struct {
-    /* State of a VM in the platform's list: "live", "leaving", "down" or NULL
-     * when it is not listed; borrowed. */
+    /* State of a VM in the platform's VM list: "live", "leaving", "down" or
+     * NULL when the VM is not listed; the callee owns the string. */
     const char *(*listed)(void *context, const char *vm);
-    /* Requests in flight on a draining VM over all entry VMs, -1 while not
-     * all have reported the version that drains it. */
+    /* Returns the number of requests in flight on a draining VM, summed over
+     * all entry VMs.  "version" is the document version in which the drain
+     * began; the result is -1 until each entry VM has reported this version or
+     * a later one. */
     int64_t (*in_flight)(void *context, const char *vm, int64_t version);
-    /* Whether health checks have succeeded for ms without a break. */
+    /* Whether all health checks of the VM in the last "ms" milliseconds
+     * succeeded. */
     bool (*healthy_for)(void *context, const char *vm, int64_t ms);
 } AqPlannerView;
 
 typedef struct AqPlanner AqPlanner;
 
-/* Keeps only memory that may be lost: when a surplus or deficit was first
- * seen, and which rebooting VMs were seen down. */
+/* Returns a new planner.  The planner remembers since when each pool has had a
+ * surplus or deficit of VMs, and which rebooting VMs the VM list has shown
+ * down.  A daemon that restarts need not restore this knowledge. */
 AqPlanner *AqPlanner_Create(void);
 void AqPlanner_Destroy(AqPlanner *planner);
 
-/* Decides the next background step: appends upserts to "set" (none: nothing to
- * do) and names of VMs that must be rebooted to "reboots" (array of strings;
- * for VMs in state rebooting, repeated until they come back). */
+/* Decides the next planner step: appends upserts to "set" (none when there is
+ * nothing to do) and the ids of VMs to reboot to "reboots", an array of
+ * strings.  The id of a VM in state rebooting is appended in each step until
+ * the VM is found rebooted or counts as failed. */
 void AqPlanner_Step(AqPlanner *planner, const AqFleet *fleet, int64_t wall_ms,
                     const AqPlannerView *view, void *context, json_t *set,
                     json_t *reboots);
 
-/* Checks everything that must hold in one document: each VM has exactly one
- * existing pool, fields are in range, counts agree. */
+/* Checks the invariants of one document: each VM has exactly one existing
+ * pool, fields of records are in range, and the VM counts per pool in the
+ * index agree with the records.  Returns false with an error otherwise. */
 bool AqFleet_CheckConsistency(const AqFleet *fleet, AqError *error);
-/* Checks a step from one document to the next: the version grows, no planned
- * stop overspends a budget, moves go through a drain. */
+/* Checks the change from document "before" to document "after": the version
+ * grows, the budget of each pool allows the drains of its VMs, and a VM
+ * changes its pool only at the end of a drain.  Returns false with an error
+ * otherwise.  When "after" is more than one version later than "before",
+ * checks only that the version grows and the epoch does not fall. */
 bool AqFleet_CheckStep(const AqFleet *before, const AqFleet *after,
                        AqError *error);
 
--- a/packages/fleet/tests/test_fleet.c
+++ b/packages/fleet/tests/test_fleet.c
@@ -5,7 +5,7 @@
 #include "aq_json.h"
 #include "fake_daemon.h"
 
-#define NOW 1000000000
+#define NOW_MS 1000000000 /* wall time at which all intents are evaluated */
 
 /* ---- Fixture ---------------------------------------------------------- */
 
@@ -35,8 +35,9 @@
     set_put(set, AQ_REC_POOL, name, pool);
 }
 
-/* Pool "a" has headroom 1, "b" none by min_serving, "m" none by
- * max_unavailable; "gpu" takes no VM of the others. */
+/* Returns a document in which the budget of pool "a" allows one VM to be
+ * drained, that of "b" none because of min_serving, and that of "m" none
+ * because of max_unavailable; the selector of pool "gpu" matches no VM. */
 static AqFleet *
 make_fleet(void)
 {
@@ -82,17 +83,21 @@
     const char *kind;
     const char *args;
     AqErrorKind error;
-    /* For an error: texts its message must contain.  Otherwise: kind and
-     * name of a record, field, JSON value ("" absent; no kind: no change).
-     * Single quotes in all texts stand for double quotes. */
-    const char *want[4];
+    /* With "error" other than AQ_OK: texts that the error message must
+     * contain.  With AQ_OK: kind and name of a record, a field of the record
+     * and the JSON value that the field must have after the intent ("" if
+     * absent).  Without a field the intent must delete the record, and without
+     * a kind the intent must yield no upserts.  Single quotes in all texts
+     * stand for double quotes. */
+    const char *expected[4];
 } IntentCase;
 
 static const IntentCase cases[] = {
 #include "intent_cases.inc"
 };
 
-/* A copy with double quotes, in one of four static buffers used in turn. */
+/* Returns a copy of "text" with double quotes for single quotes, in one of
+ * four static buffers that are used in turn. */
 static const char *
 quoted(const char *text)
 {
@@ -107,17 +112,17 @@
 check_record(const IntentCase *at, const AqFleet *fleet)
 {
     AqRecordKind kind = AQ_REC_POOL;
-    CU_ASSERT_TRUE_FATAL(record_kind_parse(at->want[0], &kind));
-    const json_t *record = AqFleet_Get(fleet, kind, at->want[1]);
-    if (at->want[2] == NULL) {
+    CU_ASSERT_TRUE_FATAL(record_kind_parse(at->expected[0], &kind));
+    const json_t *record = AqFleet_Get(fleet, kind, at->expected[1]);
+    if (at->expected[2] == NULL) {
         CU_ASSERT_PTR_NULL(record);
         return;
     }
-    const json_t *value = json_object_get(record, at->want[2]);
+    const json_t *value = json_object_get(record, at->expected[2]);
     char *text = value == NULL ? strdup("") : AqJson_Dump(value);
-    if (strcmp(text, quoted(at->want[3])) != 0) {
+    if (strcmp(text, quoted(at->expected[3])) != 0) {
         fprintf(stderr, "%s %s: %s is %s, not %s\n", at->kind, at->args,
-                at->want[2], text, at->want[3]);
+                at->expected[2], text, at->expected[3]);
         CU_FAIL("wrong record");
     }
     free(text);
@@ -127,18 +132,19 @@
 check_message(const IntentCase *at, const AqError *error)
 {
     CU_ASSERT_EQUAL(error->kind, at->error);
-    for (int i = 0; i < 4 && at->want[i] != NULL; i++) {
-        if (strstr(error->message, quoted(at->want[i])) == NULL) {
+    for (int i = 0; i < 4 && at->expected[i] != NULL; i++) {
+        if (strstr(error->message, quoted(at->expected[i])) == NULL) {
             fprintf(stderr, "%s %s: \"%s\" not in: %s\n", at->kind, at->args,
-                    at->want[i], error->message);
-            CU_FAIL("message does not name it");
+                    at->expected[i], error->message);
+            CU_FAIL("the message lacks an expected text");
         }
     }
 }
 
-/* Guards against intents that accept what they must refuse, change the wrong
- * record, or report an error without field, value, range, numbers or
- * remedy. */
+/* Guards against intents that are accepted although they must be refused, or
+ * that change the wrong record.  Guards also against error messages that do
+ * not name the field, its value and valid range, or the pool's VM counts and
+ * the remedy. */
 static void
 test_intents(void)
 {
@@ -150,7 +156,7 @@
         json_t *set = json_array();
         json_t *intent = fake_intent("op-1", at->kind,
                                      json_loads(quoted(at->args), 0, NULL));
-        bool ok = AqFleet_Evaluate(fleet, intent, NOW, set, &error);
+        bool ok = AqFleet_Evaluate(fleet, intent, NOW_MS, set, &error);
         if (ok != (at->error == AQ_OK)) {
             fprintf(stderr, "%s %s: %s\n", at->kind, at->args, error.message);
             CU_FAIL("wrong result");
@@ -159,7 +165,7 @@
             check_message(at, &error);
             CU_ASSERT_EQUAL(json_array_size(set), 0);
         }
-        else if (at->want[0] == NULL) {
+        else if (at->expected[0] == NULL) {
             CU_ASSERT_EQUAL(json_array_size(set), 0);
         }
         else {
@@ -179,10 +185,13 @@
     }
 }
 
-/* Guards against envelopes that are let through without an operation id. */
+/* Guards against accepting an intent with a missing or invalid "op", "kind" or
+ * "args", or with an unknown field. */
 static void
 test_envelope(void)
 {
+    /* Each row: an intent that must be refused, and a text that the error
+     * message must contain. */
     static const char *const bad[][2] = {
         {"[]", "not a JSON object"},
         {"{\"kind\": \"vm.drain\", \"args\": {}}", "\"op\" is missing"},
@@ -197,7 +206,7 @@
         AqError error = {0};
         json_t *set = json_array();
         json_t *intent = json_loads(bad[i][0], 0, NULL);
-        CU_ASSERT_FALSE(AqFleet_Evaluate(fleet, intent, NOW, set, &error));
+        CU_ASSERT_FALSE(AqFleet_Evaluate(fleet, intent, NOW_MS, set, &error));
         CU_ASSERT_EQUAL(error.kind, AQ_ERR_INVALID);
         CU_ASSERT_PTR_NOT_NULL(strstr(error.message, bad[i][1]));
         json_decref(intent);
@@ -208,23 +217,47 @@
 
 /* ---- Steps and storage ------------------------------------------------ */
 
-/* Guards against a transition that section 12 does not allow, or a check
- * that refuses one that it allows. */
+/* Guards against AqFleet_CheckStep accepting a change of a VM's state that
+ * section 12 of the design page does not allow, or rejecting one that the
+ * section allows. */
 static void
 test_transitions(void)
 {
-    /* Rows: state before; columns: state after, in AqVmState's order. */
-    static const char *const allowed[VM_STATES] = {
-        "yy...yy", /* serving */
-        "yyy..yy", /* draining */
-        "y.yy.yy", /* drained */
-        "...yyyy", /* rebooting */
-        "y...yyy", /* checking */
-        "....yyy", /* failed */
-        "....yyy", /* leaving */
+    /* One row per state of a VM before a change and one character per state
+     * after it, both in the order of AqVmState; "y": AqFleet_CheckStep must
+     * accept the change, ".": it must reject the change. */
+    static const char *const allowed[VM_STATE_COUNT] = {
+        /* One character per next state in the order of AqVmState, "y" if
+         * allowed: a serving VM may stay so or become draining, failed or
+         * leaving. */
+        "yy...yy",
+        /* One character per next state in the order of AqVmState, "y" if
+         * allowed: a draining VM may become serving, stay draining, or become
+         * drained, failed or leaving. */
+        "yyy..yy",
+        /* One character per next state in the order of AqVmState, "y" if
+         * allowed: a drained VM may become serving, stay drained, or become
+         * rebooting, failed or leaving. */
+        "y.yy.yy",
+        /* One character per next state in the order of AqVmState, "y" if
+         * allowed: a rebooting VM may stay so or become checking, failed or
+         * leaving. */
+        "...yyyy",
+        /* One character per next state in the order of AqVmState, "y" if
+         * allowed: a checking VM may become serving, stay checking, or become
+         * failed or leaving. */
+        "y...yyy",
+        /* One character per next state in the order of AqVmState, "y" if
+         * allowed: a failed VM may become checking, stay failed, or become
+         * leaving. */
+        "....yyy",
+        /* One character per next state in the order of AqVmState, "y" if
+         * allowed: a leaving VM may become checking or failed, or stay
+         * leaving. */
+        "....yyy",
     };
-    for (int from = 0; from < VM_STATES; from++) {
-        for (int to = 0; to < VM_STATES; to++) {
+    for (int from = 0; from < VM_STATE_COUNT; from++) {
+        for (int to = 0; to < VM_STATE_COUNT; to++) {
             AqFleet *before = AqFleet_Create();
             json_t *set = json_array();
             AqError error;
@@ -245,16 +278,20 @@
     }
 }
 
-/* Guards against a step check that misses an overspent budget, a move
- * without a drain, a removal without a drain or a version that goes back. */
+/* Guards against AqFleet_CheckStep accepting a drain of a VM beyond its pool's
+ * budget, a move or removal of a VM without a drain, or a document version
+ * that does not grow. */
 static void
 test_step_check(void)
 {
     static const struct {
-        const char *vm;
+        const char *vm; /* id of the VM that is changed; make_fleet adds it */
+        /* pool of the VM after the change; NULL: the VM is removed */
         const char *pool;
-        const char *state;
-        const char *fault; /* NULL: allowed */
+        const char *state; /* state of the VM after the change */
+        /* text that the error message of AqFleet_CheckStep must contain; NULL:
+         * AqFleet_CheckStep must accept the change */
+        const char *fault;
     } steps[] = {
         {"a1", "a", "draining", NULL},
         {"b1", "b", "draining", "planned stop"},
@@ -290,7 +327,7 @@
     }
 }
 
-/* Guards against upserts that break the document being applied in part. */
+/* Guards against a set of upserts that is invalid but is applied in part. */
 static void
 test_apply_is_atomic(void)
 {
@@ -341,8 +378,9 @@
     json_decref(set);
 }
 
-/* Guards against a reader that misses versions, takes an older head, loses
- * the epoch or the operation ids, or a tail that grows without bound. */
+/* Guards against a reader of head that misses document versions, accepts an
+ * older head, or loses the epoch or operation ids, and against a tail in head
+ * that grows without limit. */
 static void
 test_storage(void)
 {
@@ -351,7 +389,7 @@
     AqFleet *far = AqFleet_Create();
     AqError error = {0};
     char *snapshot = NULL;
-    int64_t wanted = 0;
+    int64_t snapshot_version = 0;
     char *first = NULL;
     for (int i = 0; i < 300; i++) {
         if (AqFleet_NeedsSnapshot(writer)) {
@@ -360,30 +398,33 @@
             AqFleet_SnapshotWritten(writer);
         }
         add_member(writer, i);
-        CU_ASSERT_TRUE(json_array_size(writer->tail) <= TAIL_ENTRIES);
+        CU_ASSERT_TRUE(json_array_size(writer->tail) <= TAIL_MAX_ENTRIES);
         char *head = AqFleet_EncodeHead(writer);
-        CU_ASSERT_EQUAL(
-            AqFleet_LoadHead(near, head, strlen(head), &wanted, &error),
-            AQ_LOAD_OK);
-        CU_ASSERT_EQUAL(
-            AqFleet_LoadHead(near, head, strlen(head), &wanted, &error),
-            AQ_LOAD_OLDER);
+        CU_ASSERT_EQUAL(AqFleet_LoadHead(near, head, strlen(head),
+                                         &snapshot_version, &error),
+                        AQ_LOAD_OK);
+        CU_ASSERT_EQUAL(AqFleet_LoadHead(near, head, strlen(head),
+                                         &snapshot_version, &error),
+                        AQ_LOAD_OLDER);
         first = first == NULL ? strdup(head) : first;
         free(head);
     }
     char *head = AqFleet_EncodeHead(writer);
-    CU_ASSERT_EQUAL(AqFleet_LoadHead(far, head, strlen(head), &wanted, &error),
-                    AQ_LOAD_SNAPSHOT);
-    CU_ASSERT_EQUAL(wanted, writer->snapshot);
+    CU_ASSERT_EQUAL(
+        AqFleet_LoadHead(far, head, strlen(head), &snapshot_version, &error),
+        AQ_LOAD_SNAPSHOT);
+    CU_ASSERT_EQUAL(snapshot_version, writer->snapshot_version);
     CU_ASSERT_EQUAL(
         AqFleet_LoadSnapshot(far, snapshot, strlen(snapshot), &error),
         AQ_LOAD_OK);
-    /* It may come from a peer and not be in the store. */
+    /* The loaded snapshot may have come from another daemon without being in
+     * the store, so the next commit must store a snapshot. */
     CU_ASSERT_TRUE(AqFleet_NeedsSnapshot(far));
-    CU_ASSERT_EQUAL(AqFleet_LoadHead(far, head, strlen(head), &wanted, &error),
-                    AQ_LOAD_OK);
     CU_ASSERT_EQUAL(
-        AqFleet_LoadHead(far, first, strlen(first), &wanted, &error),
+        AqFleet_LoadHead(far, head, strlen(head), &snapshot_version, &error),
+        AQ_LOAD_OK);
+    CU_ASSERT_EQUAL(
+        AqFleet_LoadHead(far, first, strlen(first), &snapshot_version, &error),
         AQ_LOAD_OLDER);
     CU_ASSERT_EQUAL(
         AqFleet_LoadSnapshot(far, snapshot, strlen(snapshot), &error),
@@ -409,8 +450,8 @@
     AqFleet_Destroy(far);
 }
 
-/* Guards against a damaged head or snapshot that crashes a reader or leaves
- * it with half of the changes. */
+/* Guards against a damaged head or snapshot that crashes the daemon reading it
+ * or is applied in part. */
 static void
 test_bad_texts(void)
 {
@@ -431,11 +472,11 @@
     };
     AqFleet *fleet = AqFleet_Create();
     char *was = AqFleet_EncodeSnapshot(fleet);
-    int64_t wanted;
+    int64_t snapshot_version;
     for (size_t i = 0; i < G_N_ELEMENTS(heads); i++) {
         AqError error = {0};
         CU_ASSERT_EQUAL(AqFleet_LoadHead(fleet, heads[i], strlen(heads[i]),
-                                         &wanted, &error),
+                                         &snapshot_version, &error),
                         AQ_LOAD_BAD);
         CU_ASSERT_NOT_EQUAL(error.kind, AQ_OK);
         CU_ASSERT_EQUAL(
