--- a/packages/scheduler/Include/aq_job_spec.h
+++ b/packages/scheduler/Include/aq_job_spec.h
@@ -9,17 +9,19 @@
 #include "aq_error.h"
 
 /* A job as a caller submitted it: steps, each of a number of equal tasks.  A
- * recurring job has occurrences that are due at a fixed interval.  The stored
- * form is msgpack (job_spec.c). */
+ * recurring job executes all its steps several times; each such occurrence is
+ * due a fixed interval after the one before.  The stored form is msgpack
+ * (job_spec.c). */
 
 enum {
-    AQ_JOB_ID_SIZE = 33,   /* bytes of a job's id, with the NUL */
+    /* size of the buffer for a job's id, in bytes with the NUL */
+    AQ_JOB_ID_SIZE = 33,
     AQ_JOB_MAX_STEPS = 64, /* a job with more steps is refused */
-    /* tasks of a job over all its steps; a job with more is refused, which
-     * bounds its memory */
+    /* most tasks of a job, summed over its steps; a job with more is refused,
+     * which bounds the memory that one job takes */
     AQ_JOB_MAX_TASKS = 20000,
-    /* bytes of the job's text for the workers; a job with a longer text is
-     * refused */
+    /* most bytes of the job's text, which is passed to the workers; a job with
+     * a longer text is refused */
     AQ_JOB_MAX_TEXT = 4000
 };
 
@@ -49,8 +51,8 @@
     /* kind or rack that a VM must have to run the step's tasks; NULL: any;
      * owned */
     char *required_label;
-    /* rack of the tasks' data, in which they preferably run; NULL: none;
-     * owned */
+    /* rack that holds the data of the step's tasks; the tasks preferably run
+     * there; NULL: none; owned */
     char *near_rack;
     /* image that the step's tasks run; NULL: none; owned */
     char *image;
--- a/packages/scheduler/Include/aq_machine_requests.h
+++ b/packages/scheduler/Include/aq_machine_requests.h
@@ -21,7 +21,7 @@
 };
 
 typedef struct {
-    /* unique among the machine requests of one owner */
+    /* number of the request, unique among the machine requests of one owner */
     int64_t number;
     char machine[AQ_VM_ID_SIZE];
     /* name of the pool to move the VM to; "": a request for maintenance */
--- a/packages/scheduler/Include/aq_machines.h
+++ b/packages/scheduler/Include/aq_machines.h
@@ -34,7 +34,8 @@
 typedef enum {
     /* the platform accepted the order, or carried it out before */
     AQ_MACHINE_ORDER_DONE,
-    /* refused: a node with a higher fencing number has sent orders */
+    /* refused: a node with a higher fencing number has sent orders to the
+     * platform */
     AQ_MACHINE_ORDER_FENCED,
     /* refused as busy: the VM is not up, or is leaving */
     AQ_MACHINE_ORDER_BUSY,
--- a/packages/scheduler/Include/aq_scheduler.h
+++ b/packages/scheduler/Include/aq_scheduler.h
@@ -105,8 +105,8 @@
  * when the record is damaged. */
 bool AqScheduler_ReadStage(const char *record, size_t size, AqJobStage *stage,
                            AqError *error);
-/* Number of jobs of the queue, recurring ones excluded, of which no task has
- * started. */
+/* Returns how many jobs of the queue are not recurring and have started no
+ * task yet. */
 size_t AqScheduler_CountWaiting(const AqScheduler *scheduler,
                                 const char *queue);
 
@@ -246,10 +246,10 @@
     int64_t offered_cpu_millis;
     size_t ready_tasks;
     size_t jobs; /* number of unfinished jobs */
-    /* longest time that a ready task has been ready */
+    /* how long the longest-waiting ready task has been ready to start */
     AqTime longest_wait_ms;
-    /* most VMs that one perpetual step needs because its tasks per VM are
-     * limited */
+    /* largest number of VMs that any one perpetual step needs, given the
+     * step's limit on tasks per VM */
     size_t widest_spread;
     /* the scheduler knows all live runs that earlier owners may have
      * started */
@@ -261,20 +261,20 @@
 
 /* Counters since the creation of the scheduler. */
 typedef struct {
-    /* starts of runs that VMs have confirmed */
+    /* runs whose start a VM has confirmed */
     uint64_t starts;
     /* start orders that a VM refused or that were not sent */
     uint64_t starts_refused;
     uint64_t done;   /* tasks that are done */
-    uint64_t failed; /* runs of tasks that failed */
+    uint64_t failed; /* runs that failed */
     /* runs that ended with their VM, the VM's lease or their gang (step whose
      * tasks run together), or that their VM no longer lists */
     uint64_t lost;
     uint64_t stalled; /* runs stopped because they made no progress */
     uint64_t copied;  /* tasks requeued while their run on a silent VM may
                        * continue */
-    /* changes of the pace of fillers, which are tasks that use only idle
-     * CPU */
+    /* orders sent to change the speed limit of a filler, a task that uses only
+     * idle CPU */
     uint64_t paced;
 } AqSchedulerCounters;
 
--- a/packages/scheduler/Include/aq_site_config.h
+++ b/packages/scheduler/Include/aq_site_config.h
@@ -24,8 +24,8 @@
     double stretch;
     /* jobs of queues with a lower number are placed first; 0 is the lowest */
     int priority;
-    /* number of failed runs of a task at which the task's job fails; 0: no
-     * limit */
+    /* a job of the queue fails when one of its tasks has had this many failed
+     * runs; 0: no limit */
     uint32_t max_attempts;
     /* tasks of the queue's jobs start only with a ticket of the advice
      * service */
--- a/packages/scheduler/Include/aq_sizing.h
+++ b/packages/scheduler/Include/aq_sizing.h
@@ -26,7 +26,7 @@
     int64_t perpetual_cpu_millis;
     /* CPU needed if jobs keep being submitted at the recent rate */
     int64_t offered_cpu_millis;
-    /* longest time that a ready task has been ready */
+    /* how long the longest-waiting ready task has been ready to start */
     AqTime longest_wait_ms;
     int64_t capacity_cpu_millis; /* total CPU of the pool's usable VMs */
     int64_t vm_cpu_millis;       /* CPU of one typical VM of the pool */
@@ -35,22 +35,24 @@
     size_t perpetual_vms;
     /* number of VMs requested for the pool that have not arrived in it */
     size_t pending_vms;
-    /* number of the pool's VMs in maintenance or about to be */
+    /* number of the pool's VMs that are in maintenance or are about to go into
+     * maintenance */
     size_t maintenance_vms;
-    /* most VMs that one perpetual step needs because its tasks per VM are
-     * limited */
+    /* largest number of VMs that any one perpetual step needs, given the
+     * step's limit on tasks per VM */
     size_t widest_spread;
     /* number of VMs of all pools of the site; 0: not known */
     size_t site_vms;
 } AqSizingInput;
 
 typedef struct {
-    /* VMs that the pool needs beside its usable, pending and maintenance
-     * VMs */
+    /* number of VMs that the pool needs beside its usable VMs, the VMs
+     * requested for it, and its VMs in maintenance */
     size_t needed_vms;
-    /* part of needed_vms to acquire from the spare pool now */
+    /* how many of needed_vms the pool acquires from the spare pool now */
     size_t acquire_vms;
-    /* VMs to release to the spare pool, each once its tasks have ended */
+    /* number of VMs that the pool releases to the spare pool, each VM once its
+     * tasks have ended */
     size_t release_vms;
 } AqSizingDecision;
 
--- a/packages/scheduler/Include/aq_waves.h
+++ b/packages/scheduler/Include/aq_waves.h
@@ -41,7 +41,8 @@
  * the record does not list keep their states.  False when the record is
  * damaged; then no state has changed. */
 bool AqWave_Decode(AqWave *wave, const char *bytes, size_t size);
-/* Appends the wave's record for the store, the states of its VMs, to "out". */
+/* Appends the wave's record for the store to "out".  The record lists the
+ * state of each VM of the wave. */
 void AqWave_Encode(const AqWave *wave, AqBuffer *out);
 
 /* Whether one more VM of the wave may go down for maintenance now. */
@@ -53,14 +54,13 @@
  * nothing is left to do. */
 bool AqWave_IsOver(const AqWave *wave);
 
-/* Returns the most VMs of a pool to drain for the wave at a time.  The number
- * rises as the time left to the wave's deadline falls towards the time that
- * the pool's waiting VMs need. */
+/* Returns how many VMs of one pool may drain for the wave at the same time.
+ * The number rises as the time left before the wave's deadline falls towards
+ * the time that the maintenance of the pool's "waiting_in_pool" VMs takes. */
 size_t AqWave_MaxDrains(const AqWave *wave, size_t waiting_in_pool,
                         size_t pool_size, AqTime now);
-/* Whether the remaining tasks on a VM of the wave that was cordoned at
- * "cordoned_at" should be stopped, rather than waiting for the end of these
- * tasks. */
+/* Whether the pool's owner should stop the tasks on a VM of the wave rather
+ * than wait for them to end.  "cordoned_at" is when that VM was cordoned. */
 bool AqWave_MustStopTasks(const AqWave *wave, size_t waiting_in_pool,
                           AqTime cordoned_at, AqTime now);
 
--- a/packages/scheduler/Include/aq_worker_client.h
+++ b/packages/scheduler/Include/aq_worker_client.h
@@ -21,12 +21,15 @@
 } AqTaskName;
 
 enum {
-    AQ_VM_ID_SIZE = 64, /* bytes of a VM's id, with the NUL */
-    /* bytes of a checkpoint, with the NUL; a longer checkpoint is dropped */
+    /* size of the buffer for a VM's id, in bytes with the NUL */
+    AQ_VM_ID_SIZE = 64,
+    /* size of the buffer for a checkpoint, in bytes with the NUL; a longer
+     * checkpoint is dropped */
     AQ_CHECKPOINT_SIZE = 128
 };
 
-/* A VM's entry in the store, as reported by its worker process. */
+/* What a VM's worker process reports about the VM in the VM's entry in the
+ * store. */
 typedef struct {
     char id[AQ_VM_ID_SIZE]; /* id of this incarnation of the VM */
     char address[32];       /* "IP:port" */
@@ -76,9 +79,11 @@
 typedef struct {
     AqTaskName task;
     int64_t run;
-    /* last checkpoint of the run; "": none; borrowed */
+    /* last checkpoint that the run reported, from which a later run of the
+     * task can continue; "": none; borrowed */
     const char *checkpoint;
-    /* progress of the run, percent; a perpetual task is at work at 100 */
+    /* progress of the run in percent; a perpetual task is at work when its run
+     * reports 100 */
     int64_t percent;
     /* Tail latency in ms, for a task that serves requests; for other tasks the
      * CPU in use, in thousandths of a core. */
@@ -105,13 +110,15 @@
     AqTaskName task;
     int64_t run;
     AqEndKind kind;
-    /* last checkpoint of the run; "": none; borrowed */
+    /* last checkpoint that the run reported, from which a later run of the
+     * task can continue; "": none; borrowed */
     const char *checkpoint;
 } AqEndedTask;
 
 typedef struct {
     AqOrderResult result;
-    /* monotonic clock of the VM at its reply; -1: not reported */
+    /* time on the VM's monotonic clock when the VM replied; -1: not
+     * reported */
     AqTime clock_ms;
     /* The live runs and the ended runs on the VM, only in a reply
      * AQ_ORDER_DONE to a renewal order (extension of the VM's lease);
@@ -149,7 +156,8 @@
     AqTime deadline_ms; /* end of the VM's lease, on the VM's clock; -1: the
                          * lease stays unchanged */
     uint64_t fence;
-    /* highest AqEndedTask.number of an end that the VM may forget */
+    /* the VM may forget ends of runs with an AqEndedTask.number up to this
+     * one */
     int64_t acked_end;
     /* longest time for which the VM may delay its reply to wait for the end of
      * a run */
--- a/packages/scheduler/job_spec.c
+++ b/packages/scheduler/job_spec.c
@@ -10,9 +10,9 @@
     /* version of the stored form of a job, stored as its first element; a form
      * of another version is refused as damaged */
     SPEC_FORMAT = 1,
-    /* array elements of the stored form of a job */
+    /* number of array elements in the stored form of one job */
     SPEC_FIELDS = 9,
-    /* array elements of the stored form of a step */
+    /* number of array elements in the stored form of one step */
     STEP_FIELDS = 14,
     FLAG_GANG = 1,
     FLAG_ONE_RACK = 2,
--- a/packages/scheduler/perpetual.c
+++ b/packages/scheduler/perpetual.c
@@ -3,8 +3,9 @@
 
 /* Perpetual tasks.  These are moved off a cordoned VM within their step's
  * limit on missing tasks, and off a draining VM regardless of the limit.
- * Fillers on the VM of a serving task, which has a latency target, are slowed
- * before the serving task exceeds its target. */
+ * Fillers use only idle CPU.  They are slowed when a serving task on the same
+ * VM, which has a latency target, comes near that target, before it exceeds
+ * the target. */
 
 enum {
     SCAN_PERIOD_MS = 20,
@@ -16,16 +17,16 @@
      * SPEED_UP_PERCENT they are sped up again. */
     SLOW_DOWN_PERCENT = 85,
     SPEED_UP_PERCENT = 55,
-    /* Least time from the last change of a filler's pace to the next step up
-     * or down of that pace. */
+    /* Least time from one change of a filler's speed limit (its pace) until
+     * the scheduler raises or lowers that limit again. */
     PACE_UP_DELAY_MS = 1500,
     PACE_DOWN_DELAY_MS = 400,
     PACE_STEP_UP_PERCENT = 20,
     FULL_PACE_PERCENT = 100
 };
 
-/* Whether the task is not at work, or may not be at work because its VM has
- * not replied recently. */
+/* Whether the task is not at work, or may not be at work because its VM is
+ * silent or has not replied for NO_REPLY_LIMIT_MS. */
 static bool
 is_absent(const AqScheduler *s, const Task *task)
 {
@@ -96,8 +97,8 @@
     return false;
 }
 
-/* Orders the stop of the perpetual tasks on the VM that may be missing now and
- * fit on another VM. */
+/* Orders the stop of each perpetual task on the VM that may be stopped now
+ * (see may_move_away()) and fits on another VM. */
 static void
 move_perpetual(AqScheduler *s, const Vm *vm)
 {
@@ -124,10 +125,11 @@
 /* ---- Pacing ------------------------------------------------------------- */
 
 typedef struct {
-    /* a serving task on the VM has a tail latency near or above its target */
+    /* a serving task on the VM has a tail latency above SLOW_DOWN_PERCENT of
+     * the task's target */
     bool is_near_target;
-    /* all serving tasks on the VM have tail latencies far below their
-     * targets */
+    /* no serving task on the VM has a tail latency above SPEED_UP_PERCENT of
+     * the task's target */
     bool is_far_below_target;
     bool has_serving;
 } LatencyPressure;
@@ -170,8 +172,9 @@
     s->actions.pace(s->context, &target, &name, task->run, percent);
 }
 
-/* Slows or speeds up each filler on the VM by one step of its pace, if the
- * latencies on the VM require it and the last change is long enough ago. */
+/* Lowers or raises the speed limit of each filler on the VM by one step, if
+ * the tail latencies of the VM's serving tasks require or allow it and the
+ * filler's last change is long enough ago. */
 static void
 pace_fillers(AqScheduler *s, const Vm *vm)
 {
--- a/packages/scheduler/placement.c
+++ b/packages/scheduler/placement.c
@@ -18,7 +18,8 @@
     /* addend of placement_cost(), thousandths of a core, for a VM in a rack
      * other than that of the task's data */
     OTHER_RACK_COST = 10000000,
-    /* run numbers of each task reserved for one owner of the pool */
+    /* how many run numbers of each task are reserved for each owner of the
+     * pool */
     RUNS_PER_OWNER = 100000,
     TICKET_RETRY_MS = 200,
     MAX_TICKET_REQUEST_VMS = 100
@@ -369,8 +370,9 @@
         return;
     }
     enum {
-        /* longest time from one placement of tasks to the next, since pauses
-         * of tasks and VMs end without an event */
+        /* longest time from one placement of tasks to the next; needed since
+         * no event reports the end of a pause in which a task is not started
+         * or a VM gets no tasks */
         PLACEMENT_PERIOD_MS = 100,
         /* least time from one placement of tasks to the next, since a
          * placement visits all jobs, and ends of runs arrive one by one */
--- a/packages/scheduler/ranking.c
+++ b/packages/scheduler/ranking.c
@@ -46,8 +46,8 @@
     return longest;
 }
 
-/* Work of the occurrence's tasks that are not done, by declared durations, in
- * core-milliseconds. */
+/* Returns the core-milliseconds that the occurrence still needs: cores times
+ * declared duration, summed over the tasks that are not done. */
 static int64_t
 work_left(const Occurrence *occurrence)
 {
--- a/packages/scheduler/replies.c
+++ b/packages/scheduler/replies.c
@@ -132,9 +132,9 @@
     }
 }
 
-/* Clears is_order_pending of the named task after the reply to a start or stop
- * order for its run "run".  Returns the task, or NULL when "run" is no longer
- * the task's run on the VM. */
+/* Clears is_order_pending of the named task when a start or stop order for run
+ * number "run" of the task has ended.  Returns the task, or NULL when "run" is
+ * no longer the task's run on the VM. */
 static Task *
 finish_order(const AqScheduler *s, const Vm *vm, const AqTaskName *name,
              int64_t run)
@@ -400,7 +400,8 @@
     task->percent = row->percent;
     task->state = TASK_STARTING;
     confirm_start(s, task);
-    /* not known, so the run's duration is not averaged */
+    /* 0: the start of the run is not known, so the run's duration does not
+     * count in the moving averages of durations */
     task->started_at = 0;
 }
 
--- a/packages/scheduler/saves.c
+++ b/packages/scheduler/saves.c
@@ -2,8 +2,8 @@
 
 #include "scheduler_internal.h"
 
-/* Saves of job records.  Once a change of a job is stored, the VMs may forget
- * the ends of runs that are part of that change. */
+/* Saves of job records.  A VM may forget the end of a run once the job change
+ * that the end caused is stored. */
 
 size_t
 AqScheduler_BeginSave(AqScheduler *s, AqJobSave *saves, size_t most)
--- a/packages/scheduler/scheduler.c
+++ b/packages/scheduler/scheduler.c
@@ -260,7 +260,8 @@
     finish_job(s, job, AQ_STAGE_COMPLETED);
 }
 
-/* Time constants, ms, with which offered_work and offered_work_long decay. */
+/* Time constants, ms, with which offered_work and offered_work_long shrink
+ * exponentially. */
 static const double offered_decay_ms = 1000.0;
 static const double offered_long_decay_ms = 2000.0;
 
--- a/packages/scheduler/scheduler_internal.h
+++ b/packages/scheduler/scheduler_internal.h
@@ -13,7 +13,7 @@
  * replies.c     effects of the replies to orders on tasks
  * ranking.c     order in which jobs are placed
  * placement.c   choice of a VM for each task
- * perpetual.c   moves of perpetual tasks off a VM, pacing of fillers
+ * perpetual.c   moves of perpetual tasks off a VM, speed limits of fillers
  * progress.c    stored progress record of a job
  * saves.c       saves of job records, then confirmation of ends of runs */
 
@@ -69,27 +69,30 @@
     AqTime ready_at;
     /* earliest time to start the task's next run */
     AqTime not_before;
-    /* when the VM confirmed the start of the task's current run; 0: not
-     * known */
+    /* when this scheduler received the VM's confirmation that the task's
+     * current run has started, on the scheduler's clock; 0: not known */
     AqTime started_at;
-    /* the reply to a lease renewal sent after this time lists the task's
-     * current run, unless that run has ended */
+    /* if a lease renewal was sent after this time, the VM's reply lists the
+     * task's current run unless that run has ended */
     AqTime listed_after;
-    /* when "percent" of this task last changed or its run started */
+    /* when this scheduler last received a changed "percent" of the task's run,
+     * or the confirmation that the run has started */
     AqTime progress_at;
     /* progress of the task's run in percent, as its VM last reported */
     int64_t percent;
-    /* AqRunningTask.usage that the VM last reported for the task */
+    /* the task's AqRunningTask.usage when the VM last listed the run: tail
+     * latency in ms of a task that serves requests, for other tasks
+     * thousandths of a core in use */
     int64_t usage;
-    /* of a filler, which uses only idle CPU: percent of full speed that its
-     * run may use; of other tasks 100 */
+    /* percent of full speed to which the scheduler limits the task's run;
+     * below 100 only for a filler, a task that uses only idle CPU */
     int pace;
     AqTime pace_changed_at;
     /* of a perpetual task: since when the task is not at work; AQ_TIME_NEVER
      * while the task is at work */
     AqTime absent_since;
-    /* vm->renewal_count at the last lease renewal in whose reply the VM listed
-     * the task's run */
+    /* value of vm->renewal_count when the VM last listed the task's run in a
+     * reply to a lease renewal */
     uint64_t last_listed_renewal;
     /* last checkpoint that a VM reported, from which the task's next run
      * continues; NULL: none; owned */
@@ -116,7 +119,7 @@
     Step *steps;
     /* number of the occurrence's steps that are not done */
     size_t steps_left;
-    /* when this occurrence was added to the job */
+    /* when the scheduler added this occurrence to the job */
     AqTime due_at;
 } Occurrence;
 
@@ -131,7 +134,8 @@
     uint32_t done;
     /* number of the step's tasks in state TASK_READY */
     uint32_t ready;
-    GArray *tickets; /* array of Ticket, or NULL; owned */
+    /* array of Ticket for starts of the step's tasks, or NULL; owned */
+    GArray *tickets;
     /* a request for tickets for the step has not ended */
     bool is_requesting_tickets;
     /* earliest time of the next request for tickets for the step */
@@ -155,18 +159,24 @@
     /* the job's record is being written to the store */
     bool is_saving;
     bool changed_while_saving;
-    /* scheduler->change_seq of the job's oldest change that is not stored */
+    /* number, counted by scheduler->change_seq, of the job's oldest change
+     * that is neither stored nor part of the save under way; 1 after a failed
+     * save; 0: no such change */
     uint64_t dirty_seq;
     AqLink occurrences; /* list of Occurrence; owned */
-    /* number of the job's next occurrence to add */
+    /* number that the next occurrence added to "occurrences" of this job gets;
+     * 0 before the first */
     uint32_t next_occurrence;
     AqTime submitted_at;
-    /* rank class of the job: jobs of lower classes are placed first.  Set by
+    /* Jobs with a lower bucket are placed first.  The bucket follows from the
+     * priority of the job's queue, whether a ready task of the job is
+     * perpetual, and how late the job is expected to be.  Set by
      * ranking_update() and valid during one placement_run(), as are
-     * remaining_work and slack */
+     * remaining_work and slack. */
     int bucket;
-    /* work, by declared durations, of the tasks that are not done in the job's
-     * occurrences with ready tasks, in core-milliseconds */
+    /* Core-milliseconds that the job still needs: cores times declared
+     * duration, summed over the tasks that are not done.  Only occurrences
+     * with ready tasks count. */
     int64_t remaining_work;
     /* expected time, ms, from the job's completion to its objective; negative:
      * the job will be late */
@@ -211,9 +221,11 @@
     /* an order moved the VM to another pool or took it down; cleared when the
      * VM replies again */
     bool has_ended;
-    /* the VM's own clock at the scheduler's time clock_at; -1: not known */
+    /* time on the VM's own clock that the VM reported in the reply received at
+     * clock_at; -1: not known */
     AqTime clock_ms;
-    /* when the VM's last reply that reports its clock arrived */
+    /* when this scheduler received the VM's last reply that reports the VM's
+     * clock */
     AqTime clock_at;
     /* end of the VM's latest lease, on the VM's clock */
     AqTime deadline_ms;
@@ -221,8 +233,8 @@
     bool is_renewal_pending;
     /* earliest time of the VM's next lease renewal */
     AqTime renewal_due;
-    /* when an order to the VM first ended without a reply; AQ_TIME_NEVER while
-     * the VM replies */
+    /* when, since the VM's last reply, an order to the VM first ended without
+     * a reply; AQ_TIME_NEVER while the VM replies */
     AqTime silent_since;
     /* no task starts on the VM before this time, after the VM refused a start
      * with AQ_ORDER_NO_ROOM */
@@ -245,11 +257,11 @@
     AqTime foreign_since;
     /* since when the VM has had no tasks; AQ_TIME_NEVER while it has tasks */
     AqTime idle_since;
-    /* highest AqEndedTask.number of the VM's ends of runs that were
-     * processed */
+    /* highest AqEndedTask.number among the ends of runs that the VM has listed
+     * and this scheduler has processed */
     int64_t last_end_number;
-    /* highest AqEndedTask.number of an end of a run that the VM may forget,
-     * since the record of the run's job is stored */
+    /* the VM may forget ends of runs with an AqEndedTask.number up to this
+     * one, since the records of the jobs of these runs are stored */
     int64_t confirmed_end_number;
     /* array of PendingEnd: ends of runs that are not confirmed to the VM, in
      * rising order of number; owned */
@@ -261,7 +273,7 @@
 struct AqScheduler {
     AqSchedulerConfig config;
     AqSchedulerActions actions;
-    void *context;            /* passed to each of "actions" */
+    void *context;            /* first argument of each call of "actions" */
     const AqSiteConfig *site; /* borrowed */
     AqTime created_at;
     /* the latest time "now" passed to the scheduler */
@@ -281,7 +293,8 @@
     /* the scheduler knows all live runs that earlier owners may have
      * started */
     bool is_recovered;
-    /* a VM has received orders of a later owner; this scheduler sends none */
+    /* a VM reported that a later owner of the pool has sent it orders; this
+     * scheduler sends no more orders */
     bool is_superseded;
     GHashTable *jobs; /* job id -> Job; owns the jobs */
     AqLink active;    /* list of the unfinished jobs */
@@ -290,7 +303,7 @@
     AqLink dirty;
     /* number of changes of jobs so far; the last change has this number */
     uint64_t change_seq;
-    /* the changes of jobs are stored up to the change with this number */
+    /* all changes of jobs with numbers up to this one are stored */
     uint64_t stored_seq;
     /* number of job records in the save under way; 0: none is */
     size_t saving_count;
@@ -300,21 +313,26 @@
      * orders */
     uint64_t used_vms_version;
     bool placement_due;
-    /* time of the next placement of tasks if placement_due stays false */
+    /* when the scheduler next places tasks on VMs, unless placement_due
+     * becomes true earlier */
     AqTime next_placement_at;
     /* no placement of tasks takes place before this time */
     AqTime earliest_placement_at;
-    /* next scan of all tasks, which repeats orders, moves perpetual tasks and
-     * paces fillers */
+    /* when the scheduler next scans all tasks: it repeats orders, moves
+     * perpetual tasks and changes the speed limits of fillers */
     AqTime next_scan_at;
     /* most free CPU on one usable VM; valid during a placement of tasks */
     int64_t largest_free_cpu_millis;
-    /* Work of the submitted jobs in core-milliseconds, which decays
-     * exponentially with time. */
+    /* Core-milliseconds that the submitted jobs need: cores times expected
+     * duration, summed over the tasks.  Perpetual tasks and recurring jobs do
+     * not count.  The sum shrinks exponentially with the time constant
+     * offered_decay_ms. */
     double offered_work;
-    /* as offered_work, with a longer time constant of the decay */
+    /* the same sum as offered_work, but it shrinks with the longer time
+     * constant offered_long_decay_ms */
     double offered_work_long;
-    /* when the decay was last applied to offered_work and offered_work_long */
+    /* when offered_work and offered_work_long were last reduced for the time
+     * that had passed */
     AqTime offered_at;
     /* Moving averages over finished tasks: the declared and the actual
      * duration of a task. */
@@ -330,7 +348,7 @@
  * known. */
 Task *scheduler_find_task(const AqScheduler *s, const AqTaskName *name);
 void scheduler_name_task(const Task *task, AqTaskName *name);
-/* Marks the job as changed, so that its record is saved. */
+/* Marks the job as changed, so that a later save includes its record. */
 void scheduler_changed(AqScheduler *s, Job *job);
 /* Marks the task as done; if its step is a gang, all tasks of the step. */
 void scheduler_task_done(AqScheduler *s, Task *task);
@@ -381,17 +399,19 @@
 /* Sends the lease renewals that are due and handles VMs that do not reply.
  * Returns when the next lease renewal is due. */
 AqTime vms_tick(AqScheduler *s);
-/* Raises confirmed_end_number to the number of the VM's last end of a run
- * whose job record is stored, as are those of all ends before it. */
+/* Removes ends of runs from the front of the VM's pending_ends, up to the
+ * first end whose job change is not stored.  Sets confirmed_end_number to the
+ * number of the last end removed. */
 void vms_confirm_ends(const AqScheduler *s, Vm *vm);
 /* Sets *target to the VM's address and id, both borrowed from the VM. */
 void vms_target(const Vm *vm, AqOrderTarget *target);
-/* Counts consecutive failed runs on the VM; after several, quarantines the VM:
- * no task starts there for a while. */
+/* Counts a run of the task on the VM as failed or not.  After
+ * QUARANTINE_AFTER_FAILURES consecutive failed runs no task starts on the VM
+ * for QUARANTINE_MS. */
 void vms_record_result(AqScheduler *s, Vm *vm, const Task *task,
                        bool is_failure);
-/* Sets when the VM's next lease renewal is due, after the last renewal has
- * ended. */
+/* Sets when the VM's next lease renewal is due.  Called when a lease renewal
+ * has ended, with or without a reply. */
 void vms_schedule_renewal(AqScheduler *s, Vm *vm);
 /* Whether the VM has listed runs, or ends of runs, of unknown jobs for longer
  * than this owner needs to read a new job from the store. */
@@ -424,7 +444,8 @@
 
 /* ---- perpetual.c */
 /* Repeats start and stop orders that had no reply, moves perpetual tasks off
- * cordoned and draining VMs, and paces fillers. */
+ * cordoned and draining VMs, and changes the speed limits of fillers, which
+ * are tasks that use only idle CPU. */
 void perpetual_tick(AqScheduler *s);
 
 /* ---- progress.c */
--- a/packages/scheduler/sizing.c
+++ b/packages/scheduler/sizing.c
@@ -17,11 +17,11 @@
      * estimate does not empty the other pools. */
     MAX_ACQUIRED_VMS = 16,
     MAX_ACQUIRED_SITE_DIVISOR = 4,
-    /* most CPU that is acquired ahead of the current need for CPU, in percent
-     * of that need */
+    /* limit on the CPU that the pool acquires in advance, beyond what its
+     * running and ready tasks need, in percent of that need */
     MAX_AHEAD_PERCENT = 200,
-    /* current need for CPU, in percent of the pool's capacity, above which VMs
-     * are acquired ahead of the need */
+    /* the pool acquires VMs in advance only when its running and ready tasks
+     * need more than this percentage of its CPU capacity */
     AHEAD_LOAD_PERCENT = 50,
     /* when a task has been ready for longer than this, its pool acquires one
      * more VM even if the pool's total capacity suffices */
@@ -91,9 +91,9 @@
     return needed;
 }
 
-/* Limits "need" to the number of VMs that one decision acquires from the spare
- * pool.  VMs that other pools release are surplus there, so needed_vms, which
- * may be met by them, is not limited. */
+/* Returns "need", limited to the number of VMs that one decision may acquire
+ * from the spare pool.  AqSizingDecision.needed_vms is not limited, since VMs
+ * that other pools release as surplus may also meet that need. */
 static size_t
 limit_acquired_vms(const AqSizingInput *input, size_t need)
 {
@@ -102,8 +102,9 @@
     return need < limit ? need : limit;
 }
 
-/* Number of VMs to release to the spare pool: the pool's usable VMs above its
- * need and reserve. */
+/* Number of VMs to release to the spare pool: the usable VMs that the pool
+ * neither needs nor keeps in reserve.  0 while tasks are ready or VMs are
+ * requested for the pool. */
 static size_t
 count_released_vms(const AqSizingInput *input)
 {
--- a/packages/scheduler/tests/sim.c
+++ b/packages/scheduler/tests/sim.c
@@ -13,24 +13,26 @@
     SAVE_DURATION_MS = 8,
     /* a VM that is silent for longer than this loses its entry in the store */
     LISTING_TTL_MS = 4500,
-    /* number of failed runs of a task at which the task's job fails */
+    /* a job fails when one of its tasks has had this many failed runs */
     MAX_ATTEMPTS = 2
 };
 
 /* A run of a task on a VM. */
 typedef struct {
     AqTaskName name;
-    int64_t run; /* number of the run */
+    int64_t run; /* number of the run among all runs of its task */
     AqTime started_at;
     AqTime duration_ms; /* duration of the run at full speed */
-    /* progress of the run: its time at full speed so far, up to duration_ms */
+    /* progress of the run so far, as the ms that it takes at full speed; a run
+     * that is not perpetual is done at duration_ms */
     AqTime worked_ms;
-    /* the run fails after a quarter of duration_ms */
+    /* the run fails once worked_ms is a quarter of duration_ms */
     bool will_fail;
     bool is_perpetual;
     /* CPU that the run takes; 0 for a filler */
     int64_t cpu_millis;
-    /* speed of the run, percent of full speed */
+    /* speed at which the run progresses, in percent of full speed; below 100
+     * after a pace order */
     int pace_percent;
 } Run;
 
@@ -40,7 +42,7 @@
     /* sequence number of the end, from 1 in each incarnation of a VM */
     int64_t number;
     AqTaskName name;
-    int64_t run; /* number of the run */
+    int64_t run; /* number of the run among all runs of its task */
     AqEndKind kind;
     AqTime ended_at;
 } RunEnd;
@@ -76,9 +78,9 @@
     GArray *runs;
     /* array of RunEnd: ends of runs that no owner has confirmed yet */
     GArray *ends;
-    /* Key of a task -> highest number of the task's runs that ended or were
-     * stopped on this VM; runs of the task up to that number can't start
-     * there. */
+    /* Key of a task -> highest run number among the task's runs that ended or
+     * were stopped on this VM; runs of the task with numbers up to that one
+     * can't start there. */
     GHashTable *closed_runs;
     /* RunEnd.number of the last end of a run on this VM */
     int64_t last_end;
@@ -104,19 +106,24 @@
     /* owner that receives the reply to the order; NULL: there is no reply */
     SimOwner *owner;
     char vm[AQ_VM_ID_SIZE]; /* id of the incarnation that the order is for */
-    /* task of a start, stop or pace order */
+    /* task whose run the order starts, stops or limits to a percentage of full
+     * speed; not set in a renewal order */
     AqTaskName name;
-    int64_t run; /* number of the run to start, stop or pace */
+    /* number of the run that the order starts, stops or limits to a percentage
+     * of full speed */
+    int64_t run;
     uint64_t fence;
-    /* of a start order: end of the VM's lease, on the VM's clock */
+    /* of a start order: end of the lease that the order grants to the VM, on
+     * the VM's clock */
     AqTime deadline;
     /* contents of a renewal order, which extends the VM's lease */
     AqRenewalOrder renewal;
     AqTime sent_at; /* when the order was sent */
-    /* of a renewal order, which extends the VM's lease: latest time of the
-     * VM's reply, on the clock of Sim.now */
+    /* of a renewal order, which extends the VM's lease: when the VM replies at
+     * the latest, on the clock of Sim.now */
     AqTime wait_until;
-    /* of a pace order: new speed of the run, percent of full speed */
+    /* of a pace order: speed to which the order limits the run, in percent of
+     * full speed */
     int percent;
     /* In a reply: the result, the VM's clock and, to a renewal order, the live
      * runs on the VM and the ends of runs that no owner has confirmed. */
@@ -132,8 +139,9 @@
     Sim *sim;
     AqScheduler *scheduler;
     uint64_t fence;
-    /* time from which a replaced or superseded owner sends no orders;
-     * AQ_TIME_NEVER for other owners */
+    /* From this time on the owner sends no orders, because it was replaced or
+     * a VM reported orders of a later owner; AQ_TIME_NEVER for other
+     * owners. */
     AqTime lease_end;
     bool has_exited;
     AqJobSave saves[16]; /* job records of the save under way */
@@ -146,13 +154,15 @@
 /* Actual state of a task on all VMs, independent of what the schedulers have
  * recorded.  The invariants are checked against this state. */
 typedef struct {
-    /* number of failed runs of the task whose ends an owner has confirmed */
+    /* number of the task's failed runs whose ends an owner has confirmed to
+     * the VM */
     unsigned confirmed_failures;
     bool is_done; /* a run has completed the task */
     /* a run has completed the task and an owner has confirmed the end of that
      * run */
     bool is_done_confirmed;
-    /* start of the task's last run; not set if its step allows copies */
+    /* when the task's last run started; not set if the task's step allows
+     * copies */
     AqTime last_started_at;
     /* an order stopped the task's last run, and no run of the task has started
      * since */
@@ -187,11 +197,12 @@
     GPtrArray *ended_vms;
     /* array of Event: orders and replies in transit */
     GPtrArray *events;
-    uint64_t sequence; /* Event.sequence of the next event */
+    /* number that the next queued event gets as its Event.sequence */
+    uint64_t sequence;
     /* array of SimOwner: all owners since the start of the simulation */
     GPtrArray *owners;
     SimOwner *owner; /* the current owner of the pool */
-    /* number of owners before the next owner */
+    /* number of owners that the pool had before the next one to be started */
     int64_t generation;
     /* fencing number of the current owner */
     uint64_t fence;
@@ -334,7 +345,8 @@
     report->leaves_ms = -1;
 }
 
-/* Notifies all owners that have not exited of the VM's entry in the store. */
+/* Passes the VM's entry in the store to the schedulers of all owners that have
+ * not exited. */
 static void
 list_vm(Sim *sim, const SimVm *vm)
 {
@@ -348,8 +360,8 @@
     }
 }
 
-/* Removes the VM's entry from the store and notifies all owners that have not
- * exited of the removal. */
+/* Removes the VM's entry from the store and reports the removal to the
+ * schedulers of all owners that have not exited. */
 static void
 unlist_vm(Sim *sim, SimVm *vm)
 {
@@ -362,8 +374,8 @@
     }
 }
 
-/* Highest number of the task's runs that ended or were stopped on the VM; 0
- * for none. */
+/* Returns the highest run number among the task's runs that ended or were
+ * stopped on the VM; 0 for none. */
 static int64_t
 highest_closed_run(const SimVm *vm, const AqTaskName *name)
 {
@@ -384,8 +396,8 @@
     }
 }
 
-/* Ends the run at array index "at" of the VM's runs and adds the end of that
- * run to those that the VM reports. */
+/* Ends the run at index "at" of vm->runs, and adds the end of the run to
+ * vm->ends, which the VM lists in its replies. */
 static void
 end_run(Sim *sim, SimVm *vm, guint at, AqEndKind kind)
 {
@@ -429,8 +441,8 @@
 
 /* ---- Invariants --------------------------------------------------------- */
 
-/* Checks that the task has no run on any VM when a run of it starts on the VM
- * "starter". */
+/* Reports a violation if a run of the task is alive on any VM while another
+ * run of the task starts on the VM "starter". */
 static void
 check_single_run(Sim *sim, const SimVm *starter, const AqTaskName *name)
 {
@@ -449,8 +461,8 @@
     }
 }
 
-/* Checks that all tasks of the steps that must be done before the task's step
- * are done. */
+/* Reports a violation if the task's step must wait for another step, of which
+ * a task is not done. */
 static void
 check_step_order(Sim *sim, const AqJobSpec *spec, const AqTaskName *name)
 {
@@ -611,9 +623,9 @@
     close_run(vm, &event->name, event->run);
 }
 
-/* Removes the VM's ends of runs with numbers up to "acked_end", which an owner
- * has confirmed, and checks that no done task was started again between its
- * end and that confirmation. */
+/* Removes the ends of runs that an owner has confirmed from vm->ends: those
+ * with a RunEnd.number up to "acked_end".  Checks for each task that was done
+ * by such a run that no run of the task has started since that end. */
 static void
 forget_ends(Sim *sim, SimVm *vm, int64_t acked_end)
 {
@@ -623,9 +635,9 @@
             continue;
         }
         TaskState *state = task_state(sim, &end->name);
-        /* An end of a run from before the last expiry of the VM's lease is not
-         * counted: the scheduler may have restarted the task after that
-         * expiry. */
+        /* The end of a run that did its task is ignored if the VM's lease has
+         * expired since that end: the scheduler may have restarted the task
+         * after the expiry. */
         if (end->kind == AQ_END_DONE && vm->lease_expired_at < end->ended_at) {
             state->is_done_confirmed = true;
             if (state->last_started_at > end->ended_at) {
@@ -640,8 +652,8 @@
     }
 }
 
-/* Fills the lists of the VM's runs and ends of runs in the reply to a renewal
- * order, which extends the VM's lease. */
+/* Adds the VM's live runs and unconfirmed ends of runs to "reply", the VM's
+ * reply to a renewal order, which extends the VM's lease. */
 static void
 fill_lists(const SimVm *vm, Event *reply)
 {
@@ -743,8 +755,8 @@
     return copy;
 }
 
-/* Queues the reply to an order for delivery to the order's owner, if the order
- * has one.  "vm" is NULL when no VM replies. */
+/* Queues the reply to "order" for delivery to the owner that sent the order;
+ * without effect if order->owner is NULL.  "vm" is NULL when no VM replies. */
 static void
 queue_reply(Sim *sim, const Event *order, SimVm *vm, AqOrderResult result,
             AqTime deliver_at)
@@ -994,9 +1006,9 @@
     owner->save_count = 0;
 }
 
-/* Ends the owner's save when it is due, or begins the next save.  With a new
- * save the list of used VMs, to which an owner may have sent orders, is stored
- * at once, but only for the current owner. */
+/* Ends the owner's save under way when it is due, or begins the next save.
+ * When the current owner begins a save, the list of used VMs, to which an
+ * owner may have sent orders, is stored at once. */
 static void
 save(SimOwner *owner)
 {
@@ -1017,8 +1029,8 @@
     }
 }
 
-/* Runs a tick of the owner's scheduler, which sends the scheduler's orders,
- * saves the scheduler's records and checks its consistency. */
+/* Lets the owner's scheduler send its due orders, begins or ends a save of its
+ * records, and reports a violation if the scheduler is inconsistent. */
 static void
 run_owner(SimOwner *owner)
 {
--- a/packages/scheduler/tests/sim.h
+++ b/packages/scheduler/tests/sim.h
@@ -19,19 +19,25 @@
 
 enum {
     SIM_VMS = 8,
-    SIM_LEASE_MS = 5000, /* duration of the lease of a VM */
-    /* duration of the owner's lease on the pool */
+    /* duration of the lease that an owner grants to a VM */
+    SIM_LEASE_MS = 5000,
+    /* duration of an owner's lease on the pool: how long an owner that does
+     * not notice its replacement goes on sending orders */
     SIM_OWNER_LEASE_MS = 3000,
     SIM_VM_CPU_MILLIS = 16000
 };
 
 typedef struct Sim Sim;
 
-/* Probabilities of the injected faults, for each order, run or save. */
+/* Probabilities, in thousandths, of the faults that the simulation injects:
+ * into each order that an owner sends, each run that a VM starts, and each
+ * save of job records by an owner. */
 typedef struct {
-    /* replies that are lost although the VM has executed the order */
+    /* of 1000 orders that a VM has executed, the number whose reply does not
+     * reach the owner */
     unsigned lost_replies_permille;
-    /* orders that the VM executes 1 to 6 s later, without a reply */
+    /* of 1000 orders that an owner sends, the number that reach the VM only 1
+     * to 6 s later; the owner gets no reply to these */
     unsigned delayed_orders_permille;
     unsigned failing_runs_permille;
     unsigned failed_saves_permille;
@@ -94,8 +100,8 @@
 /* Sets the tail latency, ms, that the VM reports for each of its perpetual
  * tasks. */
 void sim_set_tail_latency(Sim *sim, unsigned vm, int64_t ms);
-/* Lowest pace of the runs on the VM, percent of full speed; 100 without
- * runs. */
+/* Returns the lowest speed to which an order has limited a run on the VM, in
+ * percent of full speed; 100 when the VM has no runs. */
 int sim_lowest_pace(const Sim *sim, unsigned vm);
 
 /* ---- Jobs --------------------------------------------------------------- */
@@ -110,7 +116,7 @@
 /* Sets the actual duration of the job's runs, in percent of the declared
  * duration of their tasks. */
 void sim_set_actual_duration(Sim *sim, const char *id, int percent);
-/* Makes the next "runs" runs of the job fail. */
+/* Makes the next "runs" runs that VMs start for the job's tasks fail. */
 void sim_fail_next_runs(Sim *sim, const char *id, unsigned runs);
 void sim_cancel_job(Sim *sim, const char *id);
 /* Stage in the job's stored record; AQ_STAGE_WAITING when the job has no
--- a/packages/scheduler/tests/test_scheduler.c
+++ b/packages/scheduler/tests/test_scheduler.c
@@ -440,9 +440,9 @@
 static void
 test_draining_goes_before_cordoned(void)
 {
-    /* Times from the cordon of one VM to the draining of two others: none, and
-     * several at which the stop order for the task on the cordoned VM is under
-     * way. */
+    /* Times from the cordon of one VM until two other VMs begin to drain: 0,
+     * and several at which the stop order for the task on the cordoned VM has
+     * been sent but not confirmed. */
     static const AqTime pauses_ms[] = {0, 5, 10, 15, 20, 25, 30, 40, 60};
     for (size_t i = 0; i < sizeof(pauses_ms) / sizeof(pauses_ms[0]); i++) {
         for (uint64_t seed = 1; seed <= 20; seed++) {
--- a/packages/scheduler/tests/test_scheduler_random.c
+++ b/packages/scheduler/tests/test_scheduler_random.c
@@ -15,8 +15,9 @@
  *
  * "test_scheduler_random FIRST_SEED COUNT" runs other seeds. */
 
-/* In half of the calls, replaces the pool's owner in some way, crashes a VM or
- * makes a VM silent. */
+/* In half of the calls, does one of five things: kills the pool's owner and
+ * starts the next, starts the next without the owner noticing, hands the pool
+ * over, crashes a VM, or makes a VM silent. */
 static void
 inject_fault(Sim *sim, AqRandom *random)
 {
--- a/packages/scheduler/used_vms.c
+++ b/packages/scheduler/used_vms.c
@@ -10,9 +10,11 @@
  * has the runs on each VM. */
 
 enum {
-    /* array elements of a run of a task in the stored list of used VMs */
+    /* number of array elements that describe one run of a task in the stored
+     * list of used VMs */
     TASK_FIELDS = 5,
-    /* array elements of a VM in the stored list of used VMs */
+    /* number of array elements that describe one VM in the stored list of used
+     * VMs */
     VM_FIELDS = 4
 };
 
@@ -23,9 +25,9 @@
 }
 
 /* Whether the VM belongs in the list of used VMs, to which an owner may have
- * sent orders, so that a later owner waits for the VM's reply.  Once the
- * scheduler is closed, only a VM with runs, or a VM of an earlier owner's
- * list, does. */
+ * sent orders, so that a later owner waits for the VM's reply.  After
+ * AqScheduler_Close() only VMs that have runs, or that come from an earlier
+ * owner's list, belong in the list. */
 static bool
 is_in_used_vms(const AqScheduler *s, const Vm *vm)
 {
--- a/packages/scheduler/vms.c
+++ b/packages/scheduler/vms.c
@@ -24,8 +24,9 @@
     /* an idle VM is removed when it has had no entry in the store for longer
      * than this */
     UNLISTED_FORGET_MS = 10000,
-    /* Time for the job of a run that a VM lists to be read from the store;
-     * after that, a run of a job still unknown is stopped. */
+    /* A VM may list a run of a job that this scheduler has not yet read from
+     * the store.  If the job is still unknown after this time, the run is
+     * stopped. */
     UNKNOWN_JOB_GRACE_MS = 3000,
     LEASE_EXPIRY_MARGIN_MS = 100,
     /* After QUARANTINE_AFTER_FAILURES consecutive failed runs of different
@@ -35,7 +36,7 @@
     QUARANTINE_MS = 3000
 };
 
-/* Lowest rate of a VM's clock relative to this node's clock. */
+/* Lowest rate at which a VM's clock may run, relative to this node's clock. */
 static const double slowest_clock_rate = 0.98;
 
 Vm *
@@ -195,8 +196,8 @@
     return deadline;
 }
 
-/* Requeues all tasks of the VM, whose runs have ended without an end that the
- * VM has listed. */
+/* Requeues all tasks of the VM.  Their runs count as lost: they have ended,
+ * but the VM has not listed their ends. */
 static void
 requeue_lost_tasks(AqScheduler *s, Vm *vm, const char *reason)
 {
@@ -237,8 +238,9 @@
            (double)(vm->deadline_ms + LEASE_EXPIRY_MARGIN_MS);
 }
 
-/* If the VM is silent, requeues its tasks that allow copies, and all its tasks
- * once its leases have expired; may then remove and free the VM. */
+/* If the VM is silent, requeues the VM's tasks whose steps allow copies; once
+ * the VM's leases have expired, requeues all its tasks and may remove and free
+ * the VM. */
 static void
 handle_silence(AqScheduler *s, Vm *vm)
 {
--- a/packages/scheduler/waves.c
+++ b/packages/scheduler/waves.c
@@ -8,16 +8,18 @@
 #include "record_codec.h"
 
 enum {
-    /* Time that one VM of a wave takes: the VM's tasks end, the VM has its
-     * maintenance and is listed in its pool again. */
+    /* Estimate, used to plan a wave, of the time from the cordon of one VM
+     * until the VM is back from its maintenance and listed in its pool again.
+     * It includes the time that the VM's tasks take to end. */
     VM_MAINTENANCE_MS = 5000,
-    /* Time after the cordon of a VM of a wave at which the VM's remaining
-     * tasks are stopped. */
+    /* How long the pool's owner waits, from the cordon of a VM of a wave, for
+     * the VM's tasks to end; then it stops the remaining tasks, except
+     * perpetual ones. */
     TASK_END_WAIT_MS = 5000,
-    /* as TASK_END_WAIT_MS, for a wave that may miss its deadline */
+    /* replaces TASK_END_WAIT_MS when the wave may miss its deadline */
     LATE_TASK_END_WAIT_MS = 1200,
-    /* A pool drains at most its number of VMs divided by this at a time, but
-     * always at least one VM. */
+    /* For a wave, a pool may drain its number of VMs divided by
+     * MAX_POOL_DIVISOR at the same time, and always at least one VM. */
     MAX_POOL_DIVISOR = 3
 };
 
@@ -198,8 +200,8 @@
 {
     AqTime left = wave->deadline - now;
     size_t most = pool_size / MAX_POOL_DIVISOR;
-    /* Number of successive maintenances of a VM that fit before the wave's
-     * deadline, less one in reserve. */
+    /* How many VMs can have their maintenance one after another before the
+     * wave's deadline, less one kept in reserve. */
     AqTime rounds = left / VM_MAINTENANCE_MS - 1;
     size_t parallel =
         rounds > 0 ? (waiting + (size_t)rounds - 1) / (size_t)rounds : waiting;
