--- a/packages/scheduler/Include/aq_job_spec.h
+++ b/packages/scheduler/Include/aq_job_spec.h
@@ -20,8 +20,8 @@
     /* most tasks of a job, summed over its steps; a job with more is refused,
      * which bounds the memory that one job takes */
     AQ_JOB_MAX_TASKS = 20000,
-    /* most bytes of the job's text, which is passed to the workers; a job with
-     * a longer text is refused */
+    /* most bytes of the job's text, which the scheduler passes to the workers;
+     * a job with a longer text is refused */
     AQ_JOB_MAX_TEXT = 4000
 };
 
@@ -46,7 +46,8 @@
     bool allows_copies;
     /* the step's tasks run until the job is cancelled */
     bool is_perpetual;
-    /* the step's tasks use only CPU that other tasks leave idle */
+    /* the step's tasks are fillers: they use only CPU that other tasks
+     * leave */
     bool is_filler;
     /* kind or rack that a VM must have to run the step's tasks; NULL: any;
      * owned */
@@ -60,8 +61,8 @@
     /* target for the tail latency of the step's tasks, which serve requests;
      * 0: no target */
     int64_t latency_target_ms;
-    /* most tasks of the step that may be missing (not at work) at a time when
-     * tasks are moved to other VMs */
+    /* most tasks of the step that may be missing (not at work) while the
+     * scheduler moves tasks to other VMs */
     uint32_t may_miss;
     /* the caller set may_miss; if false, any number of the step's tasks may be
      * missing at a time */
@@ -72,7 +73,8 @@
     char id[AQ_JOB_ID_SIZE];
     /* name of the queue that accepted the job; owned */
     char *queue;
-    /* text of the job, passed to the workers unchanged; owned */
+    /* text of the job, which the scheduler passes to the workers unchanged;
+     * owned */
     char *text;
     AqStepSpec *steps; /* array of step_count steps; owned */
     size_t step_count;
--- a/packages/scheduler/Include/aq_machines.h
+++ b/packages/scheduler/Include/aq_machines.h
@@ -96,8 +96,9 @@
 /* Frees what *wave owns and zeroes *wave. */
 void AqWaveSpec_Clear(AqWaveSpec *wave);
 
-/* A ticket of the advice service, without which a task of a queue with
- * needs_tickets may not start on the VM. */
+/* A ticket: the advice service's permission to start tasks of one step on one
+ * VM until the ticket expires.  Tasks of a queue with needs_tickets may not
+ * start on the VM without a ticket. */
 typedef struct {
     const char *vm;
     const char *ticket;
@@ -108,9 +109,12 @@
      * request, for example because it had too many; AQ_ORDER_UNKNOWN: no valid
      * response. */
     AqOrderResult result;
-    const AqTicket *tickets; /* array of "count" tickets; borrowed */
+    /* array of "count" tickets (permissions to start tasks on one VM each);
+     * borrowed */
+    const AqTicket *tickets;
     size_t count;
-    /* how long the tickets are valid after the arrival of this reply */
+    /* how long after the arrival of this reply the tickets still permit the
+     * start of tasks */
     AqTime valid_ms;
 } AqAdviceReply;
 
@@ -118,8 +122,9 @@
 
 typedef struct AqAdviceClient AqAdviceClient;
 
-/* "request_tickets" requests tickets of the advice service to start the step's
- * tasks on the given VMs; it ends with one call of "done". */
+/* "request_tickets" asks the advice service for one ticket for each of the
+ * given VMs: the permission to start the step's tasks on that VM until the
+ * ticket expires.  The call ends with one call of "done". */
 typedef struct {
     void (*request_tickets)(AqAdviceClient *calls, const AqTaskName *step,
                             const char *const *vms, size_t count,
--- a/packages/scheduler/Include/aq_scheduler.h
+++ b/packages/scheduler/Include/aq_scheduler.h
@@ -49,10 +49,10 @@
     char pool[64];
     /* fencing number of this owner; above those of all earlier owners */
     uint64_t fence;
-    /* number of owners that the pool had before this one */
+    /* number of owners that the pool had before the current owner */
     int64_t generation;
-    /* duration of the lease that each start or renewal order grants to its
-     * VM */
+    /* duration of the lease that each start order or renewal order (extends
+     * the lease) grants to its VM */
     AqTime lease_ms;
     /* How long after the scheduler's creation an earlier owner of the pool may
      * still send orders; 0: the earlier owner is known to have ended. */
@@ -61,7 +61,7 @@
 
 /* Calls by which the scheduler sends its orders.  The caller reports the reply
  * to each order with the AqScheduler_On* function of that order, except for
- * "pace", whose reply is not reported. */
+ * "pace" (limit the speed of a run), whose reply is not reported. */
 typedef struct {
     void (*start)(void *context, const AqOrderTarget *target,
                   const AqStartOrder *order);
@@ -73,8 +73,8 @@
                  const AqTaskName *task, int64_t run, int percent);
     void (*request_tickets)(void *context, const AqTaskName *step,
                             const char *const *vms, size_t count);
-    /* A VM replied that it has received orders with a higher fence than this
-     * owner's. */
+    /* A VM replied that it has received orders with a higher fencing number
+     * than this owner's: a later owner of the pool exists. */
     void (*superseded)(void *context);
 } AqSchedulerActions;
 
@@ -122,9 +122,9 @@
 /* Records that an order took the VM down or to another pool, so that all runs
  * on the VM have ended.  The VM is used again if it replies later. */
 void AqScheduler_VmEnded(AqScheduler *scheduler, const char *id, AqTime now);
-/* Sets whether the VM is cordoned.  A cordoned VM gets no new tasks; its
- * perpetual tasks move to other VMs as far as their steps' limits on missing
- * tasks allow. */
+/* Sets whether the VM is cordoned.  A cordoned VM gets no new tasks; the
+ * scheduler moves its perpetual tasks to other VMs unless more tasks of a step
+ * would be missing than the step's limit allows. */
 void AqScheduler_SetCordon(AqScheduler *scheduler, const char *id,
                            bool is_cordoned);
 /* Orders the stop of the tasks on the VM, except perpetual ones, so that these
@@ -168,10 +168,10 @@
  * runs, so that the next owner waits for no other VM. */
 void AqScheduler_Close(AqScheduler *scheduler);
 
-/* Returns the version of the list of used VMs: those to which an owner of the
- * pool may have sent orders.  A VM gets its first task only after a version of
- * the list that includes the VM is stored and reported by
- * AqScheduler_UsedVmsSaved(). */
+/* Returns the version of the list of used VMs, which names the VMs to which an
+ * owner of the pool may have sent orders.  A VM gets its first task only after
+ * the caller has stored a version that includes the VM and has reported that
+ * with AqScheduler_UsedVmsSaved(). */
 uint64_t AqScheduler_UsedVmsVersion(const AqScheduler *scheduler);
 void AqScheduler_EncodeUsedVms(const AqScheduler *scheduler, AqBuffer *out);
 void AqScheduler_UsedVmsSaved(AqScheduler *scheduler, uint64_t version);
@@ -193,14 +193,15 @@
 void AqScheduler_OnStop(AqScheduler *scheduler, const char *id,
                         const AqTaskName *name, int64_t run,
                         const AqOrderReply *reply, AqTime now);
-/* Handles the VM's reply to a renewal order, which extends the VM's lease.
+/* Handles the VM's reply to a renewal order (extends the VM's lease).
  * "sent_at" is when that order was sent, on the scheduler's clock. */
 void AqScheduler_OnRenewal(AqScheduler *scheduler, const char *id,
                            AqTime sent_at, const AqOrderReply *reply,
                            AqTime now);
-/* Adds a ticket for starts of the step's tasks on the VM "vm", valid for
- * "valid_ms" from "now".  AqScheduler_OnTicketsEnd() ends the request for
- * tickets; its "is_answered" is true when the advice service responded. */
+/* Adds a ticket: the advice service's permission to start tasks of the step on
+ * the VM "vm" until "valid_ms" after "now".  AqScheduler_OnTicketsEnd() ends
+ * the request for tickets; its "is_answered" is true when the advice service
+ * responded. */
 void AqScheduler_OnTicket(AqScheduler *scheduler, const AqTaskName *name,
                           const char *vm, const char *ticket, AqTime valid_ms,
                           AqTime now);
@@ -236,20 +237,25 @@
                         bool may_order);
 
 typedef struct {
-    int64_t ready_cpu_millis; /* CPU needed by the ready tasks */
-    /* CPU taken by tasks on all VMs of the pool */
+    /* CPU that the ready tasks need, in thousandths of a core */
+    int64_t ready_cpu_millis;
+    /* CPU of all tasks that are starting, running or stopping on the pool's
+     * VMs, in thousandths of a core */
     int64_t used_cpu_millis;
-    /* part of used_cpu_millis that perpetual tasks take */
+    /* part of used_cpu_millis that perpetual tasks take, in thousandths of a
+     * core */
     int64_t perpetual_cpu_millis;
-    int64_t capacity_cpu_millis; /* total CPU of the usable VMs */
-    /* CPU needed if jobs keep being submitted at the recent rate. */
+    /* total CPU of the usable VMs, in thousandths of a core */
+    int64_t capacity_cpu_millis;
+    /* CPU that the pool needs if callers keep submitting jobs at the recent
+     * rate, in thousandths of a core */
     int64_t offered_cpu_millis;
     size_t ready_tasks;
     size_t jobs; /* number of unfinished jobs */
     /* how long the longest-waiting ready task has been ready to start */
     AqTime longest_wait_ms;
-    /* largest number of VMs that any one perpetual step needs, given the
-     * step's limit on tasks per VM */
+    /* largest number of VMs that any one perpetual step (its tasks run until
+     * the job is cancelled) needs, given the step's limit on tasks per VM */
     size_t widest_spread;
     /* the scheduler knows all live runs that earlier owners may have
      * started */
@@ -261,20 +267,23 @@
 
 /* Counters since the creation of the scheduler. */
 typedef struct {
-    /* runs whose start a VM has confirmed */
+    /* runs (executions of a task on a VM) whose start the VM has confirmed */
     uint64_t starts;
     /* start orders that a VM refused or that were not sent */
     uint64_t starts_refused;
-    uint64_t done;   /* tasks that are done */
-    uint64_t failed; /* runs that failed */
-    /* runs that ended with their VM, the VM's lease or their gang (step whose
-     * tasks run together), or that their VM no longer lists */
+    uint64_t done;   /* tasks completed since the scheduler's creation */
+    uint64_t failed; /* runs (executions of a task on a VM) that failed */
+    /* runs (executions of a task on a VM) that ended with their VM, the VM's
+     * lease or their gang (step whose tasks run together), or that their VM no
+     * longer lists */
     uint64_t lost;
-    uint64_t stalled; /* runs stopped because they made no progress */
-    uint64_t copied;  /* tasks requeued while their run on a silent VM may
-                       * continue */
-    /* orders sent to change the speed limit of a filler, a task that uses only
-     * idle CPU */
+    /* runs that the scheduler stopped because they made no progress */
+    uint64_t stalled;
+    /* tasks that were made ready again while their run on a silent VM may
+     * continue */
+    uint64_t copied;
+    /* orders that changed the speed limit (pace) of a filler, a task that uses
+     * only CPU that others leave */
     uint64_t paced;
 } AqSchedulerCounters;
 
--- a/packages/scheduler/Include/aq_site_config.h
+++ b/packages/scheduler/Include/aq_site_config.h
@@ -27,8 +27,8 @@
     /* a job of the queue fails when one of its tasks has had this many failed
      * runs; 0: no limit */
     uint32_t max_attempts;
-    /* tasks of the queue's jobs start only with a ticket of the advice
-     * service */
+    /* tasks of the queue's jobs start on a VM only with a ticket, the advice
+     * service's permission for that VM, which expires */
     bool needs_tickets;
     int64_t ticket_valid_ms;
 } AqQueueConfig;
--- a/packages/scheduler/Include/aq_sizing.h
+++ b/packages/scheduler/Include/aq_sizing.h
@@ -8,28 +8,32 @@
 #include "aq_clock.h"
 
 /* Sizing of a pool.  The pool releases idle VMs to the spare pool, where they
- * are powered off, and acquires VMs from the spare pool when jobs arrive.
- *
- * A VM is usable only more than a second after its request, so the pool is
- * sized for the rate at which jobs are submitted, not only for the ready
- * tasks.  A move of a VM costs as much as running it for about a second, so
- * VMs are released soon after a burst of jobs has ended; a few are kept so
- * that tasks of the next burst can start at once. */
+ * are powered off, and acquires VMs from the spare pool when jobs arrive.  A
+ * VM is usable only more than a second after its request, so the pool is sized
+ * for the rate at which jobs are submitted, not only for the ready tasks.  A
+ * move of a VM costs as much as running it for about a second, so VMs are
+ * released soon after a burst (many jobs submitted within a short time) has
+ * ended; a few are kept so that tasks of the next burst can start at once. */
 
 typedef struct {
     AqTime now;
-    /* CPU taken by the pool's running tasks */
+    /* CPU of all tasks that are starting, running or stopping on the pool's
+     * VMs, in thousandths of a core */
     int64_t used_cpu_millis;
-    /* CPU needed by the pool's ready tasks */
+    /* CPU that the pool's ready tasks need, in thousandths of a core */
     int64_t ready_cpu_millis;
-    /* part of used_cpu_millis that perpetual tasks take */
+    /* part of used_cpu_millis that perpetual tasks take, in thousandths of a
+     * core */
     int64_t perpetual_cpu_millis;
-    /* CPU needed if jobs keep being submitted at the recent rate */
+    /* CPU that the pool needs if callers keep submitting jobs at the recent
+     * rate, in thousandths of a core */
     int64_t offered_cpu_millis;
     /* how long the longest-waiting ready task has been ready to start */
     AqTime longest_wait_ms;
-    int64_t capacity_cpu_millis; /* total CPU of the pool's usable VMs */
-    int64_t vm_cpu_millis;       /* CPU of one typical VM of the pool */
+    /* total CPU of the pool's usable VMs, in thousandths of a core */
+    int64_t capacity_cpu_millis;
+    /* CPU of one typical VM of the pool, in thousandths of a core */
+    int64_t vm_cpu_millis;
     size_t usable_vms;
     /* number of the pool's VMs with perpetual tasks */
     size_t perpetual_vms;
@@ -38,8 +42,8 @@
     /* number of the pool's VMs that are in maintenance or are about to go into
      * maintenance */
     size_t maintenance_vms;
-    /* largest number of VMs that any one perpetual step needs, given the
-     * step's limit on tasks per VM */
+    /* largest number of VMs that any one perpetual step (its tasks run until
+     * the job is cancelled) needs, given the step's limit on tasks per VM */
     size_t widest_spread;
     /* number of VMs of all pools of the site; 0: not known */
     size_t site_vms;
@@ -57,7 +61,8 @@
 } AqSizingDecision;
 
 enum {
-    /* a VM that has been idle for less than this is not released */
+    /* the pool does not release a VM that has had no tasks for less than
+     * this */
     AQ_SIZING_IDLE_MS = 400
 };
 
--- a/packages/scheduler/Include/aq_waves.h
+++ b/packages/scheduler/Include/aq_waves.h
@@ -50,8 +50,8 @@
 /* Whether all VMs of the wave have begun their maintenance, have had it or no
  * longer exist. */
 bool AqWave_IsCompleted(const AqWave *wave);
-/* Whether all VMs of the wave are back from maintenance or no longer exist:
- * nothing is left to do. */
+/* Whether each VM of the wave is back from maintenance or no longer exists, so
+ * that the wave needs no more orders. */
 bool AqWave_IsOver(const AqWave *wave);
 
 /* Returns how many VMs of one pool may drain for the wave at the same time.
--- a/packages/scheduler/Include/aq_worker_client.h
+++ b/packages/scheduler/Include/aq_worker_client.h
@@ -42,7 +42,8 @@
     int64_t cpu_millis;
     int64_t memory_mb;
     int64_t gpus;
-    /* shortest time for which the draining VM stays up; -1: not reported */
+    /* shortest time, from the report, for which the draining VM stays up; -1:
+     * not reported */
     int64_t leaves_ms;
     bool is_draining;
 } AqVmReport;
@@ -59,7 +60,8 @@
     AQ_ORDER_LATE,
     /* refused: the VM lacks free resources for the task */
     AQ_ORDER_NO_ROOM,
-    /* refused: the start order had no valid ticket */
+    /* refused: the start order had no valid ticket (permission of the advice
+     * service to start the task on this VM) */
     AQ_ORDER_NO_TICKET,
     /* the reply came from another incarnation of the VM */
     AQ_ORDER_OTHER_LIFE,
@@ -75,15 +77,15 @@
 /* Returns the name of the result; static storage. */
 const char *AqOrderResult_Name(AqOrderResult result);
 
-/* A run of a task that is alive on the VM. */
+/* A run (one execution of a task) that is alive on the VM. */
 typedef struct {
     AqTaskName task;
     int64_t run;
     /* last checkpoint that the run reported, from which a later run of the
      * task can continue; "": none; borrowed */
     const char *checkpoint;
-    /* progress of the run in percent; a perpetual task is at work when its run
-     * reports 100 */
+    /* percent of the task's work that the run has done; a perpetual task
+     * reports 100 once it has started up and is at work */
     int64_t percent;
     /* Tail latency in ms, for a task that serves requests; for other tasks the
      * CPU in use, in thousandths of a core. */
@@ -143,7 +145,8 @@
     const char *text;
     /* checkpoint from which the run continues; "": none */
     const char *checkpoint;
-    /* ticket of the advice service for this start; "": none */
+    /* the advice service's permission (ticket) to start the task on this VM;
+     * "": the order has none */
     const char *ticket;
     AqTime deadline_ms; /* end of the VM's lease, on the VM's clock */
     uint64_t fence;
@@ -156,8 +159,8 @@
     AqTime deadline_ms; /* end of the VM's lease, on the VM's clock; -1: the
                          * lease stays unchanged */
     uint64_t fence;
-    /* the VM may forget ends of runs with an AqEndedTask.number up to this
-     * one */
+    /* the VM need no longer list the ends of runs with an AqEndedTask.number
+     * up to this one */
     int64_t acked_end;
     /* longest time for which the VM may delay its reply to wait for the end of
      * a run */
@@ -167,9 +170,10 @@
 typedef struct AqWorkerClient AqWorkerClient;
 
 /* Every order ends with one call of "done" from the event loop.  "start"
- * starts a run of a task and "stop" ends it.  "renew" sends an AqRenewalOrder.
- * "pace" limits the run of a filler, which uses only idle CPU, to a percentage
- * of its full speed. */
+ * starts a run (one execution of a task on a VM) and "stop" ends it.  "renew"
+ * sends an AqRenewalOrder, which extends the VM's lease.  "pace" limits the
+ * run of a filler, a task that uses only CPU that others leave, to a
+ * percentage of its full speed. */
 typedef struct {
     void (*start)(AqWorkerClient *calls, const AqOrderTarget *target,
                   const AqStartOrder *order, AqOrderDone done, void *context);
--- a/packages/scheduler/perpetual.c
+++ b/packages/scheduler/perpetual.c
@@ -1,32 +1,35 @@
 #include "aq_log.h"
 #include "scheduler_internal.h"
 
-/* Perpetual tasks.  These are moved off a cordoned VM within their step's
- * limit on missing tasks, and off a draining VM regardless of the limit.
- * Fillers use only idle CPU.  They are slowed when a serving task on the same
- * VM, which has a latency target, comes near that target, before it exceeds
- * the target. */
+/* Perpetual tasks.  The scheduler moves them off a cordoned VM within their
+ * step's limit on missing tasks, and off a draining VM regardless of the
+ * limit.  Fillers are tasks that use only CPU that others leave.  The
+ * scheduler slows them when a serving task on the same VM, which has a latency
+ * target, comes near that target, before it exceeds the target. */
 
 enum {
     SCAN_PERIOD_MS = 20,
-    /* a task counts as absent when its VM has not replied for longer than
-     * this: the time of two lease renewals of a VM with tasks */
+    /* a task counts as absent (not at work) when its VM has not replied for
+     * longer than this: the time that two lease renewals of a VM with tasks
+     * take */
     NO_REPLY_LIMIT_MS = 900,
-    /* Tail latency of a serving task, in percent of the task's target: above
-     * SLOW_DOWN_PERCENT the fillers on the task's VM are slowed, up to
-     * SPEED_UP_PERCENT they are sped up again. */
+    /* Tail latency of a serving task (it has a latency target), in percent of
+     * that target: above SLOW_DOWN_PERCENT the scheduler slows the fillers
+     * (tasks that use only CPU that others leave) on the serving task's VM, up
+     * to SPEED_UP_PERCENT it speeds them up again. */
     SLOW_DOWN_PERCENT = 85,
     SPEED_UP_PERCENT = 55,
-    /* Least time from one change of a filler's speed limit (its pace) until
-     * the scheduler raises or lowers that limit again. */
+    /* Least time from one change of the speed limit (pace) of a filler, a task
+     * that uses only CPU that others leave, until the scheduler raises or
+     * lowers that limit again. */
     PACE_UP_DELAY_MS = 1500,
     PACE_DOWN_DELAY_MS = 400,
     PACE_STEP_UP_PERCENT = 20,
     FULL_PACE_PERCENT = 100
 };
 
-/* Whether the task is not at work, or may not be at work because its VM is
- * silent or has not replied for NO_REPLY_LIMIT_MS. */
+/* Whether the task is not at work (running and started up), or may not be at
+ * work because its VM is silent or has not replied for NO_REPLY_LIMIT_MS. */
 static bool
 is_absent(const AqScheduler *s, const Task *task)
 {
@@ -35,8 +38,8 @@
            s->now - task->vm->clock_at > NO_REPLY_LIMIT_MS;
 }
 
-/* Number of the step's tasks other than "except" that are not at work, or may
- * not be (see is_absent()). */
+/* Number of the step's tasks other than "except" that are not at work (running
+ * and started up), or may not be (see is_absent()). */
 static uint32_t
 count_absent(const AqScheduler *s, const Step *step, const Task *except)
 {
@@ -125,11 +128,11 @@
 /* ---- Pacing ------------------------------------------------------------- */
 
 typedef struct {
-    /* a serving task on the VM has a tail latency above SLOW_DOWN_PERCENT of
-     * the task's target */
+    /* a serving task (task with a latency target) on the VM has a tail latency
+     * above SLOW_DOWN_PERCENT of its target */
     bool is_near_target;
-    /* no serving task on the VM has a tail latency above SPEED_UP_PERCENT of
-     * the task's target */
+    /* no serving task (task with a latency target) on the VM has a tail
+     * latency above SPEED_UP_PERCENT of its target */
     bool is_far_below_target;
     bool has_serving;
 } LatencyPressure;
@@ -172,9 +175,10 @@
     s->actions.pace(s->context, &target, &name, task->run, percent);
 }
 
-/* Lowers or raises the speed limit of each filler on the VM by one step, if
- * the tail latencies of the VM's serving tasks require or allow it and the
- * filler's last change is long enough ago. */
+/* Lowers or raises by one step the speed limit of each filler (task that uses
+ * only CPU that others leave) on the VM, if the tail latencies of the VM's
+ * serving tasks require or allow it and the filler's limit last changed long
+ * enough ago. */
 static void
 pace_fillers(AqScheduler *s, const Vm *vm)
 {
--- a/packages/scheduler/placement.c
+++ b/packages/scheduler/placement.c
@@ -72,7 +72,8 @@
 find_ticket(const AqScheduler *s, const Step *step, const Vm *vm)
 {
     enum {
-        /* Least validity that a ticket must have left, since the start order
+        /* Least time for which a ticket (permission of the advice service to
+         * start a task on one VM) must still be valid, since the start order
          * takes time to arrive. */
         TICKET_MARGIN_MS = 300
     };
@@ -250,8 +251,8 @@
     bool has_placed = false;
     if (!step->spec->is_filler &&
         step->spec->cpu_millis > s->largest_free_cpu_millis) {
-        /* fast exit, since many jobs wait in a full pool: no VM has the CPU
-         * for the step */
+        /* no VM has enough free CPU for a task of the step; fast exit, since
+         * many jobs wait in a full pool */
         return;
     }
     for (uint32_t i = 0; i < step->spec->task_count && step->ready > 0; i++) {
@@ -261,8 +262,8 @@
         }
         Vm *vm = choose_vm(s, task, NULL);
         if (vm == NULL) {
-            /* no VM fits the step's other tasks either, since they need the
-             * same */
+            /* no VM has room for the step's other tasks either, since each of
+             * them needs the same resources */
             break;
         }
         assign_task(s, vm, task, next_run(s, task->run));
@@ -319,8 +320,8 @@
 {
     for (uint32_t i = 0; i < step->spec->task_count; i++) {
         if (!is_startable(s, &step->tasks[i])) {
-            /* a task of the gang is not ready, or waits before its next
-             * start */
+            /* a task of the gang (step whose tasks run together) is not ready,
+             * or waits before its next start */
             return;
         }
     }
--- a/packages/scheduler/replies.c
+++ b/packages/scheduler/replies.c
@@ -9,13 +9,15 @@
     NO_ROOM_PAUSE_MS = 150,
     UNHEALTHY_PAUSE_MS = 1000,
     INVALID_PAUSE_MS = 2000,
-    /* A run is stopped, and its task started on another VM, when the run's
-     * percent has not changed for STALL_MS plus the task's declared duration
-     * divided by STALL_ESTIMATE_DIVISOR. */
+    /* The scheduler stops a run, and starts its task on another VM, when the
+     * percent of the task's work that the run reports as done has not changed
+     * for STALL_MS plus the task's declared duration divided by
+     * STALL_ESTIMATE_DIVISOR. */
     STALL_MS = 1200,
     STALL_ESTIMATE_DIVISOR = 25,
-    /* A perpetual task is stopped when it is not at work and its percent has
-     * not changed for this time; getting to work takes 1 to 2 s. */
+    /* A perpetual task that reports a percent below 100 is still starting up,
+     * which takes 1 to 2 s.  The scheduler stops it when that percent has not
+     * changed for this time. */
     PERPETUAL_START_LIMIT_MS = 5000
 };
 
@@ -232,7 +234,8 @@
     case AQ_ORDER_INVALID:
         handle_refused_start(s, task, INVALID_PAUSE_MS);
         break;
-    /* the start order was late, had no ticket or was not sent */
+    /* the start order was late, was not sent, or had no valid ticket
+     * (permission of the advice service to start the task on this VM) */
     default:
         handle_refused_start(s, task, RESEND_MS);
         break;
@@ -417,8 +420,8 @@
         return;
     }
     const AqStepSpec *spec = &job->spec.steps[step];
-    /* At least 1, so that the VM does not count as idle while it lists the
-     * run. */
+    /* At least one thousandth of a core, so that the VM does not count as idle
+     * while it lists the run. */
     vm->foreign_cpu += spec->is_filler ? 1 : spec->cpu_millis + 1;
     vm->foreign_memory += spec->memory_mb;
 }
@@ -462,8 +465,9 @@
     stop_if_stalled(s, vm, task, row);
 }
 
-/* Requeues the VM's tasks whose runs the VM no longer lists in its reply to a
- * lease renewal that was sent at "sent_at". */
+/* Makes those of the VM's tasks ready for new runs whose runs are missing from
+ * the VM's reply to a renewal order (extends the VM's lease).  That order was
+ * sent at "sent_at". */
 static void
 requeue_missing_runs(AqScheduler *s, Vm *vm, AqTime sent_at)
 {
--- a/packages/scheduler/scheduler.c
+++ b/packages/scheduler/scheduler.c
@@ -260,8 +260,8 @@
     finish_job(s, job, AQ_STAGE_COMPLETED);
 }
 
-/* Time constants, ms, with which offered_work and offered_work_long shrink
- * exponentially. */
+/* Time constants, ms, with which offered_work and offered_work_long, sums of
+ * the work of submitted jobs, shrink exponentially. */
 static const double offered_decay_ms = 1000.0;
 static const double offered_long_decay_ms = 2000.0;
 
@@ -445,7 +445,8 @@
     if (task->state == TASK_READY) {
         step->ready--;
     }
-    /* the task may be on a VM while another task of its gang has ended */
+    /* the task may be on a VM while another task of its gang (step whose tasks
+     * run together) has ended */
     vms_detach(s, task);
     task->state = TASK_DONE;
     step->done++;
--- a/packages/scheduler/scheduler_internal.h
+++ b/packages/scheduler/scheduler_internal.h
@@ -18,15 +18,17 @@
  * saves.c       saves of job records, then confirmation of ends of runs */
 
 typedef enum {
-    /* a step that must be done before the task's step is not done */
+    /* the task's step waits for another step that is not done */
     TASK_BLOCKED,
     /* a run may start: the task has no live run, except perhaps one on a VM
      * without replies if its step allows copies */
     TASK_READY,
-    /* the start of a run is ordered; its VM has not confirmed the start */
+    /* the scheduler has ordered the start of a run; the run's VM has not
+     * confirmed that start */
     TASK_STARTING,
     TASK_RUNNING,
-    /* the stop of the task's run is ordered, or is still to be ordered */
+    /* the scheduler has sent a stop order for the task's run, or sends it as
+     * soon as it may send orders and no other order for the task is pending */
     TASK_STOPPING,
     TASK_DONE
 } TaskState;
@@ -75,21 +77,26 @@
     /* if a lease renewal was sent after this time, the VM's reply lists the
      * task's current run unless that run has ended */
     AqTime listed_after;
-    /* when this scheduler last received a changed "percent" of the task's run,
-     * or the confirmation that the run has started */
+    /* when this scheduler last received a changed "percent" of the task's run
+     * (percent of the task's work that is done), or the confirmation that the
+     * run has started */
     AqTime progress_at;
-    /* progress of the task's run in percent, as its VM last reported */
+    /* percent of the task's work that its run has done, as the VM last
+     * reported */
     int64_t percent;
     /* the task's AqRunningTask.usage when the VM last listed the run: tail
      * latency in ms of a task that serves requests, for other tasks
      * thousandths of a core in use */
     int64_t usage;
     /* percent of full speed to which the scheduler limits the task's run;
-     * below 100 only for a filler, a task that uses only idle CPU */
+     * below 100 only for a filler, a task that uses only CPU that others
+     * leave */
     int pace;
     AqTime pace_changed_at;
-    /* of a perpetual task: since when the task is not at work; AQ_TIME_NEVER
-     * while the task is at work */
+    /* Of a perpetual task: since when the task is not at work, because it has
+     * no run, its run is being stopped to move, or its run is not slowed and
+     * reports a percent below 100.  AQ_TIME_NEVER while the task is at
+     * work. */
     AqTime absent_since;
     /* value of vm->renewal_count when the VM last listed the task's run in a
      * reply to a lease renewal */
@@ -97,16 +104,17 @@
     /* last checkpoint that a VM reported, from which the task's next run
      * continues; NULL: none; owned */
     char *checkpoint;
-    /* id of the VM on which a run of the task failed last, or that was silent
-     * when the task was requeued; the task's next run preferably goes to
-     * another VM; "": none */
+    /* id of the VM on which a run of the task failed most recently, or that
+     * was silent when the task was made ready again; the scheduler prefers
+     * another VM for the task's next run; "": none */
     char avoid[AQ_VM_ID_SIZE];
 } Task;
 
-/* Ticket: permission of the advice service to start a step's tasks on a VM. */
+/* Ticket: permission of the advice service to start tasks of a step on one VM
+ * until the ticket expires. */
 typedef struct {
     char *vm;     /* id of the VM; owned */
-    char *ticket; /* owned */
+    char *ticket; /* text of the ticket, sent with the start order; owned */
     AqTime expires_at;
 } Ticket;
 
@@ -134,11 +142,14 @@
     uint32_t done;
     /* number of the step's tasks in state TASK_READY */
     uint32_t ready;
-    /* array of Ticket for starts of the step's tasks, or NULL; owned */
+    /* array of Ticket (the advice service's permissions to start tasks of the
+     * step, each on one VM until it expires), or NULL; owned */
     GArray *tickets;
-    /* a request for tickets for the step has not ended */
+    /* the scheduler has requested tickets (permissions to start tasks of the
+     * step) from the advice service, and that request has not ended */
     bool is_requesting_tickets;
-    /* earliest time of the next request for tickets for the step */
+    /* earliest time to request tickets (permissions to start tasks of the
+     * step) from the advice service again */
     AqTime request_tickets_at;
 };
 
@@ -148,7 +159,7 @@
     /* links the job into scheduler->dirty while a change of the job waits for
      * a save */
     AqLink dirty_link;
-    AqJobSpec spec; /* owned */
+    AqJobSpec spec; /* the job's specification; owned */
     AqJobStage stage;
     /* stage in the job's last stored record */
     AqJobStage stored_stage;
@@ -208,15 +219,16 @@
     /* when the VM's entry in the store disappeared */
     AqTime unlisted_at;
     bool is_cordoned;
-    /* first version of the list of used VMs, to which an owner may have sent
-     * orders, that includes this VM */
+    /* first version of the list of used VMs (those that may have received
+     * orders) that includes this VM */
     uint64_t used_since_version;
-    /* a version of the list of used VMs that includes this VM is stored */
+    /* the store has a version of the list of used VMs (those that may have
+     * received orders) that includes this VM */
     bool is_use_recorded;
     /* the VM has replied to a lease renewal with this owner's fence */
     bool has_replied;
-    /* an earlier owner stored the VM in its list of used VMs, to which it may
-     * have sent orders; cleared when the VM's leases have expired */
+    /* an earlier owner listed the VM as used (it may have sent the VM orders);
+     * cleared when the VM's leases have expired */
     bool used_by_earlier_owner;
     /* an order moved the VM to another pool or took it down; cleared when the
      * VM replies again */
@@ -231,10 +243,11 @@
     AqTime deadline_ms;
     /* a lease renewal sent to the VM has had no reply yet */
     bool is_renewal_pending;
-    /* earliest time of the VM's next lease renewal */
+    /* earliest time to send the VM the next renewal order (extends the VM's
+     * lease) */
     AqTime renewal_due;
-    /* when, since the VM's last reply, an order to the VM first ended without
-     * a reply; AQ_TIME_NEVER while the VM replies */
+    /* when an order to the VM first ended without a reply after the VM's last
+     * reply; AQ_TIME_NEVER while the VM replies */
     AqTime silent_since;
     /* no task starts on the VM before this time, after the VM refused a start
      * with AQ_ORDER_NO_ROOM */
@@ -244,12 +257,12 @@
     AqTime quarantined_until;
     unsigned consecutive_failures;
     int64_t used_cpu;
-    /* part of used_cpu that perpetual tasks take */
+    /* part of used_cpu that perpetual tasks take, in thousandths of a core */
     int64_t perpetual_cpu;
     int64_t used_memory;
     int64_t used_gpus;
-    /* CPU taken by runs that the VM lists and that are not the current run of
-     * a task on this VM */
+    /* CPU, in thousandths of a core, of runs that the VM lists and that are
+     * not the current run of a task on this VM */
     int64_t foreign_cpu;
     int64_t foreign_memory;
     /* since when the VM has listed runs, or ends of runs, of jobs that this
@@ -260,13 +273,15 @@
     /* highest AqEndedTask.number among the ends of runs that the VM has listed
      * and this scheduler has processed */
     int64_t last_end_number;
-    /* the VM may forget ends of runs with an AqEndedTask.number up to this
-     * one, since the records of the jobs of these runs are stored */
+    /* the VM need no longer list the ends of runs with an AqEndedTask.number
+     * up to this one, since the records of the jobs of these runs are
+     * stored */
     int64_t confirmed_end_number;
-    /* array of PendingEnd: ends of runs that are not confirmed to the VM, in
-     * rising order of number; owned */
+    /* array of PendingEnd: ends of runs that the scheduler has not confirmed
+     * to the VM, in rising order of number; owned */
     GArray *pending_ends;
-    /* number of lease renewals to which the VM replied AQ_ORDER_DONE */
+    /* number of renewal orders (each extends the VM's lease) to which the VM
+     * replied AQ_ORDER_DONE */
     uint64_t renewal_count;
 };
 
@@ -283,8 +298,8 @@
     bool may_order;
     /* array of InheritedRun; emptied by AqScheduler_SetLoaded() */
     GArray *inherited_runs;
-    /* all stored jobs and the stored list of used VMs, to which an earlier
-     * owner may have sent orders, have been added */
+    /* all stored jobs have been added, and all VMs from the stored list of
+     * used VMs, to which an earlier owner may have sent orders */
     bool is_loaded;
     /* AqScheduler_Close() was called: the scheduler sends no more orders */
     bool is_closed;
@@ -309,8 +324,8 @@
     size_t saving_count;
     GHashTable *vms_by_id;
     AqLink vms; /* list of Vm; owned */
-    /* version of the list of used VMs, to which this owner may have sent
-     * orders */
+    /* version of the list of used VMs (those to which this owner may have sent
+     * orders) */
     uint64_t used_vms_version;
     bool placement_due;
     /* when the scheduler next places tasks on VMs, unless placement_due
@@ -319,9 +334,11 @@
     /* no placement of tasks takes place before this time */
     AqTime earliest_placement_at;
     /* when the scheduler next scans all tasks: it repeats orders, moves
-     * perpetual tasks and changes the speed limits of fillers */
+     * perpetual tasks and changes the speed limits of fillers, tasks that use
+     * only CPU that others leave */
     AqTime next_scan_at;
-    /* most free CPU on one usable VM; valid during a placement of tasks */
+    /* most free CPU on one usable VM, in thousandths of a core; valid only
+     * while tasks are placed */
     int64_t largest_free_cpu_millis;
     /* Core-milliseconds that the submitted jobs need: cores times expected
      * duration, summed over the tasks.  Perpetual tasks and recurring jobs do
@@ -392,8 +409,8 @@
 /* Extends the VM's lease for an order that is sent now.  Returns the new end
  * of the lease, on the VM's clock. */
 AqTime vms_grant_lease(AqScheduler *s, Vm *vm);
-/* Requeues the VM's tasks, whose runs count as lost, removes the VM from the
- * scheduler and frees it. */
+/* Makes the VM's tasks ready for new runs, counts their runs on the VM as
+ * lost, removes the VM from the scheduler and frees it. */
 void vms_remove(AqScheduler *s, Vm *vm);
 void vms_free(Vm *vm);
 /* Sends the lease renewals that are due and handles VMs that do not reply.
@@ -445,7 +462,7 @@
 /* ---- perpetual.c */
 /* Repeats start and stop orders that had no reply, moves perpetual tasks off
  * cordoned and draining VMs, and changes the speed limits of fillers, which
- * are tasks that use only idle CPU. */
+ * are tasks that use only CPU that others leave. */
 void perpetual_tick(AqScheduler *s);
 
 /* ---- progress.c */
--- a/packages/scheduler/sizing.c
+++ b/packages/scheduler/sizing.c
@@ -3,14 +3,14 @@
 #include <string.h>
 
 enum {
-    /* CPU of the pool that is kept free, in percent of the CPU in use or of
-     * the CPU for the offered load */
+    /* CPU that the pool keeps free, in percent of the CPU in use or of the CPU
+     * for the offered load (jobs submitted at the recent rate) */
     RESERVE_PERCENT = 30,
     /* least number of VMs that a pool keeps, so that its perpetual tasks do
      * not all share one VM */
     MIN_VMS = 3,
-    /* VMs that a pool keeps beyond its need, for the start of a burst of jobs
-     * until more VMs arrive */
+    /* VMs that a pool keeps beyond its need, so that tasks of a burst (many
+     * jobs submitted within a short time) start before more VMs arrive */
     RESERVE_VMS = 1,
     /* One decision acquires at most MAX_ACQUIRED_VMS or, on a large site, the
      * site's VMs divided by MAX_ACQUIRED_SITE_DIVISOR, so that one wrong
@@ -49,8 +49,9 @@
     return (size_t)((cpu + input->vm_cpu_millis - 1) / input->vm_cpu_millis);
 }
 
-/* Thousandths of a core that the perpetual tasks and the offered load need,
- * with RESERVE_PERCENT added to the offered load. */
+/* Thousandths of a core that perpetual tasks and the offered load (jobs
+ * submitted at the recent rate) need, with RESERVE_PERCENT added to the
+ * offered load. */
 static int64_t
 offered_cpu_with_reserve(const AqSizingInput *input)
 {
@@ -73,9 +74,10 @@
         needed = vms_for_cpu(input, need - have);
         needed = needed == 0 && is_stuck ? 1 : needed;
     }
-    /* The offered load counts only when the current need exceeds
-     * AHEAD_LOAD_PERCENT of the capacity, since a few large jobs raise the
-     * offered load far above the real need for a moment. */
+    /* The offered load (CPU for jobs at the recent rate of submission) counts
+     * only when the current need exceeds AHEAD_LOAD_PERCENT of the capacity,
+     * since a few large jobs raise the offered load far above the real need
+     * for a moment. */
     if (need * 100 > input->capacity_cpu_millis * AHEAD_LOAD_PERCENT) {
         int64_t most = need + need * MAX_AHEAD_PERCENT / 100;
         int64_t offered = offered_cpu_with_reserve(input);
--- a/packages/scheduler/tests/sim.c
+++ b/packages/scheduler/tests/sim.c
@@ -29,10 +29,11 @@
     /* the run fails once worked_ms is a quarter of duration_ms */
     bool will_fail;
     bool is_perpetual;
-    /* CPU that the run takes; 0 for a filler */
+    /* CPU that the run takes, in thousandths of a core; 0 for a filler, a task
+     * that uses only CPU that others leave */
     int64_t cpu_millis;
     /* speed at which the run progresses, in percent of full speed; below 100
-     * after a pace order */
+     * after an order that limits the speed (pace order) */
     int pace_percent;
 } Run;
 
@@ -122,8 +123,8 @@
     /* of a renewal order, which extends the VM's lease: when the VM replies at
      * the latest, on the clock of Sim.now */
     AqTime wait_until;
-    /* of a pace order: speed to which the order limits the run, in percent of
-     * full speed */
+    /* of a pace order, which limits the speed of a run: the speed limit, in
+     * percent of full speed */
     int percent;
     /* In a reply: the result, the VM's clock and, to a renewal order, the live
      * runs on the VM and the ends of runs that no owner has confirmed. */
--- a/packages/scheduler/tests/sim.h
+++ b/packages/scheduler/tests/sim.h
@@ -68,7 +68,8 @@
  * "previous_may_be_active" the previous owner does not notice that it was
  * replaced and sends orders until its lease on the pool ends. */
 void sim_start_owner(Sim *sim, bool previous_may_be_active);
-/* Ends the pool's current owner, which does not save its last changes. */
+/* Ends the pool's current owner at once; changes that it has not saved are
+ * lost. */
 void sim_kill_owner(Sim *sim);
 /* Stops the current owner, which first saves all its records and lists its
  * runs for the next owner (hand-over), and starts the next owner. */
--- a/packages/scheduler/tests/test_records.c
+++ b/packages/scheduler/tests/test_records.c
@@ -304,16 +304,20 @@
         size_t pool;
         size_t parallel;
     } cases[] = {
-        /* 20 s left for 4 VMs: three rounds of 5 s and one in reserve, so two
-         * drain */
+        /* 20 s left until the wave's deadline for 4 VMs: three rounds of
+         * maintenance of 5 s and one in reserve, so two VMs may drain at the
+         * same time */
         {0, 4, 12, 2},
-        {0, 1, 12, 1}, /* 20 s left for one VM, which drains */
-        /* 8 s left for 4 VMs: all drain, which are a third of the pool's 12
-         * VMs */
+        /* 20 s left until the wave's deadline for one VM, which may drain */
+        {0, 1, 12, 1},
+        /* 8 s left until the wave's deadline for 4 VMs: all may drain at the
+         * same time, which are a third of the pool's 12 VMs */
         {12000, 4, 12, 4},
-        /* 1 s left for 4 VMs: still only a third of the pool's 9 VMs drains */
+        /* 1 s left until the wave's deadline for 4 VMs: still only a third of
+         * the pool's 9 VMs may drain at the same time */
         {19000, 4, 9, 3},
-        /* 1 s left for 4 VMs: one drains, although a third of 2 VMs is less */
+        /* 1 s left until the wave's deadline for 4 VMs: one VM may drain,
+         * although a third of the pool's 2 VMs is less */
         {19000, 4, 2, 1},
     };
     AqWave *wave = make_wave(4, 20000);
--- a/packages/scheduler/tests/test_scheduler.c
+++ b/packages/scheduler/tests/test_scheduler.c
@@ -490,9 +490,10 @@
     sim_destroy(sim);
 }
 
-/* Guards against a filler that runs at full speed while a serving task on the
- * same VM exceeds its latency target, and against a filler that stays slow
- * once the latency is low again. */
+/* Guards against a filler (task that uses only CPU that others leave) that
+ * runs at full speed while a serving task on the same VM exceeds its latency
+ * target, and against a filler that stays slow once the latency is low
+ * again. */
 static void
 test_fillers_are_paced(void)
 {
@@ -526,8 +527,9 @@
 
 /* ---- Offered load ------------------------------------------------------- */
 
-/* Returns the offered load, in thousandths of a core, after 40 jobs have run
- * and eight more were submitted.  Half of the jobs declare the duration
+/* Returns the offered load that the scheduler computes (CPU for the recently
+ * submitted jobs), in thousandths of a core, after 40 jobs have run and eight
+ * more were submitted.  Half of the jobs declare the duration
  * "long_estimate_ms", half "short_estimate_ms"; all tasks actually take 400
  * ms, which the scheduler learns from the first 40 jobs. */
 static int64_t
@@ -559,9 +561,10 @@
     return load.offered_cpu_millis;
 }
 
-/* Guards against a wrong offered load, for which the pool would hold too many
- * VMs, when the declared durations are too long or too short by a factor of
- * four. */
+/* Guards against a scheduler that computes a wrong offered load (CPU for the
+ * recently submitted jobs) when jobs declare durations four times too long or
+ * too short; with too high a load the pool would hold too many VMs.  The load
+ * must be above 70% and below 140% of that for exactly declared durations. */
 static void
 test_misdeclared_durations(void)
 {
@@ -593,8 +596,10 @@
     }
 }
 
-/* Guards against VMs that arrive too late for a burst of jobs: the offered
- * load must not lag behind a rising load, nor exceed a steady one. */
+/* Guards against VMs that arrive too late for a burst (many jobs submitted
+ * within a short time).  The offered load that the scheduler computes, the CPU
+ * for the recently submitted jobs, must be within 10% of a steady load, and 1
+ * to 1.8 times a rising load. */
 static void
 test_offered_load_follows_rise(void)
 {
@@ -612,7 +617,7 @@
     AqScheduler_GetLoad(s, now, &load);
     CU_ASSERT_TRUE(load.offered_cpu_millis > 1800);
     CU_ASSERT_TRUE(load.offered_cpu_millis < 2200);
-    /* The load rises from 2 to 20 cores in 3 s. */
+    /* The CPU that the submitted jobs need rises from 2 to 20 cores in 3 s. */
     for (; now < 13000; now += SUBMIT_INTERVAL_MS) {
         submit_jobs(s, 1 + (unsigned)(now - 10000) / 300, now);
     }
--- a/packages/scheduler/tests/test_sizing.c
+++ b/packages/scheduler/tests/test_sizing.c
@@ -15,8 +15,8 @@
     AqSizingInput input;
     size_t acquire_vms;
     size_t release_vms;
-    /* VMs that the pool needs in addition, including those that become
-     * available only when other pools release VMs. */
+    /* expected number of VMs that the pool needs in addition, including those
+     * that become available only when other pools release VMs */
     size_t needed_vms;
 } cases[] = {
     {"quiet pool with perpetual tasks releases its idle VMs",
@@ -166,8 +166,9 @@
      3},
 };
 
-/* Guards against pools that lag behind a burst, keep too many VMs after it, or
- * move VMs back and forth. */
+/* Guards against pools that have too few VMs during a burst (many jobs
+ * submitted within a short time), keep too many VMs after it, or move VMs back
+ * and forth. */
 static void
 test_patterns(void)
 {
--- a/packages/scheduler/vms.c
+++ b/packages/scheduler/vms.c
@@ -9,20 +9,22 @@
      * the progress of the tasks, and the next renewal extends the lease. */
     BUSY_RENEWAL_WAIT_MS = 400,
     IDLE_RENEWAL_WAIT_MS = 1000,
-    /* Pause before the next lease renewal of a VM while ends of its runs are
-     * not confirmed, since the VM would list these ends again at once. */
+    /* Pause before the next renewal order (extends the VM's lease) while the
+     * scheduler has not confirmed all ends of runs that the VM has listed,
+     * since the VM would list these ends again at once. */
     UNSTORED_RENEWAL_DELAY_MS = 200,
     SILENT_RENEWAL_RETRY_MS = 300,
-    /* tasks that allow copies are requeued when their VM has been silent for
-     * longer than this; a single reply may be lost, but missing replies to two
-     * lease renewals mean a silent VM */
+    /* the scheduler starts tasks that allow copies (two live runs at a time)
+     * on other VMs when their VM has been silent for longer than this; a
+     * single reply may be lost, but missing replies to two lease renewals mean
+     * a silent VM */
     COPY_AFTER_SILENCE_MS = 700,
     /* A VM whose entry in the store expired during a store outage adds the
      * entry again within about 2 s; a VM whose entry is missing for longer
      * than this is gone. */
     UNLISTED_GRACE_MS = 2200,
-    /* an idle VM is removed when it has had no entry in the store for longer
-     * than this */
+    /* a VM without tasks is removed from the scheduler's table of VMs when the
+     * VM has had no entry in the store for longer than this */
     UNLISTED_FORGET_MS = 10000,
     /* A VM may list a run of a job that this scheduler has not yet read from
      * the store.  If the job is still unknown after this time, the run is
@@ -30,8 +32,8 @@
     UNKNOWN_JOB_GRACE_MS = 3000,
     LEASE_EXPIRY_MARGIN_MS = 100,
     /* After QUARANTINE_AFTER_FAILURES consecutive failed runs of different
-     * tasks on a VM, the VM is assumed to be at fault and gets no tasks for
-     * QUARANTINE_MS. */
+     * tasks on a VM, the scheduler assumes that the VM is at fault and starts
+     * no task there for QUARANTINE_MS. */
     QUARANTINE_AFTER_FAILURES = 3,
     QUARANTINE_MS = 3000
 };
@@ -154,9 +156,9 @@
     }
 }
 
-/* Requeues the running tasks of the silent VM whose steps allow copies,
- * without waiting for the VM's lease to expire: the old runs of these tasks
- * may continue beside the new ones. */
+/* Makes the running tasks of the silent VM whose steps allow copies ready for
+ * new runs, without waiting for the VM's lease to expire: the old runs of
+ * these tasks may continue beside the new ones. */
 static void
 copy_tasks(AqScheduler *s, Vm *vm)
 {
@@ -196,8 +198,8 @@
     return deadline;
 }
 
-/* Requeues all tasks of the VM.  Their runs count as lost: they have ended,
- * but the VM has not listed their ends. */
+/* Makes all tasks of the VM ready for new runs.  Their runs on the VM count as
+ * lost: they have ended, but the VM has not listed their ends. */
 static void
 requeue_lost_tasks(AqScheduler *s, Vm *vm, const char *reason)
 {
@@ -238,9 +240,9 @@
            (double)(vm->deadline_ms + LEASE_EXPIRY_MARGIN_MS);
 }
 
-/* If the VM is silent, requeues the VM's tasks whose steps allow copies; once
- * the VM's leases have expired, requeues all its tasks and may remove and free
- * the VM. */
+/* If the VM is silent, makes the VM's tasks whose steps allow copies ready for
+ * new runs; once the VM's leases have expired, makes all its tasks ready and
+ * may remove and free the VM. */
 static void
 handle_silence(AqScheduler *s, Vm *vm)
 {
