--- a/packages/scheduler/Include/aq_machine_requests.h
+++ b/packages/scheduler/Include/aq_machine_requests.h
@@ -15,8 +15,8 @@
  * request that its owner removes from the list is withdrawn. */
 
 enum {
-    /* most requests in the list of one pool; further ones wait, and a longer
-     * stored list is refused as damaged */
+    /* most requests in the list of one pool; further requests are added once
+     * the list is shorter, and a longer stored list is refused as damaged */
     AQ_MACHINE_REQUESTS_MAX = 256
 };
 
@@ -28,14 +28,15 @@
     char to_pool[64];
     /* number of the maintenance wave; only in a request for maintenance */
     int64_t wave;
-    /* only in responses: the requested order cannot be carried out */
+    /* only in responses: the order that the request asks the machine
+     * coordinator to send cannot be carried out */
     bool is_refused;
 } AqMachineRequest;
 
 typedef struct {
     uint64_t fence; /* fencing number of the requesting owner */
-    /* number of VMs that the pool needs beside the moves requested in this
-     * list */
+    /* number of VMs that the pool needs in addition to those that the moves
+     * requested in this list bring to the pool */
     size_t requested_vms;
     AqMachineRequest *requests; /* array of "count" requests; owned */
     size_t count;
--- a/packages/scheduler/Include/aq_machines.h
+++ b/packages/scheduler/Include/aq_machines.h
@@ -32,17 +32,19 @@
 } AqMachine;
 
 typedef enum {
-    /* the platform accepted the order, or carried it out before */
+    /* the platform accepted the order, or had already carried out the same
+     * order */
     AQ_MACHINE_ORDER_DONE,
     /* refused: a node with a higher fencing number has sent orders to the
      * platform */
     AQ_MACHINE_ORDER_FENCED,
-    /* refused as busy: the VM is not up, or is leaving */
+    /* refused by the platform as busy: the VM that the order names is not up,
+     * or is leaving */
     AQ_MACHINE_ORDER_BUSY,
     /* refused: the platform has no such VM, pool or wave */
     AQ_MACHINE_ORDER_REFUSED,
-    /* the order is not carried out: it is over the platform's rate limit, or
-     * the platform was not reached */
+    /* the platform does not carry out the order, which exceeds the platform's
+     * rate limit or did not reach the platform */
     AQ_MACHINE_ORDER_LATER,
     /* no response; the platform may carry out the order later */
     AQ_MACHINE_ORDER_UNKNOWN
@@ -105,16 +107,17 @@
 } AqTicket;
 
 typedef struct {
-    /* AQ_ORDER_DONE; AQ_ORDER_UNHEALTHY: the advice service refused the
-     * request, for example because it had too many; AQ_ORDER_UNKNOWN: no valid
-     * response. */
+    /* AQ_ORDER_DONE: the advice service answered the request for tickets, and
+     * "tickets" has those that it gave; AQ_ORDER_UNHEALTHY: the service
+     * refused that request, for example because it had too many requests;
+     * AQ_ORDER_UNKNOWN: no valid response. */
     AqOrderResult result;
     /* array of "count" tickets (permissions to start tasks on one VM each);
      * borrowed */
     const AqTicket *tickets;
     size_t count;
-    /* how long after the arrival of this reply the tickets still permit the
-     * start of tasks */
+    /* how long after the arrival of the advice service's response the tickets
+     * still permit the start of tasks */
     AqTime valid_ms;
 } AqAdviceReply;
 
--- a/packages/scheduler/Include/aq_scheduler.h
+++ b/packages/scheduler/Include/aq_scheduler.h
@@ -119,8 +119,10 @@
 /* Records that the VM's entry in the store has disappeared. */
 void AqScheduler_VmUnlisted(AqScheduler *scheduler, const char *id,
                             AqTime now);
-/* Records that an order took the VM down or to another pool, so that all runs
- * on the VM have ended.  The VM is used again if it replies later. */
+/* Records that the VM's incarnation with this id has ended with all its runs:
+ * the platform has accepted a move or maintenance of the VM, or lists another
+ * incarnation of the VM.  Tasks may start on the VM again if this incarnation
+ * replies later. */
 void AqScheduler_VmEnded(AqScheduler *scheduler, const char *id, AqTime now);
 /* Sets whether the VM is cordoned.  A cordoned VM gets no new tasks; the
  * scheduler moves its perpetual tasks to other VMs unless more tasks of a step
@@ -175,8 +177,9 @@
 uint64_t AqScheduler_UsedVmsVersion(const AqScheduler *scheduler);
 void AqScheduler_EncodeUsedVms(const AqScheduler *scheduler, AqBuffer *out);
 void AqScheduler_UsedVmsSaved(AqScheduler *scheduler, uint64_t version);
-/* Adds the VMs of a stored list of used VMs, to which an earlier owner of the
- * pool may have sent orders; false when the list is damaged. */
+/* Adds the VMs in a stored list of used VMs, which are those to which an
+ * earlier owner of the pool may have sent orders; false when the list is
+ * damaged. */
 bool AqScheduler_AddUsedVms(AqScheduler *scheduler, const char *bytes,
                             size_t size, AqTime now);
 
--- a/packages/scheduler/Include/aq_site_config.h
+++ b/packages/scheduler/Include/aq_site_config.h
@@ -22,7 +22,8 @@
      * steps, plus "target_ms". */
     int64_t target_ms;
     double stretch;
-    /* jobs of queues with a lower number are placed first; 0 is the lowest */
+    /* jobs of queues with a lower priority number are placed first; 0 is the
+     * lowest number */
     int priority;
     /* a job of the queue fails when one of its tasks has had this many failed
      * runs; 0: no limit */
@@ -37,7 +38,8 @@
     char *name;
     /* this pool is the spare pool, whose VMs are powered off */
     bool is_spare;
-    /* the pool's VMs refuse tasks that exceed their free resources */
+    /* each VM of the pool refuses a task that needs more than the VM's free
+     * resources */
     bool guards_capacity;
 } AqPoolConfig;
 
--- a/packages/scheduler/Include/aq_waves.h
+++ b/packages/scheduler/Include/aq_waves.h
@@ -7,14 +7,17 @@
 
 /* Waves of maintenance.  The owners of several pools work on one wave and
  * share its record in the store.  Each owner changes the record only by a
- * write that is conditional on the version it has read, so at most "cap" VMs
- * of a wave are down at a time, whichever owners order them down. */
+ * write that is conditional on the version that the owner has read, so at most
+ * "cap" VMs of a wave are in maintenance at a time, whichever owners order the
+ * maintenance. */
 
 typedef enum {
     AQ_WAVE_WAITING,
-    AQ_WAVE_BEGUN, /* the VM's maintenance is ordered, or about to be */
-    AQ_WAVE_DONE,  /* the VM is back from its maintenance */
-    AQ_WAVE_GONE   /* the VM no longer exists */
+    /* the pool's owner has ordered the VM's maintenance, or is about to order
+     * it */
+    AQ_WAVE_BEGUN,
+    AQ_WAVE_DONE, /* the VM is back from its maintenance */
+    AQ_WAVE_GONE  /* the VM no longer exists */
 } AqWaveState;
 
 typedef struct AqWave AqWave;
@@ -45,7 +48,8 @@
  * state of each VM of the wave. */
 void AqWave_Encode(const AqWave *wave, AqBuffer *out);
 
-/* Whether one more VM of the wave may go down for maintenance now. */
+/* Whether the maintenance of one more VM of the wave may begin now, within the
+ * wave's cap on VMs in maintenance at a time. */
 bool AqWave_HasSlot(const AqWave *wave);
 /* Whether all VMs of the wave have begun their maintenance, have had it or no
  * longer exist. */
--- a/packages/scheduler/Include/aq_worker_client.h
+++ b/packages/scheduler/Include/aq_worker_client.h
@@ -63,7 +63,8 @@
     /* refused: the start order had no valid ticket (permission of the advice
      * service to start the task on this VM) */
     AQ_ORDER_NO_TICKET,
-    /* the reply came from another incarnation of the VM */
+    /* the reply came from another incarnation of the VM than the one that the
+     * order names */
     AQ_ORDER_OTHER_LIFE,
     /* refused by an unhealthy VM; the order has no effect */
     AQ_ORDER_UNHEALTHY,
@@ -135,7 +136,8 @@
 
 typedef struct {
     const char *address;
-    const char *vm; /* id of the incarnation that the order is for */
+    /* id of the VM's incarnation to which the order is addressed */
+    const char *vm;
 } AqOrderTarget;
 
 typedef struct {
@@ -159,8 +161,8 @@
     AqTime deadline_ms; /* end of the VM's lease, on the VM's clock; -1: the
                          * lease stays unchanged */
     uint64_t fence;
-    /* the VM need no longer list the ends of runs with an AqEndedTask.number
-     * up to this one */
+    /* the VM need no longer list ends of runs with an AqEndedTask.number up to
+     * this one in its replies */
     int64_t acked_end;
     /* longest time for which the VM may delay its reply to wait for the end of
      * a run */
--- a/packages/scheduler/perpetual.c
+++ b/packages/scheduler/perpetual.c
@@ -38,8 +38,9 @@
            s->now - task->vm->clock_at > NO_REPLY_LIMIT_MS;
 }
 
-/* Number of the step's tasks other than "except" that are not at work (running
- * and started up), or may not be (see is_absent()). */
+/* Number of the step's tasks, without "except", that are not at work (running
+ * and started up), or that may not be at work because their VM does not
+ * reply. */
 static uint32_t
 count_absent(const AqScheduler *s, const Step *step, const Task *except)
 {
--- a/packages/scheduler/placement.c
+++ b/packages/scheduler/placement.c
@@ -251,8 +251,9 @@
     bool has_placed = false;
     if (!step->spec->is_filler &&
         step->spec->cpu_millis > s->largest_free_cpu_millis) {
-        /* no VM has enough free CPU for a task of the step; fast exit, since
-         * many jobs wait in a full pool */
+        /* no usable VM has enough free CPU for a task of the step; checked
+         * before the single VMs to save time, since many jobs wait in a full
+         * pool */
         return;
     }
     for (uint32_t i = 0; i < step->spec->task_count && step->ready > 0; i++) {
--- a/packages/scheduler/progress.c
+++ b/packages/scheduler/progress.c
@@ -9,10 +9,11 @@
  * [format, stage, next occurrence, [[occurrence, [[done, [[task, [run ...]]
  * ...]] ... of each step]] ... of each occurrence]]
  * "done" is a bitmap of the tasks of a step, "task" the index of a task with
- * failed runs, "run" the number of each of them, so that a failed end that a
- * VM lists again to a later owner is not counted twice.  The record of a
- * finished job lists no occurrences.  An occurrence that is not listed and has
- * a number below "next occurrence" is done. */
+ * failed runs, and "run" the number of each failed run of that task, so that
+ * the end of a failed run is not counted twice when a VM lists the end again
+ * to a later owner.  The record of a finished job lists no occurrences.  An
+ * occurrence that is not listed and has a number below "next occurrence" is
+ * done. */
 
 enum {
     RECORD_FORMAT = 1,
--- a/packages/scheduler/record_codec.c
+++ b/packages/scheduler/record_codec.c
@@ -31,8 +31,9 @@
 } Scanner;
 
 enum {
-    /* deepest nesting of arrays that is read, which bounds the recursion;
-     * deeper bytes count as damaged; stored records nest less deeply */
+    /* deepest nesting of arrays that scan_value() reads, which bounds its
+     * recursion; more deeply nested bytes count as damaged; stored records
+     * nest less deeply */
     MAX_DEPTH = 16
 };
 
--- a/packages/scheduler/replies.c
+++ b/packages/scheduler/replies.c
@@ -92,8 +92,9 @@
 }
 
 /* Orders the stop of the task's current run because another run of the task
- * replaces it.  The resources of the stopped run count as foreign usage of its
- * VM for as long as the VM lists that run. */
+ * replaces the current one.  While the VM lists the stopped run, that run's
+ * resources count as foreign usage of the VM: usage by runs that are not the
+ * current run of any task of this scheduler. */
 static void
 stop_superseded_run(AqScheduler *s, Task *task)
 {
@@ -219,8 +220,9 @@
         break;
     case AQ_ORDER_OLD_RUN:
         if (task->may_start_late) {
-            /* The run has already ended on the VM; the reply to the next lease
-             * renewal lists its end. */
+            /* An earlier start order for this run had no reply but was
+             * executed, and the run has ended; the VM's reply to the next
+             * lease renewal lists that end. */
             confirm_start(s, task);
         }
         else {
@@ -234,8 +236,9 @@
     case AQ_ORDER_INVALID:
         handle_refused_start(s, task, INVALID_PAUSE_MS);
         break;
-    /* the start order was late, was not sent, or had no valid ticket
-     * (permission of the advice service to start the task on this VM) */
+    /* the start order reached the VM after the order's lease deadline, was not
+     * sent, or had no valid ticket (permission of the advice service to start
+     * the task on this VM) */
     default:
         handle_refused_start(s, task, RESEND_MS);
         break;
@@ -372,8 +375,9 @@
 static void
 update_presence(AqScheduler *s, Task *task, const AqRunningTask *row)
 {
-    /* The VM still lists a task that is being stopped for a while, so only a
-     * task in TASK_RUNNING counts as present. */
+    /* After the scheduler has ordered the stop of a run, the VM still lists
+     * that run for a while, so only a task in TASK_RUNNING counts as at
+     * work. */
     if (task->step->spec->is_perpetual && task->state == TASK_RUNNING) {
         if (row->percent < 100 && task->pace >= 100) {
             if (task->absent_since == AQ_TIME_NEVER) {
@@ -387,8 +391,8 @@
     task->usage = row->usage;
 }
 
-/* Makes a run that the VM lists the task's current run.  An earlier owner
- * started that run, or an order of this owner that had no reply. */
+/* Makes a run that the VM lists the task's current run.  The run was started
+ * by an earlier owner, or by a start order of this owner that had no reply. */
 static void
 adopt_run(AqScheduler *s, Vm *vm, Task *task, const AqRunningTask *row)
 {
@@ -408,9 +412,9 @@
     task->started_at = 0;
 }
 
-/* Adds the resources of a run that the VM lists, and that is not the current
- * run of a task, to the VM's foreign usage.  A run of an unknown job ("job" is
- * NULL) is assumed to take the whole VM. */
+/* Adds the resources of a run that the VM lists to the VM's foreign usage:
+ * that of runs which are not the current run of any task of this scheduler.  A
+ * run of an unknown job ("job" is NULL) is assumed to take the whole VM. */
 static void
 add_foreign_usage(Vm *vm, const Job *job, uint32_t step)
 {
@@ -426,9 +430,10 @@
     vm->foreign_memory += spec->memory_mb;
 }
 
-/* Applies one running task that the VM lists in its reply to a lease renewal:
- * confirms the run or makes it the task's current run; stops the run when its
- * task is unknown or finished, or has a newer run. */
+/* Applies one run that the VM lists as alive in its reply to a lease renewal:
+ * confirms the run or makes it the task's current run; orders the stop of the
+ * run when the run's task is unknown or finished, or has a newer run.  A run
+ * of an unknown job is stopped only after vms_is_foreign_run_overdue(). */
 static void
 process_running_task(AqScheduler *s, Vm *vm, const AqRunningTask *row)
 {
@@ -440,7 +445,8 @@
             task != NULL && task->vm == vm && task->run == row->run;
         if (is_expected) {
             task->last_listed_renewal = vm->renewal_count;
-            /* the stop of this run has been ordered */
+            /* the run that the VM lists is the task's current run, whose stop
+             * the scheduler has ordered */
             return;
         }
         add_foreign_usage(vm, job, row->task.step);
@@ -466,8 +472,8 @@
 }
 
 /* Makes those of the VM's tasks ready for new runs whose runs are missing from
- * the VM's reply to a renewal order (extends the VM's lease).  That order was
- * sent at "sent_at". */
+ * the VM's reply to a renewal order, which extends the VM's lease.  The
+ * renewal order was sent at "sent_at". */
 static void
 requeue_missing_runs(AqScheduler *s, Vm *vm, AqTime sent_at)
 {
--- a/packages/scheduler/saves.c
+++ b/packages/scheduler/saves.c
@@ -42,9 +42,9 @@
     if (!is_stored || job->changed_while_saving) {
         job->changed_while_saving = false;
         if (!is_stored || job->dirty_seq == 0) {
-            /* A change whose save failed keeps its place before later changes:
-             * it counts as the oldest, so that no later end of a run is
-             * confirmed to a VM. */
+            /* A job change whose save failed keeps its place before later
+             * changes: the change counts as the oldest, so that no later end
+             * of a run is confirmed to a VM. */
             job->dirty_seq = is_stored ? s->change_seq : 1;
         }
         if (is_stored) {
--- a/packages/scheduler/scheduler.c
+++ b/packages/scheduler/scheduler.c
@@ -400,9 +400,10 @@
 /* ---- Ends of tasks ------------------------------------------------------ */
 
 /* Adds the task, which is done, to the averages of declared and actual
- * durations.  Declared durations are off by large factors either way, so the
- * mean of the individual ratios is far above the ratio of the means, and only
- * the latter gives the amount of work. */
+ * durations.  Declared durations are too long or too short by large factors,
+ * so the mean of the tasks' ratios of actual to declared duration is far above
+ * the ratio of the two means, and only the ratio of the means gives the amount
+ * of work. */
 static void
 update_mean_durations(AqScheduler *s, const Task *task)
 {
@@ -541,9 +542,9 @@
         return;
     }
     if (task->step->spec->is_perpetual) {
-        /* The pause before the next start grows with the task's failures, so
-         * that a perpetual task that keeps failing at once does not use up all
-         * orders. */
+        /* The pause before the task's next start grows with the number of its
+         * failed runs, so that most of the scheduler's orders are not for a
+         * perpetual task whose runs fail as soon as they have started. */
         pause *= task->failures < 50 ? task->failures : 50;
     }
     task->not_before =
--- a/packages/scheduler/scheduler_internal.h
+++ b/packages/scheduler/scheduler_internal.h
@@ -20,15 +20,16 @@
 typedef enum {
     /* the task's step waits for another step that is not done */
     TASK_BLOCKED,
-    /* a run may start: the task has no live run, except perhaps one on a VM
-     * without replies if its step allows copies */
+    /* a run may start: the task has no live run, except perhaps, if the task's
+     * step allows copies, one on a VM that does not reply */
     TASK_READY,
     /* the scheduler has ordered the start of a run; the run's VM has not
      * confirmed that start */
     TASK_STARTING,
     TASK_RUNNING,
-    /* the scheduler has sent a stop order for the task's run, or sends it as
-     * soon as it may send orders and no other order for the task is pending */
+    /* the scheduler has sent a stop order for the task's run, or will send one
+     * as soon as the owner may send orders and no other order for the task is
+     * pending */
     TASK_STOPPING,
     TASK_DONE
 } TaskState;
@@ -51,7 +52,7 @@
     /* array of the run numbers of the task's failed runs, "failures" of them;
      * owned.  NULL for a perpetual task, whose failures are not limited */
     int64_t *failed_runs;
-    /* VM with a run of the task that may be alive; NULL: there is none;
+    /* VM on which the task's current run may be alive; NULL: there is none;
      * borrowed */
     Vm *vm;
     AqLink link; /* links the task into vm->tasks */
@@ -60,8 +61,8 @@
     /* a start order for the run ended without a reply; the VM may still
      * execute that order */
     bool may_start_late;
-    /* order the stop of the run once the VM has replied to the run's pending
-     * start order */
+    /* the scheduler must order the stop of the run once the VM has replied to
+     * the run's pending start order */
     bool must_stop_after_reply;
     /* the VM has confirmed the stop order for the task's run */
     bool is_stop_acked;
@@ -74,8 +75,8 @@
     /* when this scheduler received the VM's confirmation that the task's
      * current run has started, on the scheduler's clock; 0: not known */
     AqTime started_at;
-    /* if a lease renewal was sent after this time, the VM's reply lists the
-     * task's current run unless that run has ended */
+    /* the VM's reply to a lease renewal that was sent after this time lists
+     * the task's current run unless that run has ended */
     AqTime listed_after;
     /* when this scheduler last received a changed "percent" of the task's run
      * (percent of the task's work that is done), or the confirmation that the
@@ -194,16 +195,17 @@
     AqTime slack;
 };
 
-/* A run of a task that the previous owner of the pool listed when it handed
- * the pool over. */
+/* A run that the previous owner of the pool stored with the list of used VMs
+ * when that owner handed the pool over. */
 typedef struct {
     char vm[AQ_VM_ID_SIZE];
     AqTaskName task;
     int64_t run;
 } InheritedRun;
 
-/* The end of a run of a task that a VM has listed.  The end may be confirmed
- * to that VM once all changes of jobs up to "seq" are stored. */
+/* The end of one run, which a VM has listed in a reply to a lease renewal.
+ * The end may be confirmed to that VM once all changes of jobs with numbers up
+ * to "seq" are stored. */
 typedef struct {
     int64_t number;
     uint64_t seq;
@@ -212,26 +214,29 @@
 struct Vm {
     AqVmReport report;
     AqLink link; /* links the VM into scheduler->vms */
-    /* list of Task: tasks with a run on this VM that may be alive */
+    /* list of Task: the tasks whose current run may be alive on this VM */
     AqLink tasks;
     size_t task_count;
     bool is_listed; /* the store has an entry of this VM */
-    /* when the VM's entry in the store disappeared */
+    /* when the VM's entry in the store last disappeared, or, for a VM known
+     * only from the stored list of used VMs, when this scheduler read that
+     * list; not used while is_listed is true */
     AqTime unlisted_at;
     bool is_cordoned;
-    /* first version of the list of used VMs (those that may have received
-     * orders) that includes this VM */
+    /* first version of the list of used VMs (VMs to which this owner may have
+     * sent orders) in which this VM is included */
     uint64_t used_since_version;
-    /* the store has a version of the list of used VMs (those that may have
-     * received orders) that includes this VM */
+    /* the stored version of the list of used VMs (VMs to which this owner may
+     * have sent orders) includes this VM */
     bool is_use_recorded;
     /* the VM has replied to a lease renewal with this owner's fence */
     bool has_replied;
-    /* an earlier owner listed the VM as used (it may have sent the VM orders);
-     * cleared when the VM's leases have expired */
+    /* an earlier owner listed the VM as used, since that owner may have sent
+     * the VM orders; false again once the VM's leases have expired */
     bool used_by_earlier_owner;
-    /* an order moved the VM to another pool or took it down; cleared when the
-     * VM replies again */
+    /* AqScheduler_VmEnded() was called for this VM, because the platform
+     * accepted a move or maintenance of the VM, or lists another incarnation
+     * of the VM; false again once this incarnation replies */
     bool has_ended;
     /* time on the VM's own clock that the VM reported in the reply received at
      * clock_at; -1: not known */
@@ -261,8 +266,8 @@
     int64_t perpetual_cpu;
     int64_t used_memory;
     int64_t used_gpus;
-    /* CPU, in thousandths of a core, of runs that the VM lists and that are
-     * not the current run of a task on this VM */
+    /* CPU, in thousandths of a core, of those runs on the VM that are not the
+     * current run of any task of this scheduler (foreign usage) */
     int64_t foreign_cpu;
     int64_t foreign_memory;
     /* since when the VM has listed runs, or ends of runs, of jobs that this
@@ -270,15 +275,14 @@
     AqTime foreign_since;
     /* since when the VM has had no tasks; AQ_TIME_NEVER while it has tasks */
     AqTime idle_since;
-    /* highest AqEndedTask.number among the ends of runs that the VM has listed
-     * and this scheduler has processed */
+    /* highest AqEndedTask.number among the ends of runs on this VM whose
+     * effects this scheduler has applied to the tasks */
     int64_t last_end_number;
-    /* the VM need no longer list the ends of runs with an AqEndedTask.number
-     * up to this one, since the records of the jobs of these runs are
-     * stored */
+    /* the VM need no longer list ends of runs with an AqEndedTask.number up to
+     * this one, since the job changes that these ends caused are stored */
     int64_t confirmed_end_number;
-    /* array of PendingEnd: ends of runs that the scheduler has not confirmed
-     * to the VM, in rising order of number; owned */
+    /* array of PendingEnd, in rising order of number: each end of a run that
+     * the scheduler has applied and not yet confirmed to the VM; owned */
     GArray *pending_ends;
     /* number of renewal orders (each extends the VM's lease) to which the VM
      * replied AQ_ORDER_DONE */
@@ -303,7 +307,8 @@
     bool is_loaded;
     /* AqScheduler_Close() was called: the scheduler sends no more orders */
     bool is_closed;
-    /* the previous owner stored all its live runs of tasks in a hand-over */
+    /* the previous owner handed the pool over and stored all its live runs of
+     * tasks with the list of used VMs */
     bool is_handed_over;
     /* the scheduler knows all live runs that earlier owners may have
      * started */
@@ -324,7 +329,7 @@
     size_t saving_count;
     GHashTable *vms_by_id;
     AqLink vms; /* list of Vm; owned */
-    /* version of the list of used VMs (those to which this owner may have sent
+    /* version of the list of used VMs (VMs to which this owner may have sent
      * orders) */
     uint64_t used_vms_version;
     bool placement_due;
@@ -333,9 +338,9 @@
     AqTime next_placement_at;
     /* no placement of tasks takes place before this time */
     AqTime earliest_placement_at;
-    /* when the scheduler next scans all tasks: it repeats orders, moves
-     * perpetual tasks and changes the speed limits of fillers, tasks that use
-     * only CPU that others leave */
+    /* when the scheduler next scans all tasks, to repeat start and stop
+     * orders, move perpetual tasks and change the speed limits of fillers,
+     * which are tasks that use only CPU that others leave */
     AqTime next_scan_at;
     /* most free CPU on one usable VM, in thousandths of a core; valid only
      * while tasks are placed */
@@ -400,11 +405,12 @@
 void vms_attach(AqScheduler *s, Vm *vm, Task *task);
 /* Undoes vms_attach() of the task; no effect on a task without a VM. */
 void vms_detach(AqScheduler *s, Task *task);
-/* Whether tasks that fit on the VM may be started there. */
+/* Whether tasks may be started on the VM, provided that its free resources
+ * suffice for them. */
 bool vms_is_usable(const AqScheduler *s, const Vm *vm);
 /* Records that the VM replied, and the VM's clock from the reply. */
 void vms_on_reply(AqScheduler *s, Vm *vm, const AqOrderReply *reply);
-/* Records that an order to the VM had no reply. */
+/* Records that an order to the VM ended without a reply. */
 void vms_on_no_reply(AqScheduler *s, Vm *vm);
 /* Extends the VM's lease for an order that is sent now.  Returns the new end
  * of the lease, on the VM's clock. */
@@ -443,7 +449,9 @@
  * an end of that run. */
 void replies_log_lost(const AqScheduler *s, const Task *task,
                       const char *reason);
-/* Repeats the start and stop orders that had no reply and are due again. */
+/* Sends again each start order that had no reply, once the VM replies to other
+ * orders, and each stop order that the VM has not confirmed; both not before
+ * the task's resend_at. */
 void replies_tick(AqScheduler *s);
 
 /* ---- ranking.c */
--- a/packages/scheduler/tests/sim.c
+++ b/packages/scheduler/tests/sim.c
@@ -77,11 +77,12 @@
     int64_t tail_latency_ms;
     /* array of Run: the live runs on the VM */
     GArray *runs;
-    /* array of RunEnd: ends of runs that no owner has confirmed yet */
+    /* array of RunEnd: ends of runs on the VM, each of them until an owner has
+     * confirmed that end */
     GArray *ends;
     /* Key of a task -> highest run number among the task's runs that ended or
      * were stopped on this VM; runs of the task with numbers up to that one
-     * can't start there. */
+     * can't start on this VM. */
     GHashTable *closed_runs;
     /* RunEnd.number of the last end of a run on this VM */
     int64_t last_end;
@@ -106,7 +107,8 @@
     OrderKind kind;
     /* owner that receives the reply to the order; NULL: there is no reply */
     SimOwner *owner;
-    char vm[AQ_VM_ID_SIZE]; /* id of the incarnation that the order is for */
+    /* id of the VM's incarnation to which the order is addressed */
+    char vm[AQ_VM_ID_SIZE];
     /* task whose run the order starts, stops or limits to a percentage of full
      * speed; not set in a renewal order */
     AqTaskName name;
@@ -119,15 +121,15 @@
     AqTime deadline;
     /* contents of a renewal order, which extends the VM's lease */
     AqRenewalOrder renewal;
-    AqTime sent_at; /* when the order was sent */
+    AqTime sent_at; /* when the owner sent the order */
     /* of a renewal order, which extends the VM's lease: when the VM replies at
      * the latest, on the clock of Sim.now */
     AqTime wait_until;
     /* of a pace order, which limits the speed of a run: the speed limit, in
      * percent of full speed */
     int percent;
-    /* In a reply: the result, the VM's clock and, to a renewal order, the live
-     * runs on the VM and the ends of runs that no owner has confirmed. */
+    /* In a reply: the result, the VM's clock and, if the order was a renewal
+     * order, the live runs on the VM and the unconfirmed ends of runs. */
     AqOrderResult result;
     AqTime clock_ms;
     AqRunningTask *running;
@@ -194,7 +196,8 @@
     /* number of incarnations of all VMs so far; makes the ids of incarnations
      * unique */
     unsigned incarnation_count;
-    /* array of SimVm: incarnations of VMs that have crashed */
+    /* array of SimVm: the incarnations of VMs that ended because the VM
+     * crashed */
     GPtrArray *ended_vms;
     /* array of Event: orders and replies in transit */
     GPtrArray *events;
@@ -203,7 +206,8 @@
     /* array of SimOwner: all owners since the start of the simulation */
     GPtrArray *owners;
     SimOwner *owner; /* the current owner of the pool */
-    /* number of owners that the pool had before the next one to be started */
+    /* number of owners that the pool had before the owner that is started
+     * next */
     int64_t generation;
     /* fencing number of the current owner */
     uint64_t fence;
@@ -624,9 +628,10 @@
     close_run(vm, &event->name, event->run);
 }
 
-/* Removes the ends of runs that an owner has confirmed from vm->ends: those
- * with a RunEnd.number up to "acked_end".  Checks for each task that was done
- * by such a run that no run of the task has started since that end. */
+/* Removes from vm->ends the ends of runs with a RunEnd.number up to
+ * "acked_end", since an owner has confirmed these ends.  Checks, for each task
+ * that one of these runs completed, that no run of the task has started since
+ * the end of that run. */
 static void
 forget_ends(Sim *sim, SimVm *vm, int64_t acked_end)
 {
@@ -1030,8 +1035,9 @@
     }
 }
 
-/* Lets the owner's scheduler send its due orders, begins or ends a save of its
- * records, and reports a violation if the scheduler is inconsistent. */
+/* Lets the owner's scheduler send the orders that are due, begins or ends a
+ * save of the scheduler's job records, and reports a violation if the
+ * scheduler is inconsistent. */
 static void
 run_owner(SimOwner *owner)
 {
--- a/packages/scheduler/tests/test_scheduler.c
+++ b/packages/scheduler/tests/test_scheduler.c
@@ -162,8 +162,8 @@
     sim_destroy(sim);
 }
 
-/* Guards against tasks of a crashed VM that wait for the VM's lease to expire
- * although the VM's new incarnation reports that no run is alive there. */
+/* Guards against tasks that wait for the lease of their crashed VM to expire
+ * although the VM's new incarnation reports that no run is alive on the VM. */
 static void
 test_crash_restarts_at_once(void)
 {
@@ -207,9 +207,10 @@
     sim_destroy(sim);
 }
 
-/* Guards against a new owner that waits for an incarnation of a VM that an
- * order has ended: the stored list of used VMs, to which an owner may have
- * sent orders, must not name that incarnation any more. */
+/* Guards against a new owner that waits for replies from a VM's incarnation
+ * although the previous owner's scheduler knew that this incarnation had
+ * ended: the stored list of used VMs, to which an owner may have sent orders,
+ * must no longer name the incarnation. */
 static void
 test_ended_vm_is_not_awaited(void)
 {
@@ -229,7 +230,8 @@
 typedef struct {
     AqScheduler *scheduler;
     AqTime now;
-    /* number of VMs reported to the scheduler as ended */
+    /* number of incarnations of VMs that the test has reported to the
+     * scheduler as ended */
     unsigned ended;
 } EndSilentVisit;
 
@@ -246,10 +248,11 @@
     }
 }
 
-/* Guards against a new owner that waits for the leases of an incarnation of a
- * VM that an order of the previous owner has ended.  The stored list of used
- * VMs, to which an owner may have sent orders, must name the VM's machine, so
- * that the platform's list of VMs can show that the incarnation has ended. */
+/* Guards against a new owner that waits for the leases of a VM's incarnation
+ * to expire although that incarnation has ended, for example by an order of
+ * the previous owner.  The stored list of used VMs, to which an owner may have
+ * sent orders, must have the VM's machine id, by which the new owner sees in
+ * the platform's list of VMs that the incarnation has ended. */
 static void
 test_replaced_vm_is_not_awaited(void)
 {
@@ -275,9 +278,9 @@
     sim_destroy(sim);
 }
 
-/* Guards against tasks that wait, after a hand-over, for a silent VM that does
- * not run them: the previous owner stored the runs of each VM with the list of
- * used VMs, to which an owner may have sent orders. */
+/* Guards against tasks that wait for a silent VM after a hand-over although
+ * that VM does not run them: the previous owner stored the runs of each VM
+ * with the list of used VMs, to which an owner may have sent orders. */
 static void
 test_hand_over_passes_on_runs(void)
 {
@@ -300,8 +303,9 @@
     sim_destroy(sim);
 }
 
-/* Guards against jobs submitted after a takeover whose tasks wait for a silent
- * VM, although that VM can't be running these tasks. */
+/* Guards against tasks that wait for a silent VM although their job was
+ * submitted after the takeover, so that the silent VM can't be running
+ * them. */
 static void
 test_new_jobs_start_at_once(void)
 {
--- a/packages/scheduler/tests/test_scheduler_random.c
+++ b/packages/scheduler/tests/test_scheduler_random.c
@@ -16,8 +16,9 @@
  * "test_scheduler_random FIRST_SEED COUNT" runs other seeds. */
 
 /* In half of the calls, does one of five things: kills the pool's owner and
- * starts the next, starts the next without the owner noticing, hands the pool
- * over, crashes a VM, or makes a VM silent. */
+ * starts the next owner; starts the next owner while the current one does not
+ * notice and goes on; hands the pool over to the next owner; crashes a VM; or
+ * makes a VM silent. */
 static void
 inject_fault(Sim *sim, AqRandom *random)
 {
--- a/packages/scheduler/tests/test_sizing.c
+++ b/packages/scheduler/tests/test_sizing.c
@@ -167,8 +167,8 @@
 };
 
 /* Guards against pools that have too few VMs during a burst (many jobs
- * submitted within a short time), keep too many VMs after it, or move VMs back
- * and forth. */
+ * submitted within a short time), keep too many VMs after the burst, or
+ * acquire VMs from the spare pool and soon release the same VMs to it. */
 static void
 test_patterns(void)
 {
--- a/packages/scheduler/used_vms.c
+++ b/packages/scheduler/used_vms.c
@@ -202,9 +202,9 @@
     return ok;
 }
 
-/* After a hand-over, makes the runs that the previous owner listed the current
- * runs of their tasks.  No other run of that owner can be alive, so all other
- * tasks may start at once. */
+/* After a hand-over, takes each run that the previous owner stored with the
+ * list of used VMs as the current run of the run's task.  No other run of that
+ * owner can be alive, so all other tasks may start at once. */
 static void
 adopt_inherited_runs(AqScheduler *s)
 {
--- a/packages/scheduler/vms.c
+++ b/packages/scheduler/vms.c
@@ -9,9 +9,9 @@
      * the progress of the tasks, and the next renewal extends the lease. */
     BUSY_RENEWAL_WAIT_MS = 400,
     IDLE_RENEWAL_WAIT_MS = 1000,
-    /* Pause before the next renewal order (extends the VM's lease) while the
-     * scheduler has not confirmed all ends of runs that the VM has listed,
-     * since the VM would list these ends again at once. */
+    /* Pause before the next renewal order, which extends the VM's lease, while
+     * the scheduler has not confirmed all the ends of runs in the VM's last
+     * reply: the VM would list these ends again at once. */
     UNSTORED_RENEWAL_DELAY_MS = 200,
     SILENT_RENEWAL_RETRY_MS = 300,
     /* the scheduler starts tasks that allow copies (two live runs at a time)
@@ -20,15 +20,15 @@
      * a silent VM */
     COPY_AFTER_SILENCE_MS = 700,
     /* A VM whose entry in the store expired during a store outage adds the
-     * entry again within about 2 s; a VM whose entry is missing for longer
-     * than this is gone. */
+     * entry again within about 2 s.  No task starts on a VM whose entry has
+     * been missing for this long, since such a VM counts as gone. */
     UNLISTED_GRACE_MS = 2200,
     /* a VM without tasks is removed from the scheduler's table of VMs when the
      * VM has had no entry in the store for longer than this */
     UNLISTED_FORGET_MS = 10000,
     /* A VM may list a run of a job that this scheduler has not yet read from
-     * the store.  If the job is still unknown after this time, the run is
-     * stopped. */
+     * the store.  If the job is still unknown after this time, the scheduler
+     * orders the stop of that run. */
     UNKNOWN_JOB_GRACE_MS = 3000,
     LEASE_EXPIRY_MARGIN_MS = 100,
     /* After QUARANTINE_AFTER_FAILURES consecutive failed runs of different
@@ -139,8 +139,9 @@
         return;
     }
     if (vm->clock_ms < 0) {
-        /* An earlier owner may have granted a whole lease just before this
-         * owner's fence reached the VM. */
+        /* An earlier owner may have granted the VM a lease of lease_ms just
+         * before the VM received this owner's first order, whose higher fence
+         * makes the VM refuse later orders of earlier owners. */
         vm->deadline_ms = reply->clock_ms + s->config.lease_ms;
     }
     vm->clock_ms = reply->clock_ms;
@@ -156,9 +157,9 @@
     }
 }
 
-/* Makes the running tasks of the silent VM whose steps allow copies ready for
- * new runs, without waiting for the VM's lease to expire: the old runs of
- * these tasks may continue beside the new ones. */
+/* Makes those running tasks of the silent VM whose steps allow copies ready
+ * for new runs, without waiting for the VM's lease to expire.  The tasks' runs
+ * on the silent VM may continue beside the new runs. */
 static void
 copy_tasks(AqScheduler *s, Vm *vm)
 {
@@ -170,8 +171,10 @@
             continue;
         }
         s->counters.copied++;
-        /* The old run counts as foreign usage of the VM until the VM replies
-         * to a lease renewal. */
+        /* The task's run on this silent VM may continue beside the task's new
+         * run.  Until the VM replies to a lease renewal, the resources of the
+         * run on this VM count as foreign usage: that of runs which are not
+         * the current run of any task of this scheduler. */
         vm->foreign_cpu += spec->cpu_millis;
         vm->foreign_memory += spec->memory_mb;
         g_strlcpy(task->avoid, vm->report.id, sizeof(task->avoid));
@@ -198,8 +201,9 @@
     return deadline;
 }
 
-/* Makes all tasks of the VM ready for new runs.  Their runs on the VM count as
- * lost: they have ended, but the VM has not listed their ends. */
+/* Makes all tasks of the VM ready for new runs.  The tasks' runs on the VM
+ * count as lost: these runs have ended, but the VM has not listed their
+ * ends. */
 static void
 requeue_lost_tasks(AqScheduler *s, Vm *vm, const char *reason)
 {
--- a/packages/scheduler/waves.c
+++ b/packages/scheduler/waves.c
@@ -16,7 +16,8 @@
      * the VM's tasks to end; then it stops the remaining tasks, except
      * perpetual ones. */
     TASK_END_WAIT_MS = 5000,
-    /* replaces TASK_END_WAIT_MS when the wave may miss its deadline */
+    /* wait for the VM's tasks to end, in place of TASK_END_WAIT_MS, when the
+     * wave may miss its deadline */
     LATE_TASK_END_WAIT_MS = 1200,
     /* For a wave, a pool may drain its number of VMs divided by
      * MAX_POOL_DIVISOR at the same time, and always at least one VM. */
