--- a/packages/scheduler/Include/aq_job_spec.h
+++ b/packages/scheduler/Include/aq_job_spec.h
@@ -78,7 +78,7 @@
     char *text;
     AqStepSpec *steps; /* array of step_count steps; owned */
     size_t step_count;
-    /* due time of occurrence 0, Unix ms; 0: due at once */
+    /* due time of occurrence 0, Unix ms; 0: due immediately */
     int64_t first_due_ms;
     /* time between the due times of successive occurrences */
     int64_t interval_ms;
--- a/packages/scheduler/Include/aq_machine_requests.h
+++ b/packages/scheduler/Include/aq_machine_requests.h
@@ -10,9 +10,11 @@
 
 /* Machine requests, which the owner of a pool sends to the machine coordinator
  * (the one node that orders moves and maintenance of VMs), and the
- * coordinator's responses, which list the requests that have ended.  Each of
- * these lists is stored whole under one key and rewritten at each change.  A
- * request that its owner removes from the list is withdrawn. */
+ * coordinator's responses, which list the requests that have ended.  The store
+ * has one list of requests and one list of responses for each pool, each list
+ * under its own key; at each change the whole list is written again.  A
+ * request that the pool owner removes from its list of requests is
+ * withdrawn. */
 
 enum {
     /* most requests in the list of one pool; further requests are added once
@@ -21,7 +23,8 @@
 };
 
 typedef struct {
-    /* number of the request, unique among the machine requests of one owner */
+    /* number of the request, unique among the machine requests of one owner of
+     * a pool */
     int64_t number;
     char machine[AQ_VM_ID_SIZE];
     /* name of the pool to move the VM to; "": a request for maintenance */
@@ -34,7 +37,8 @@
 } AqMachineRequest;
 
 typedef struct {
-    uint64_t fence; /* fencing number of the requesting owner */
+    /* fencing number of the pool owner that sends the requests */
+    uint64_t fence;
     /* number of VMs that the pool needs in addition to those that the moves
      * requested in this list bring to the pool */
     size_t requested_vms;
--- a/packages/scheduler/Include/aq_scheduler.h
+++ b/packages/scheduler/Include/aq_scheduler.h
@@ -28,8 +28,9 @@
  *
  * A new owner reads the stored list of used VMs: those to which an earlier
  * owner of the pool may have sent orders.  The new owner starts no task that
- * an earlier owner may have started until each of these VMs has replied under
- * the new fence or the VM's leases must have expired. */
+ * an earlier owner may have started until each of these VMs has replied to the
+ * new owner or the VM's lease must have expired.  The lease of a VM is the
+ * time until which the VM runs tasks without a renewal. */
 
 typedef struct AqScheduler AqScheduler;
 
@@ -47,7 +48,8 @@
 
 typedef struct {
     char pool[64];
-    /* fencing number of this owner; above those of all earlier owners */
+    /* fencing number of this owner of the pool; above those of all earlier
+     * owners */
     uint64_t fence;
     /* number of owners that the pool had before the current owner */
     int64_t generation;
@@ -74,7 +76,7 @@
     void (*request_tickets)(void *context, const AqTaskName *step,
                             const char *const *vms, size_t count);
     /* A VM replied that it has received orders with a higher fencing number
-     * than this owner's: a later owner of the pool exists. */
+     * than that of this owner of the pool: a later owner exists. */
     void (*superseded)(void *context);
 } AqSchedulerActions;
 
@@ -94,8 +96,8 @@
                         const char *record, size_t size, AqTime now,
                         AqError *error);
 void AqScheduler_CancelJob(AqScheduler *scheduler, const char *id, AqTime now);
-/* Removes the job if it is finished and its record is stored; otherwise has no
- * effect. */
+/* Removes the job from the scheduler if the job is finished and its record is
+ * stored; otherwise has no effect. */
 void AqScheduler_RemoveJob(AqScheduler *scheduler, const char *id);
 /* Sets *stage to the job's stage; for a finished job, to the stage in the
  * job's stored record.  False when the job is not known. */
@@ -143,15 +145,15 @@
     /* id that all incarnations of the VM share, or "": not known; borrowed */
     const char *machine;
     bool is_usable; /* tasks may be started on the VM */
-    /* the VM replies to this owner's orders */
+    /* the VM replies to the orders of this owner of the pool */
     bool is_answering;
     /* number of tasks running, starting or stopping on the VM */
     size_t tasks;
     /* number of perpetual tasks among "tasks" */
     size_t perpetual_tasks;
     int64_t cpu_millis;
-    /* when the last task on this VM ended; AQ_TIME_NEVER while the VM has
-     * tasks */
+    /* since when the VM has had no starting, running or stopping tasks;
+     * AQ_TIME_NEVER while it has such tasks */
     AqTime idle_since;
     /* Since when the VM, which may have received orders, has not replied;
      * AQ_TIME_NEVER for a VM that replies or is known to have ended. */
@@ -222,20 +224,21 @@
 } AqJobSave;
 
 /* Fills "saves" with up to "most" records of changed jobs, the job with the
- * oldest change first, and returns their number.  Returns 0 while an earlier
- * save is under way. */
+ * oldest change first, and returns the number of records.  Returns 0 while an
+ * earlier save is under way. */
 size_t AqScheduler_BeginSave(AqScheduler *scheduler, AqJobSave *saves,
                              size_t most);
 void AqScheduler_EndSave(AqScheduler *scheduler, AqJobSave *saves,
                          size_t count, bool is_stored, AqTime now);
-/* Whether a change of some job is not stored yet. */
+/* Whether a change of any job is not stored yet. */
 bool AqScheduler_HasUnsaved(const AqScheduler *scheduler);
 
 /* ---- Time --------------------------------------------------------------- */
 
 /* Sends the orders that are due.  "wall" is Unix ms.  While "may_order" is
  * false no order is sent, since the pool may have another owner.  Returns the
- * latest time for the next call, on the clock of "now". */
+ * time, on the clock of "now", by which the caller must call the function
+ * again. */
 AqTime AqScheduler_Tick(AqScheduler *scheduler, AqTime now, int64_t wall,
                         bool may_order);
 
@@ -260,8 +263,8 @@
     /* largest number of VMs that any one perpetual step (its tasks run until
      * the job is cancelled) needs, given the step's limit on tasks per VM */
     size_t widest_spread;
-    /* the scheduler knows all live runs that earlier owners may have
-     * started */
+    /* the scheduler knows all live runs that earlier owners of the pool may
+     * have started */
     bool is_recovered;
 } AqSchedulerLoad;
 
--- a/packages/scheduler/Include/aq_sizing.h
+++ b/packages/scheduler/Include/aq_sizing.h
@@ -13,7 +13,8 @@
  * for the rate at which jobs are submitted, not only for the ready tasks.  A
  * move of a VM costs as much as running it for about a second, so VMs are
  * released soon after a burst (many jobs submitted within a short time) has
- * ended; a few are kept so that tasks of the next burst can start at once. */
+ * ended; a few are kept so that tasks of the next burst can start
+ * immediately. */
 
 typedef struct {
     AqTime now;
--- a/packages/scheduler/Include/aq_worker_client.h
+++ b/packages/scheduler/Include/aq_worker_client.h
@@ -56,7 +56,8 @@
     /* refused: a run of the task with this or a higher number was stopped or
      * has ended on the VM */
     AQ_ORDER_OLD_RUN,
-    /* refused: the order's lease deadline has passed on the VM's clock */
+    /* refused: the end of the lease that the order grants to the VM has passed
+     * on the VM's clock */
     AQ_ORDER_LATE,
     /* refused: the VM lacks free resources for the task */
     AQ_ORDER_NO_ROOM,
@@ -107,8 +108,8 @@
 } AqEndKind;
 
 typedef struct {
-    /* sequence number of the end; rises with each end in an incarnation of the
-     * VM */
+    /* sequence number of the end of the run; rises with each end of a run in
+     * one incarnation of the VM */
     int64_t number;
     AqTaskName task;
     int64_t run;
--- a/packages/scheduler/job_spec.c
+++ b/packages/scheduler/job_spec.c
@@ -10,9 +10,9 @@
     /* version of the stored form of a job, stored as its first element; a form
      * of another version is refused as damaged */
     SPEC_FORMAT = 1,
-    /* number of array elements in the stored form of one job */
+    /* number of elements of the msgpack array that stores one AqJobSpec */
     SPEC_FIELDS = 9,
-    /* number of array elements in the stored form of one step */
+    /* number of elements of the msgpack array that stores one AqStepSpec */
     STEP_FIELDS = 14,
     FLAG_GANG = 1,
     FLAG_ONE_RACK = 2,
--- a/packages/scheduler/perpetual.c
+++ b/packages/scheduler/perpetual.c
@@ -10,8 +10,8 @@
 enum {
     SCAN_PERIOD_MS = 20,
     /* a task counts as absent (not at work) when its VM has not replied for
-     * longer than this: the time that two lease renewals of a VM with tasks
-     * take */
+     * longer than this, about twice the longest interval between two replies
+     * to lease renewals of a VM with tasks */
     NO_REPLY_LIMIT_MS = 900,
     /* Tail latency of a serving task (it has a latency target), in percent of
      * that target: above SLOW_DOWN_PERCENT the scheduler slows the fillers
--- a/packages/scheduler/placement.c
+++ b/packages/scheduler/placement.c
@@ -107,8 +107,9 @@
            (!tickets || find_ticket(s, step, vm) != NULL);
 }
 
-/* Cost of running the task on the VM; the VM with the lowest cost is
- * chosen. */
+/* Returns the cost of running the task on the VM, in thousandths of a core:
+ * the VM's free CPU plus addends for unwanted VMs and racks.  The VM with the
+ * lowest cost is chosen. */
 static int64_t
 placement_cost(const AqScheduler *s, const Vm *vm, const Task *task)
 {
@@ -322,7 +323,7 @@
     for (uint32_t i = 0; i < step->spec->task_count; i++) {
         if (!is_startable(s, &step->tasks[i])) {
             /* a task of the gang (step whose tasks run together) is not ready,
-             * or waits before its next start */
+             * or its earliest start time, Task.not_before, has not come */
             return;
         }
     }
@@ -377,7 +378,8 @@
          * or a VM gets no tasks */
         PLACEMENT_PERIOD_MS = 100,
         /* least time from one placement of tasks to the next, since a
-         * placement visits all jobs, and ends of runs arrive one by one */
+         * placement visits all jobs, and each end of a run makes a placement
+         * due */
         MIN_PLACEMENT_GAP_MS = 5
     };
     if (s->now < s->earliest_placement_at) {
--- a/packages/scheduler/record_codec.c
+++ b/packages/scheduler/record_codec.c
@@ -104,11 +104,11 @@
         /* number of 1 to 8 bytes */
         return scan_skip(scan, (uint64_t)1 << (type & 3));
     }
-    if (type >= 0xc4 && type <= 0xc6) { /* byte string */
+    if (type >= 0xc4 && type <= 0xc6) { /* type codes of byte strings */
         return scan_number(scan, (size_t)1 << (type - 0xc4), &size) &&
                scan_skip(scan, size);
     }
-    if (type >= 0xd9 && type <= 0xdb) { /* text string */
+    if (type >= 0xd9 && type <= 0xdb) { /* type codes of text strings */
         return scan_number(scan, (size_t)1 << (type - 0xd9), &size) &&
                scan_skip(scan, size);
     }
--- a/packages/scheduler/record_codec.h
+++ b/packages/scheduler/record_codec.h
@@ -16,7 +16,7 @@
  * for damaged bytes.  The caller destroys *unpacked in both cases.  The counts
  * of arrays are first checked against the number of bytes, because msgpack-c
  * allocates the memory for all elements before reading them: a damaged count
- * made that 128 GB. */
+ * once made msgpack-c allocate 128 GB. */
 bool record_unpack(msgpack_unpacked *unpacked, const char *bytes, size_t size);
 /* Sets *value to the integer of "object"; false when "object" is not an
  * integer or not from "low" to "high". */
--- a/packages/scheduler/replies.c
+++ b/packages/scheduler/replies.c
@@ -107,9 +107,10 @@
     vms_detach(s, task);
 }
 
-/* Handles what a reply to an order, of whatever kind, shows about the VM and
- * this owner.  Returns true when the reply needs no further handling: a later
- * owner of the pool exists, or *vm has been freed. */
+/* Records what the reply to an order of any kind shows about the VM and this
+ * owner of the pool.  Returns true when the caller has nothing more to do for
+ * the reply: a later owner of the pool exists, or the VM was removed from the
+ * scheduler's table of VMs and *vm was freed. */
 static bool
 handle_common_result(AqScheduler *s, Vm *vm, const AqOrderReply *reply)
 {
@@ -172,9 +173,10 @@
     }
 }
 
-/* Handles a start order for the task that had no effect.  An earlier start
- * order for the same run that had no reply may still be executed, which only a
- * stop order rules out. */
+/* Makes the task, whose start order had no effect on the VM, ready for a new
+ * run after "pause" ms.  An earlier start order for the same run that had no
+ * reply may still be executed, which only a stop order rules out; the task's
+ * run is then stopped first. */
 static void
 handle_refused_start(AqScheduler *s, Task *task, AqTime pause)
 {
@@ -318,8 +320,8 @@
 }
 
 /* Applies the ends of runs that the reply lists, in order, and stops at the
- * first end of a run whose job is not known yet.  Returns whether all ends
- * were applied. */
+ * first end of a run whose job this scheduler does not know yet.  Returns
+ * whether all ends were applied. */
 static bool
 process_ends(AqScheduler *s, Vm *vm, const AqOrderReply *reply)
 {
@@ -392,7 +394,8 @@
 }
 
 /* Makes a run that the VM lists the task's current run.  The run was started
- * by an earlier owner, or by a start order of this owner that had no reply. */
+ * by an earlier pool owner, or by a start order of this pool owner that had no
+ * reply. */
 static void
 adopt_run(AqScheduler *s, Vm *vm, Task *task, const AqRunningTask *row)
 {
@@ -431,9 +434,10 @@
 }
 
 /* Applies one run that the VM lists as alive in its reply to a lease renewal:
- * confirms the run or makes it the task's current run; orders the stop of the
- * run when the run's task is unknown or finished, or has a newer run.  A run
- * of an unknown job is stopped only after vms_is_foreign_run_overdue(). */
+ * marks the run in the scheduler as alive, as the task's current run; orders
+ * the stop of the run when the run's task is unknown or finished, or has a
+ * newer run.  The stop of a run of an unknown job is ordered only once
+ * vms_is_foreign_run_overdue() is true for the VM. */
 static void
 process_running_task(AqScheduler *s, Vm *vm, const AqRunningTask *row)
 {
--- a/packages/scheduler/scheduler_internal.h
+++ b/packages/scheduler/scheduler_internal.h
@@ -8,7 +8,7 @@
 
 /* Types and functions shared by the sources of the scheduler:
  * scheduler.c   jobs, steps, the tick and the reported load
- * vms.c         state of each VM, its leases, and VMs that do not reply
+ * vms.c         state of each VM, the VM's lease, and VMs that do not reply
  * used_vms.c    stored list of the VMs that a later owner must wait for
  * replies.c     effects of the replies to orders on tasks
  * ranking.c     order in which jobs are placed
@@ -28,8 +28,8 @@
     TASK_STARTING,
     TASK_RUNNING,
     /* the scheduler has sent a stop order for the task's run, or will send one
-     * as soon as the owner may send orders and no other order for the task is
-     * pending */
+     * as soon as the pool owner may send orders and no other order for the
+     * task is pending */
     TASK_STOPPING,
     TASK_DONE
 } TaskState;
@@ -196,7 +196,7 @@
 };
 
 /* A run that the previous owner of the pool stored with the list of used VMs
- * when that owner handed the pool over. */
+ * when that pool owner handed the pool over. */
 typedef struct {
     char vm[AQ_VM_ID_SIZE];
     AqTaskName task;
@@ -204,8 +204,8 @@
 } InheritedRun;
 
 /* The end of one run, which a VM has listed in a reply to a lease renewal.
- * The end may be confirmed to that VM once all changes of jobs with numbers up
- * to "seq" are stored. */
+ * "number" is the AqEndedTask.number of the end, which may be confirmed to
+ * that VM once all changes of jobs with numbers up to "seq" are stored. */
 typedef struct {
     int64_t number;
     uint64_t seq;
@@ -223,16 +223,18 @@
      * list; not used while is_listed is true */
     AqTime unlisted_at;
     bool is_cordoned;
-    /* first version of the list of used VMs (VMs to which this owner may have
-     * sent orders) in which this VM is included */
+    /* first version of the list of used VMs (VMs to which this pool owner may
+     * have sent orders) in which this VM is included */
     uint64_t used_since_version;
-    /* the stored version of the list of used VMs (VMs to which this owner may
-     * have sent orders) includes this VM */
+    /* the stored version of the list of used VMs (VMs to which this pool owner
+     * may have sent orders) includes this VM */
     bool is_use_recorded;
-    /* the VM has replied to a lease renewal with this owner's fence */
+    /* the VM has replied to a lease renewal that this owner of the pool
+     * sent */
     bool has_replied;
-    /* an earlier owner listed the VM as used, since that owner may have sent
-     * the VM orders; false again once the VM's leases have expired */
+    /* the VM comes from the list of used VMs that an earlier owner of the pool
+     * stored, since that owner may have sent the VM orders; false again once
+     * the VM has been silent until its lease expired */
     bool used_by_earlier_owner;
     /* AqScheduler_VmEnded() was called for this VM, because the platform
      * accepted a move or maintenance of the VM, or lists another incarnation
@@ -244,12 +246,13 @@
     /* when this scheduler received the VM's last reply that reports the VM's
      * clock */
     AqTime clock_at;
-    /* end of the VM's latest lease, on the VM's clock */
+    /* end of the VM's lease, on the VM's clock: until then the VM runs tasks
+     * without a renewal; not valid while clock_ms is -1 */
     AqTime deadline_ms;
     /* a lease renewal sent to the VM has had no reply yet */
     bool is_renewal_pending;
-    /* earliest time to send the VM the next renewal order (extends the VM's
-     * lease) */
+    /* earliest time to send the VM the next renewal order, which extends the
+     * VM's lease; not used while is_renewal_pending is true */
     AqTime renewal_due;
     /* when an order to the VM first ended without a reply after the VM's last
      * reply; AQ_TIME_NEVER while the VM replies */
@@ -276,10 +279,11 @@
     /* since when the VM has had no tasks; AQ_TIME_NEVER while it has tasks */
     AqTime idle_since;
     /* highest AqEndedTask.number among the ends of runs on this VM whose
-     * effects this scheduler has applied to the tasks */
+     * effects this scheduler has applied to the tasks; 0: none */
     int64_t last_end_number;
     /* the VM need no longer list ends of runs with an AqEndedTask.number up to
-     * this one, since the job changes that these ends caused are stored */
+     * this one, since the job changes that these ends caused are stored; 0:
+     * none */
     int64_t confirmed_end_number;
     /* array of PendingEnd, in rising order of number: each end of a run that
      * the scheduler has applied and not yet confirmed to the VM; owned */
@@ -295,7 +299,8 @@
     void *context;            /* first argument of each call of "actions" */
     const AqSiteConfig *site; /* borrowed */
     AqTime created_at;
-    /* the latest time "now" passed to the scheduler */
+    /* "now" of the latest call of a scheduler function that has this
+     * parameter */
     AqTime now;
     /* "wall" of the last AqScheduler_Tick(), Unix ms */
     int64_t wall;
@@ -303,15 +308,15 @@
     /* array of InheritedRun; emptied by AqScheduler_SetLoaded() */
     GArray *inherited_runs;
     /* all stored jobs have been added, and all VMs from the stored list of
-     * used VMs, to which an earlier owner may have sent orders */
+     * used VMs, to which an earlier pool owner may have sent orders */
     bool is_loaded;
     /* AqScheduler_Close() was called: the scheduler sends no more orders */
     bool is_closed;
-    /* the previous owner handed the pool over and stored all its live runs of
-     * tasks with the list of used VMs */
+    /* the previous pool owner handed the pool over and stored all its live
+     * runs of tasks with the list of used VMs */
     bool is_handed_over;
-    /* the scheduler knows all live runs that earlier owners may have
-     * started */
+    /* the scheduler knows all live runs that earlier owners of the pool may
+     * have started */
     bool is_recovered;
     /* a VM reported that a later owner of the pool has sent it orders; this
      * scheduler sends no more orders */
@@ -329,8 +334,8 @@
     size_t saving_count;
     GHashTable *vms_by_id;
     AqLink vms; /* list of Vm; owned */
-    /* version of the list of used VMs (VMs to which this owner may have sent
-     * orders) */
+    /* version of the list of used VMs (VMs to which this pool owner may have
+     * sent orders) */
     uint64_t used_vms_version;
     bool placement_due;
     /* when the scheduler next places tasks on VMs, unless placement_due
@@ -339,8 +344,9 @@
     /* no placement of tasks takes place before this time */
     AqTime earliest_placement_at;
     /* when the scheduler next scans all tasks, to repeat start and stop
-     * orders, move perpetual tasks and change the speed limits of fillers,
-     * which are tasks that use only CPU that others leave */
+     * orders, to move perpetual tasks off cordoned and draining VMs, and to
+     * change the speed limits of fillers, which are tasks that use only CPU
+     * that others leave */
     AqTime next_scan_at;
     /* most free CPU on one usable VM, in thousandths of a core; valid only
      * while tasks are placed */
@@ -403,7 +409,8 @@
 /* Assigns the task to the VM and adds the task's resources to the VM's
  * usage. */
 void vms_attach(AqScheduler *s, Vm *vm, Task *task);
-/* Undoes vms_attach() of the task; no effect on a task without a VM. */
+/* Takes the task off its VM and subtracts the task's resources from the VM's
+ * usage; no effect on a task without a VM. */
 void vms_detach(AqScheduler *s, Task *task);
 /* Whether tasks may be started on the VM, provided that its free resources
  * suffice for them. */
@@ -416,11 +423,15 @@
  * of the lease, on the VM's clock. */
 AqTime vms_grant_lease(AqScheduler *s, Vm *vm);
 /* Makes the VM's tasks ready for new runs, counts their runs on the VM as
- * lost, removes the VM from the scheduler and frees it. */
+ * lost, removes the VM from the scheduler's table of VMs and frees the Vm
+ * struct. */
 void vms_remove(AqScheduler *s, Vm *vm);
 void vms_free(Vm *vm);
-/* Sends the lease renewals that are due and handles VMs that do not reply.
- * Returns when the next lease renewal is due. */
+/* Sends the lease renewals that are due.  Makes tasks of VMs that do not reply
+ * ready for new runs: tasks that allow copies after COPY_AFTER_SILENCE_MS, all
+ * tasks once the VM's lease has expired.  Removes VMs without tasks whose
+ * entry in the store has disappeared.  Returns when the next lease renewal is
+ * due. */
 AqTime vms_tick(AqScheduler *s);
 /* Removes ends of runs from the front of the VM's pending_ends, up to the
  * first end whose job change is not stored.  Sets confirmed_end_number to the
@@ -437,7 +448,8 @@
  * has ended, with or without a reply. */
 void vms_schedule_renewal(AqScheduler *s, Vm *vm);
 /* Whether the VM has listed runs, or ends of runs, of unknown jobs for longer
- * than this owner needs to read a new job from the store. */
+ * than UNKNOWN_JOB_GRACE_MS, which is longer than this owner of the pool needs
+ * to read a new job from the store. */
 bool vms_is_foreign_run_overdue(const AqScheduler *s, const Vm *vm);
 
 /* ---- replies.c */
--- a/packages/scheduler/tests/sim.c
+++ b/packages/scheduler/tests/sim.c
@@ -11,7 +11,8 @@
     /* an order without a reply ends with AQ_ORDER_UNKNOWN after this time */
     REPLY_TIMEOUT_MS = 600,
     SAVE_DURATION_MS = 8,
-    /* a VM that is silent for longer than this loses its entry in the store */
+    /* a VM that drops all orders for longer than this loses its entry in the
+     * store */
     LISTING_TTL_MS = 4500,
     /* a job fails when one of its tasks has had this many failed runs */
     MAX_ATTEMPTS = 2
@@ -24,7 +25,8 @@
     AqTime started_at;
     AqTime duration_ms; /* duration of the run at full speed */
     /* progress of the run so far, as the ms that it takes at full speed; a run
-     * that is not perpetual is done at duration_ms */
+     * of a task that is not perpetual completes the task when worked_ms
+     * reaches duration_ms */
     AqTime worked_ms;
     /* the run fails once worked_ms is a quarter of duration_ms */
     bool will_fail;
@@ -37,10 +39,11 @@
     int pace_percent;
 } Run;
 
-/* The end of a run of a task, which the run's VM lists in its replies until an
- * owner has confirmed the end. */
+/* The end of a run of a task, which the run's VM lists in its replies until a
+ * pool owner has confirmed the end to the VM. */
 typedef struct {
-    /* sequence number of the end, from 1 in each incarnation of a VM */
+    /* sequence number of the end of the run, counted from 1 in each
+     * incarnation of a VM */
     int64_t number;
     AqTaskName name;
     int64_t run; /* number of the run among all runs of its task */
@@ -56,35 +59,40 @@
     unsigned slot;
     /* false once this incarnation of the VM has crashed */
     bool is_alive;
-    /* the VM drops orders before this time */
+    /* the VM drops all orders that arrive before this time on the clock of
+     * Sim.now */
     AqTime silent_until;
-    /* when the VM last began to drop orders; AQ_TIME_NEVER: it never did */
+    /* when the VM last began to drop all orders, on the clock of Sim.now;
+     * AQ_TIME_NEVER: it never did */
     AqTime silent_since;
     bool is_listed; /* the VM has an entry in the store */
     /* the runs on the VM make no progress */
     bool is_stalled;
     bool is_draining;
-    /* rate of the VM's clock, relative to Sim.now */
+    /* ms that pass on the VM's clock for each ms of Sim.now; 0.98 to 1 */
     double clock_rate;
-    /* highest fence of all orders that the VM has received */
+    /* highest fencing number of all orders that the VM has received; 0: none
+     * received */
     uint64_t fence;
-    /* end of the VM's lease, on the VM's own clock */
+    /* end of the VM's lease, on the VM's own clock; 0: no order has granted
+     * the VM a lease */
     AqTime lease_deadline;
-    /* last time, on the clock of Sim.now, at which the VM had no valid
-     * lease */
+    /* last time, on the clock of Sim.now, at which the VM had no valid lease;
+     * 0: none */
     AqTime lease_expired_at;
-    /* tail latency that the VM reports for each of its perpetual tasks */
+    /* tail latency, ms, that the VM reports for each of its perpetual tasks */
     int64_t tail_latency_ms;
     /* array of Run: the live runs on the VM */
     GArray *runs;
-    /* array of RunEnd: ends of runs on the VM, each of them until an owner has
-     * confirmed that end */
+    /* array of RunEnd: the ends of runs on the VM that no pool owner has
+     * confirmed to the VM */
     GArray *ends;
-    /* Key of a task -> highest run number among the task's runs that ended or
-     * were stopped on this VM; runs of the task with numbers up to that one
-     * can't start on this VM. */
+    /* task_key() of a task -> highest run number among the task's runs that
+     * ended or were stopped on this VM; runs of the task with numbers up to
+     * that one can't start on this VM. */
     GHashTable *closed_runs;
-    /* RunEnd.number of the last end of a run on this VM */
+    /* RunEnd.number of the last end of a run on this VM; 0: no run has ended
+     * on the VM */
     int64_t last_end;
 } SimVm;
 
@@ -105,7 +113,8 @@
     uint64_t sequence;
     bool is_reply;
     OrderKind kind;
-    /* owner that receives the reply to the order; NULL: there is no reply */
+    /* pool owner that receives the reply to the order; NULL: no one receives a
+     * reply */
     SimOwner *owner;
     /* id of the VM's incarnation to which the order is addressed */
     char vm[AQ_VM_ID_SIZE];
@@ -121,15 +130,17 @@
     AqTime deadline;
     /* contents of a renewal order, which extends the VM's lease */
     AqRenewalOrder renewal;
-    AqTime sent_at; /* when the owner sent the order */
+    /* when the pool owner sent the order, on the clock of Sim.now */
+    AqTime sent_at;
     /* of a renewal order, which extends the VM's lease: when the VM replies at
      * the latest, on the clock of Sim.now */
     AqTime wait_until;
     /* of a pace order, which limits the speed of a run: the speed limit, in
      * percent of full speed */
     int percent;
-    /* In a reply: the result, the VM's clock and, if the order was a renewal
-     * order, the live runs on the VM and the unconfirmed ends of runs. */
+    /* In a reply: the result of the order, the time on the VM's clock (-1: not
+     * reported) and, if the order was a renewal order, the live runs on the VM
+     * and the ends of runs that no pool owner has confirmed to the VM. */
     AqOrderResult result;
     AqTime clock_ms;
     AqRunningTask *running;
@@ -142,30 +153,32 @@
     Sim *sim;
     AqScheduler *scheduler;
     uint64_t fence;
-    /* From this time on the owner sends no orders, because it was replaced or
-     * a VM reported orders of a later owner; AQ_TIME_NEVER for other
-     * owners. */
+    /* From this time on the pool owner sends no orders, because it was killed
+     * or replaced, or a VM reported orders of a later pool owner;
+     * AQ_TIME_NEVER: none of these has happened. */
     AqTime lease_end;
     bool has_exited;
-    AqJobSave saves[16]; /* job records of the save under way */
+    /* the save_count job records that the save under way writes */
+    AqJobSave saves[16];
     /* number of job records in the save under way; 0: none is */
     size_t save_count;
-    /* when the owner's save under way ends */
+    /* when the pool owner's save under way ends, on the clock of Sim.now; not
+     * used while save_count is 0 */
     AqTime save_due;
 };
 
 /* Actual state of a task on all VMs, independent of what the schedulers have
  * recorded.  The invariants are checked against this state. */
 typedef struct {
-    /* number of the task's failed runs whose ends an owner has confirmed to
-     * the VM */
+    /* number of the task's failed runs whose ends a pool owner has confirmed
+     * to the VM of the run */
     unsigned confirmed_failures;
     bool is_done; /* a run has completed the task */
-    /* a run has completed the task and an owner has confirmed the end of that
-     * run */
+    /* a run has completed the task and a pool owner has confirmed the end of
+     * that run to the run's VM */
     bool is_done_confirmed;
-    /* when the task's last run started; not set if the task's step allows
-     * copies */
+    /* when the task's last run started, on the clock of Sim.now; 0: no run has
+     * started, or the task's step allows copies */
     AqTime last_started_at;
     /* an order stopped the task's last run, and no run of the task has started
      * since */
@@ -174,11 +187,13 @@
 
 /* A job in the store, and the faults that are injected into its runs. */
 typedef struct {
-    AqBuffer spec;   /* encoded AqJobSpec */
-    AqBuffer record; /* stored form of the job's progress */
+    AqBuffer spec; /* encoded AqJobSpec */
+    /* stored form of the job's progress; empty while has_record is false */
+    AqBuffer record;
     bool has_record;
     bool is_cancelled;
-    /* number of the job's next runs that will fail */
+    /* number of runs of the job's tasks that fail, counted from the next run
+     * that a VM starts */
     unsigned runs_to_fail;
     /* actual duration of the job's runs, in percent of the declared
      * duration */
@@ -188,7 +203,7 @@
 
 struct Sim {
     AqRandom random;
-    /* virtual clock, ms, which is also the owners' clock */
+    /* virtual clock, ms, which is also the pool owners' clock */
     AqTime now;
     SimFaults faults;
     /* the current incarnation of each VM */
@@ -203,21 +218,22 @@
     GPtrArray *events;
     /* number that the next queued event gets as its Event.sequence */
     uint64_t sequence;
-    /* array of SimOwner: all owners since the start of the simulation */
+    /* array of SimOwner: all owners that the pool has had since the start of
+     * the simulation */
     GPtrArray *owners;
     SimOwner *owner; /* the current owner of the pool */
-    /* number of owners that the pool had before the owner that is started
-     * next */
+    /* number of owners that the pool has had since the start of the
+     * simulation */
     int64_t generation;
-    /* fencing number of the current owner */
+    /* fencing number of the current pool owner */
     uint64_t fence;
-    /* the current owner is certain of its lease on the pool, so it may send
-     * orders */
+    /* the current pool owner is certain that it holds its lease on the pool,
+     * so it may send orders */
     bool is_lease_certain;
     GHashTable *jobs;        /* job id -> StoredJob */
-    GHashTable *task_states; /* key of a task -> TaskState */
+    GHashTable *task_states; /* task_key() of a task -> TaskState */
     /* stored list of used VMs, to which an owner of the pool may have sent
-     * orders */
+     * orders; empty: none is stored */
     AqBuffer used_vms;
     AqSiteConfig site;
     AqQueueConfig queue;
@@ -316,7 +332,7 @@
     g_free(vm);
 }
 
-/* The VM's own clock, which runs up to 2% slow. */
+/* Returns the time, ms, on the VM's own clock, which runs up to 2% slow. */
 static AqTime
 vm_clock(const Sim *sim, const SimVm *vm)
 {
@@ -350,8 +366,8 @@
     report->leaves_ms = -1;
 }
 
-/* Passes the VM's entry in the store to the schedulers of all owners that have
- * not exited. */
+/* Passes the VM's entry in the store to the schedulers of all pool owners that
+ * have not exited. */
 static void
 list_vm(Sim *sim, const SimVm *vm)
 {
@@ -366,7 +382,7 @@
 }
 
 /* Removes the VM's entry from the store and reports the removal to the
- * schedulers of all owners that have not exited. */
+ * schedulers of all pool owners that have not exited. */
 static void
 unlist_vm(Sim *sim, SimVm *vm)
 {
@@ -486,10 +502,11 @@
     }
 }
 
-/* Checks the start of a run of the task on the VM against all invariants: the
- * task has no second run, the order of the steps, no start after a confirmed
- * end or too many failed runs, the limits on the step's tasks per VM and on
- * the VM's CPU. */
+/* Reports a violation if a run of the task may not start on the VM now:
+ * another run of the task is alive, a step that must be done first is not
+ * done, the task's end was confirmed, the task has too many failed runs, or
+ * the limit on the step's tasks per VM or on the VM's CPU would be
+ * exceeded. */
 static void
 check_start(Sim *sim, const SimVm *vm, const AqJobSpec *spec,
             const AqTaskName *name)
@@ -531,8 +548,8 @@
 
 /* ---- Orders at a VM ----------------------------------------------------- */
 
-/* Executes a start order on the VM; an order for a run that has started there
- * before is confirmed without effect. */
+/* Executes a start order on the VM; for a run that is already alive on the VM
+ * the result is AQ_ORDER_DONE without any effect. */
 static AqOrderResult
 do_start(Sim *sim, SimVm *vm, const Event *event)
 {
@@ -583,8 +600,8 @@
     return AQ_ORDER_DONE;
 }
 
-/* Checks that a stop order for the task leaves no more tasks of its step
- * missing than the step's limit allows.  A task on a draining VM must be
+/* Reports a violation if the stop of the task's run leaves more tasks of its
+ * step missing than the step's limit allows.  A task on a draining VM must be
  * stopped whatever that limit is. */
 static void
 check_stop(Sim *sim, const SimVm *vm, const AqTaskName *name)
@@ -629,9 +646,9 @@
 }
 
 /* Removes from vm->ends the ends of runs with a RunEnd.number up to
- * "acked_end", since an owner has confirmed these ends.  Checks, for each task
- * that one of these runs completed, that no run of the task has started since
- * the end of that run. */
+ * "acked_end", since the pool owner's renewal order confirms these ends.
+ * Reports a violation if a run of a task has started since the end of the run
+ * that completed the task. */
 static void
 forget_ends(Sim *sim, SimVm *vm, int64_t acked_end)
 {
@@ -641,9 +658,9 @@
             continue;
         }
         TaskState *state = task_state(sim, &end->name);
-        /* The end of a run that did its task is ignored if the VM's lease has
-         * expired since that end: the scheduler may have restarted the task
-         * after the expiry. */
+        /* The end of a run that completed its task is not checked if the VM's
+         * lease has expired since that end: the scheduler may have restarted
+         * the task after the expiry. */
         if (end->kind == AQ_END_DONE && vm->lease_expired_at < end->ended_at) {
             state->is_done_confirmed = true;
             if (state->last_started_at > end->ended_at) {
@@ -658,8 +675,9 @@
     }
 }
 
-/* Adds the VM's live runs and unconfirmed ends of runs to "reply", the VM's
- * reply to a renewal order, which extends the VM's lease. */
+/* Adds the VM's live runs, and the ends of runs that no pool owner has
+ * confirmed to the VM, to "reply", the VM's reply to a renewal order, which
+ * extends the VM's lease. */
 static void
 fill_lists(const SimVm *vm, Event *reply)
 {
@@ -703,7 +721,7 @@
 }
 
 /* Executes an order on the VM unless the VM has received an order with a
- * higher fence. */
+ * higher fencing number; the result is then AQ_ORDER_FENCED. */
 static AqOrderResult
 execute_order(Sim *sim, SimVm *vm, const Event *event)
 {
@@ -761,8 +779,10 @@
     return copy;
 }
 
-/* Queues the reply to "order" for delivery to the owner that sent the order;
- * without effect if order->owner is NULL.  "vm" is NULL when no VM replies. */
+/* Queues a reply with "result" to "order" for delivery, at "deliver_at", to
+ * the pool owner that sent the order; no effect if order->owner is NULL.  "vm"
+ * is the VM that replies; NULL: the reply, AQ_ORDER_UNKNOWN or
+ * AQ_ORDER_OTHER_LIFE, reports no VM clock and lists no runs. */
 static void
 queue_reply(Sim *sim, const Event *order, SimVm *vm, AqOrderResult result,
             AqTime deliver_at)
@@ -905,7 +925,7 @@
     return event;
 }
 
-/* Sends the order, or delays it as a fault, in which case the owner gets
+/* Sends the order, or delays it as a fault, in which case the pool owner gets
  * AQ_ORDER_UNKNOWN as the reply.  Takes over the event. */
 static void
 send_order(SimOwner *owner, Event *event)
@@ -990,8 +1010,8 @@
 
 static void tick(Sim *sim);
 
-/* Ends the owner's save under way.  Writes of an owner that was replaced
- * fail. */
+/* Ends the pool owner's save under way: stores its job records unless the save
+ * fails.  A save of a pool owner that was replaced always fails. */
 static void
 end_save(SimOwner *owner)
 {
@@ -1012,9 +1032,10 @@
     owner->save_count = 0;
 }
 
-/* Ends the owner's save under way when it is due, or begins the next save.
- * When the current owner begins a save, the list of used VMs, to which an
- * owner may have sent orders, is stored at once. */
+/* Ends the pool owner's save under way when it is due, or begins the next
+ * save.  When the current pool owner begins a save, the list of used VMs, to
+ * which a pool owner may have sent orders, is stored in the same step, without
+ * the delay of SAVE_DURATION_MS. */
 static void
 save(SimOwner *owner)
 {
@@ -1035,8 +1056,8 @@
     }
 }
 
-/* Lets the owner's scheduler send the orders that are due, begins or ends a
- * save of the scheduler's job records, and reports a violation if the
+/* Lets the pool owner's scheduler send the orders that are due, begins or ends
+ * a save of the scheduler's job records, and reports a violation if the
  * scheduler is inconsistent. */
 static void
 run_owner(SimOwner *owner)
--- a/packages/scheduler/tests/sim.h
+++ b/packages/scheduler/tests/sim.h
@@ -6,11 +6,11 @@
 #include "aq_random.h"
 #include "aq_scheduler.h"
 
-/* Simulation of a pool on a virtual clock: VMs that run tasks under leases, a
- * store, and one or two active owners with a scheduler each.  Orders may be
- * delayed and replies lost, VMs crash or stop replying, owners are killed or
- * go on sending orders after they were replaced.  The seed determines the
- * whole simulation.
+/* Simulation of a pool on a virtual clock: VMs that run tasks while their
+ * leases last, a store, and one or two active owners of the pool with a
+ * scheduler each.  Orders may be delayed and replies lost, VMs crash or stop
+ * replying, owners are killed or go on sending orders after they were
+ * replaced.  The seed determines the whole simulation.
  *
  * The simulation checks invariants at each start, stop and confirmed end of a
  * run, and the schedulers' consistency at each tick.  It stops at the first
@@ -19,10 +19,11 @@
 
 enum {
     SIM_VMS = 8,
-    /* duration of the lease that an owner grants to a VM */
+    /* duration of the lease that an order of the pool owner grants to a VM;
+     * the VM runs tasks until the lease ends without a renewal */
     SIM_LEASE_MS = 5000,
-    /* duration of an owner's lease on the pool: how long an owner that does
-     * not notice its replacement goes on sending orders */
+    /* duration of a pool owner's lease on the pool: how long a pool owner that
+     * does not notice its replacement goes on sending orders */
     SIM_OWNER_LEASE_MS = 3000,
     SIM_VM_CPU_MILLIS = 16000
 };
@@ -30,14 +31,14 @@
 typedef struct Sim Sim;
 
 /* Probabilities, in thousandths, of the faults that the simulation injects:
- * into each order that an owner sends, each run that a VM starts, and each
- * save of job records by an owner. */
+ * into each order that a pool owner sends, each run that a VM starts, and each
+ * save of job records by a pool owner. */
 typedef struct {
     /* of 1000 orders that a VM has executed, the number whose reply does not
-     * reach the owner */
+     * reach the pool owner */
     unsigned lost_replies_permille;
-    /* of 1000 orders that an owner sends, the number that reach the VM only 1
-     * to 6 s later; the owner gets no reply to these */
+    /* of 1000 orders that a pool owner sends, the number that reach the VM
+     * only 1 to 6 s later; the pool owner gets no reply to these orders */
     unsigned delayed_orders_permille;
     unsigned failing_runs_permille;
     unsigned failed_saves_permille;
@@ -50,12 +51,12 @@
 void sim_set_faults(Sim *sim, const SimFaults *faults);
 
 AqTime sim_now(const Sim *sim);
-/* Advances the simulation by "ms", or to the first violation of an
- * invariant. */
+/* Advances the simulation by "ms" of the virtual clock, or to the first
+ * violation of an invariant. */
 void sim_run(Sim *sim, AqTime ms);
 /* Advances the simulation until the stage in the stored record of every job is
- * final.  False when "timeout_ms" passes or an invariant is violated before
- * that. */
+ * final.  False when "timeout_ms" of the virtual clock passes or an invariant
+ * is violated before that. */
 bool sim_run_until_finished(Sim *sim, AqTime timeout_ms);
 
 /* Message that describes the first violated invariant, or NULL.  Borrowed. */
@@ -64,26 +65,27 @@
 /* ---- Owners ------------------------------------------------------------- */
 
 /* Starts a new owner of the pool, which loads the stored jobs and the stored
- * list of used VMs, to which an earlier owner may have sent orders.  With
- * "previous_may_be_active" the previous owner does not notice that it was
+ * list of used VMs, to which an earlier pool owner may have sent orders.  With
+ * "previous_may_be_active" the previous pool owner does not notice that it was
  * replaced and sends orders until its lease on the pool ends. */
 void sim_start_owner(Sim *sim, bool previous_may_be_active);
-/* Ends the pool's current owner at once; changes that it has not saved are
- * lost. */
+/* Ends the pool's current owner immediately; changes of jobs that this pool
+ * owner has not saved are lost. */
 void sim_kill_owner(Sim *sim);
-/* Stops the current owner, which first saves all its records and lists its
- * runs for the next owner (hand-over), and starts the next owner. */
+/* Hands the pool over: the current pool owner saves the records of all changed
+ * jobs, stores its live runs with the list of used VMs and exits; then the
+ * next pool owner starts. */
 void sim_hand_over(Sim *sim);
-/* Scheduler of the current owner; borrowed. */
+/* Returns the scheduler of the current pool owner; borrowed. */
 AqScheduler *sim_scheduler(const Sim *sim);
-/* Sets whether the current owner is certain to hold its lease on the pool; an
- * owner that is not certain sends no orders. */
+/* Sets whether the current pool owner is certain to hold its lease on the
+ * pool; a pool owner that is not certain sends no orders. */
 void sim_set_lease_certain(Sim *sim, bool is_lease_certain);
 
 /* ---- VMs ---------------------------------------------------------------- */
 
-/* Makes the VM drop all orders for "ms"; the VM's runs continue while the VM's
- * lease lasts. */
+/* Makes the VM drop all orders for "ms" of the virtual clock; the VM's runs
+ * continue while the VM's lease lasts. */
 void sim_silence_vm(Sim *sim, unsigned vm, AqTime ms);
 /* Ends the VM's current incarnation with all runs on it, and starts a new
  * incarnation of the VM without runs under another id. */
@@ -107,8 +109,9 @@
 
 /* ---- Jobs --------------------------------------------------------------- */
 
-/* Stores a job and adds it to the schedulers of the active owners.  Takes over
- * what *spec owns; sets the job's queue, text and time of submission. */
+/* Stores a job and adds the job to the schedulers of all pool owners that may
+ * still send orders.  Takes over what *spec owns; sets the job's queue, text
+ * and time of submission. */
 void sim_add_job(Sim *sim, AqJobSpec *spec);
 /* Adds a job of "steps" steps with "tasks" tasks each; each step waits for the
  * step before it.  "duration_ms" is the declared duration of a task. */
--- a/packages/scheduler/tests/test_records.c
+++ b/packages/scheduler/tests/test_records.c
@@ -294,7 +294,7 @@
 }
 
 /* Guards against a wave that misses its deadline because VMs are drained one
- * by one, and against a pool that drains most of its VMs at once. */
+ * by one, and against a pool that drains most of its VMs together. */
 static void
 test_wave_pace(void)
 {
--- a/packages/scheduler/tests/test_scheduler.c
+++ b/packages/scheduler/tests/test_scheduler.c
@@ -42,7 +42,7 @@
 
 /* Guards against a VM that counts as idle, and so may be moved or rebooted,
  * while the end of a run is recorded only on that VM.  Saves are slow under
- * load; the next owner would run the task a second time. */
+ * load; the next pool owner would run the task a second time. */
 static void
 test_unstored_end_keeps_vm(void)
 {
@@ -61,9 +61,9 @@
     sim_destroy(sim);
 }
 
-/* Guards against a new owner that treats the runs of an earlier owner as
- * stale, since the new owner's run numbers are higher, and starts the tasks of
- * these runs a second time. */
+/* Guards against a new pool owner that treats the runs of an earlier pool
+ * owner as stale, since the new pool owner's run numbers are higher, and
+ * starts the tasks of these runs a second time. */
 static void
 test_takeover_adopts_runs(void)
 {
@@ -78,9 +78,9 @@
     sim_destroy(sim);
 }
 
-/* Guards against a new owner that starts tasks before all VMs to which the
- * earlier owner may have sent orders have replied: one of these VMs is silent
- * and still runs its tasks. */
+/* Guards against a new pool owner that starts tasks before all VMs to which
+ * the earlier pool owner may have sent orders have replied: one of these VMs
+ * is silent and still runs its tasks. */
 static void
 test_takeover_waits_for_silent_vm(void)
 {
@@ -99,7 +99,7 @@
     sim_destroy(sim);
 }
 
-/* Guards against a task that starts a third time because the new owner
+/* Guards against a task that starts a third time because the new pool owner
  * receives the end of the task's second failed run before that of the
  * first. */
 static void
@@ -125,7 +125,7 @@
     }
 }
 
-/* Guards against two runs of a task at a time while an owner that has been
+/* Guards against two runs of a task at a time while a pool owner that has been
  * replaced does not notice its replacement and still sends orders. */
 static void
 test_unaware_previous_owner(void)
@@ -207,10 +207,10 @@
     sim_destroy(sim);
 }
 
-/* Guards against a new owner that waits for replies from a VM's incarnation
- * although the previous owner's scheduler knew that this incarnation had
- * ended: the stored list of used VMs, to which an owner may have sent orders,
- * must no longer name the incarnation. */
+/* Guards against a new pool owner that waits for replies from a VM's
+ * incarnation although the previous pool owner's scheduler knew that this
+ * incarnation had ended: the stored list of used VMs, to which a pool owner
+ * may have sent orders, must no longer name the incarnation. */
 static void
 test_ended_vm_is_not_awaited(void)
 {
@@ -248,11 +248,12 @@
     }
 }
 
-/* Guards against a new owner that waits for the leases of a VM's incarnation
- * to expire although that incarnation has ended, for example by an order of
- * the previous owner.  The stored list of used VMs, to which an owner may have
- * sent orders, must have the VM's machine id, by which the new owner sees in
- * the platform's list of VMs that the incarnation has ended. */
+/* Guards against a new pool owner that waits for the lease of a VM's
+ * incarnation to expire although that incarnation has ended, for example by an
+ * order of the previous pool owner.  The stored list of used VMs, to which a
+ * pool owner may have sent orders, must have the VM's machine id, by which the
+ * new pool owner sees in the platform's list of VMs that the incarnation has
+ * ended. */
 static void
 test_replaced_vm_is_not_awaited(void)
 {
@@ -279,8 +280,8 @@
 }
 
 /* Guards against tasks that wait for a silent VM after a hand-over although
- * that VM does not run them: the previous owner stored the runs of each VM
- * with the list of used VMs, to which an owner may have sent orders. */
+ * that VM does not run them: the previous pool owner stored the runs of each
+ * VM with the list of used VMs, to which a pool owner may have sent orders. */
 static void
 test_hand_over_passes_on_runs(void)
 {
@@ -341,7 +342,7 @@
     sim_destroy(sim);
 }
 
-/* Guards against an owner that sends orders while it may have lost its
+/* Guards against a pool owner that sends orders while it may have lost its
  * lease. */
 static void
 test_uncertain_owner_sends_no_orders(void)
--- a/packages/scheduler/used_vms.c
+++ b/packages/scheduler/used_vms.c
@@ -6,8 +6,8 @@
 #include "scheduler_internal.h"
 
 /* The stored list of used VMs: those to which an owner of the pool may have
- * sent orders.  The next owner reads the list.  In a hand-over the list also
- * has the runs on each VM. */
+ * sent orders.  The next pool owner reads the list.  In a hand-over the list
+ * also has the runs on each VM. */
 
 enum {
     /* number of array elements that describe one run of a task in the stored
@@ -24,10 +24,10 @@
     return s->used_vms_version;
 }
 
-/* Whether the VM belongs in the list of used VMs, to which an owner may have
- * sent orders, so that a later owner waits for the VM's reply.  After
- * AqScheduler_Close() only VMs that have runs, or that come from an earlier
- * owner's list, belong in the list. */
+/* Whether the VM belongs in the list of used VMs, to which a pool owner may
+ * have sent orders, so that a later pool owner waits for the VM's reply.
+ * After AqScheduler_Close() only VMs that have runs, or that come from an
+ * earlier pool owner's list, belong in the list. */
 static bool
 is_in_used_vms(const AqScheduler *s, const Vm *vm)
 {
@@ -61,7 +61,7 @@
     }
 }
 
-/* The stored form of the list of used VMs, to which an owner may have sent
+/* The stored form of the list of used VMs, to which a pool owner may have sent
  * orders: [is_handed_over, [[VM id, address, [[job, occurrence, step, task
  * index, run number] ...], machine] ...]].  A VM's list of runs is empty
  * except in a hand-over. */
@@ -202,9 +202,9 @@
     return ok;
 }
 
-/* After a hand-over, takes each run that the previous owner stored with the
- * list of used VMs as the current run of the run's task.  No other run of that
- * owner can be alive, so all other tasks may start at once. */
+/* After a hand-over, takes each run that the previous pool owner stored with
+ * the list of used VMs as the current run of the run's task.  No other run of
+ * that pool owner can be alive, so all other tasks may start immediately. */
 static void
 adopt_inherited_runs(AqScheduler *s)
 {
--- a/packages/scheduler/vms.c
+++ b/packages/scheduler/vms.c
@@ -11,7 +11,7 @@
     IDLE_RENEWAL_WAIT_MS = 1000,
     /* Pause before the next renewal order, which extends the VM's lease, while
      * the scheduler has not confirmed all the ends of runs in the VM's last
-     * reply: the VM would list these ends again at once. */
+     * reply: the VM would list these ends again immediately. */
     UNSTORED_RENEWAL_DELAY_MS = 200,
     SILENT_RENEWAL_RETRY_MS = 300,
     /* the scheduler starts tasks that allow copies (two live runs at a time)
@@ -38,7 +38,8 @@
     QUARANTINE_MS = 3000
 };
 
-/* Lowest rate at which a VM's clock may run, relative to this node's clock. */
+/* Lowest rate at which a VM's clock may run, relative to the scheduler's
+ * clock. */
 static const double slowest_clock_rate = 0.98;
 
 Vm *
@@ -81,8 +82,8 @@
 
 /* ---- Resources in use --------------------------------------------------- */
 
-/* Adds the resources of one task of the step to the VM's used resources with
- * sign 1, removes them with sign -1. */
+/* Adds the resources of one task of the step to the VM's used resources if
+ * "sign" is 1, subtracts them if it is -1. */
 static void
 add_usage(Vm *vm, const AqStepSpec *spec, int sign)
 {
@@ -139,9 +140,10 @@
         return;
     }
     if (vm->clock_ms < 0) {
-        /* An earlier owner may have granted the VM a lease of lease_ms just
-         * before the VM received this owner's first order, whose higher fence
-         * makes the VM refuse later orders of earlier owners. */
+        /* An earlier pool owner may have granted the VM a lease of lease_ms
+         * just before the VM received this pool owner's first order, whose
+         * higher fence makes the VM refuse later orders of earlier pool
+         * owners. */
         vm->deadline_ms = reply->clock_ms + s->config.lease_ms;
     }
     vm->clock_ms = reply->clock_ms;
@@ -226,14 +228,15 @@
     vms_free(vm);
 }
 
-/* Whether the VM's leases have expired on the VM's own clock, assuming that
- * the clock has the lowest possible rate, slowest_clock_rate. */
+/* Whether the VM's lease, the time until which the VM runs tasks without a
+ * renewal, has ended on the VM's own clock, assuming that the clock has the
+ * lowest possible rate, slowest_clock_rate. */
 static bool
 has_lease_expired(const AqScheduler *s, const Vm *vm)
 {
     if (vm->clock_ms < 0) {
-        /* The VM has not replied to this owner, so only an earlier owner can
-         * have granted the VM a lease. */
+        /* The VM has not replied to this pool owner, so only an earlier pool
+         * owner can have granted the VM a lease. */
         AqTime most =
             (AqTime)((double)s->config.lease_ms / slowest_clock_rate);
         return s->now - s->created_at >
@@ -244,9 +247,10 @@
            (double)(vm->deadline_ms + LEASE_EXPIRY_MARGIN_MS);
 }
 
-/* If the VM is silent, makes the VM's tasks whose steps allow copies ready for
- * new runs; once the VM's leases have expired, makes all its tasks ready and
- * may remove and free the VM. */
+/* If the VM does not reply, makes those of the VM's tasks whose steps allow
+ * copies ready for new runs.  Once the VM's lease has expired, makes all tasks
+ * of the VM ready and, if the store has no entry of the VM, removes the VM
+ * from the scheduler's table of VMs and frees the Vm struct. */
 static void
 handle_silence(AqScheduler *s, Vm *vm)
 {
@@ -316,8 +320,8 @@
 
 /* ---- Time --------------------------------------------------------------- */
 
-/* Sets is_recovered once each used VM, to which an earlier owner may have sent
- * orders, has replied, has ended or has no valid lease. */
+/* Sets is_recovered once each used VM, to which an earlier pool owner may have
+ * sent orders, has replied, has ended or has no valid lease. */
 static void
 update_recovered(AqScheduler *s)
 {
@@ -337,8 +341,8 @@
 }
 
 /* Sends the VM's lease renewal when it is due.  Returns when the VM's next
- * lease renewal is due; AQ_TIME_NEVER if none can be sent now.  May free the
- * VM. */
+ * lease renewal is due; AQ_TIME_NEVER if none can be sent now.  May remove the
+ * VM from the scheduler's table of VMs and free the Vm struct. */
 static AqTime
 tick_vm(AqScheduler *s, Vm *vm)
 {
@@ -446,8 +450,9 @@
                           vm->pending_ends->len == 0);
 }
 
-/* Returns AqScheduledVm.silent_since of the VM.  A VM that an earlier owner
- * used counts as silent from the scheduler's creation until the VM replies. */
+/* Returns AqScheduledVm.silent_since of the VM.  A VM that an earlier pool
+ * owner used counts as silent from the scheduler's creation until the VM
+ * replies. */
 static AqTime
 silent_since(const AqScheduler *s, const Vm *vm)
 {
@@ -495,7 +500,8 @@
         vm->consecutive_failures = 0;
         return;
     }
-    /* A task that has failed before is not evidence of a fault of this VM. */
+    /* Another failed run of a task that has failed before is no evidence of a
+     * fault of this VM. */
     if (task->failures == 0 &&
         ++vm->consecutive_failures >= QUARANTINE_AFTER_FAILURES) {
         vm->quarantined_until = s->now + QUARANTINE_MS;
