--- a/packages/scheduler/Include/aq_job_spec.h
+++ b/packages/scheduler/Include/aq_job_spec.h
@@ -9,17 +9,19 @@
 #include "aq_error.h"
 
 /* A job as a caller submitted it: steps, each of a number of equal tasks.  A
- * recurring job has occurrences that are due at a fixed interval.  The stored
- * form is msgpack (job_spec.c). */
+ * recurring job executes all its steps several times; each such occurrence is
+ * due a fixed interval after the one before.  The stored form is msgpack
+ * (job_spec.c). */
 
 enum {
-    AQ_JOB_ID_SIZE = 33,   /* bytes of a job's id, with the NUL */
+    /* size of the buffer for a job's id, in bytes with the NUL */
+    AQ_JOB_ID_SIZE = 33,
     AQ_JOB_MAX_STEPS = 64, /* a job with more steps is refused */
-    /* tasks of a job over all its steps; a job with more is refused, which
-     * bounds its memory */
+    /* most tasks of a job, summed over its steps; a job with more is refused,
+     * which bounds the memory that one job takes */
     AQ_JOB_MAX_TASKS = 20000,
-    /* bytes of the job's text for the workers; a job with a longer text is
-     * refused */
+    /* most bytes of the job's text, which the scheduler passes to the workers;
+     * a job with a longer text is refused */
     AQ_JOB_MAX_TEXT = 4000
 };
 
@@ -44,13 +46,14 @@
     bool allows_copies;
     /* the step's tasks run until the job is cancelled */
     bool is_perpetual;
-    /* the step's tasks use only CPU that other tasks leave idle */
+    /* the step's tasks are fillers: they use only CPU that other tasks
+     * leave */
     bool is_filler;
     /* kind or rack that a VM must have to run the step's tasks; NULL: any;
      * owned */
     char *required_label;
-    /* rack of the tasks' data, in which they preferably run; NULL: none;
-     * owned */
+    /* rack that holds the data of the step's tasks; the tasks preferably run
+     * there; NULL: none; owned */
     char *near_rack;
     /* image that the step's tasks run; NULL: none; owned */
     char *image;
@@ -58,8 +61,8 @@
     /* target for the tail latency of the step's tasks, which serve requests;
      * 0: no target */
     int64_t latency_target_ms;
-    /* most tasks of the step that may be missing (not at work) at a time when
-     * tasks are moved to other VMs */
+    /* most tasks of the step that may be missing (not at work) while the
+     * scheduler moves tasks to other VMs */
     uint32_t may_miss;
     /* the caller set may_miss; if false, any number of the step's tasks may be
      * missing at a time */
@@ -70,11 +73,12 @@
     char id[AQ_JOB_ID_SIZE];
     /* name of the queue that accepted the job; owned */
     char *queue;
-    /* text of the job, passed to the workers unchanged; owned */
+    /* text of the job, which the scheduler passes to the workers unchanged;
+     * owned */
     char *text;
     AqStepSpec *steps; /* array of step_count steps; owned */
     size_t step_count;
-    /* due time of occurrence 0, Unix ms; 0: due at once */
+    /* due time of occurrence 0, Unix ms; 0: due immediately */
     int64_t first_due_ms;
     /* time between the due times of successive occurrences */
     int64_t interval_ms;
--- a/packages/scheduler/Include/aq_machines.h
+++ b/packages/scheduler/Include/aq_machines.h
@@ -32,16 +32,19 @@
 } AqMachine;
 
 typedef enum {
-    /* the platform accepted the order, or carried it out before */
+    /* the platform accepted the order, or had already carried out the same
+     * order */
     AQ_MACHINE_ORDER_DONE,
-    /* refused: a node with a higher fencing number has sent orders */
+    /* refused: a node with a higher fencing number has sent orders to the
+     * platform */
     AQ_MACHINE_ORDER_FENCED,
-    /* refused as busy: the VM is not up, or is leaving */
+    /* refused by the platform as busy: the VM that the order names is not up,
+     * or is leaving */
     AQ_MACHINE_ORDER_BUSY,
     /* refused: the platform has no such VM, pool or wave */
     AQ_MACHINE_ORDER_REFUSED,
-    /* the order is not carried out: it is over the platform's rate limit, or
-     * the platform was not reached */
+    /* the platform does not carry out the order, which exceeds the platform's
+     * rate limit or did not reach the platform */
     AQ_MACHINE_ORDER_LATER,
     /* no response; the platform may carry out the order later */
     AQ_MACHINE_ORDER_UNKNOWN
@@ -95,21 +98,26 @@
 /* Frees what *wave owns and zeroes *wave. */
 void AqWaveSpec_Clear(AqWaveSpec *wave);
 
-/* A ticket of the advice service, without which a task of a queue with
- * needs_tickets may not start on the VM. */
+/* A ticket: the advice service's permission to start tasks of one step on one
+ * VM until the ticket expires.  Tasks of a queue with needs_tickets may not
+ * start on the VM without a ticket. */
 typedef struct {
     const char *vm;
     const char *ticket;
 } AqTicket;
 
 typedef struct {
-    /* AQ_ORDER_DONE; AQ_ORDER_UNHEALTHY: the advice service refused the
-     * request, for example because it had too many; AQ_ORDER_UNKNOWN: no valid
-     * response. */
+    /* AQ_ORDER_DONE: the advice service answered the request for tickets, and
+     * "tickets" has those that it gave; AQ_ORDER_UNHEALTHY: the service
+     * refused that request, for example because it had too many requests;
+     * AQ_ORDER_UNKNOWN: no valid response. */
     AqOrderResult result;
-    const AqTicket *tickets; /* array of "count" tickets; borrowed */
+    /* array of "count" tickets (permissions to start tasks on one VM each);
+     * borrowed */
+    const AqTicket *tickets;
     size_t count;
-    /* how long the tickets are valid after the arrival of this reply */
+    /* how long after the arrival of the advice service's response the tickets
+     * still permit the start of tasks */
     AqTime valid_ms;
 } AqAdviceReply;
 
@@ -117,8 +125,9 @@
 
 typedef struct AqAdviceClient AqAdviceClient;
 
-/* "request_tickets" requests tickets of the advice service to start the step's
- * tasks on the given VMs; it ends with one call of "done". */
+/* "request_tickets" asks the advice service for one ticket for each of the
+ * given VMs: the permission to start the step's tasks on that VM until the
+ * ticket expires.  The call ends with one call of "done". */
 typedef struct {
     void (*request_tickets)(AqAdviceClient *calls, const AqTaskName *step,
                             const char *const *vms, size_t count,
--- a/packages/scheduler/Include/aq_site_config.h
+++ b/packages/scheduler/Include/aq_site_config.h
@@ -22,13 +22,14 @@
      * steps, plus "target_ms". */
     int64_t target_ms;
     double stretch;
-    /* jobs of queues with a lower number are placed first; 0 is the lowest */
+    /* jobs of queues with a lower priority number are placed first; 0 is the
+     * lowest number */
     int priority;
-    /* number of failed runs of a task at which the task's job fails; 0: no
-     * limit */
+    /* a job of the queue fails when one of its tasks has had this many failed
+     * runs; 0: no limit */
     uint32_t max_attempts;
-    /* tasks of the queue's jobs start only with a ticket of the advice
-     * service */
+    /* tasks of the queue's jobs start on a VM only with a ticket, the advice
+     * service's permission for that VM, which expires */
     bool needs_tickets;
     int64_t ticket_valid_ms;
 } AqQueueConfig;
@@ -37,7 +38,8 @@
     char *name;
     /* this pool is the spare pool, whose VMs are powered off */
     bool is_spare;
-    /* the pool's VMs refuse tasks that exceed their free resources */
+    /* each VM of the pool refuses a task that needs more than the VM's free
+     * resources */
     bool guards_capacity;
 } AqPoolConfig;
 
--- a/packages/scheduler/Include/aq_waves.h
+++ b/packages/scheduler/Include/aq_waves.h
@@ -7,14 +7,17 @@
 
 /* Waves of maintenance.  The owners of several pools work on one wave and
  * share its record in the store.  Each owner changes the record only by a
- * write that is conditional on the version it has read, so at most "cap" VMs
- * of a wave are down at a time, whichever owners order them down. */
+ * write that is conditional on the version that the owner has read, so at most
+ * "cap" VMs of a wave are in maintenance at a time, whichever owners order the
+ * maintenance. */
 
 typedef enum {
     AQ_WAVE_WAITING,
-    AQ_WAVE_BEGUN, /* the VM's maintenance is ordered, or about to be */
-    AQ_WAVE_DONE,  /* the VM is back from its maintenance */
-    AQ_WAVE_GONE   /* the VM no longer exists */
+    /* the pool's owner has ordered the VM's maintenance, or is about to order
+     * it */
+    AQ_WAVE_BEGUN,
+    AQ_WAVE_DONE, /* the VM is back from its maintenance */
+    AQ_WAVE_GONE  /* the VM no longer exists */
 } AqWaveState;
 
 typedef struct AqWave AqWave;
@@ -41,26 +44,27 @@
  * the record does not list keep their states.  False when the record is
  * damaged; then no state has changed. */
 bool AqWave_Decode(AqWave *wave, const char *bytes, size_t size);
-/* Appends the wave's record for the store, the states of its VMs, to "out". */
+/* Appends the wave's record for the store to "out".  The record lists the
+ * state of each VM of the wave. */
 void AqWave_Encode(const AqWave *wave, AqBuffer *out);
 
-/* Whether one more VM of the wave may go down for maintenance now. */
+/* Whether the maintenance of one more VM of the wave may begin now, within the
+ * wave's cap on VMs in maintenance at a time. */
 bool AqWave_HasSlot(const AqWave *wave);
 /* Whether all VMs of the wave have begun their maintenance, have had it or no
  * longer exist. */
 bool AqWave_IsCompleted(const AqWave *wave);
-/* Whether all VMs of the wave are back from maintenance or no longer exist:
- * nothing is left to do. */
+/* Whether each VM of the wave is back from maintenance or no longer exists, so
+ * that the wave needs no more orders. */
 bool AqWave_IsOver(const AqWave *wave);
 
-/* Returns the most VMs of a pool to drain for the wave at a time.  The number
- * rises as the time left to the wave's deadline falls towards the time that
- * the pool's waiting VMs need. */
+/* Returns how many VMs of one pool may drain for the wave at the same time.
+ * The number rises as the time left before the wave's deadline falls towards
+ * the time that the maintenance of the pool's "waiting_in_pool" VMs takes. */
 size_t AqWave_MaxDrains(const AqWave *wave, size_t waiting_in_pool,
                         size_t pool_size, AqTime now);
-/* Whether the remaining tasks on a VM of the wave that was cordoned at
- * "cordoned_at" should be stopped, rather than waiting for the end of these
- * tasks. */
+/* Whether the pool's owner should stop the tasks on a VM of the wave rather
+ * than wait for them to end.  "cordoned_at" is when that VM was cordoned. */
 bool AqWave_MustStopTasks(const AqWave *wave, size_t waiting_in_pool,
                           AqTime cordoned_at, AqTime now);
 
--- a/packages/scheduler/replies.c
+++ b/packages/scheduler/replies.c
@@ -9,13 +9,15 @@
     NO_ROOM_PAUSE_MS = 150,
     UNHEALTHY_PAUSE_MS = 1000,
     INVALID_PAUSE_MS = 2000,
-    /* A run is stopped, and its task started on another VM, when the run's
-     * percent has not changed for STALL_MS plus the task's declared duration
-     * divided by STALL_ESTIMATE_DIVISOR. */
+    /* The scheduler stops a run, and starts its task on another VM, when the
+     * percent of the task's work that the run reports as done has not changed
+     * for STALL_MS plus the task's declared duration divided by
+     * STALL_ESTIMATE_DIVISOR. */
     STALL_MS = 1200,
     STALL_ESTIMATE_DIVISOR = 25,
-    /* A perpetual task is stopped when it is not at work and its percent has
-     * not changed for this time; getting to work takes 1 to 2 s. */
+    /* A perpetual task that reports a percent below 100 is still starting up,
+     * which takes 1 to 2 s.  The scheduler stops it when that percent has not
+     * changed for this time. */
     PERPETUAL_START_LIMIT_MS = 5000
 };
 
@@ -90,8 +92,9 @@
 }
 
 /* Orders the stop of the task's current run because another run of the task
- * replaces it.  The resources of the stopped run count as foreign usage of its
- * VM for as long as the VM lists that run. */
+ * replaces the current one.  While the VM lists the stopped run, that run's
+ * resources count as foreign usage of the VM: usage by runs that are not the
+ * current run of any task of this scheduler. */
 static void
 stop_superseded_run(AqScheduler *s, Task *task)
 {
@@ -104,9 +107,10 @@
     vms_detach(s, task);
 }
 
-/* Handles what a reply to an order, of whatever kind, shows about the VM and
- * this owner.  Returns true when the reply needs no further handling: a later
- * owner of the pool exists, or *vm has been freed. */
+/* Records what the reply to an order of any kind shows about the VM and this
+ * owner of the pool.  Returns true when the caller has nothing more to do for
+ * the reply: a later owner of the pool exists, or the VM was removed from the
+ * scheduler's table of VMs and *vm was freed. */
 static bool
 handle_common_result(AqScheduler *s, Vm *vm, const AqOrderReply *reply)
 {
@@ -132,9 +136,9 @@
     }
 }
 
-/* Clears is_order_pending of the named task after the reply to a start or stop
- * order for its run "run".  Returns the task, or NULL when "run" is no longer
- * the task's run on the VM. */
+/* Clears is_order_pending of the named task when a start or stop order for run
+ * number "run" of the task has ended.  Returns the task, or NULL when "run" is
+ * no longer the task's run on the VM. */
 static Task *
 finish_order(const AqScheduler *s, const Vm *vm, const AqTaskName *name,
              int64_t run)
@@ -169,9 +173,10 @@
     }
 }
 
-/* Handles a start order for the task that had no effect.  An earlier start
- * order for the same run that had no reply may still be executed, which only a
- * stop order rules out. */
+/* Makes the task, whose start order had no effect on the VM, ready for a new
+ * run after "pause" ms.  An earlier start order for the same run that had no
+ * reply may still be executed, which only a stop order rules out; the task's
+ * run is then stopped first. */
 static void
 handle_refused_start(AqScheduler *s, Task *task, AqTime pause)
 {
@@ -217,8 +222,9 @@
         break;
     case AQ_ORDER_OLD_RUN:
         if (task->may_start_late) {
-            /* The run has already ended on the VM; the reply to the next lease
-             * renewal lists its end. */
+            /* An earlier start order for this run had no reply but was
+             * executed, and the run has ended; the VM's reply to the next
+             * lease renewal lists that end. */
             confirm_start(s, task);
         }
         else {
@@ -232,7 +238,9 @@
     case AQ_ORDER_INVALID:
         handle_refused_start(s, task, INVALID_PAUSE_MS);
         break;
-    /* the start order was late, had no ticket or was not sent */
+    /* the start order reached the VM after the order's lease deadline, was not
+     * sent, or had no valid ticket (permission of the advice service to start
+     * the task on this VM) */
     default:
         handle_refused_start(s, task, RESEND_MS);
         break;
@@ -312,8 +320,8 @@
 }
 
 /* Applies the ends of runs that the reply lists, in order, and stops at the
- * first end of a run whose job is not known yet.  Returns whether all ends
- * were applied. */
+ * first end of a run whose job this scheduler does not know yet.  Returns
+ * whether all ends were applied. */
 static bool
 process_ends(AqScheduler *s, Vm *vm, const AqOrderReply *reply)
 {
@@ -369,8 +377,9 @@
 static void
 update_presence(AqScheduler *s, Task *task, const AqRunningTask *row)
 {
-    /* The VM still lists a task that is being stopped for a while, so only a
-     * task in TASK_RUNNING counts as present. */
+    /* After the scheduler has ordered the stop of a run, the VM still lists
+     * that run for a while, so only a task in TASK_RUNNING counts as at
+     * work. */
     if (task->step->spec->is_perpetual && task->state == TASK_RUNNING) {
         if (row->percent < 100 && task->pace >= 100) {
             if (task->absent_since == AQ_TIME_NEVER) {
@@ -384,8 +393,9 @@
     task->usage = row->usage;
 }
 
-/* Makes a run that the VM lists the task's current run.  An earlier owner
- * started that run, or an order of this owner that had no reply. */
+/* Makes a run that the VM lists the task's current run.  The run was started
+ * by an earlier pool owner, or by a start order of this pool owner that had no
+ * reply. */
 static void
 adopt_run(AqScheduler *s, Vm *vm, Task *task, const AqRunningTask *row)
 {
@@ -400,13 +410,14 @@
     task->percent = row->percent;
     task->state = TASK_STARTING;
     confirm_start(s, task);
-    /* not known, so the run's duration is not averaged */
+    /* 0: the start of the run is not known, so the run's duration does not
+     * count in the moving averages of durations */
     task->started_at = 0;
 }
 
-/* Adds the resources of a run that the VM lists, and that is not the current
- * run of a task, to the VM's foreign usage.  A run of an unknown job ("job" is
- * NULL) is assumed to take the whole VM. */
+/* Adds the resources of a run that the VM lists to the VM's foreign usage:
+ * that of runs which are not the current run of any task of this scheduler.  A
+ * run of an unknown job ("job" is NULL) is assumed to take the whole VM. */
 static void
 add_foreign_usage(Vm *vm, const Job *job, uint32_t step)
 {
@@ -416,15 +427,17 @@
         return;
     }
     const AqStepSpec *spec = &job->spec.steps[step];
-    /* At least 1, so that the VM does not count as idle while it lists the
-     * run. */
+    /* At least one thousandth of a core, so that the VM does not count as idle
+     * while it lists the run. */
     vm->foreign_cpu += spec->is_filler ? 1 : spec->cpu_millis + 1;
     vm->foreign_memory += spec->memory_mb;
 }
 
-/* Applies one running task that the VM lists in its reply to a lease renewal:
- * confirms the run or makes it the task's current run; stops the run when its
- * task is unknown or finished, or has a newer run. */
+/* Applies one run that the VM lists as alive in its reply to a lease renewal:
+ * marks the run in the scheduler as alive, as the task's current run; orders
+ * the stop of the run when the run's task is unknown or finished, or has a
+ * newer run.  The stop of a run of an unknown job is ordered only once
+ * vms_is_foreign_run_overdue() is true for the VM. */
 static void
 process_running_task(AqScheduler *s, Vm *vm, const AqRunningTask *row)
 {
@@ -436,7 +449,8 @@
             task != NULL && task->vm == vm && task->run == row->run;
         if (is_expected) {
             task->last_listed_renewal = vm->renewal_count;
-            /* the stop of this run has been ordered */
+            /* the run that the VM lists is the task's current run, whose stop
+             * the scheduler has ordered */
             return;
         }
         add_foreign_usage(vm, job, row->task.step);
@@ -461,8 +475,9 @@
     stop_if_stalled(s, vm, task, row);
 }
 
-/* Requeues the VM's tasks whose runs the VM no longer lists in its reply to a
- * lease renewal that was sent at "sent_at". */
+/* Makes those of the VM's tasks ready for new runs whose runs are missing from
+ * the VM's reply to a renewal order, which extends the VM's lease.  The
+ * renewal order was sent at "sent_at". */
 static void
 requeue_missing_runs(AqScheduler *s, Vm *vm, AqTime sent_at)
 {
--- a/packages/scheduler/scheduler_internal.h
+++ b/packages/scheduler/scheduler_internal.h
@@ -8,25 +8,28 @@
 
 /* Types and functions shared by the sources of the scheduler:
  * scheduler.c   jobs, steps, the tick and the reported load
- * vms.c         state of each VM, its leases, and VMs that do not reply
+ * vms.c         state of each VM, the VM's lease, and VMs that do not reply
  * used_vms.c    stored list of the VMs that a later owner must wait for
  * replies.c     effects of the replies to orders on tasks
  * ranking.c     order in which jobs are placed
  * placement.c   choice of a VM for each task
- * perpetual.c   moves of perpetual tasks off a VM, pacing of fillers
+ * perpetual.c   moves of perpetual tasks off a VM, speed limits of fillers
  * progress.c    stored progress record of a job
  * saves.c       saves of job records, then confirmation of ends of runs */
 
 typedef enum {
-    /* a step that must be done before the task's step is not done */
+    /* the task's step waits for another step that is not done */
     TASK_BLOCKED,
-    /* a run may start: the task has no live run, except perhaps one on a VM
-     * without replies if its step allows copies */
+    /* a run may start: the task has no live run, except perhaps, if the task's
+     * step allows copies, one on a VM that does not reply */
     TASK_READY,
-    /* the start of a run is ordered; its VM has not confirmed the start */
+    /* the scheduler has ordered the start of a run; the run's VM has not
+     * confirmed that start */
     TASK_STARTING,
     TASK_RUNNING,
-    /* the stop of the task's run is ordered, or is still to be ordered */
+    /* the scheduler has sent a stop order for the task's run, or will send one
+     * as soon as the pool owner may send orders and no other order for the
+     * task is pending */
     TASK_STOPPING,
     TASK_DONE
 } TaskState;
@@ -49,7 +52,7 @@
     /* array of the run numbers of the task's failed runs, "failures" of them;
      * owned.  NULL for a perpetual task, whose failures are not limited */
     int64_t *failed_runs;
-    /* VM with a run of the task that may be alive; NULL: there is none;
+    /* VM on which the task's current run may be alive; NULL: there is none;
      * borrowed */
     Vm *vm;
     AqLink link; /* links the task into vm->tasks */
@@ -58,8 +61,8 @@
     /* a start order for the run ended without a reply; the VM may still
      * execute that order */
     bool may_start_late;
-    /* order the stop of the run once the VM has replied to the run's pending
-     * start order */
+    /* the scheduler must order the stop of the run once the VM has replied to
+     * the run's pending start order */
     bool must_stop_after_reply;
     /* the VM has confirmed the stop order for the task's run */
     bool is_stop_acked;
@@ -69,41 +72,50 @@
     AqTime ready_at;
     /* earliest time to start the task's next run */
     AqTime not_before;
-    /* when the VM confirmed the start of the task's current run; 0: not
-     * known */
+    /* when this scheduler received the VM's confirmation that the task's
+     * current run has started, on the scheduler's clock; 0: not known */
     AqTime started_at;
-    /* the reply to a lease renewal sent after this time lists the task's
-     * current run, unless that run has ended */
+    /* the VM's reply to a lease renewal that was sent after this time lists
+     * the task's current run unless that run has ended */
     AqTime listed_after;
-    /* when "percent" of this task last changed or its run started */
+    /* when this scheduler last received a changed "percent" of the task's run
+     * (percent of the task's work that is done), or the confirmation that the
+     * run has started */
     AqTime progress_at;
-    /* progress of the task's run in percent, as its VM last reported */
+    /* percent of the task's work that its run has done, as the VM last
+     * reported */
     int64_t percent;
-    /* AqRunningTask.usage that the VM last reported for the task */
+    /* the task's AqRunningTask.usage when the VM last listed the run: tail
+     * latency in ms of a task that serves requests, for other tasks
+     * thousandths of a core in use */
     int64_t usage;
-    /* of a filler, which uses only idle CPU: percent of full speed that its
-     * run may use; of other tasks 100 */
+    /* percent of full speed to which the scheduler limits the task's run;
+     * below 100 only for a filler, a task that uses only CPU that others
+     * leave */
     int pace;
     AqTime pace_changed_at;
-    /* of a perpetual task: since when the task is not at work; AQ_TIME_NEVER
-     * while the task is at work */
+    /* Of a perpetual task: since when the task is not at work, because it has
+     * no run, its run is being stopped to move, or its run is not slowed and
+     * reports a percent below 100.  AQ_TIME_NEVER while the task is at
+     * work. */
     AqTime absent_since;
-    /* vm->renewal_count at the last lease renewal in whose reply the VM listed
-     * the task's run */
+    /* value of vm->renewal_count when the VM last listed the task's run in a
+     * reply to a lease renewal */
     uint64_t last_listed_renewal;
     /* last checkpoint that a VM reported, from which the task's next run
      * continues; NULL: none; owned */
     char *checkpoint;
-    /* id of the VM on which a run of the task failed last, or that was silent
-     * when the task was requeued; the task's next run preferably goes to
-     * another VM; "": none */
+    /* id of the VM on which a run of the task failed most recently, or that
+     * was silent when the task was made ready again; the scheduler prefers
+     * another VM for the task's next run; "": none */
     char avoid[AQ_VM_ID_SIZE];
 } Task;
 
-/* Ticket: permission of the advice service to start a step's tasks on a VM. */
+/* Ticket: permission of the advice service to start tasks of a step on one VM
+ * until the ticket expires. */
 typedef struct {
     char *vm;     /* id of the VM; owned */
-    char *ticket; /* owned */
+    char *ticket; /* text of the ticket, sent with the start order; owned */
     AqTime expires_at;
 } Ticket;
 
@@ -116,7 +128,7 @@
     Step *steps;
     /* number of the occurrence's steps that are not done */
     size_t steps_left;
-    /* when this occurrence was added to the job */
+    /* when the scheduler added this occurrence to the job */
     AqTime due_at;
 } Occurrence;
 
@@ -131,10 +143,14 @@
     uint32_t done;
     /* number of the step's tasks in state TASK_READY */
     uint32_t ready;
-    GArray *tickets; /* array of Ticket, or NULL; owned */
-    /* a request for tickets for the step has not ended */
+    /* array of Ticket (the advice service's permissions to start tasks of the
+     * step, each on one VM until it expires), or NULL; owned */
+    GArray *tickets;
+    /* the scheduler has requested tickets (permissions to start tasks of the
+     * step) from the advice service, and that request has not ended */
     bool is_requesting_tickets;
-    /* earliest time of the next request for tickets for the step */
+    /* earliest time to request tickets (permissions to start tasks of the
+     * step) from the advice service again */
     AqTime request_tickets_at;
 };
 
@@ -144,7 +160,7 @@
     /* links the job into scheduler->dirty while a change of the job waits for
      * a save */
     AqLink dirty_link;
-    AqJobSpec spec; /* owned */
+    AqJobSpec spec; /* the job's specification; owned */
     AqJobStage stage;
     /* stage in the job's last stored record */
     AqJobStage stored_stage;
@@ -155,34 +171,41 @@
     /* the job's record is being written to the store */
     bool is_saving;
     bool changed_while_saving;
-    /* scheduler->change_seq of the job's oldest change that is not stored */
+    /* number, counted by scheduler->change_seq, of the job's oldest change
+     * that is neither stored nor part of the save under way; 1 after a failed
+     * save; 0: no such change */
     uint64_t dirty_seq;
     AqLink occurrences; /* list of Occurrence; owned */
-    /* number of the job's next occurrence to add */
+    /* number that the next occurrence added to "occurrences" of this job gets;
+     * 0 before the first */
     uint32_t next_occurrence;
     AqTime submitted_at;
-    /* rank class of the job: jobs of lower classes are placed first.  Set by
+    /* Jobs with a lower bucket are placed first.  The bucket follows from the
+     * priority of the job's queue, whether a ready task of the job is
+     * perpetual, and how late the job is expected to be.  Set by
      * ranking_update() and valid during one placement_run(), as are
-     * remaining_work and slack */
+     * remaining_work and slack. */
     int bucket;
-    /* work, by declared durations, of the tasks that are not done in the job's
-     * occurrences with ready tasks, in core-milliseconds */
+    /* Core-milliseconds that the job still needs: cores times declared
+     * duration, summed over the tasks that are not done.  Only occurrences
+     * with ready tasks count. */
     int64_t remaining_work;
     /* expected time, ms, from the job's completion to its objective; negative:
      * the job will be late */
     AqTime slack;
 };
 
-/* A run of a task that the previous owner of the pool listed when it handed
- * the pool over. */
+/* A run that the previous owner of the pool stored with the list of used VMs
+ * when that pool owner handed the pool over. */
 typedef struct {
     char vm[AQ_VM_ID_SIZE];
     AqTaskName task;
     int64_t run;
 } InheritedRun;
 
-/* The end of a run of a task that a VM has listed.  The end may be confirmed
- * to that VM once all changes of jobs up to "seq" are stored. */
+/* The end of one run, which a VM has listed in a reply to a lease renewal.
+ * "number" is the AqEndedTask.number of the end, which may be confirmed to
+ * that VM once all changes of jobs with numbers up to "seq" are stored. */
 typedef struct {
     int64_t number;
     uint64_t seq;
@@ -191,38 +214,48 @@
 struct Vm {
     AqVmReport report;
     AqLink link; /* links the VM into scheduler->vms */
-    /* list of Task: tasks with a run on this VM that may be alive */
+    /* list of Task: the tasks whose current run may be alive on this VM */
     AqLink tasks;
     size_t task_count;
     bool is_listed; /* the store has an entry of this VM */
-    /* when the VM's entry in the store disappeared */
+    /* when the VM's entry in the store last disappeared, or, for a VM known
+     * only from the stored list of used VMs, when this scheduler read that
+     * list; not used while is_listed is true */
     AqTime unlisted_at;
     bool is_cordoned;
-    /* first version of the list of used VMs, to which an owner may have sent
-     * orders, that includes this VM */
+    /* first version of the list of used VMs (VMs to which this pool owner may
+     * have sent orders) in which this VM is included */
     uint64_t used_since_version;
-    /* a version of the list of used VMs that includes this VM is stored */
+    /* the stored version of the list of used VMs (VMs to which this pool owner
+     * may have sent orders) includes this VM */
     bool is_use_recorded;
-    /* the VM has replied to a lease renewal with this owner's fence */
+    /* the VM has replied to a lease renewal that this owner of the pool
+     * sent */
     bool has_replied;
-    /* an earlier owner stored the VM in its list of used VMs, to which it may
-     * have sent orders; cleared when the VM's leases have expired */
+    /* the VM comes from the list of used VMs that an earlier owner of the pool
+     * stored, since that owner may have sent the VM orders; false again once
+     * the VM has been silent until its lease expired */
     bool used_by_earlier_owner;
-    /* an order moved the VM to another pool or took it down; cleared when the
-     * VM replies again */
+    /* AqScheduler_VmEnded() was called for this VM, because the platform
+     * accepted a move or maintenance of the VM, or lists another incarnation
+     * of the VM; false again once this incarnation replies */
     bool has_ended;
-    /* the VM's own clock at the scheduler's time clock_at; -1: not known */
+    /* time on the VM's own clock that the VM reported in the reply received at
+     * clock_at; -1: not known */
     AqTime clock_ms;
-    /* when the VM's last reply that reports its clock arrived */
+    /* when this scheduler received the VM's last reply that reports the VM's
+     * clock */
     AqTime clock_at;
-    /* end of the VM's latest lease, on the VM's clock */
+    /* end of the VM's lease, on the VM's clock: until then the VM runs tasks
+     * without a renewal; not valid while clock_ms is -1 */
     AqTime deadline_ms;
     /* a lease renewal sent to the VM has had no reply yet */
     bool is_renewal_pending;
-    /* earliest time of the VM's next lease renewal */
+    /* earliest time to send the VM the next renewal order, which extends the
+     * VM's lease; not used while is_renewal_pending is true */
     AqTime renewal_due;
-    /* when an order to the VM first ended without a reply; AQ_TIME_NEVER while
-     * the VM replies */
+    /* when an order to the VM first ended without a reply after the VM's last
+     * reply; AQ_TIME_NEVER while the VM replies */
     AqTime silent_since;
     /* no task starts on the VM before this time, after the VM refused a start
      * with AQ_ORDER_NO_ROOM */
@@ -232,12 +265,12 @@
     AqTime quarantined_until;
     unsigned consecutive_failures;
     int64_t used_cpu;
-    /* part of used_cpu that perpetual tasks take */
+    /* part of used_cpu that perpetual tasks take, in thousandths of a core */
     int64_t perpetual_cpu;
     int64_t used_memory;
     int64_t used_gpus;
-    /* CPU taken by runs that the VM lists and that are not the current run of
-     * a task on this VM */
+    /* CPU, in thousandths of a core, of those runs on the VM that are not the
+     * current run of any task of this scheduler (foreign usage) */
     int64_t foreign_cpu;
     int64_t foreign_memory;
     /* since when the VM has listed runs, or ends of runs, of jobs that this
@@ -245,43 +278,48 @@
     AqTime foreign_since;
     /* since when the VM has had no tasks; AQ_TIME_NEVER while it has tasks */
     AqTime idle_since;
-    /* highest AqEndedTask.number of the VM's ends of runs that were
-     * processed */
+    /* highest AqEndedTask.number among the ends of runs on this VM whose
+     * effects this scheduler has applied to the tasks; 0: none */
     int64_t last_end_number;
-    /* highest AqEndedTask.number of an end of a run that the VM may forget,
-     * since the record of the run's job is stored */
+    /* the VM need no longer list ends of runs with an AqEndedTask.number up to
+     * this one, since the job changes that these ends caused are stored; 0:
+     * none */
     int64_t confirmed_end_number;
-    /* array of PendingEnd: ends of runs that are not confirmed to the VM, in
-     * rising order of number; owned */
+    /* array of PendingEnd, in rising order of number: each end of a run that
+     * the scheduler has applied and not yet confirmed to the VM; owned */
     GArray *pending_ends;
-    /* number of lease renewals to which the VM replied AQ_ORDER_DONE */
+    /* number of renewal orders (each extends the VM's lease) to which the VM
+     * replied AQ_ORDER_DONE */
     uint64_t renewal_count;
 };
 
 struct AqScheduler {
     AqSchedulerConfig config;
     AqSchedulerActions actions;
-    void *context;            /* passed to each of "actions" */
+    void *context;            /* first argument of each call of "actions" */
     const AqSiteConfig *site; /* borrowed */
     AqTime created_at;
-    /* the latest time "now" passed to the scheduler */
+    /* "now" of the latest call of a scheduler function that has this
+     * parameter */
     AqTime now;
     /* "wall" of the last AqScheduler_Tick(), Unix ms */
     int64_t wall;
     bool may_order;
     /* array of InheritedRun; emptied by AqScheduler_SetLoaded() */
     GArray *inherited_runs;
-    /* all stored jobs and the stored list of used VMs, to which an earlier
-     * owner may have sent orders, have been added */
+    /* all stored jobs have been added, and all VMs from the stored list of
+     * used VMs, to which an earlier pool owner may have sent orders */
     bool is_loaded;
     /* AqScheduler_Close() was called: the scheduler sends no more orders */
     bool is_closed;
-    /* the previous owner stored all its live runs of tasks in a hand-over */
+    /* the previous pool owner handed the pool over and stored all its live
+     * runs of tasks with the list of used VMs */
     bool is_handed_over;
-    /* the scheduler knows all live runs that earlier owners may have
-     * started */
+    /* the scheduler knows all live runs that earlier owners of the pool may
+     * have started */
     bool is_recovered;
-    /* a VM has received orders of a later owner; this scheduler sends none */
+    /* a VM reported that a later owner of the pool has sent it orders; this
+     * scheduler sends no more orders */
     bool is_superseded;
     GHashTable *jobs; /* job id -> Job; owns the jobs */
     AqLink active;    /* list of the unfinished jobs */
@@ -290,31 +328,39 @@
     AqLink dirty;
     /* number of changes of jobs so far; the last change has this number */
     uint64_t change_seq;
-    /* the changes of jobs are stored up to the change with this number */
+    /* all changes of jobs with numbers up to this one are stored */
     uint64_t stored_seq;
     /* number of job records in the save under way; 0: none is */
     size_t saving_count;
     GHashTable *vms_by_id;
     AqLink vms; /* list of Vm; owned */
-    /* version of the list of used VMs, to which this owner may have sent
-     * orders */
+    /* version of the list of used VMs (VMs to which this pool owner may have
+     * sent orders) */
     uint64_t used_vms_version;
     bool placement_due;
-    /* time of the next placement of tasks if placement_due stays false */
+    /* when the scheduler next places tasks on VMs, unless placement_due
+     * becomes true earlier */
     AqTime next_placement_at;
     /* no placement of tasks takes place before this time */
     AqTime earliest_placement_at;
-    /* next scan of all tasks, which repeats orders, moves perpetual tasks and
-     * paces fillers */
+    /* when the scheduler next scans all tasks, to repeat start and stop
+     * orders, to move perpetual tasks off cordoned and draining VMs, and to
+     * change the speed limits of fillers, which are tasks that use only CPU
+     * that others leave */
     AqTime next_scan_at;
-    /* most free CPU on one usable VM; valid during a placement of tasks */
+    /* most free CPU on one usable VM, in thousandths of a core; valid only
+     * while tasks are placed */
     int64_t largest_free_cpu_millis;
-    /* Work of the submitted jobs in core-milliseconds, which decays
-     * exponentially with time. */
+    /* Core-milliseconds that the submitted jobs need: cores times expected
+     * duration, summed over the tasks.  Perpetual tasks and recurring jobs do
+     * not count.  The sum shrinks exponentially with the time constant
+     * offered_decay_ms. */
     double offered_work;
-    /* as offered_work, with a longer time constant of the decay */
+    /* the same sum as offered_work, but it shrinks with the longer time
+     * constant offered_long_decay_ms */
     double offered_work_long;
-    /* when the decay was last applied to offered_work and offered_work_long */
+    /* when offered_work and offered_work_long were last reduced for the time
+     * that had passed */
     AqTime offered_at;
     /* Moving averages over finished tasks: the declared and the actual
      * duration of a task. */
@@ -330,7 +376,7 @@
  * known. */
 Task *scheduler_find_task(const AqScheduler *s, const AqTaskName *name);
 void scheduler_name_task(const Task *task, AqTaskName *name);
-/* Marks the job as changed, so that its record is saved. */
+/* Marks the job as changed, so that a later save includes its record. */
 void scheduler_changed(AqScheduler *s, Job *job);
 /* Marks the task as done; if its step is a gang, all tasks of the step. */
 void scheduler_task_done(AqScheduler *s, Task *task);
@@ -363,38 +409,47 @@
 /* Assigns the task to the VM and adds the task's resources to the VM's
  * usage. */
 void vms_attach(AqScheduler *s, Vm *vm, Task *task);
-/* Undoes vms_attach() of the task; no effect on a task without a VM. */
+/* Takes the task off its VM and subtracts the task's resources from the VM's
+ * usage; no effect on a task without a VM. */
 void vms_detach(AqScheduler *s, Task *task);
-/* Whether tasks that fit on the VM may be started there. */
+/* Whether tasks may be started on the VM, provided that its free resources
+ * suffice for them. */
 bool vms_is_usable(const AqScheduler *s, const Vm *vm);
 /* Records that the VM replied, and the VM's clock from the reply. */
 void vms_on_reply(AqScheduler *s, Vm *vm, const AqOrderReply *reply);
-/* Records that an order to the VM had no reply. */
+/* Records that an order to the VM ended without a reply. */
 void vms_on_no_reply(AqScheduler *s, Vm *vm);
 /* Extends the VM's lease for an order that is sent now.  Returns the new end
  * of the lease, on the VM's clock. */
 AqTime vms_grant_lease(AqScheduler *s, Vm *vm);
-/* Requeues the VM's tasks, whose runs count as lost, removes the VM from the
- * scheduler and frees it. */
+/* Makes the VM's tasks ready for new runs, counts their runs on the VM as
+ * lost, removes the VM from the scheduler's table of VMs and frees the Vm
+ * struct. */
 void vms_remove(AqScheduler *s, Vm *vm);
 void vms_free(Vm *vm);
-/* Sends the lease renewals that are due and handles VMs that do not reply.
- * Returns when the next lease renewal is due. */
+/* Sends the lease renewals that are due.  Makes tasks of VMs that do not reply
+ * ready for new runs: tasks that allow copies after COPY_AFTER_SILENCE_MS, all
+ * tasks once the VM's lease has expired.  Removes VMs without tasks whose
+ * entry in the store has disappeared.  Returns when the next lease renewal is
+ * due. */
 AqTime vms_tick(AqScheduler *s);
-/* Raises confirmed_end_number to the number of the VM's last end of a run
- * whose job record is stored, as are those of all ends before it. */
+/* Removes ends of runs from the front of the VM's pending_ends, up to the
+ * first end whose job change is not stored.  Sets confirmed_end_number to the
+ * number of the last end removed. */
 void vms_confirm_ends(const AqScheduler *s, Vm *vm);
 /* Sets *target to the VM's address and id, both borrowed from the VM. */
 void vms_target(const Vm *vm, AqOrderTarget *target);
-/* Counts consecutive failed runs on the VM; after several, quarantines the VM:
- * no task starts there for a while. */
+/* Counts a run of the task on the VM as failed or not.  After
+ * QUARANTINE_AFTER_FAILURES consecutive failed runs no task starts on the VM
+ * for QUARANTINE_MS. */
 void vms_record_result(AqScheduler *s, Vm *vm, const Task *task,
                        bool is_failure);
-/* Sets when the VM's next lease renewal is due, after the last renewal has
- * ended. */
+/* Sets when the VM's next lease renewal is due.  Called when a lease renewal
+ * has ended, with or without a reply. */
 void vms_schedule_renewal(AqScheduler *s, Vm *vm);
 /* Whether the VM has listed runs, or ends of runs, of unknown jobs for longer
- * than this owner needs to read a new job from the store. */
+ * than UNKNOWN_JOB_GRACE_MS, which is longer than this owner of the pool needs
+ * to read a new job from the store. */
 bool vms_is_foreign_run_overdue(const AqScheduler *s, const Vm *vm);
 
 /* ---- replies.c */
@@ -406,7 +461,9 @@
  * an end of that run. */
 void replies_log_lost(const AqScheduler *s, const Task *task,
                       const char *reason);
-/* Repeats the start and stop orders that had no reply and are due again. */
+/* Sends again each start order that had no reply, once the VM replies to other
+ * orders, and each stop order that the VM has not confirmed; both not before
+ * the task's resend_at. */
 void replies_tick(AqScheduler *s);
 
 /* ---- ranking.c */
@@ -424,7 +481,8 @@
 
 /* ---- perpetual.c */
 /* Repeats start and stop orders that had no reply, moves perpetual tasks off
- * cordoned and draining VMs, and paces fillers. */
+ * cordoned and draining VMs, and changes the speed limits of fillers, which
+ * are tasks that use only CPU that others leave. */
 void perpetual_tick(AqScheduler *s);
 
 /* ---- progress.c */
--- a/packages/scheduler/sizing.c
+++ b/packages/scheduler/sizing.c
@@ -3,25 +3,25 @@
 #include <string.h>
 
 enum {
-    /* CPU of the pool that is kept free, in percent of the CPU in use or of
-     * the CPU for the offered load */
+    /* CPU that the pool keeps free, in percent of the CPU in use or of the CPU
+     * for the offered load (jobs submitted at the recent rate) */
     RESERVE_PERCENT = 30,
     /* least number of VMs that a pool keeps, so that its perpetual tasks do
      * not all share one VM */
     MIN_VMS = 3,
-    /* VMs that a pool keeps beyond its need, for the start of a burst of jobs
-     * until more VMs arrive */
+    /* VMs that a pool keeps beyond its need, so that tasks of a burst (many
+     * jobs submitted within a short time) start before more VMs arrive */
     RESERVE_VMS = 1,
     /* One decision acquires at most MAX_ACQUIRED_VMS or, on a large site, the
      * site's VMs divided by MAX_ACQUIRED_SITE_DIVISOR, so that one wrong
      * estimate does not empty the other pools. */
     MAX_ACQUIRED_VMS = 16,
     MAX_ACQUIRED_SITE_DIVISOR = 4,
-    /* most CPU that is acquired ahead of the current need for CPU, in percent
-     * of that need */
+    /* limit on the CPU that the pool acquires in advance, beyond what its
+     * running and ready tasks need, in percent of that need */
     MAX_AHEAD_PERCENT = 200,
-    /* current need for CPU, in percent of the pool's capacity, above which VMs
-     * are acquired ahead of the need */
+    /* the pool acquires VMs in advance only when its running and ready tasks
+     * need more than this percentage of its CPU capacity */
     AHEAD_LOAD_PERCENT = 50,
     /* when a task has been ready for longer than this, its pool acquires one
      * more VM even if the pool's total capacity suffices */
@@ -49,8 +49,9 @@
     return (size_t)((cpu + input->vm_cpu_millis - 1) / input->vm_cpu_millis);
 }
 
-/* Thousandths of a core that the perpetual tasks and the offered load need,
- * with RESERVE_PERCENT added to the offered load. */
+/* Thousandths of a core that perpetual tasks and the offered load (jobs
+ * submitted at the recent rate) need, with RESERVE_PERCENT added to the
+ * offered load. */
 static int64_t
 offered_cpu_with_reserve(const AqSizingInput *input)
 {
@@ -73,9 +74,10 @@
         needed = vms_for_cpu(input, need - have);
         needed = needed == 0 && is_stuck ? 1 : needed;
     }
-    /* The offered load counts only when the current need exceeds
-     * AHEAD_LOAD_PERCENT of the capacity, since a few large jobs raise the
-     * offered load far above the real need for a moment. */
+    /* The offered load (CPU for jobs at the recent rate of submission) counts
+     * only when the current need exceeds AHEAD_LOAD_PERCENT of the capacity,
+     * since a few large jobs raise the offered load far above the real need
+     * for a moment. */
     if (need * 100 > input->capacity_cpu_millis * AHEAD_LOAD_PERCENT) {
         int64_t most = need + need * MAX_AHEAD_PERCENT / 100;
         int64_t offered = offered_cpu_with_reserve(input);
@@ -91,9 +93,9 @@
     return needed;
 }
 
-/* Limits "need" to the number of VMs that one decision acquires from the spare
- * pool.  VMs that other pools release are surplus there, so needed_vms, which
- * may be met by them, is not limited. */
+/* Returns "need", limited to the number of VMs that one decision may acquire
+ * from the spare pool.  AqSizingDecision.needed_vms is not limited, since VMs
+ * that other pools release as surplus may also meet that need. */
 static size_t
 limit_acquired_vms(const AqSizingInput *input, size_t need)
 {
@@ -102,8 +104,9 @@
     return need < limit ? need : limit;
 }
 
-/* Number of VMs to release to the spare pool: the pool's usable VMs above its
- * need and reserve. */
+/* Number of VMs to release to the spare pool: the usable VMs that the pool
+ * neither needs nor keeps in reserve.  0 while tasks are ready or VMs are
+ * requested for the pool. */
 static size_t
 count_released_vms(const AqSizingInput *input)
 {
--- a/packages/scheduler/vms.c
+++ b/packages/scheduler/vms.c
@@ -9,33 +9,37 @@
      * the progress of the tasks, and the next renewal extends the lease. */
     BUSY_RENEWAL_WAIT_MS = 400,
     IDLE_RENEWAL_WAIT_MS = 1000,
-    /* Pause before the next lease renewal of a VM while ends of its runs are
-     * not confirmed, since the VM would list these ends again at once. */
+    /* Pause before the next renewal order, which extends the VM's lease, while
+     * the scheduler has not confirmed all the ends of runs in the VM's last
+     * reply: the VM would list these ends again immediately. */
     UNSTORED_RENEWAL_DELAY_MS = 200,
     SILENT_RENEWAL_RETRY_MS = 300,
-    /* tasks that allow copies are requeued when their VM has been silent for
-     * longer than this; a single reply may be lost, but missing replies to two
-     * lease renewals mean a silent VM */
+    /* the scheduler starts tasks that allow copies (two live runs at a time)
+     * on other VMs when their VM has been silent for longer than this; a
+     * single reply may be lost, but missing replies to two lease renewals mean
+     * a silent VM */
     COPY_AFTER_SILENCE_MS = 700,
     /* A VM whose entry in the store expired during a store outage adds the
-     * entry again within about 2 s; a VM whose entry is missing for longer
-     * than this is gone. */
+     * entry again within about 2 s.  No task starts on a VM whose entry has
+     * been missing for this long, since such a VM counts as gone. */
     UNLISTED_GRACE_MS = 2200,
-    /* an idle VM is removed when it has had no entry in the store for longer
-     * than this */
+    /* a VM without tasks is removed from the scheduler's table of VMs when the
+     * VM has had no entry in the store for longer than this */
     UNLISTED_FORGET_MS = 10000,
-    /* Time for the job of a run that a VM lists to be read from the store;
-     * after that, a run of a job still unknown is stopped. */
+    /* A VM may list a run of a job that this scheduler has not yet read from
+     * the store.  If the job is still unknown after this time, the scheduler
+     * orders the stop of that run. */
     UNKNOWN_JOB_GRACE_MS = 3000,
     LEASE_EXPIRY_MARGIN_MS = 100,
     /* After QUARANTINE_AFTER_FAILURES consecutive failed runs of different
-     * tasks on a VM, the VM is assumed to be at fault and gets no tasks for
-     * QUARANTINE_MS. */
+     * tasks on a VM, the scheduler assumes that the VM is at fault and starts
+     * no task there for QUARANTINE_MS. */
     QUARANTINE_AFTER_FAILURES = 3,
     QUARANTINE_MS = 3000
 };
 
-/* Lowest rate of a VM's clock relative to this node's clock. */
+/* Lowest rate at which a VM's clock may run, relative to the scheduler's
+ * clock. */
 static const double slowest_clock_rate = 0.98;
 
 Vm *
@@ -78,8 +82,8 @@
 
 /* ---- Resources in use --------------------------------------------------- */
 
-/* Adds the resources of one task of the step to the VM's used resources with
- * sign 1, removes them with sign -1. */
+/* Adds the resources of one task of the step to the VM's used resources if
+ * "sign" is 1, subtracts them if it is -1. */
 static void
 add_usage(Vm *vm, const AqStepSpec *spec, int sign)
 {
@@ -136,8 +140,10 @@
         return;
     }
     if (vm->clock_ms < 0) {
-        /* An earlier owner may have granted a whole lease just before this
-         * owner's fence reached the VM. */
+        /* An earlier pool owner may have granted the VM a lease of lease_ms
+         * just before the VM received this pool owner's first order, whose
+         * higher fence makes the VM refuse later orders of earlier pool
+         * owners. */
         vm->deadline_ms = reply->clock_ms + s->config.lease_ms;
     }
     vm->clock_ms = reply->clock_ms;
@@ -153,9 +159,9 @@
     }
 }
 
-/* Requeues the running tasks of the silent VM whose steps allow copies,
- * without waiting for the VM's lease to expire: the old runs of these tasks
- * may continue beside the new ones. */
+/* Makes those running tasks of the silent VM whose steps allow copies ready
+ * for new runs, without waiting for the VM's lease to expire.  The tasks' runs
+ * on the silent VM may continue beside the new runs. */
 static void
 copy_tasks(AqScheduler *s, Vm *vm)
 {
@@ -167,8 +173,10 @@
             continue;
         }
         s->counters.copied++;
-        /* The old run counts as foreign usage of the VM until the VM replies
-         * to a lease renewal. */
+        /* The task's run on this silent VM may continue beside the task's new
+         * run.  Until the VM replies to a lease renewal, the resources of the
+         * run on this VM count as foreign usage: that of runs which are not
+         * the current run of any task of this scheduler. */
         vm->foreign_cpu += spec->cpu_millis;
         vm->foreign_memory += spec->memory_mb;
         g_strlcpy(task->avoid, vm->report.id, sizeof(task->avoid));
@@ -195,8 +203,9 @@
     return deadline;
 }
 
-/* Requeues all tasks of the VM, whose runs have ended without an end that the
- * VM has listed. */
+/* Makes all tasks of the VM ready for new runs.  The tasks' runs on the VM
+ * count as lost: these runs have ended, but the VM has not listed their
+ * ends. */
 static void
 requeue_lost_tasks(AqScheduler *s, Vm *vm, const char *reason)
 {
@@ -219,14 +228,15 @@
     vms_free(vm);
 }
 
-/* Whether the VM's leases have expired on the VM's own clock, assuming that
- * the clock has the lowest possible rate, slowest_clock_rate. */
+/* Whether the VM's lease, the time until which the VM runs tasks without a
+ * renewal, has ended on the VM's own clock, assuming that the clock has the
+ * lowest possible rate, slowest_clock_rate. */
 static bool
 has_lease_expired(const AqScheduler *s, const Vm *vm)
 {
     if (vm->clock_ms < 0) {
-        /* The VM has not replied to this owner, so only an earlier owner can
-         * have granted the VM a lease. */
+        /* The VM has not replied to this pool owner, so only an earlier pool
+         * owner can have granted the VM a lease. */
         AqTime most =
             (AqTime)((double)s->config.lease_ms / slowest_clock_rate);
         return s->now - s->created_at >
@@ -237,8 +247,10 @@
            (double)(vm->deadline_ms + LEASE_EXPIRY_MARGIN_MS);
 }
 
-/* If the VM is silent, requeues its tasks that allow copies, and all its tasks
- * once its leases have expired; may then remove and free the VM. */
+/* If the VM does not reply, makes those of the VM's tasks whose steps allow
+ * copies ready for new runs.  Once the VM's lease has expired, makes all tasks
+ * of the VM ready and, if the store has no entry of the VM, removes the VM
+ * from the scheduler's table of VMs and frees the Vm struct. */
 static void
 handle_silence(AqScheduler *s, Vm *vm)
 {
@@ -308,8 +320,8 @@
 
 /* ---- Time --------------------------------------------------------------- */
 
-/* Sets is_recovered once each used VM, to which an earlier owner may have sent
- * orders, has replied, has ended or has no valid lease. */
+/* Sets is_recovered once each used VM, to which an earlier pool owner may have
+ * sent orders, has replied, has ended or has no valid lease. */
 static void
 update_recovered(AqScheduler *s)
 {
@@ -329,8 +341,8 @@
 }
 
 /* Sends the VM's lease renewal when it is due.  Returns when the VM's next
- * lease renewal is due; AQ_TIME_NEVER if none can be sent now.  May free the
- * VM. */
+ * lease renewal is due; AQ_TIME_NEVER if none can be sent now.  May remove the
+ * VM from the scheduler's table of VMs and free the Vm struct. */
 static AqTime
 tick_vm(AqScheduler *s, Vm *vm)
 {
@@ -438,8 +450,9 @@
                           vm->pending_ends->len == 0);
 }
 
-/* Returns AqScheduledVm.silent_since of the VM.  A VM that an earlier owner
- * used counts as silent from the scheduler's creation until the VM replies. */
+/* Returns AqScheduledVm.silent_since of the VM.  A VM that an earlier pool
+ * owner used counts as silent from the scheduler's creation until the VM
+ * replies. */
 static AqTime
 silent_since(const AqScheduler *s, const Vm *vm)
 {
@@ -487,7 +500,8 @@
         vm->consecutive_failures = 0;
         return;
     }
-    /* A task that has failed before is not evidence of a fault of this VM. */
+    /* Another failed run of a task that has failed before is no evidence of a
+     * fault of this VM. */
     if (task->failures == 0 &&
         ++vm->consecutive_failures >= QUARANTINE_AFTER_FAILURES) {
         vm->quarantined_until = s->now + QUARANTINE_MS;
