--- a/packages/cli/cli.c
+++ b/packages/cli/cli.c
@@ -346,8 +346,8 @@
     return code;
 }
 
-/* Returns the rank of an exit status, by which the worst status of several
- * servers becomes that of the command.  An unknown outcome ranks above a
+/* Returns the rank of an exit status.  With several servers, the command exits
+ * with the status of the highest rank.  An unknown outcome ranks above a
  * refusal. */
 static int
 severity(int code)
--- a/packages/cli/client.h
+++ b/packages/cli/client.h
@@ -9,7 +9,7 @@
 
 typedef struct {
     int status;            /* HTTP status; 0 when no response arrived */
-    bool may_have_arrived; /* whether the server may have the request */
+    bool may_have_arrived; /* server may have received the request */
     json_t *body;          /* response body, owned; NULL unless it is JSON */
     char message[256];     /* error of the HTTP client when status is 0 */
 } ClientReply;
--- a/packages/cli/command.c
+++ b/packages/cli/command.c
@@ -136,7 +136,8 @@
     AqBuffer_Clear(&line);
 }
 
-/* Whether a blank-separated list contains the name of "length" bytes. */
+/* Whether a blank-separated list contains the first "length" bytes of "name"
+ * as an item. */
 static bool
 is_listed(const char *list, const char *name, size_t length)
 {
--- a/packages/cli/table.c
+++ b/packages/cli/table.c
@@ -193,8 +193,8 @@
     }
 }
 
-/* Returns the records as a new array.  Records in an object get their key as
- * first field "name"; records in an array stay as they are. */
+/* Returns the records as a new array of rows.  Records in an object get their
+ * key as first field "name"; records in an array stay as they are. */
 static json_t *
 to_rows(const json_t *records)
 {
--- a/packages/explain/Include/aq_explain.h
+++ b/packages/explain/Include/aq_explain.h
@@ -44,7 +44,8 @@
 
 /* Returns the report as a new reference: an object with the fields request,
  * outcome, cause, evidence, life (the timeline), missing and unreadable.  To
- * be called once: each call adds the missing logs that it finds again. */
+ * be called only once, because each call adds entries to the list of missing
+ * logs. */
 json_t *AqExplain_Report(AqExplain *explain);
 /* Appends a report of AqExplain_Report to "out" as plain text. */
 void AqExplain_Write(const json_t *report, AqBuffer *out);
--- a/packages/explain/explain.c
+++ b/packages/explain/explain.c
@@ -5,7 +5,8 @@
 
 enum {
     /* Events are collected from this long before the first line of the
-     * request, because an earlier event may be the cause of its outcome. */
+     * request, because an earlier event may have caused the request's
+     * outcome. */
     CONTEXT_BEFORE_MS = 5000,
     CONTEXT_AFTER_MS = 1000
 };
--- a/packages/explain/explain_cause.c
+++ b/packages/explain/explain_cause.c
@@ -9,17 +9,18 @@
     const Line *first;
     const Line *accepted;     /* the response that accepted the submission */
     const Line *last_refusal; /* the last refusal of the submission */
-    const Line *last_unknown; /* the last response with unknown outcome */
+    const Line *last_unknown; /* last submission with unknown outcome */
     const Line *cancelled;
-    const Line *first_order;       /* the first order to a VM to run a task */
-    const Line *longest_wait;      /* the run order after the longest wait */
-    const Line *finished;          /* the job's final state was stored */
+    const Line *first_order;  /* the first order to a VM to run a task */
+    const Line *longest_wait; /* run order with the longest wait */
+    const Line *finished;     /* line that the job's final state is stored */
     const Line *last_unsuccessful; /* the last run that did not end as done */
     unsigned refusal_count;        /* submissions that were refused */
     unsigned done_count;           /* runs that ended as done */
     unsigned failed_count;         /* runs that ended as failed */
-    unsigned lost_count;           /* runs lost with their VM or lease */
-    const char *pool; /* name of the job's pool; "" when not shown */
+    /* Runs that ended in another way than done, failed or stopped. */
+    unsigned lost_count;
+    const char *pool; /* name of the job's pool; "" when not in the logs */
 } Facts;
 
 static void
@@ -265,7 +266,8 @@
 }
 
 /* Returns the line of the first change of the pool's owner between the
- * acceptance and the end of the request, or NULL. */
+ * acceptance and the end of the request; NULL when the owner did not change.
+ */
 static const Line *
 find_takeover(const AqExplain *explain, const Facts *facts)
 {
@@ -340,8 +342,8 @@
     return true;
 }
 
-/* Returns the "pool_load" line with the most ready CPU from the time when the
- * task with the longest wait was waiting, or NULL. */
+/* Returns the "pool_load" line with the most ready CPU logged while the task
+ * with the longest wait was waiting, or NULL when there is no such line. */
 static const Line *
 find_load(const AqExplain *explain, const Facts *facts)
 {
@@ -365,8 +367,8 @@
 has_waited(const AqExplain *explain, const Facts *facts, json_t *report)
 {
     enum {
-        IGNORED_WAIT_MS =
-            300 /* shorter waits are due to message latency alone */
+        /* A shorter wait is message latency alone and no cause to report. */
+        IGNORED_WAIT_MS = 300
     };
     if (facts->longest_wait == NULL ||
         line_number(facts->longest_wait, "waited_ms") < IGNORED_WAIT_MS) {
--- a/packages/explain/explain_internal.h
+++ b/packages/explain/explain_internal.h
@@ -16,7 +16,7 @@
 } Field;
 
 typedef struct {
-    gint64 time_ms; /* Unix time by the clock of the node that logged it */
+    gint64 time_ms; /* Unix time by the clock of the logging node */
     guint sequence; /* position among all lines added, in both passes */
     GArray *fields; /* the line's key-value pairs, of type Field */
 } Line;
@@ -26,7 +26,7 @@
     GPtrArray *timeline;     /* Line pointers: the lines of the request */
     GPtrArray *context;      /* Line pointers: events around the request */
     GPtrArray *missing;      /* strings: missing logs as "NAME: REASON" */
-    size_t unreadable_count; /* unreadable lines that contain the id */
+    size_t unreadable_count; /* unreadable lines with the request's id */
     bool is_sorted;          /* whether the timeline is in order of time */
     guint line_count;        /* lines added so far, in both passes */
 };
--- a/packages/explain/tests/test_explain.c
+++ b/packages/explain/tests/test_explain.c
@@ -14,8 +14,7 @@
     const char *outcome;  /* text that the outcome begins with */
     const char *cause;    /* text that the cause contains */
     const char *evidence; /* text in the evidence; NULL: not checked */
-    const char
-        *missing; /* text in the list of missing logs; NULL: empty list */
+    const char *missing;  /* text in the missing logs; NULL: empty list */
 } cases[] = {
     {"refused: the store did not serve the node",
      "time_ms=1000 level=warning process=n-1 event=store_lost prefix=op/ "
--- a/packages/report/Include/aq_burn.h
+++ b/packages/report/Include/aq_burn.h
@@ -73,8 +73,8 @@
  * of 60 minutes, the latest one last. */
 json_t *AqBurn_Report(const AqBurn *burn, int64_t wall_ms);
 /* Append a report of AqBurn_Report to "out" as a text table or a
- * self-contained SVG plot.  They return false with AQ_ERR_INVALID, and append
- * nothing, when the report is incomplete. */
+ * self-contained SVG plot.  Both functions return false with AQ_ERR_INVALID,
+ * and append nothing, when the report is incomplete. */
 bool AqBurn_WriteTable(const json_t *report, AqBuffer *out, AqError *error);
 bool AqBurn_WriteSvg(const json_t *report, AqBuffer *out, AqError *error);
 
--- a/packages/report/burn.h
+++ b/packages/report/burn.h
@@ -21,7 +21,8 @@
 
 typedef struct {
     char service[AQ_BURN_MAX_NAME];
-    /* Owned; by ascending minute; at most AQ_BURN_WINDOW_MINUTES cells. */
+    /* Owned array of cells, by ascending minute; at most
+     * AQ_BURN_WINDOW_MINUTES cells. */
     AqBurnCell *cells;
     size_t count;
     size_t capacity;
@@ -30,7 +31,7 @@
 /* Request counters of one entry VM, with a series for each service. */
 typedef struct {
     char holder[AQ_BURN_MAX_NAME];
-    int64_t encoded_at_ms; /* Unix time of encoding; 0 in AqBurn.own */
+    int64_t encoded_at_ms; /* Unix time of the encoding; 0 for own counters */
     AqBurnSeries *series;
     size_t count;
 } AqBurnCounters;
@@ -42,12 +43,13 @@
 
 struct AqBurn {
     AqBurnCounters own;
-    bool is_restored;       /* whether "own" was read back after a restart */
-    int64_t first_minute;   /* first minute counted by this process; 0: none */
+    bool is_restored; /* own counters were read back after a restart */
+    /* First minute with a request counted by this process, in minutes since
+     * the Unix epoch; 0 before any request. */
+    int64_t first_minute;
     AqBurnCounters *others; /* owned; counters of other entry VMs */
     size_t other_count;
-    AqBurnObjective
-        *objectives; /* owned; those set with AqBurn_SetObjective */
+    AqBurnObjective *objectives; /* owned; objectives of services */
     size_t objective_count;
 };
 
--- a/packages/report/burn_write.c
+++ b/packages/report/burn_write.c
@@ -18,7 +18,7 @@
     TEXT_X = 730,
     WIDTH = 960,
     BAR_HEIGHT = 20,
-    /* Burn rate from which the bar of an hour has its full height. */
+    /* Burn rate at and above which the bar of an hour has its full height. */
     FULL_BAR_BURN_RATE = 10
 };
 
--- a/packages/report/tests/test_burn.c
+++ b/packages/report/tests/test_burn.c
@@ -59,7 +59,7 @@
         double burn_5m;
         double burn_1h;
         double left;
-        double exhausted_in_ms; /* from NOW_MS; -1: "exhausted_at" is null */
+        double exhausted_in_ms; /* after NOW_MS; -1: "exhausted_at" is null */
     } cases[] = {
         {0, 99, 1, 1, 1, 0, 0},
         {4 * MINUTE_MS, 199, 1, 0.5, 0.5, 0.5, -1},
@@ -248,9 +248,9 @@
     AqBurn_Destroy(busy);
 }
 
-/* Guards against output that lacks a service, that markup in a service's name
- * breaks or that refers to external resources, and against a crash or partial
- * output on a damaged report. */
+/* Guards against output that lacks a service, becomes malformed by markup in a
+ * service's name or refers to external resources, and against a crash or
+ * partial output on a damaged report. */
 static void
 test_output(void)
 {
