--- a/packages/cli/Include/aq_cli.h
+++ b/packages/cli/Include/aq_cli.h
@@ -1,7 +1,8 @@
 #ifndef AQ_CLI_H
 #define AQ_CLI_H
 
-/* The command-line tool "amaranthquay" for operators. */
+/* This package is "amaranthquay", the command-line tool for the operators of a
+ * fleet. */
 
 typedef enum {
     AQ_EXIT_ACCEPTED = 0,
--- a/packages/cli/cli.c
+++ b/packages/cli/cli.c
@@ -78,7 +78,9 @@
     }
 }
 
-/* Returns argp's help text, with the list of commands at the end. */
+/* Called by argp for each part of its help text: returns the part unchanged
+ * or, in place of the part after the options, the lists of commands and of
+ * exit statuses. */
 static char *
 help_filter(int key, const char *text, void *input)
 {
@@ -181,9 +183,9 @@
     free(text);
 }
 
-/* Prints that an intent was accepted, with the fleet version in the response.
- * That version is 0, and not printed, for jobs, which are stored outside the
- * fleet. */
+/* Prints that an intent was accepted, with the version of the fleet document
+ * that the response holds.  That version is 0, and not printed, for intents on
+ * jobs, which are stored outside the fleet document. */
 static void
 print_accepted(const json_t *body)
 {
@@ -346,9 +348,9 @@
     return code;
 }
 
-/* Returns the rank of an exit status.  With several servers, the command exits
- * with the status of the highest rank.  An unknown outcome ranks above a
- * refusal. */
+/* Returns the rank of an exit status.  A command that is sent to several
+ * servers exits with the status of the highest rank.  An unknown outcome ranks
+ * above a refusal. */
 static int
 severity(int code)
 {
--- a/packages/cli/client.c
+++ b/packages/cli/client.c
@@ -10,8 +10,10 @@
 
 enum {
     CONNECT_TIMEOUT_MS = 2000,
-    /* A daemon responds to an intent within 7 s: up to 5 s for the store write
-     * and 2 s for the confirmation by a majority. */
+    /* The daemon of an entry VM responds to an intent within 7 s: it takes up
+     * to 5 s to write the intended change to the store, then, after a change
+     * of the fleet document, waits up to 2 s until a majority of the entry VMs
+     * has confirmed it. */
     CALL_TIMEOUT_MS = 10000,
     MAX_RESPONSE_BYTES = 64 * 1024 * 1024
 };
--- a/packages/cli/command.c
+++ b/packages/cli/command.c
@@ -5,7 +5,8 @@
 #include <string.h>
 
 enum {
-    HELP_INDENT = 29, /* columns before the description of a command */
+    /* Columns before a command's description in the help text. */
+    HELP_INDENT = 29,
     HELP_WIDTH = 79
 };
 
@@ -92,8 +93,8 @@
     return NULL;
 }
 
-/* Appends the optional fields as "[name=...]", broken into lines of at most
- * HELP_WIDTH columns. */
+/* Appends a command's optional arguments to its help text, each as
+ * "[name=...]", broken into lines of at most HELP_WIDTH columns. */
 static void
 append_fields(const char *fields, AqBuffer *out)
 {
@@ -152,8 +153,8 @@
     return false;
 }
 
-/* Parses "KEY=VALUE,KEY=VALUE" into an object of strings, a new reference;
- * returns NULL when a pair has no key or no "=". */
+/* Parses labels, given as "KEY=VALUE,KEY=VALUE", into an object of strings, a
+ * new reference; returns NULL when a label has no key or no "=". */
 static json_t *
 parse_labels(const char *text)
 {
--- a/packages/cli/command.h
+++ b/packages/cli/command.h
@@ -8,24 +8,30 @@
 #include "aq_buffer.h"
 #include "aq_error.h"
 
-/* The table of commands, and the parsing of command-line words into a command
- * and its arguments. */
+/* This header declares the table of commands, and the parsing of command-line
+ * words into a command and its arguments. */
 
 typedef enum {
-    COMMAND_INTENT, /* sends an intent to a server */
-    COMMAND_STATE,  /* shows all records of one kind */
-    COMMAND_STATUS, /* shows the status of one daemon */
-    COMMAND_BURN,   /* shows the service-level burn report */
-    COMMAND_EXPLAIN /* reads log files; contacts no server */
+    COMMAND_INTENT, /* sends an intent (a change to make) to a server */
+    COMMAND_STATE,  /* shows all records of one kind, such as all pools */
+    COMMAND_STATUS, /* shows the status of one entry VM's daemon */
+    COMMAND_BURN, /* shows how far services have used up their error budgets */
+    COMMAND_EXPLAIN /* explains a request from log files; contacts no server */
 } CommandType;
 
 typedef struct {
     const char *group;
-    const char *verb; /* second word; NULL: the group alone is the command */
+    /* Second word of the command; NULL when the group is its only word. */
+    const char *verb;
     CommandType type;
-    const char *kind; /* kind of the intent or of the records shown, or NULL */
-    const char *positional; /* blank-separated names of the required words */
-    const char *fields;     /* blank-separated names allowed as NAME=VALUE */
+    /* Kind of the intent that is sent or of the records that are shown; NULL
+     * for commands that are neither COMMAND_INTENT nor COMMAND_STATE. */
+    const char *kind;
+    /* Blank-separated names of the required arguments, in order. */
+    const char *positional;
+    /* Blank-separated names of the optional arguments, which are given as
+     * NAME=VALUE. */
+    const char *fields;
     const char *help;
 } Command;
 
@@ -38,8 +44,8 @@
 const Command *command_find(char **words, size_t count, size_t *used,
                             AqError *error);
 
-/* Appends the help text of a command.  All lines are under 80 columns, because
- * argp breaks longer lines without an indent. */
+/* Appends the help text of a command to "out".  All lines are under 80
+ * columns, because argp breaks longer lines without an indent. */
 void command_describe(const Command *command, AqBuffer *out);
 
 /* Returns the command's arguments as an object, a new reference, built from
--- a/packages/cli/explain_command.c
+++ b/packages/cli/explain_command.c
@@ -9,7 +9,8 @@
 #include "aq_explain.h"
 #include "aq_json.h"
 
-/* Adds all lines of a log file; returns false on a read error. */
+/* Adds all lines of a log file to the explanation; returns false on a read
+ * error. */
 static bool
 read_log(FILE *file, AqExplain *explain, AqExplainPass pass)
 {
@@ -43,8 +44,9 @@
     }
 }
 
-/* Adds the lines of standard input.  Both passes read a temporary copy, as
- * standard input can be read only once.  Returns false on an I/O error. */
+/* Adds the lines of standard input to the explanation.  Both passes over the
+ * lines read a temporary copy, as standard input can be read only once.
+ * Returns false on an I/O error. */
 static bool
 read_input(AqExplain *explain)
 {
--- a/packages/cli/table.c
+++ b/packages/cli/table.c
@@ -12,15 +12,15 @@
     MAX_COLUMN_WIDTH = 48
 };
 
-/* Fields of the first columns, in this order; other fields follow in the order
- * of the JSON records. */
+/* Fields of a record that are shown in the first columns of a table, in this
+ * order; other fields follow in their order in the JSON records. */
 static const char *const first_fields[] = {
     "name",        "id",       "team",        "pool",
     "state",       "service",  "members",     "serving",
     "unavailable", "headroom", "min_serving", "max_unavailable",
     "zone",        "rack",     "address",     "worker"};
 
-/* Fields that hold a Unix time in ms and are written in UTC. */
+/* Fields of a record that hold a Unix time in ms, which tables show in UTC. */
 static const char *const time_fields[] = {"since",   "moved", "due",
                                           "started", "ended", "submitted"};
 
@@ -44,7 +44,8 @@
 }
 
 /* Returns labels as a new string in the form that commands accept
- * ("KEY=VALUE,KEY=VALUE"), or NULL when a value is not a string. */
+ * ("KEY=VALUE,KEY=VALUE"), or NULL when the value of a label is not a
+ * string. */
 static char *
 labels_text(const json_t *labels)
 {
@@ -64,8 +65,8 @@
     return AqBuffer_Detach(&out, NULL);
 }
 
-/* Returns the text of a cell as a new string; "-" for a missing or empty
- * value. */
+/* Returns the text of the table cell for a field's value as a new string; "-"
+ * for a missing or empty value. */
 static char *
 cell_text(const char *field, const json_t *value)
 {
@@ -139,7 +140,7 @@
     }
 }
 
-/* Adds columns for those fields of first_fields that any record has, in the
+/* Adds table columns for those fields of first_fields that any row has, in the
  * order of first_fields. */
 static void
 add_first_columns(Columns *columns, const json_t *rows)
@@ -193,8 +194,9 @@
     }
 }
 
-/* Returns the records as a new array of rows.  Records in an object get their
- * key as first field "name"; records in an array stay as they are. */
+/* Returns the records as a new array of table rows.  Records in an object get
+ * their key in that object as first field "name"; records in an array stay as
+ * they are. */
 static json_t *
 to_rows(const json_t *records)
 {
--- a/packages/cli/tests/test_command.c
+++ b/packages/cli/tests/test_command.c
@@ -11,14 +11,17 @@
     MAX_WORDS = 8
 };
 
-/* Guards against words that are sent as another intent than the operator
- * meant, and against invalid words that are sent instead of refused. */
+/* Guards against command-line words that are sent as another intent than the
+ * operator meant, and against invalid words that are sent instead of
+ * refused. */
 static void
 test_commands(void)
 {
     static const struct {
         const char *words[MAX_WORDS];
-        const char *kind; /* kind of the intent; NULL: the words are refused */
+        /* Kind of the intent that the words mean; NULL when they must be
+         * refused. */
+        const char *kind;
         const char *result;
     } cases[] = {
         {{"drain", "start", "vm1"}, "vm.drain", "{\"id\":\"vm1\"}"},
@@ -71,7 +74,7 @@
 }
 
 /* Guards against help lines that argp breaks in the middle, and against
- * commands and fields that are missing in the help text. */
+ * commands and optional arguments that are missing in the help text. */
 static void
 test_help(void)
 {
--- a/packages/explain/explain.c
+++ b/packages/explain/explain.c
@@ -4,9 +4,9 @@
 #include "explain_internal.h"
 
 enum {
-    /* Events are collected from this long before the first line of the
-     * request, because an earlier event may have caused the request's
-     * outcome. */
+    /* Lines of other events are collected when they are at most this much
+     * older than the first line of the request, because an earlier event may
+     * have caused the request's outcome. */
     CONTEXT_BEFORE_MS = 5000,
     CONTEXT_AFTER_MS = 1000
 };
@@ -103,8 +103,9 @@
     if (line == NULL) {
         return;
     }
-    /* "pool_gained" lines are kept from any time before, because they name
-     * the node that owned the pool when the request arrived. */
+    /* "pool_gained" lines are kept however long before the request they were
+     * logged, because they name the node that owned the pool when the request
+     * arrived. */
     bool is_near = (line->time_ms >= first->time_ms - CONTEXT_BEFORE_MS ||
                     line_is(line, "pool_gained")) &&
                    line->time_ms <= last->time_ms + CONTEXT_AFTER_MS;
--- a/packages/explain/explain_cause.c
+++ b/packages/explain/explain_cause.c
@@ -3,22 +3,34 @@
 
 #include "explain_internal.h"
 
-/* What the lines of the request show; a Line is NULL when the logs have no
- * such line. */
+/* What the log lines of the request show; a Line pointer is NULL when the logs
+ * have no such line. */
 typedef struct {
     const Line *first;
-    const Line *accepted;     /* the response that accepted the submission */
-    const Line *last_refusal; /* the last refusal of the submission */
-    const Line *last_unknown; /* last submission with unknown outcome */
+    /* Line of the first response that accepted the job's submission. */
+    const Line *accepted;
+    /* Line of the last response that refused the job's submission. */
+    const Line *last_refusal;
+    /* Line of the last response that left open whether the job's submission
+     * was stored. */
+    const Line *last_unknown;
     const Line *cancelled;
-    const Line *first_order;  /* the first order to a VM to run a task */
-    const Line *longest_wait; /* run order with the longest wait */
-    const Line *finished;     /* line that the job's final state is stored */
-    const Line *last_unsuccessful; /* the last run that did not end as done */
-    unsigned refusal_count;        /* submissions that were refused */
-    unsigned done_count;           /* runs that ended as done */
-    unsigned failed_count;         /* runs that ended as failed */
-    /* Runs that ended in another way than done, failed or stopped. */
+    /* Line of the first order to a VM to run a task of the job. */
+    const Line *first_order;
+    /* Line of the order to run the task that had waited longest, from the time
+     * when the task became ready to run until this order. */
+    const Line *longest_wait;
+    /* Line logged when the job's final state was stored. */
+    const Line *finished;
+    /* Line that reports the end or loss of the last task run of the job that
+     * did not end as done. */
+    const Line *last_unsuccessful;
+    unsigned refusal_count; /* responses that refused the job's submission */
+    unsigned done_count;    /* task runs of the job that ended as done */
+    unsigned failed_count;  /* task runs of the job that ended as failed */
+    /* Task runs of the job that ended in another way than done, failed or
+     * stopped, with those that a run_lost, run_vanished or run_stalled line
+     * reports. */
     unsigned lost_count;
     const char *pool; /* name of the job's pool; "" when not in the logs */
 } Facts;
@@ -75,8 +87,9 @@
 }
 
 /* Returns the name of the job's pool: from the line of the job's end, or else
- * from the "pool_gained" line with the fence of the first run order.  Returns
- * "" when the logs show neither. */
+ * from the "pool_gained" line that has the same fence (number of an ownership
+ * of a pool) as the first run order.  Returns "" when the logs show
+ * neither. */
 static const char *
 find_pool(const AqExplain *explain, const Facts *facts)
 {
@@ -166,9 +179,9 @@
     g_free(text);
 }
 
-/* Returns the last context line with this event up to time_ms, logged by
- * "node", or by any node when "node" is NULL; NULL when there is no such
- * line. */
+/* Returns the last line in explain->context that has this event and a time of
+ * at most time_ms and was logged by "node", or by any node when "node" is
+ * NULL.  Returns NULL when there is no such line. */
 static const Line *
 find_before(const AqExplain *explain, const char *event, const char *node,
             gint64 time_ms)
@@ -265,9 +278,9 @@
     return true;
 }
 
-/* Returns the line of the first change of the pool's owner between the
- * acceptance and the end of the request; NULL when the owner did not change.
- */
+/* Returns the line of the first change of the owner of the job's pool between
+ * the acceptance and the end of the job; NULL when the owner did not
+ * change. */
 static const Line *
 find_takeover(const AqExplain *explain, const Facts *facts)
 {
@@ -342,8 +355,10 @@
     return true;
 }
 
-/* Returns the "pool_load" line with the most ready CPU logged while the task
- * with the longest wait was waiting, or NULL when there is no such line. */
+/* Returns the line with the highest "ready_cpu" (CPU needed by the tasks that
+ * are ready to run, in thousandths of a core) of the "pool_load" lines that
+ * the owner of the job's pool logged while the task of facts->longest_wait was
+ * waiting.  Returns NULL when there is no such line. */
 static const Line *
 find_load(const AqExplain *explain, const Facts *facts)
 {
@@ -367,7 +382,9 @@
 has_waited(const AqExplain *explain, const Facts *facts, json_t *report)
 {
     enum {
-        /* A shorter wait is message latency alone and no cause to report. */
+        /* When a task waited for less than this from becoming ready to run
+         * until the order to run it, the wait is message latency alone and not
+         * reported as the cause. */
         IGNORED_WAIT_MS = 300
     };
     if (facts->longest_wait == NULL ||
@@ -445,8 +462,9 @@
 void
 cause_find(AqExplain *explain, json_t *report)
 {
-    /* The first check that returns true sets the cause: checks for what
-     * decided the outcome come first, then checks for what took the time. */
+    /* Checks are called in this order until one returns true, which has then
+     * set the cause: first checks for what decided the outcome of the request,
+     * then checks for what took the time. */
     static const CauseCheck checks[] = {
         was_refused, is_unknown,   was_cancelled,
         has_failed,  had_takeover, had_repeated_runs,
--- a/packages/explain/explain_internal.h
+++ b/packages/explain/explain_internal.h
@@ -5,30 +5,36 @@
 
 #include "aq_explain.h"
 
-/* Declarations shared by the files of the package:
+/* This header declares what the files of the package share:
  * explain_lines.c  parses a log line into its fields
  * explain.c        collects lines in two passes, writes the report
  * explain_cause.c  finds the cause of the request's outcome */
 
 typedef struct {
     char *key;
-    char *value; /* text of the field's value, without its quotes */
+    char *value; /* value as text, without the quotes around it in the line */
 } Field;
 
 typedef struct {
-    gint64 time_ms; /* Unix time by the clock of the logging node */
-    guint sequence; /* position among all lines added, in both passes */
+    /* Unix time of the event, by the clock of the node that logged it. */
+    gint64 time_ms;
+    /* Number of the line among all lines added in both passes. */
+    guint sequence;
     GArray *fields; /* the line's key-value pairs, of type Field */
 } Line;
 
 struct AqExplain {
     char *id;
-    GPtrArray *timeline;     /* Line pointers: the lines of the request */
-    GPtrArray *context;      /* Line pointers: events around the request */
-    GPtrArray *missing;      /* strings: missing logs as "NAME: REASON" */
-    size_t unreadable_count; /* unreadable lines with the request's id */
-    bool is_sorted;          /* whether the timeline is in order of time */
-    guint line_count;        /* lines added so far, in both passes */
+    GPtrArray *timeline; /* Line pointers: log lines with the request's id */
+    /* Line pointers: log lines of other events that may have affected the
+     * request. */
+    GPtrArray *context;
+    /* Strings "NAME: REASON", one for each missing log or missing kind of log
+     * line. */
+    GPtrArray *missing;
+    size_t unreadable_count; /* unreadable log lines with the request's id */
+    bool is_sorted;          /* whether "timeline" is sorted by time */
+    guint line_count;        /* log lines added so far, in both passes */
 };
 
 /* ---- explain_lines.c */
@@ -41,13 +47,13 @@
 const char *line_get(const Line *line, const char *key);
 gint64 line_number(const Line *line, const char *key);
 bool line_is(const Line *line, const char *event);
-/* Whether a field is none of those that most lines have: time, level, process
- * and request. */
+/* Whether the field's key is none of time_ms, level, process and request,
+ * which most log lines have. */
 bool field_is_detail(const Field *field);
 
 /* ---- explain_cause.c */
-/* Sets outcome, cause and evidence in the report, and adds the missing logs
- * to explain->missing. */
+/* Sets the fields outcome, cause and evidence of the report on the request,
+ * and adds the logs that prove to be missing to explain->missing. */
 void cause_find(AqExplain *explain, json_t *report);
 
 #endif
--- a/packages/explain/explain_lines.c
+++ b/packages/explain/explain_lines.c
@@ -2,9 +2,9 @@
 
 #include "explain_internal.h"
 
-/* Returns the field value that begins at *at as a new string and moves *at
- * behind the value.  A value ends at a blank or, when quoted, at the closing
- * quote. */
+/* Returns the value of a KEY=VALUE field that begins at *at as a new string,
+ * without its quotes, and moves *at behind the value.  A value ends at a blank
+ * or, when quoted, at the closing quote. */
 static char *
 parse_value(const char **at, const char *end)
 {
--- a/packages/explain/tests/test_explain.c
+++ b/packages/explain/tests/test_explain.c
@@ -11,10 +11,14 @@
 static const struct {
     const char *name;
     const char *log;
-    const char *outcome;  /* text that the outcome begins with */
-    const char *cause;    /* text that the cause contains */
-    const char *evidence; /* text in the evidence; NULL: not checked */
-    const char *missing;  /* text in the missing logs; NULL: empty list */
+    const char *outcome; /* text that the report's outcome begins with */
+    const char *cause;   /* text that the report's cause contains */
+    /* Text that an entry of the report's evidence contains; NULL when the
+     * evidence is not checked. */
+    const char *evidence;
+    /* Text that an entry of the report's list of missing logs contains; NULL
+     * when the list must be empty. */
+    const char *missing;
 } cases[] = {
     {"refused: the store did not serve the node",
      "time_ms=1000 level=warning process=n-1 event=store_lost prefix=op/ "
@@ -214,8 +218,8 @@
 }
 
 /* Guards against a timeline out of order when the nodes' logs are given one
- * after the other, and against a parser that fails on lines with the prefix of
- * a log shipper. */
+ * after the other, and against a parser that fails on log lines behind the
+ * prefix that a log shipper adds. */
 static void
 test_order(void)
 {
--- a/packages/report/burn.c
+++ b/packages/report/burn.c
@@ -74,8 +74,8 @@
             return &counters->series[i];
         }
     }
-    /* The last series is reserved for "(other)", which counts the requests to
-     * services without a series. */
+    /* The last of the AQ_BURN_MAX_SERVICES series is reserved for "(other)",
+     * which counts the requests to services without a series. */
     bool is_other = strcmp(name, other_service) == 0;
     if (counters->count >= AQ_BURN_MAX_SERVICES - (is_other ? 0U : 1U)) {
         return NULL;
--- a/packages/report/burn_merge.c
+++ b/packages/report/burn_merge.c
@@ -6,10 +6,11 @@
 #include "aq_json.h"
 
 enum {
-    /* At least the minutes of the report's longest burn rate window (1 h) are
-     * encoded one by one.  Older minutes are summed per hour, so that 53
-     * services take about 120 KB rather than 1.5 MB; a frame holds at most
-     * 256 KB, a store value 1 MB. */
+    /* At least the minutes of the longest period for which a report gives a
+     * burn rate (1 h) are encoded one by one.  Older minutes are summed per
+     * hour, so that the counters of 53 services take about 120 KB rather than
+     * 1.5 MB; a message frame between entry VMs holds at most 256 KB, a store
+     * value 1 MB. */
     DETAILED_MINUTES = AQ_BURN_HOUR_MINUTES,
     CELL_FIELDS = 1 + AQ_BURN_KINDS
 };
@@ -179,7 +180,8 @@
 }
 
 /* Copies the counts of minutes before the first minute counted by this process
- * into the own counters.  Does nothing after the first call. */
+ * from "copy", this entry VM's counters from before a restart, into burn->own.
+ * Does nothing after the first call. */
 static void
 restore_own(AqBurn *burn, const AqBurnCounters *copy)
 {
@@ -196,9 +198,10 @@
     burn->is_restored = true;
 }
 
-/* Returns the entry for the counters of another holder: the holder's present
- * entry, a new one or, when there are AQ_BURN_MAX_HOLDERS entries, the one
- * with the oldest counters, cleared. */
+/* Returns the entry of burn->others for the counters of "holder", the name of
+ * another entry VM: the entry that has these counters, a new one or, when
+ * there are AQ_BURN_MAX_HOLDERS entries, the one with the oldest counters,
+ * cleared. */
 static AqBurnCounters *
 find_other_counters(AqBurn *burn, const char *holder)
 {
--- a/packages/report/burn_report.c
+++ b/packages/report/burn_report.c
@@ -78,8 +78,10 @@
     return AQ_BURN_DEFAULT_OBJECTIVE_PERMILLE;
 }
 
-/* Returns the share of requests missed divided by the share that may be
- * missed; 0 without requests.  "objective" is in per mille. */
+/* Returns the burn rate: the share of the requests in "sum" that were not on
+ * time, divided by the share that the objective allows not to be on time; 0
+ * without requests.  "objective" is the share that must be on time, in per
+ * mille. */
 static double
 burn_rate(const Tally *sum, int objective)
 {
@@ -154,8 +156,8 @@
     return strcmp(*(const char *const *)a, *(const char *const *)b);
 }
 
-/* Adds a name to the array unless the array contains the name or has
- * SERVICES_MAX names.  Returns the new number of names. */
+/* Adds the name of a service to the array unless the array contains the name
+ * or has SERVICES_MAX names.  Returns the new number of names in the array. */
 static size_t
 add_name(const char **names, size_t count, const char *name)
 {
@@ -171,7 +173,7 @@
 }
 
 /* Fills "names" with the sorted names of the services that have counters or an
- * objective, and returns their number.  "burn" owns the names. */
+ * objective, and returns the number of names.  "burn" owns the names. */
 static size_t
 list_services(const AqBurn *burn, const char **names)
 {
--- a/packages/report/burn_write.c
+++ b/packages/report/burn_write.c
@@ -5,7 +5,7 @@
 
 #include "burn.h"
 
-/* Geometry of the plot; positions and sizes are in pixels. */
+/* Geometry of the SVG plot of a report; positions and sizes are in pixels. */
 enum {
     ROW_HEIGHT = 34,
     ROWS_Y = 56,
@@ -18,11 +18,13 @@
     TEXT_X = 730,
     WIDTH = 960,
     BAR_HEIGHT = 20,
-    /* Burn rate at and above which the bar of an hour has its full height. */
+    /* Burn rate of an hour at and above which the plot's bar for the hour has
+     * its full height. */
     FULL_BAR_BURN_RATE = 10
 };
 
-/* One service of a report; strings and JSON values are owned by the report. */
+/* The fields of one service in a report; strings and JSON values are owned by
+ * the report. */
 typedef struct {
     const char *service;
     int objective;
@@ -82,7 +84,8 @@
                        i + 1);
 }
 
-/* Writes a Unix time in ms as UTC text, or "-" when "value" is null. */
+/* Writes "value", a Unix time in ms, to "text" in UTC, or "-" when "value" is
+ * null. */
 static void
 format_time(const json_t *value, char text[32])
 {
@@ -176,8 +179,8 @@
                     x, y, width, height, fill);
 }
 
-/* Returns the fill colour for a burn rate: green up to 1, the rate that the
- * budget allows, red from 10, yellow between. */
+/* Returns the fill colour of the bar for an hour's burn rate: green up to 1,
+ * the rate that the budget allows, red from 10, yellow between. */
 static const char *
 burn_rate_colour(double rate)
 {
--- a/packages/report/tests/test_burn.c
+++ b/packages/report/tests/test_burn.c
@@ -9,7 +9,7 @@
 
 #define MINUTE_MS INT64_C(60000)
 #define HOUR_MS (60 * MINUTE_MS)
-/* A Unix time in ms, 20 min past a full hour. */
+/* Current time in these tests: a Unix time in ms, 20 min past a full hour. */
 #define NOW_MS (INT64_C(472222) * HOUR_MS + 20 * MINUTE_MS)
 
 static void
@@ -28,7 +28,8 @@
     return burn;
 }
 
-/* Returns a numeric field of the first service in the report; -1 for null. */
+/* Returns a numeric field of the first service in the burn report; -1 when the
+ * field is null. */
 static double
 reported_value(const AqBurn *burn, int64_t wall_ms, const char *field)
 {
@@ -47,8 +48,9 @@
     return fabs(value - expected) <= 1e-9 + 1e-6 * fabs(expected);
 }
 
-/* Guards against a window that counts a minute too many or too few, and
- * against a wrong burn rate, remaining budget or time of exhaustion. */
+/* Guards against periods of a report (5 min, 1 h, 24 h) that count a minute
+ * too many or too few, and against a wrong burn rate, remaining budget or time
+ * at which the budget is used up. */
 static void
 test_windows(void)
 {
@@ -59,7 +61,9 @@
         double burn_5m;
         double burn_1h;
         double left;
-        double exhausted_in_ms; /* after NOW_MS; -1: "exhausted_at" is null */
+        /* Expected "exhausted_at", in ms after NOW_MS; -1 when it must be
+         * null. */
+        double exhausted_in_ms;
     } cases[] = {
         {0, 99, 1, 1, 1, 0, 0},
         {4 * MINUTE_MS, 199, 1, 0.5, 0.5, 0.5, -1},
@@ -92,9 +96,9 @@
     }
 }
 
-/* Guards against an "exhausted_at" that ignores the remaining budget: when 50
- * of the 100 misses allowed for 10,000 requests are used, a burn rate of 2
- * uses up the other 50 in 6 h. */
+/* Guards against an "exhausted_at" that ignores the remaining budget: when 100
+ * of 10,000 requests may be late and 50 were, a burn rate of 2 uses up the
+ * other 50 in 6 h. */
 static void
 test_projection(void)
 {
@@ -143,9 +147,9 @@
     AqBurn_Destroy(c);
 }
 
-/* Guards against losing the counts of 24 h when the daemon restarts, and
- * against counting them twice when several peers send the daemon's own
- * counters back. */
+/* Guards against losing the counts of 24 h when an entry VM's daemon restarts,
+ * and against counting them twice when several other daemons send its own
+ * counters back to it. */
 static void
 test_restart(void)
 {
@@ -161,7 +165,8 @@
     AqBurn_Destroy(after);
 }
 
-/* Guards against invalid input that changes the counters or sets no error. */
+/* Guards against invalid counters that AqBurn_Merge merges, in whole or in
+ * part, or for which it sets no error. */
 static void
 test_bad_input(void)
 {
@@ -201,8 +206,9 @@
     }
 }
 
-/* Guards against memory, frames and store values that grow without limit with
- * the number of services or entry VMs, or when the wall clock jumps. */
+/* Guards against memory, message frames and store values for counters that
+ * grow without limit with the number of services or entry VMs, or when the
+ * wall clock jumps. */
 static void
 test_bounds(void)
 {
@@ -248,9 +254,9 @@
     AqBurn_Destroy(busy);
 }
 
-/* Guards against output that lacks a service, becomes malformed by markup in a
- * service's name or refers to external resources, and against a crash or
- * partial output on a damaged report. */
+/* Guards against a table or SVG plot that lacks a service, becomes malformed
+ * by markup in a service's name or refers to external resources, and against a
+ * crash or partial output on a damaged report. */
 static void
 test_output(void)
 {
