--- a/packages/cli/Include/aq_cli.h
+++ b/packages/cli/Include/aq_cli.h
@@ -1,7 +1,8 @@
 #ifndef AQ_CLI_H
 #define AQ_CLI_H
 
-/* The operator's command "amaranthquay". */
+/* This package is "amaranthquay", the command-line tool for the operators of a
+ * fleet. */
 
 typedef enum {
     AQ_EXIT_ACCEPTED = 0,
@@ -14,8 +15,8 @@
     AQ_EXIT_STORED = 7
 } AqExitCode;
 
-/* Parses the command line, carries the command out and returns the exit
- * status. */
+/* Parses the command line, runs the command and returns the exit status, an
+ * AqExitCode. */
 int AqCli_Main(int argc, char **argv);
 
 #endif
