--- a/packages/fleet/bench/bench_fleet.c
+++ b/packages/fleet/bench/bench_fleet.c
@@ -1,6 +1,7 @@
-/* Measures waves, placement and commits on virtual time, with 20 fixed seeds:
+/* Measures waves, placement and commits in virtual time, with 20 fixed seeds:
  *   bench_fleet [waves-small | waves-design | operators]...
- * Without arguments it runs all three.  Only decision times are real. */
+ * Without arguments bench_fleet runs all three measurements.  Only the
+ * durations of planner steps are CPU time. */
 
 #include <math.h>
 #include <stdio.h>
@@ -12,11 +13,11 @@
 #include "fake_daemon.h"
 
 #define SEEDS 20
-#define TICK_MS 5000
+#define STEP_INTERVAL_MS 5000
 #define HOUR_MS 3600000.0
-#define WARM_UP_MS (2 * 3600 * 1000)
-#define MEASURED_MS (24 * 3600 * 1000)
-#define LONGEST_MS (96 * 3600 * 1000)
+#define WARM_UP_TIME_MS (2 * 3600 * 1000)
+#define MEASURED_TIME_MS (24 * 3600 * 1000)
+#define WAVE_TIMEOUT_MS (96 * 3600 * 1000)
 
 /* ---- Sites and strategies --------------------------------------------- */
 
@@ -25,14 +26,17 @@
     int vms;
     int pools;
     int zones;
-    const int *sizes; /* VMs per pool; NULL: an even share, varied by 20% */
-    int buffer;       /* weights */
+    /* number of VMs of each pool; NULL: 80% to 120% of an even share */
+    const int *sizes;
+    int buffer; /* weight "buffer" of the fleet document, 1 to 10 */
     int moves;
     int time;
 } Site;
 
-/* Section 1.1: the pools of both sites, and what weighs most there. */
+/* VMs of each pool at sites 1 and 2; design page, section 1.1. */
 static const int small_sizes[] = {9, 9, 11, 12, 8};
+/* Sites 1 and 2 of the design page, section 1.1; the weights that each site
+ * sets highest are above the default of 5. */
 static const Site small_sites[] = {
     {"site 1: 50 VMs, 5 pools, moves and time weigh most", 50, 5, 3,
      small_sizes, 5, 8, 8},
@@ -52,9 +56,13 @@
 typedef struct {
     const char *name;
     bool placement;
-    double extra;    /* VMs over min_serving per pool: share, at least 1 */
-    double parallel; /* share of the fleet; 0: one VM */
-    double max_unavailable; /* share of a pool; 0: unlimited */
+    /* VMs of a pool above min_serving at the start, as a share of min_serving;
+     * at least one VM */
+    double extra;
+    /* max_parallel of the wave as a share of the fleet's VMs; 0: one VM */
+    double parallel;
+    /* max_unavailable of a pool as a share of min_serving; 0: unlimited */
+    double max_unavailable;
 } Strategy;
 
 static const Strategy strategies[] = {
@@ -64,16 +72,22 @@
 };
 
 typedef struct {
-    double buffer_hours;  /* VMs of pools over min_serving, per day */
-    double spare_hours;   /* VMs of the spare pool, per day */
-    double missing_hours; /* VMs under min_serving, per day */
+    /* VM-hours per day by which pools, except the spare pool, have more VMs
+     * than min_serving; failed and leaving VMs do not count */
+    double buffer_hours;
+    /* VM-hours per day of the VMs in the spare pool; failed and leaving VMs do
+     * not count */
+    double spare_hours;
+    /* VM-hours per day by which pools have fewer serving VMs than
+     * min_serving */
+    double missing_hours;
     double wave_hours;
     double wave_failed;
     double moves;
-    double writes;      /* per second, over all */
-    double wave_writes; /* per second, while the wave runs */
+    double writes;      /* store writes per second over all measured time */
+    double wave_writes; /* store writes per second during the wave */
     double step_us;
-    double step_us_most;
+    double step_us_max;
     double head_bytes;
     double snapshot_bytes;
 } Result;
@@ -86,23 +100,24 @@
     FakePlatform platform;
     AqRandom random;
     Result result;
-    int64_t writes;
-    int64_t steps;
-    int64_t heads;
-    int serial;
+    int64_t writes; /* writes to the store in this run so far */
+    int64_t steps;  /* planner steps counted in result.step_us so far */
+    int64_t heads;  /* heads whose length was added to result.head_bytes */
+    int serial;     /* number in the id of the next operation */
     bool measuring;
 } Run;
 
 /* ---- Building a fleet ------------------------------------------------- */
 
 static void
-put_pool(Run *run, json_t *set, const char *name, int min, int most)
+put_pool(Run *run, json_t *set, const char *name, int min, int max_unavailable)
 {
     json_t *pool = json_pack("{s:s, s:{}, s:i, s:i, s:i, s:i}", "service",
                              name, "selector", "min_serving", min, "slots", 8,
                              "connections", 64, "objective", 999);
     if (run->strategy->max_unavailable > 0) {
-        json_object_set_new(pool, "max_unavailable", json_integer(most));
+        json_object_set_new(pool, "max_unavailable",
+                            json_integer(max_unavailable));
     }
     set_put(set, AQ_REC_POOL, name, pool);
 }
@@ -120,13 +135,14 @@
             json_pack("{s:s, s:s, s:s, s:s, s:s, s:I, s:{s:s, s:s}}", "pool",
                       pool, "state", "serving", "rack", rack, "zone", zone,
                       "address", address, "since",
-                      (json_int_t)run->platform.now, "labels", "size", "c64",
-                      "release", "r1"));
+                      (json_int_t)run->platform.now_ms, "labels", "size",
+                      "c64", "release", "r1"));
     fake_platform_vm(&run->platform, id);
 }
 
-/* Promises 87% of the size of each pool, and deals the VMs of the racks to
- * the pools at random; the rest is spare. */
+/* Sets min_serving of each pool to 87% of its size and assigns min_serving VMs
+ * and the strategy's extra VMs to the pool at random over all racks; the
+ * remaining VMs go to the spare pool. */
 static void
 build_fleet(Run *run)
 {
@@ -177,15 +193,18 @@
     return fake_platform_vm(&run->platform, id);
 }
 
-/* Unplanned events at the rates of section 1.6, scaled to the fleet: 11
- * failures (60 min) and 96 restarts or replacements (leaving for 2 min, down
- * for about 8) a day over 900 VMs, and a rack (2 h) every 45 days. */
+/* Begins, at random, the unplanned outages of VMs that fall into one planner
+ * step interval (STEP_INTERVAL_MS), at the rates of the design page, section
+ * 1.6.  Scaled to the number of VMs: 11 failures (down for 60 min) and 96
+ * restarts or replacements (leaving for 2 min, which is left out here, then
+ * down for about 8 min) a day over 900 VMs.  Not scaled: the outage of one
+ * rack (down for 2 h) every 45 days. */
 static void
 fail_vms(Run *run)
 {
-    double days = TICK_MS / (24 * HOUR_MS);
+    double days = STEP_INTERVAL_MS / (24 * HOUR_MS);
     double scale = run->site->vms / 900.0;
-    int64_t now = run->platform.now;
+    int64_t now = run->platform.now_ms;
     int rank;
     if (AqRandom_Unit(&run->random) < 11 * scale * days) {
         fake_platform_fail(random_vm(run, &rank), now + 3600000);
@@ -226,7 +245,8 @@
         AqFleet_SnapshotWritten(run->fleet);
         run->writes++;
     }
-    /* As long as the ids that operators' commands generate. */
+    /* The operation id has the length of the ids that operators' commands
+     * generate, so that head has its usual size. */
     g_snprintf(op, sizeof(op), "planner-entry-1-%012d", run->serial++);
     if (!AqFleet_Apply(run->fleet, op, set, &error)) {
         fprintf(stderr, "commit failed: %s\n", error.message);
@@ -252,7 +272,7 @@
         run->result.moves +=
             run->measuring &&
             strcmp(json_string_value(json_array_get(upsert, 0)), "vm") == 0 &&
-            int_or(vm, "moved", 0) == run->platform.now;
+            int_or(vm, "moved", 0) == run->platform.now_ms;
     }
 }
 
@@ -263,13 +283,13 @@
     json_t *reboots = json_array();
     double from = cpu_us();
     run->platform.fleet = run->fleet;
-    AqPlanner_Step(run->planner, run->fleet, run->platform.now,
+    AqPlanner_Step(run->planner, run->fleet, run->platform.now_ms,
                    &fake_platform_view, &run->platform, set, reboots);
     double us = cpu_us() - from;
     run->result.step_us += us;
     run->steps++;
-    if (us > run->result.step_us_most) {
-        run->result.step_us_most = us;
+    if (us > run->result.step_us_max) {
+        run->result.step_us_max = us;
     }
     fake_platform_reboot(&run->platform, run->fleet, reboots);
     if (json_array_size(set) > 0) {
@@ -280,13 +300,15 @@
     json_decref(reboots);
 }
 
+/* Adds the VM-hours of one planner step interval (STEP_INTERVAL_MS) to
+ * buffer_hours, spare_hours and missing_hours of the result. */
 static void
 count_buffer(Run *run)
 {
-    double hours = TICK_MS / HOUR_MS;
+    double hours = STEP_INTERVAL_MS / HOUR_MS;
     for (guint i = 0; i < run->fleet->pool_order->len; i++) {
         const PoolEntry *pool = run->fleet->pool_order->pdata[i];
-        int live = pool->members - pool->by_state[AQ_VM_FAILED] -
+        int live = pool->vm_count - pool->by_state[AQ_VM_FAILED] -
                    pool->by_state[AQ_VM_LEAVING];
         int over = live - pool->min_serving;
         int under = pool->min_serving - pool_serving(pool);
@@ -309,7 +331,7 @@
         fake_intent("wave", "wave.start",
                     json_pack("{s:s, s:i}", "name", "w", "max_parallel",
                               parallel < 1 ? 1 : parallel));
-    if (!AqFleet_Evaluate(run->fleet, intent, run->platform.now, set,
+    if (!AqFleet_Evaluate(run->fleet, intent, run->platform.now_ms, set,
                           &error)) {
         fprintf(stderr, "wave.start: %s\n", error.message);
         exit(1);
@@ -329,7 +351,7 @@
 static void
 tick(Run *run)
 {
-    fake_platform_advance(&run->platform, TICK_MS);
+    fake_platform_advance(&run->platform, STEP_INTERVAL_MS);
     fail_vms(run);
     plan(run);
 }
@@ -337,24 +359,24 @@
 static void
 measure(Run *run)
 {
-    int64_t begin = run->platform.now;
+    int64_t begin = run->platform.now_ms;
     int64_t writes = run->writes;
     int64_t end = 0;
     start_wave(run);
     run->measuring = true;
-    while (run->platform.now - begin < MEASURED_MS ||
-           (end == 0 && run->platform.now - begin < LONGEST_MS)) {
+    while (run->platform.now_ms - begin < MEASURED_TIME_MS ||
+           (end == 0 && run->platform.now_ms - begin < WAVE_TIMEOUT_MS)) {
         tick(run);
         count_buffer(run);
         if (end == 0 && !wave_is(run, "running")) {
-            end = run->platform.now;
+            end = run->platform.now_ms;
             run->result.wave_writes =
                 (double)(run->writes - writes) * 1000 / (double)(end - begin);
         }
     }
-    double days = (double)(run->platform.now - begin) / (24 * HOUR_MS);
+    double days = (double)(run->platform.now_ms - begin) / (24 * HOUR_MS);
     run->result.wave_hours =
-        (double)((end == 0 ? run->platform.now : end) - begin) / HOUR_MS;
+        (double)((end == 0 ? run->platform.now_ms : end) - begin) / HOUR_MS;
     run->result.wave_failed = !wave_is(run, "done");
     run->result.buffer_hours /= days;
     run->result.spare_hours /= days;
@@ -377,7 +399,7 @@
     fleet_disable(run.fleet,
                   strategy->placement ? 0 : FLEET_DISABLE_PLACEMENT);
     build_fleet(&run);
-    while (run.platform.now < WARM_UP_MS) {
+    while (run.platform.now_ms < WARM_UP_TIME_MS) {
         tick(&run);
     }
     measure(&run);
@@ -395,7 +417,8 @@
     return (a > b) - (a < b);
 }
 
-/* Median and range over the seeds of one field. */
+/* Prints the median and range over all seeds of one field of Result, which is
+ * at "offset"; "results" has one entry per seed. */
 static void
 print_field(const char *name, const Result *results, size_t offset)
 {
@@ -429,7 +452,7 @@
         FIELD("store writes per second", writes);
         FIELD("store writes per second in wave", wave_writes);
         FIELD("decision, us CPU", step_us);
-        FIELD("longest decision, us CPU", step_us_most);
+        FIELD("longest decision, us CPU", step_us_max);
         FIELD("head, bytes", head_bytes);
         FIELD("snapshot, bytes", snapshot_bytes);
 #undef FIELD
--- a/packages/fleet/intents_vm.c
+++ b/packages/fleet/intents_vm.c
@@ -2,12 +2,13 @@
 
 #include <string.h>
 
-/* Finds the VM that "id" names when the other fields are known too. */
+/* Returns the VM named by field "id" of the intent; NULL with an error when
+ * there is no such VM or the intent has a field not in "allowed". */
 static VmEntry *
 find_vm(const Intent *intent, const char *const *allowed, AqError *error)
 {
     const char *id;
-    if (!fields_known(intent->args, allowed, error) ||
+    if (!check_known_fields(intent->args, allowed, error) ||
         !field_name(intent->args, "id", &id, error)) {
         return NULL;
     }
@@ -21,15 +22,17 @@
     return vm;
 }
 
+/* Fills *error for an action that a VM's state does not allow ("action" is a
+ * past participle such as "moved"); returns false. */
 static bool
-refuse_state(const VmEntry *vm, const char *what, const char *remedy,
+refuse_state(const VmEntry *vm, const char *action, const char *remedy,
              AqError *error)
 {
     return AqError_Set(error, AQ_ERR_REFUSED,
                        "VM \"%s\" of pool \"%s\" (%d of %d VMs serving) is "
                        "%s and cannot be %s; %s",
                        vm->id, vm->pool->name, pool_serving(vm->pool),
-                       vm->pool->members, AqVmState_Name(vm->state), what,
+                       vm->pool->vm_count, AqVmState_Name(vm->state), action,
                        remedy);
 }
 
@@ -39,8 +42,9 @@
     return vm->state == AQ_VM_DRAINING || vm->state == AQ_VM_DRAINED;
 }
 
-/* A label that the pool's selector wants and the VM lacks is reported with
- * both values. */
+/* Checks the labels of a VM ("vm" NULL: a new VM) against the selector of a
+ * pool.  The error message names the label that does not match, with the value
+ * that the pool selects and that of the VM. */
 static bool
 check_selector(const VmEntry *vm, const json_t *labels, const PoolEntry *pool,
                AqError *error)
@@ -56,7 +60,7 @@
                 "pool \"%s\" (%d of %d VMs serving) takes VMs with label "
                 "\"%s\" = \"%s\", but VM \"%s\" has \"%s\"; set the label "
                 "with vm.set or choose another pool",
-                pool->name, pool_serving(pool), pool->members, label,
+                pool->name, pool_serving(pool), pool->vm_count, label,
                 json_string_value(value), vm == NULL ? "new" : vm->id, found);
         }
     }
@@ -105,7 +109,8 @@
     bool moved = strcmp(string_or(next, "address", ""),
                         string_or(vm->record, "address", "")) != 0;
     bool ok = record_check(AQ_REC_VM, vm->id, next, error);
-    /* Requests may be in flight on the old address. */
+    /* A serving or draining VM must keep its address, since requests may be in
+     * flight on the old address. */
     if (ok && moved &&
         (vm->state == AQ_VM_SERVING || vm->state == AQ_VM_DRAINING)) {
         ok = refuse_state(vm, "given another address",
@@ -125,7 +130,7 @@
         "id",      "pool",  "labels",    "rack",         "zone",
         "address", "cores", "memory_mb", "accelerators", NULL};
     const char *id;
-    if (!fields_known(intent->args, allowed, error) ||
+    if (!check_known_fields(intent->args, allowed, error) ||
         !field_name(intent->args, "id", &id, error) ||
         (json_object_get(intent->args, "pool") != NULL &&
          !field_name(intent->args, "pool", NULL, error))) {
@@ -164,8 +169,10 @@
         return false;
     }
     if (is_drained(vm)) {
-        /* The operator takes over a drain that a wave or move began. */
-        if (*vm->wave != '\0' || vm->target != NULL || vm->reboot) {
+        /* A drain that was part of a wave, move or reboot now lasts until an
+         * operator ends it. */
+        if (*vm->wave != '\0' || vm->target_pool != NULL ||
+            vm->is_reboot_planned) {
             json_t *next = json_copy((json_t *)vm->record);
             vm_clear_plan(next);
             set_put(intent->set, AQ_REC_VM, vm->id, next);
@@ -205,10 +212,13 @@
     return true;
 }
 
-/* A stop for a move or a reboot: drains a serving VM within the budget, and
- * changes the plan of one that is drained already. */
+/* Returns a new record of a VM that must be drained for a move or a reboot.  A
+ * serving VM begins to drain if the budget of its pool allows the drain, and a
+ * draining or drained VM loses its planned wave, move or reboot.  Returns NULL
+ * with an error when the VM has another state or the budget forbids the
+ * drain. */
 static json_t *
-planned_stop(const Intent *intent, const VmEntry *vm, const char *what,
+planned_stop(const Intent *intent, const VmEntry *vm, const char *action,
              AqError *error)
 {
     if (is_drained(vm)) {
@@ -217,7 +227,7 @@
         return next;
     }
     if (vm->state != AQ_VM_SERVING) {
-        refuse_state(vm, what, "wait until it serves again", error);
+        refuse_state(vm, action, "wait until it serves again", error);
         return NULL;
     }
     if (!budget_allow_stop(intent->fleet, vm->pool, vm->id, error)) {
@@ -226,8 +236,11 @@
     return vm_draining(intent->fleet, vm, intent->wall_ms);
 }
 
+/* Appends to the intent's set an upsert that gives a VM the record "next",
+ * unless the VM has an equal record already.  Takes over the caller's
+ * reference to "next". */
 static void
-put_changed(const Intent *intent, const VmEntry *vm, json_t *next)
+put_if_changed(const Intent *intent, const VmEntry *vm, json_t *next)
 {
     if (json_equal(next, (json_t *)vm->record)) {
         json_decref(next);
@@ -254,8 +267,8 @@
                            name);
     }
     if (pool == vm->pool) {
-        /* A move back to its own pool cancels the move that is under way. */
-        if (vm->target != NULL) {
+        /* A move to the VM's own pool cancels the VM's move in progress. */
+        if (vm->target_pool != NULL) {
             set_put(intent->set, AQ_REC_VM, vm->id,
                     vm_serving(vm, intent->wall_ms));
         }
@@ -265,7 +278,7 @@
                         error)) {
         return false;
     }
-    if ((intent->fleet->switches & FLEET_DISABLE_DRAIN) != 0) {
+    if ((intent->fleet->disabled & FLEET_DISABLE_DRAIN) != 0) {
         set_put(intent->set, AQ_REC_VM, vm->id,
                 vm_in_pool(vm, name, intent->wall_ms));
         return true;
@@ -275,7 +288,7 @@
         return false;
     }
     json_object_set_new(next, "target", json_string(name));
-    put_changed(intent, vm, next);
+    put_if_changed(intent, vm, next);
     return true;
 }
 
@@ -292,6 +305,6 @@
         return false;
     }
     json_object_set_new(next, "reboot", json_true());
-    put_changed(intent, vm, next);
+    put_if_changed(intent, vm, next);
     return true;
 }
--- a/packages/fleet/intents_wave.c
+++ b/packages/fleet/intents_wave.c
@@ -2,7 +2,8 @@
 
 #include <string.h>
 
-/* Finished waves that are kept for operators to read. */
+/* Most finished waves that stay in the document for operators to list; if
+ * there are more, wave.start deletes the oldest one. */
 #define WAVES_KEPT 16
 
 static bool
@@ -12,7 +13,8 @@
     return strcmp(state, "done") == 0 || strcmp(state, "aborted") == 0;
 }
 
-/* Deletes the oldest finished waves beyond WAVES_KEPT. */
+/* Appends to the intent's set an upsert that deletes the oldest finished wave,
+ * if the document has more than WAVES_KEPT finished waves. */
 static void
 prune_waves(const Intent *intent)
 {
@@ -47,8 +49,8 @@
         return field_name(intent->args, "release", NULL, error);
     }
     if (release != NULL) {
-        return field_bad(intent->args, "release",
-                         "absent unless \"kind\" is \"rollout\"", error);
+        return field_error(intent->args, "release",
+                           "absent unless \"kind\" is \"rollout\"", error);
     }
     return true;
 }
@@ -72,12 +74,14 @@
     static const char *const allowed[] = {"name",         "selector", "kind",
                                           "max_parallel", "release",  NULL};
     const char *name;
-    if (!fields_known(intent->args, allowed, error) ||
+    if (!check_known_fields(intent->args, allowed, error) ||
         !field_name(intent->args, "name", &name, error)) {
         return false;
     }
-    /* The id orders waves without clocks: VMs keep the id of the last wave
-     * that finished on them. */
+    /* The wave's id is the document version of the commit that starts the
+     * wave, so that a wave started later has a higher id whatever the clocks
+     * show.  The record of a VM keeps the id of the last wave that finished on
+     * the VM. */
     json_t *record = json_pack(
         "{s:{}, s:s, s:s, s:i, s:I, s:I, s:i, s:i, s:s}", "selector", "kind",
         "reboot", "state", "running", "max_parallel", 1, "id",
@@ -121,14 +125,16 @@
     }
 }
 
-/* Brings a wave from one of "from" to the state "to". */
+/* Changes the state of the wave named in the intent to "to" if its present
+ * state is one of "from"; succeeds without upserts when the wave has state
+ * "to" already. */
 static bool
 change_state(const Intent *intent, const char *const *from, const char *to,
              AqError *error)
 {
     static const char *const allowed[] = {"name", NULL};
     const char *name;
-    if (!fields_known(intent->args, allowed, error) ||
+    if (!check_known_fields(intent->args, allowed, error) ||
         !field_name(intent->args, "name", &name, error)) {
         return false;
     }
@@ -153,7 +159,9 @@
     json_t *next = json_copy((json_t *)wave);
     json_object_set_new(next, "state", json_string(to));
     if (strcmp(to, "running") == 0) {
-        /* The operator has seen the failures; only new ones count. */
+        /* "recent" has the wave's latest results for VMs.  Resuming the wave
+         * clears them, so that only VMs that fail from now on count towards
+         * stopping the wave. */
         json_object_set_new(next, "recent", json_string(""));
         json_object_del(next, "reason");
     }
