--- a/packages/daemon/Include/aq_daemon.h
+++ b/packages/daemon/Include/aq_daemon.h
@@ -7,22 +7,26 @@
 #include "aq_loop.h"
 #include "aq_settings.h"
 
-/* The daemon of one entry VM. */
+/* The daemon that runs on each entry VM. */
 
 typedef struct AqDaemon AqDaemon;
 
-/* Opens the listeners.  "settings" is borrowed and must outlive the result. */
+/* Creates the daemon and opens its listeners.  "settings" stays owned by the
+ * caller and must outlive the result, which the caller owns too.  Returns NULL
+ * and sets "error" on failure. */
 AqDaemon *AqDaemon_Create(const AqSettings *settings, AqError *error);
 void AqDaemon_Destroy(AqDaemon *daemon);
 
-/* Runs until a graceful stop has ended. */
+/* Runs the event loop; returns when a stop has ended. */
 void AqDaemon_Run(AqDaemon *daemon);
-/* Begins a graceful stop; the second call ends it at once. */
+/* Begins a graceful stop; a second call ends the event loop at once. */
 void AqDaemon_Stop(AqDaemon *daemon);
 
-AqLoop *AqDaemon_Loop(AqDaemon *daemon); /* borrowed */
+/* Returns the event loop, which the daemon owns. */
+AqLoop *AqDaemon_Loop(AqDaemon *daemon);
 
-/* Writes the line "ready callers=IP:PORT operators=IP:PORT peers=IP:PORT". */
+/* Writes the line "ready callers=IP:PORT operators=IP:PORT peers=IP:PORT",
+ * with the addresses of the listeners, to "out". */
 void AqDaemon_WriteReady(const AqDaemon *daemon, FILE *out);
 
 #endif
--- a/packages/daemon/attempts.c
+++ b/packages/daemon/attempts.c
@@ -11,35 +11,36 @@
 #include "endpoints.h"
 
 enum {
-    CONNECT_LIMIT_MS = 1000,
+    CONNECT_TIMEOUT_MS = 1000,
     MAX_SENT_HEADERS = 80,
-    /* The router ends attempts; libcurl's own timeout is only a backstop. */
-    BACKSTOP_MS = 2000
+    /* The router ends an attempt at its deadline.  libcurl's own timeout ends
+     * this much later and applies only if the router fails to do so. */
+    TIMEOUT_MARGIN_MS = 2000
 };
 
 typedef struct {
     uint64_t id;
-    uint64_t request;
+    uint64_t request; /* number of the request */
     char *endpoint;
-    char name[96]; /* Aq-Attempt-Id */
-    AqHttpCall *call;
+    char name[96];    /* value of the header Aq-Attempt-Id */
+    AqHttpCall *call; /* NULL once the reply has arrived */
     Attempts *owner;
 } Attempt;
 
 struct Attempts {
     Daemon *daemon;
-    GHashTable *by_id; /* id -> Attempt, owned */
+    GHashTable *by_id; /* attempt number -> Attempt, owned by the table */
 };
 
 void
-EndpointResponse_Destroy(EndpointResponse *answer)
+EndpointResponse_Destroy(EndpointResponse *response)
 {
-    if (answer == NULL) {
+    if (response == NULL) {
         return;
     }
-    g_strfreev(answer->headers);
-    free(answer->body);
-    free(answer);
+    g_strfreev(response->headers);
+    free(response->body);
+    free(response);
 }
 
 bool
@@ -60,12 +61,12 @@
     return false;
 }
 
-/* ---- Answers ------------------------------------------------------------ */
+/* ---- Responses ---------------------------------------------------------- */
 
 static EndpointResponse *
-copy_answer(const AqHttpReply *reply)
+copy_response(const AqHttpReply *reply)
 {
-    EndpointResponse *answer = calloc(1, sizeof(*answer));
+    EndpointResponse *response = calloc(1, sizeof(*response));
     GPtrArray *headers = g_ptr_array_new();
     for (const char *const *at = reply->headers; *at != NULL; at++) {
         if (!Attempts_IsOwnHeader(*at)) {
@@ -73,23 +74,23 @@
         }
     }
     g_ptr_array_add(headers, NULL);
-    answer->headers = (char **)g_ptr_array_free(headers, FALSE);
-    answer->status = reply->status;
-    answer->size = reply->size;
-    answer->body = malloc(reply->size + 1);
-    memcpy(answer->body, reply->body, reply->size);
-    return answer;
+    response->headers = (char **)g_ptr_array_free(headers, FALSE);
+    response->status = reply->status;
+    response->size = reply->size;
+    response->body = malloc(reply->size + 1);
+    memcpy(response->body, reply->body, reply->size);
+    return response;
 }
 
 static bool
-is_set(const AqHttpReply *reply, const char *name)
+is_header_set(const AqHttpReply *reply, const char *name)
 {
     const char *value = AqHttpReply_Header(reply, name);
     return value != NULL && strcmp(value, "1") == 0;
 }
 
 static AqAttemptResult
-classify_answer(Attempt *attempt, const AqHttpReply *reply)
+classify_response(Attempt *attempt, const AqHttpReply *reply)
 {
     const char *echo = AqHttpReply_Header(reply, "Aq-Attempt-Id");
     if (echo != NULL && strcmp(echo, attempt->name) != 0) {
@@ -100,11 +101,11 @@
                             attempt->endpoint);
         return AQ_ATTEMPT_CUT;
     }
-    if (is_set(reply, "Aq-Leaving")) {
+    if (is_header_set(reply, "Aq-Leaving")) {
         Endpoints_OnLeaving(attempt->owner->daemon->endpoints,
                             attempt->endpoint, true);
     }
-    if (reply->status == 503 && is_set(reply, "Aq-Not-Run")) {
+    if (reply->status == 503 && is_header_set(reply, "Aq-Not-Run")) {
         return AQ_ATTEMPT_REFUSED;
     }
     return reply->status >= 500 ? AQ_ATTEMPT_FAILED : AQ_ATTEMPT_ANSWERED;
@@ -115,7 +116,7 @@
 {
     switch (reply->result) {
     case AQ_HTTP_DONE:
-        return classify_answer(attempt, reply);
+        return classify_response(attempt, reply);
     case AQ_HTTP_NOT_SENT:
         return AQ_ATTEMPT_NOT_SENT;
     case AQ_HTTP_TOO_LARGE:
@@ -135,7 +136,7 @@
     attempt->call = NULL;
     if (result == AQ_ATTEMPT_ANSWERED || result == AQ_ATTEMPT_FAILED) {
         Callers_TakeResponse(daemon->callers, attempt->request, id,
-                             copy_answer(reply));
+                             copy_response(reply));
     }
     else if (result != AQ_ATTEMPT_REFUSED) {
         AqLog_Event(AQ_LOG_INFO, "attempt_failed",
@@ -181,8 +182,8 @@
     }
     headers[n] = NULL;
 
-    /* A host name that changes with the generation keeps libcurl from using
-     * idle connections of an earlier one. */
+    /* libcurl reuses idle connections by host name.  The endpoint's generation
+     * in the name prevents reuse of connections from an earlier generation. */
     char *url = g_strdup_printf("http://g%llu.endpoint.invalid%s",
                                 (unsigned long long)Endpoints_Generation(
                                     daemon->endpoints, attempt->endpoint),
@@ -199,8 +200,8 @@
                     strcmp(request->method, "PUT") == 0 ||
                     strcmp(request->method, "PATCH") == 0,
         .fresh_connection = order->fresh_connection,
-        .timeout_ms = (left > 0 ? left : 0) + BACKSTOP_MS,
-        .connect_timeout_ms = CONNECT_LIMIT_MS,
+        .timeout_ms = (left > 0 ? left : 0) + TIMEOUT_MARGIN_MS,
+        .connect_timeout_ms = CONNECT_TIMEOUT_MS,
         .max_response_bytes =
             (size_t)daemon->settings->router_max_answer_bytes,
     };
@@ -224,8 +225,8 @@
              daemon->settings->node_id, (unsigned long long)daemon->instance,
              (unsigned long long)order->attempt);
     g_hash_table_replace(attempts->by_id, &attempt->id, attempt);
-    /* Port 9 (discard) of an address that is not there: the attempt ends as
-     * not sent. */
+    /* An endpoint without an address is replaced by port 9 (discard) on
+     * loopback, which refuses connections: the attempt ends as not sent. */
     send_attempt(attempt, order, request,
                  address != NULL ? address : "127.0.0.1:9");
 }
--- a/packages/daemon/attempts.h
+++ b/packages/daemon/attempts.h
@@ -3,40 +3,45 @@
 
 #include "daemon.h"
 
-/* Attempts at endpoints: one HTTP call each. */
+/* Sends the attempts of requests to endpoints, with one HTTP call for each
+ * attempt. */
 
 Attempts *Attempts_Create(Daemon *daemon);
 void Attempts_Destroy(Attempts *attempts);
 
-/* What an endpoint answered; owned by the taker of the answer. */
+/* The HTTP response of an endpoint.  Its owner frees it with
+ * EndpointResponse_Destroy. */
 typedef struct {
     int status;
-    char **headers; /* "Name: value", NULL-terminated; without hop-by-hop */
+    char **headers; /* lines "Name: value", NULL-terminated; none hop-by-hop */
     char *body;
-    size_t size;
+    size_t size; /* bytes in "body" */
 } EndpointResponse;
 
-void EndpointResponse_Destroy(EndpointResponse *answer);
+void EndpointResponse_Destroy(EndpointResponse *response);
 
-/* What an attempt sends; all borrowed for the call. */
+/* The HTTP request that an attempt sends.  Its pointers are only used during
+ * the call of Attempts_Start. */
 typedef struct {
     const char *method;
-    const char *path; /* with the query */
+    const char *path; /* path and query of the URL */
     const char *request_id;
-    const char *const *headers; /* "Name: value", NULL-terminated */
+    const char *const *headers; /* lines "Name: value", NULL-terminated */
     const char *body;
-    size_t size;
-    AqTime deadline;
+    size_t size;     /* bytes in "body" */
+    AqTime deadline; /* end of the caller's timeout, on the loop's clock */
 } AttemptRequest;
 
-/* Starts an attempt; AqRouter_AttemptDone follows unless it is cancelled. */
+/* Starts the attempt "order".  AqRouter_AttemptDone is called when the attempt
+ * ends, unless it is cancelled. */
 void Attempts_Start(Attempts *attempts, const AqAttempt *order,
                     const AttemptRequest *request);
-/* Returns whether no byte of the request left. */
+/* Cancels an attempt.  Returns whether no byte of its request was sent; true
+ * for an attempt that is not in progress. */
 bool Attempts_Cancel(Attempts *attempts, uint64_t id);
 
-/* Whether a header is for one connection only (RFC 9110, 7.6.1) or set by the
- * daemon itself, so that it is not passed on. */
+/* Whether a header line applies to one connection only (RFC 9110, 7.6.1) or is
+ * set by the daemon itself, so that it must not be forwarded. */
 bool Attempts_IsOwnHeader(const char *line);
 
 #endif
--- a/packages/daemon/caller_request.c
+++ b/packages/daemon/caller_request.c
@@ -6,8 +6,8 @@
 #include <strings.h>
 
 enum {
-    MAX_SERVICE = 63,
-    MAX_REQUEST_ID = 128,
+    MAX_SERVICE_BYTES = 63,
+    MAX_REQUEST_ID_BYTES = 128,
     MIN_TIMEOUT_MS = 10,
     MAX_TIMEOUT_MS = 600000
 };
@@ -22,7 +22,7 @@
     g_free(request->path);
     free(request->request_id);
     g_strfreev(request->headers);
-    EndpointResponse_Destroy(request->answer);
+    EndpointResponse_Destroy(request->response);
     free(request);
 }
 
@@ -42,7 +42,7 @@
     while (is_name_byte(service[length])) {
         length++;
     }
-    if (length == 0 || length > MAX_SERVICE ||
+    if (length == 0 || length > MAX_SERVICE_BYTES ||
         (service[length] != '/' && service[length] != '\0')) {
         return AqError_Set(error, AQ_ERR_INVALID,
                            "the path \"%.100s\" has no valid service; use "
@@ -73,7 +73,7 @@
         return true;
     }
     size_t length = strlen(text);
-    bool ok = length >= 1 && length <= MAX_REQUEST_ID;
+    bool ok = length >= 1 && length <= MAX_REQUEST_ID_BYTES;
     for (size_t i = 0; i < length && ok; i++) {
         ok = text[i] > ' ' && text[i] < 0x7f;
     }
--- a/packages/daemon/caller_request.h
+++ b/packages/daemon/caller_request.h
@@ -5,29 +5,31 @@
 #include "aq_http_server.h"
 #include "aq_router.h"
 
-/* A request of a caller, parsed from its method, path and headers. */
+/* A request of a caller, parsed from the method, path and headers. */
 
 typedef struct {
-    uint64_t number;      /* given by the router */
-    AqExchange *exchange; /* borrowed until it is answered */
+    uint64_t number; /* request number assigned by the router */
+    AqExchange
+        *exchange; /* owned by the HTTP server; valid until the response */
     char *service;
-    char *path; /* for the endpoint, with the query */
+    char *path; /* path and query to send to the endpoint */
     char *request_id;
     bool idempotent;
     AqPriority priority;
     AqTime timeout_ms;
-    AqTime started;
-    char **headers;           /* passed on to the endpoint */
-    EndpointResponse *answer; /* of the latest attempt that was answered */
-    uint64_t response_attempt;
+    AqTime started; /* when the request arrived, on the loop's clock */
+    char **headers; /* header lines to send to the endpoint */
+    EndpointResponse *response; /* latest response of an endpoint, or NULL */
+    uint64_t response_attempt;  /* number of the attempt that got "response" */
 } CallerRequest;
 
-/* Prefix of the paths that are forwarded. */
+/* Prefix of the request paths that are forwarded to endpoints. */
 #define CALLER_PATH_PREFIX "/v1/services/"
 
-/* Reads a request; NULL with AQ_ERR_INVALID, whose message names the header,
- * its value, what is allowed and the remedy.  "fallback_id" is used for an
- * idempotent request without an id. */
+/* Parses the request of "exchange", which arrived at "now".  The caller owns
+ * the result.  Returns NULL with AQ_ERR_INVALID for a bad request; the message
+ * names the header, its value, the allowed values and the remedy.
+ * "fallback_id" becomes the id of an idempotent request without an id. */
 CallerRequest *CallerRequest_Create(AqExchange *exchange, AqTime now,
                                     AqTime default_timeout_ms,
                                     const char *fallback_id, AqError *error);
--- a/packages/daemon/callers.c
+++ b/packages/daemon/callers.c
@@ -14,17 +14,19 @@
 
 enum {
     IDLE_TIMEOUT_S = 30,
-    MAX_ANSWER_HEADERS = 72
+    MAX_RESPONSE_HEADERS = 72
 };
 
 struct Callers {
     Daemon *daemon;
     AqHttpServer *server;
-    GHashTable *by_number; /* number -> CallerRequest, owned */
-    uint64_t next_id;      /* for requests without an id */
+    GHashTable
+        *by_number; /* request number -> CallerRequest, owned by the table */
+    uint64_t
+        last_generated_id; /* last number used in a generated request id */
 };
 
-/* ---- Answers ------------------------------------------------------------ */
+/* ---- Responses ---------------------------------------------------------- */
 
 typedef struct {
     int status;
@@ -71,8 +73,8 @@
                             "send it again after Retry-After"},
 };
 
-/* An earlier attempt may have run, and the request ended for a reason that by
- * itself would mean "not run". */
+/* Used instead of the text of a reason that by itself means "not run" when an
+ * earlier attempt of the request may have run. */
 static const ReasonText ran_before = {
     502, "an attempt may have run and no further one was possible",
     "ask the service for its result; repeat it only if it is idempotent"};
@@ -118,8 +120,8 @@
         headers[n++] = (AqHttpHeader){"Aq-Request-Id", request_id};
     }
     if (strcmp(outcome, "not-run") == 0) {
-        /* Retry-After has whole seconds: rounded up, so that a caller that
-         * keeps to it does not come back too early. */
+        /* Retry-After has whole seconds.  They are rounded up, so that a
+         * caller that obeys the header does not retry too early. */
         snprintf(seconds, sizeof(seconds), "%lld",
                  (long long)((retry_after_ms + 999) / 1000));
         snprintf(ms, sizeof(ms), "%lld", (long long)retry_after_ms);
@@ -135,7 +137,8 @@
     json_decref(root);
 }
 
-/* Splits "Name: value" in place and returns the value. */
+/* Splits a header line "Name: value" in place, so that "line" becomes the
+ * name, and returns the value; NULL if the line has no colon. */
 static char *
 split_header(char *line)
 {
@@ -152,28 +155,28 @@
 }
 
 static void
-respond_answer(CallerRequest *request)
+respond_completed(CallerRequest *request)
 {
-    EndpointResponse *answer = request->answer;
-    AqHttpHeader headers[MAX_ANSWER_HEADERS];
+    EndpointResponse *response = request->response;
+    AqHttpHeader headers[MAX_RESPONSE_HEADERS];
     size_t n = 0;
     headers[n++] = (AqHttpHeader){"Aq-Outcome", "completed"};
     headers[n++] = (AqHttpHeader){"Aq-Request-Id", request->request_id};
-    for (char **at = answer->headers; *at != NULL && n < MAX_ANSWER_HEADERS;
-         at++) {
+    for (char **at = response->headers;
+         *at != NULL && n < MAX_RESPONSE_HEADERS; at++) {
         char *value = split_header(*at);
         if (value != NULL) {
             headers[n++] = (AqHttpHeader){*at, value};
         }
     }
-    AqExchange_Respond(request->exchange, answer->status, headers, n,
-                       answer->body, answer->size);
+    AqExchange_Respond(request->exchange, response->status, headers, n,
+                       response->body, response->size);
 }
 
 /* ---- Router operations -------------------------------------------------- */
 
 static CallerRequest *
-find(const Daemon *daemon, uint64_t number)
+find_request(const Daemon *daemon, uint64_t number)
 {
     return g_hash_table_lookup(daemon->callers->by_number, &number);
 }
@@ -182,7 +185,7 @@
 start_attempt(void *context, const AqAttempt *attempt)
 {
     Daemon *daemon = context;
-    const CallerRequest *request = find(daemon, attempt->request);
+    const CallerRequest *request = find_request(daemon, attempt->request);
     AttemptRequest order = {
         .method = AqExchange_Method(request->exchange),
         .path = request->path,
@@ -212,7 +215,7 @@
 claim(void *context, uint64_t number)
 {
     const Daemon *daemon = context;
-    const CallerRequest *request = find(daemon, number);
+    const CallerRequest *request = find_request(daemon, number);
     ClaimClient_Claim(daemon->claims, number, request->service,
                       request->request_id);
 }
@@ -232,8 +235,8 @@
 }
 
 static void
-count(const Daemon *daemon, const CallerRequest *request,
-      const AqOutcome *outcome, AqTime now)
+count_outcome(const Daemon *daemon, const CallerRequest *request,
+              const AqOutcome *outcome, AqTime now)
 {
     char labels[160];
     snprintf(labels, sizeof(labels), "service=\"%s\",outcome=\"%s\"",
@@ -249,12 +252,12 @@
        const AqOutcome *outcome)
 {
     const Daemon *daemon = context;
-    CallerRequest *request = find(daemon, number);
-    count(daemon, request, outcome, AqLoop_Now(daemon->loop));
+    CallerRequest *request = find_request(daemon, number);
+    count_outcome(daemon, request, outcome, AqLoop_Now(daemon->loop));
     ClaimClient_End(daemon->claims, number);
-    if (outcome->kind == AQ_OUTCOME_COMPLETED && request->answer != NULL &&
+    if (outcome->kind == AQ_OUTCOME_COMPLETED && request->response != NULL &&
         request->response_attempt == attempt) {
-        respond_answer(request);
+        respond_completed(request);
     }
     else {
         const ReasonText *text = reason_text(outcome);
@@ -283,15 +286,15 @@
 
 void
 Callers_TakeResponse(Callers *callers, uint64_t number, uint64_t attempt,
-                     EndpointResponse *answer)
+                     EndpointResponse *response)
 {
     CallerRequest *request = g_hash_table_lookup(callers->by_number, &number);
     if (request == NULL) {
-        EndpointResponse_Destroy(answer);
+        EndpointResponse_Destroy(response);
         return;
     }
-    EndpointResponse_Destroy(request->answer);
-    request->answer = answer;
+    EndpointResponse_Destroy(request->response);
+    request->response = response;
     request->response_attempt = attempt;
 }
 
@@ -325,7 +328,7 @@
     char fallback[96];
     snprintf(fallback, sizeof(fallback), "%s-%llx-%llu",
              daemon->settings->node_id, (unsigned long long)daemon->instance,
-             (unsigned long long)++callers->next_id);
+             (unsigned long long)++callers->last_generated_id);
     CallerRequest *request = CallerRequest_Create(
         exchange, now, daemon->settings->router_default_timeout_ms, fallback,
         &error);
--- a/packages/daemon/daemon.c
+++ b/packages/daemon/daemon.c
@@ -40,8 +40,9 @@
     return FleetSync_Fleet(daemon->sync);
 }
 
-/* A daemon that joined holds no slots until the guard of its epoch has passed;
- * ready before that, it refused half of its requests during an upgrade. */
+/* A daemon that has just joined holds no slots until the guard period of its
+ * epoch has passed.  Daemons that reported ready before that refused half of
+ * their requests during an upgrade. */
 bool
 Daemon_IsReady(const Daemon *daemon)
 {
@@ -81,8 +82,8 @@
     AqLog_Event(AQ_LOG_DEBUG, "document_in_force", "version=%lld epoch=%lld",
                 (long long)AqFleet_Version(fleet),
                 (long long)AqFleet_Epoch(fleet));
-    /* This order is required by AqMembership: a version is reported only with
-     * the members that belong to it. */
+    /* AqMembership requires this order: a version may be reported only after
+     * the members that belong to it have been installed. */
     if (new_epoch) {
         set_epoch(daemon, fleet);
     }
@@ -108,7 +109,7 @@
 }
 
 static void
-take_heartbeat(Daemon *daemon, const char *from, const AqMsgHeartbeat *beat)
+handle_heartbeat(Daemon *daemon, const char *from, const AqMsgHeartbeat *beat)
 {
     AqTime now = AqLoop_Now(daemon->loop);
     AqMembership_Heartbeat(daemon->membership, now, from, beat);
@@ -126,7 +127,7 @@
 {
     switch (msg->type) {
     case AQ_MSG_HEARTBEAT:
-        take_heartbeat(daemon, from, &msg->as.heartbeat);
+        handle_heartbeat(daemon, from, &msg->as.heartbeat);
         SlotLeasing_OnHeartbeat(daemon, from, &msg->as.heartbeat);
         break;
     case AQ_MSG_CLAIM:
@@ -180,7 +181,7 @@
     }
 }
 
-/* Whether the document lists this daemon with its present address. */
+/* Whether the fleet document lists this daemon with its current address. */
 static bool
 is_listed(const Daemon *daemon, const char *address)
 {
@@ -204,7 +205,8 @@
         return;
     }
     char op[200];
-    /* The version makes it a new operation after a removal. */
+    /* The version in the operation id makes a join after a removal a new
+     * operation. */
     snprintf(op, sizeof(op), "member-add-%s-%llx-%lld",
              daemon->settings->node_id, (unsigned long long)daemon->instance,
              (long long)AqFleet_Version(Daemon_Fleet(daemon)));
@@ -275,7 +277,8 @@
     AqTimer_Init(&d->join, on_join_timer, d);
     if (getrandom(&daemon->instance, sizeof(daemon->instance), 0) !=
         (ssize_t)sizeof(daemon->instance)) {
-        AqError_Set(error, AQ_ERR_SYSTEM, "no random numbers from the system");
+        AqError_Set(error, AQ_ERR_SYSTEM,
+                    "the system returned no random numbers");
         goto error;
     }
     daemon->loop = AqLoop_Create(error);
--- a/packages/daemon/daemon.h
+++ b/packages/daemon/daemon.h
@@ -17,8 +17,9 @@
 #include "aq_slices.h"
 #include "aq_store.h"
 
-/* What the modules of one daemon share.  Each module has its own opaque type
- * and reaches the others only through the functions in their headers. */
+/* The state that the modules of one daemon share.  Each module has its own
+ * opaque type and uses the others only through the functions in their
+ * headers. */
 
 typedef struct Callers Callers;
 typedef struct Attempts Attempts;
@@ -35,14 +36,14 @@
 
 typedef enum {
     DAEMON_RUNNING,
-    DAEMON_UNREADY,  /* stopping: readiness is false, requests are taken */
-    DAEMON_DRAINING, /* stopping: nothing new is taken */
-    DAEMON_LEAVING   /* stopping: leaves the epoch */
+    DAEMON_UNREADY,  /* stopping: not ready, but requests are accepted */
+    DAEMON_DRAINING, /* stopping: no new requests are accepted */
+    DAEMON_LEAVING   /* stopping: the daemon leaves the epoch */
 } DaemonPhase;
 
 typedef struct {
-    const AqSettings *settings; /* borrowed */
-    uint64_t instance;          /* random; new at each start */
+    const AqSettings *settings; /* owned by the caller of AqDaemon_Create */
+    uint64_t instance; /* random number, new at each start of the daemon */
     AqLoop *loop;
     AqHttpClient *http;
     AqStore *store;
@@ -65,17 +66,20 @@
     DaemonPhase phase;
 } Daemon;
 
-/* The fleet document in force, borrowed until the next round. */
+/* Returns the fleet document in force.  FleetSync owns it and may replace it
+ * when the event loop handles the next event. */
 AqFleet *Daemon_Fleet(const Daemon *daemon);
 
-/* Called by FleetSync when a higher version is in force. */
+/* Called by FleetSync when a newer version of the fleet document is in
+ * force. */
 void Daemon_FleetChanged(Daemon *daemon);
-/* Called by Peers for each message of an authenticated peer. */
+/* Called by Peers for each message "msg" of the authenticated peer "from". */
 void Daemon_PeerMessage(Daemon *daemon, const char *from, const AqMsg *msg);
-/* Called every AQ_HEARTBEAT_MS by Peers: the message to send to all. */
+/* Called by Peers for each heartbeat, at least every AQ_HEARTBEAT_MS: fills
+ * the message that is sent to all peers. */
 void Daemon_FillHeartbeat(Daemon *daemon, AqMsgHeartbeat *beat);
 
-/* Whether the platform's balancer may send requests here. */
+/* Whether the platform's balancer may send requests to this daemon. */
 bool Daemon_IsReady(const Daemon *daemon);
 
 #endif
--- a/packages/daemon/endpoints.c
+++ b/packages/daemon/endpoints.c
@@ -10,14 +10,17 @@
 
 enum {
     HEALTH_PERIOD_MS = 1000,
-    /* Of endpoints that are known to be well.  With a heartbeat, by which the
-     * checkers tell the others that one is leaving, it stays below 3 s. */
+    /* Period of the health checks of a steady endpoint, see is_steady.  This
+     * period plus that of the heartbeats, which report a leaving endpoint to
+     * the other daemons, stays below 3 s. */
     STEADY_PERIOD_MS = 2000,
-    STEADY_CHECKERS = 2,
+    STEADY_CHECKERS = 2, /* daemons that check one steady endpoint */
     HEALTH_TIMEOUT_MS = 1000,
-    HEALTH_MAX_ANSWER = 65536,
-    SLOTS_PERIOD_MS = 100,
-    PEER_LEAVING_MS = 2500 /* a peer repeats it with each heartbeat */
+    HEALTH_MAX_RESPONSE_BYTES = 65536,
+    CHECK_SLOTS_PERIOD_MS = 100,
+    /* How long a peer's report of a leaving endpoint is valid; the peer
+     * repeats the report in each heartbeat. */
+    PEER_LEAVING_MS = 2500
 };
 
 typedef struct {
@@ -26,15 +29,15 @@
     char *address;
     AqVmState state;
     int slots;
-    bool present;          /* in the document; used while refreshing */
-    bool reported_leaving; /* by the endpoint's own answers */
-    AqTime peer_leaving_until;
-    bool leaving; /* as told to the router */
-    int usable;   /* slots as told to the router */
-    uint64_t generation;
-    AqHttpCall *check; /* health check under way */
+    bool is_in_document;   /* in the fleet document; for Endpoints_Refresh */
+    bool reported_leaving; /* the endpoint itself reports that it is leaving */
+    AqTime peer_leaving_until; /* end of validity of the last peer's report */
+    bool leaving;              /* the router treats the endpoint as leaving */
+    int usable;                /* slots that the router may use */
+    uint64_t generation;       /* see Endpoints_Generation */
+    AqHttpCall *check;         /* health check in progress, or NULL */
     AqTime next_check;
-    AqTime healthy_since; /* AQ_TIME_NEVER while not healthy */
+    AqTime healthy_since; /* AQ_TIME_NEVER after a failed health check */
     Endpoints *owner;
 } Endpoint;
 
@@ -42,14 +45,14 @@
     Daemon *daemon;
     GHashTable *by_id;
     AqTimer timer;
-    bool has_slots; /* since this daemon became a member */
+    bool has_slots; /* result of Endpoints_HaveSlots */
     EndpointsCounts counts;
-    bool was_steady; /* before the last refresh of the slots */
-    bool was_fresh;
+    bool was_steady; /* AqSlices_IsSteady before the last refresh of slots */
+    bool was_fresh;  /* AqMembership_IsFresh at the last refresh of slots */
 };
 
 static Endpoint *
-find(const Endpoints *endpoints, const char *id)
+find_endpoint(const Endpoints *endpoints, const char *id)
 {
     return g_hash_table_lookup(endpoints->by_id, id);
 }
@@ -93,7 +96,7 @@
 void
 Endpoints_OnLeaving(Endpoints *endpoints, const char *id, bool leaving)
 {
-    Endpoint *e = find(endpoints, id);
+    Endpoint *e = find_endpoint(endpoints, id);
     if (e != NULL) {
         e->reported_leaving = leaving;
         update_leaving(e, AqLoop_Now(endpoints->daemon->loop));
@@ -103,7 +106,7 @@
 void
 Endpoints_OnPeerLeaving(Endpoints *endpoints, const char *id)
 {
-    Endpoint *e = find(endpoints, id);
+    Endpoint *e = find_endpoint(endpoints, id);
     AqTime now = AqLoop_Now(endpoints->daemon->loop);
     if (e != NULL && e->state == AQ_VM_SERVING) {
         e->peer_leaving_until = now + PEER_LEAVING_MS;
@@ -136,8 +139,9 @@
     AqRouter_HealthDone(daemon->router, now, e->id, healthy);
 }
 
-/* Whether the endpoint is in use and was well at its last check.  Failures of
- * such an endpoint are seen by requests first. */
+/* Whether the endpoint is steady: serving, not leaving, not ejected and
+ * healthy at its last check.  Requests detect failures of such an endpoint
+ * before health checks do. */
 static bool
 is_steady(const Endpoint *e)
 {
@@ -146,8 +150,9 @@
            !AqRouter_IsEjected(e->owner->daemon->router, e->id);
 }
 
-/* Whether this daemon is one of the few that check a steady endpoint.  Checks
- * by all of 9 daemons cost 4.6% of a core at 900 VMs. */
+/* Whether this daemon is one of the STEADY_CHECKERS daemons that check a
+ * steady endpoint.  Checks by all of 9 daemons cost 4.6% of a core at 900 VMs.
+ */
 static bool
 is_checker(const Endpoint *e, AqTime now)
 {
@@ -162,9 +167,10 @@
     return false;
 }
 
-/* Endpoints that come back from maintenance are checked by all daemons, since
- * any may be the planner; others by those that may use them, once they are
- * well by a few. */
+/* Whether this daemon must check the endpoint now.  All daemons check an
+ * endpoint that returns from maintenance, since any of them may be the
+ * planner. A steady endpoint is checked by STEADY_CHECKERS daemons, any other
+ * endpoint by the daemons that are assigned slots of it. */
 static bool
 needs_check(const Endpoint *e, AqTime now)
 {
@@ -188,7 +194,7 @@
         .fresh_connection = true,
         .timeout_ms = HEALTH_TIMEOUT_MS,
         .connect_timeout_ms = HEALTH_TIMEOUT_MS,
-        .max_response_bytes = HEALTH_MAX_ANSWER,
+        .max_response_bytes = HEALTH_MAX_RESPONSE_BYTES,
     };
     e->check =
         AqHttpClient_Start(e->owner->daemon->http, &request, on_checked, e);
@@ -215,13 +221,13 @@
     }
     Endpoints_CheckSlots(endpoints);
     AqTimer_Start(endpoints->daemon->loop, &endpoints->timer,
-                  now + SLOTS_PERIOD_MS);
+                  now + CHECK_SLOTS_PERIOD_MS);
 }
 
 bool
 Endpoints_HealthyFor(const Endpoints *endpoints, const char *id, int64_t ms)
 {
-    const Endpoint *e = find(endpoints, id);
+    const Endpoint *e = find_endpoint(endpoints, id);
     AqTime now = AqLoop_Now(endpoints->daemon->loop);
     return e != NULL && e->healthy_since != AQ_TIME_NEVER &&
            now - e->healthy_since >= ms;
@@ -230,7 +236,7 @@
 /* ---- Document ----------------------------------------------------------- */
 
 static Endpoint *
-add(Endpoints *endpoints, const AqVmView *view)
+add_endpoint(Endpoints *endpoints, const AqVmView *view)
 {
     Endpoint *e = calloc(1, sizeof(*e));
     e->owner = endpoints;
@@ -238,7 +244,7 @@
     e->service = strdup("");
     e->address = strdup("");
     e->healthy_since = AQ_TIME_NEVER;
-    /* Spreads the checks of many endpoints over the period. */
+    /* Spreads the checks of the endpoints over the period. */
     e->next_check = AqLoop_Now(endpoints->daemon->loop) +
                     (AqTime)(g_str_hash(e->id) % HEALTH_PERIOD_MS);
     g_hash_table_insert(endpoints->by_id, e->id, e);
@@ -246,7 +252,7 @@
 }
 
 static void
-replace(char **field, const char *value)
+replace_string(char **field, const char *value)
 {
     if (strcmp(*field, value) != 0) {
         free(*field);
@@ -260,19 +266,19 @@
     Endpoints *endpoints = context;
     Daemon *daemon = endpoints->daemon;
     AqTime now = AqLoop_Now(daemon->loop);
-    Endpoint *e = find(endpoints, view->id);
+    Endpoint *e = find_endpoint(endpoints, view->id);
     if (e == NULL) {
-        e = add(endpoints, view);
+        e = add_endpoint(endpoints, view);
     }
-    e->present = true;
+    e->is_in_document = true;
     if (strcmp(e->service, view->service) != 0) {
-        replace(&e->service, view->service);
+        replace_string(&e->service, view->service);
         AqRouter_SetEndpoint(daemon->router, now, e->id, e->service);
         AqRouter_SetLeaving(daemon->router, now, e->id, e->leaving);
         AqRouter_SetSlots(daemon->router, now, e->id, e->usable);
     }
     if (strcmp(e->address, view->address) != 0) {
-        replace(&e->address, view->address);
+        replace_string(&e->address, view->address);
         e->generation++;
     }
     if (e->slots != view->slots) {
@@ -290,7 +296,7 @@
     Endpoints *endpoints = context;
     Endpoint *e = value;
     (void)key;
-    if (e->present) {
+    if (e->is_in_document) {
         return FALSE;
     }
     AqRouter_RemoveEndpoint(endpoints->daemon->router,
@@ -306,7 +312,7 @@
     gpointer value;
     g_hash_table_iter_init(&iter, endpoints->by_id);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        ((Endpoint *)value)->present = false;
+        ((Endpoint *)value)->is_in_document = false;
     }
     AqFleet_EachVm(Daemon_Fleet(endpoints->daemon), refresh_vm, endpoints);
     g_hash_table_foreach_remove(endpoints->by_id, remove_absent, endpoints);
@@ -338,15 +344,16 @@
     bool member =
         AqMembership_IsMember(daemon->membership, daemon->settings->node_id) &&
         AqMembership_IsFresh(daemon->membership, now);
-    /* Kept while it is a member: later epochs take slots away only until
-     * their guard has passed, and the other daemons lease theirs out. */
+    /* The flag stays set while this daemon is a fresh member: a later epoch
+     * takes slots away only until its guard period has passed, and meanwhile
+     * the other daemons lease slots to this one. */
     endpoints->has_slots =
         member && (endpoints->has_slots || 2 * held >= assigned);
 }
 
-/* Heartbeats come 2 (n - 1) times a second with n members: asking about each
- * of 900 endpoints every time is most of the processor time that an idle
- * daemon can avoid. */
+/* Called for each received heartbeat, 2 (n - 1) times a second with n members.
+ * Skipping the refresh of each of 900 endpoints saves most of the processor
+ * time that an idle daemon can avoid. */
 void
 Endpoints_CheckSlots(Endpoints *endpoints)
 {
@@ -359,7 +366,7 @@
     }
 }
 
-/* ---- Questions ---------------------------------------------------------- */
+/* ---- Queries ------------------------------------------------------------ */
 
 bool
 Endpoints_HaveSlots(const Endpoints *endpoints)
@@ -370,21 +377,21 @@
 const char *
 Endpoints_Address(const Endpoints *endpoints, const char *id)
 {
-    const Endpoint *e = find(endpoints, id);
+    const Endpoint *e = find_endpoint(endpoints, id);
     return e != NULL ? e->address : NULL;
 }
 
 uint64_t
 Endpoints_Generation(const Endpoints *endpoints, const char *id)
 {
-    const Endpoint *e = find(endpoints, id);
+    const Endpoint *e = find_endpoint(endpoints, id);
     return e != NULL ? e->generation : 0;
 }
 
 void
 Endpoints_CloseIdle(Endpoints *endpoints, const char *id)
 {
-    Endpoint *e = find(endpoints, id);
+    Endpoint *e = find_endpoint(endpoints, id);
     if (e != NULL) {
         e->generation++;
         AqHttpClient_CloseIdle(endpoints->daemon->http, e->address);
@@ -404,8 +411,8 @@
     AqMsgHeartbeat *beat;
 } ServiceFill;
 
-/* Lists a service only when it has a queue or no idle slot: all 53 services
- * in each heartbeat were more than half of its bytes. */
+/* Adds a service to the heartbeat only if it has a queue or no idle slot: a
+ * list of all 53 services took more than half of the heartbeat's bytes. */
 static void
 fill_service(void *context, const char *service)
 {
@@ -425,7 +432,8 @@
 fill_services(const Endpoints *endpoints, AqMsgHeartbeat *beat)
 {
     ServiceFill fill = {endpoints->daemon->router, beat};
-    /* Each service has at least one endpoint. */
+    /* Each service has at least one endpoint, so that there are no more
+     * services than endpoints. */
     beat->services = calloc(g_hash_table_size(endpoints->by_id) + 1,
                             sizeof(*beat->services));
     AqRouter_EachService(fill.router, fill_service, &fill);
@@ -450,7 +458,7 @@
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const Endpoint *e = value;
         int in_flight = AqRouter_InFlight(daemon->router, e->id);
-        /* What the endpoint itself said is passed on in any case. */
+        /* The endpoint's own report that it is leaving is always sent. */
         if (e->reported_leaving ||
             (e->state != AQ_VM_SERVING && in_flight > 0)) {
             beat->leaving[beat->leaving_count++] = count_of(e->id, in_flight);
--- a/packages/daemon/endpoints.h
+++ b/packages/daemon/endpoints.h
@@ -3,43 +3,52 @@
 
 #include "daemon.h"
 
-/* The endpoints that this daemon knows: from the fleet document, with what
- * health checks, answers, peers and the VM list say about them. */
+/* The endpoints in the fleet document, each with its state according to health
+ * checks, responses, peers and the VM list. */
 
 Endpoints *Endpoints_Create(Daemon *daemon);
 void Endpoints_Destroy(Endpoints *endpoints);
 
-/* Brings endpoints, slots and leaving marks up to date with the document. */
+/* Updates endpoints, slots and leaving marks from the fleet document in
+ * force. */
 void Endpoints_Refresh(Endpoints *endpoints);
-/* Tells the router how many slots may be used now. */
+/* Sets in the router how many slots of each endpoint this daemon may use
+ * now. */
 void Endpoints_RefreshSlots(Endpoints *endpoints);
-/* The same, unless nothing can have changed since the last time. */
+/* Calls Endpoints_RefreshSlots, unless no number of usable slots can have
+ * changed since its last call. */
 void Endpoints_CheckSlots(Endpoints *endpoints);
 
-/* Whether this daemon, since it became a member, has held half of the slots
- * that it is assigned. */
+/* Whether this daemon has held at least half of its assigned slots at some
+ * time since it became a member with a fresh fleet document. */
 bool Endpoints_HaveSlots(const Endpoints *endpoints);
 
-/* "IP:port" of an endpoint, or NULL; borrowed. */
+/* Returns the "IP:port" of an endpoint, or NULL for an unknown id.  Owned by
+ * "endpoints". */
 const char *Endpoints_Address(const Endpoints *endpoints, const char *id);
-/* Number that changes when idle connections must not be used again. */
+/* Returns a number that changes when the idle connections to an endpoint must
+ * not be used again; 0 for an unknown id. */
 uint64_t Endpoints_Generation(const Endpoints *endpoints, const char *id);
 void Endpoints_CloseIdle(Endpoints *endpoints, const char *id);
 
-/* The endpoint itself said whether it is leaving. */
+/* Records whether the endpoint itself reports that it is leaving. */
 void Endpoints_OnLeaving(Endpoints *endpoints, const char *id, bool leaving);
-/* A peer lists the endpoint as leaving; holds for a few seconds. */
+/* Records that a peer reports the endpoint as leaving.  The record expires
+ * after a few seconds unless a peer repeats the report. */
 void Endpoints_OnPeerLeaving(Endpoints *endpoints, const char *id);
 
-/* Whether health checks have succeeded for ms without a break. */
+/* Whether every health check of the endpoint within the last "ms" milliseconds
+ * has succeeded. */
 bool Endpoints_HealthyFor(const Endpoints *endpoints, const char *id,
                           int64_t ms);
 
-/* Adds leaving endpoints with requests in flight, endpoints over their share
- * and service counts to a heartbeat. */
+/* Adds to a heartbeat the leaving endpoints with their requests in flight, the
+ * endpoints with more requests in flight than assigned slots, and the queue
+ * lengths and idle slots of services. */
 void Endpoints_FillHeartbeat(const Endpoints *endpoints, AqMsgHeartbeat *beat);
 
-/* Health checks that ended since the start, and their bytes of HTTP. */
+/* Health checks that have ended since the daemon started, and the bytes of
+ * HTTP that they sent and received. */
 typedef struct {
     uint64_t checks;
     uint64_t bytes;
@@ -47,7 +56,8 @@
 
 void Endpoints_GetCounts(const Endpoints *endpoints, EndpointsCounts *counts);
 
-/* Calls "visit" for each endpoint of a service. */
+/* Calls "visit" for each endpoint of a service, with the id and the number of
+ * slots of the endpoint. */
 void Endpoints_Each(const Endpoints *endpoints, const char *service,
                     void (*visit)(void *context, const char *id, int slots),
                     void *context);
--- a/packages/daemon/main.c
+++ b/packages/daemon/main.c
@@ -62,7 +62,8 @@
            "Exit status: 0 stopped, 1 failed, 2 usage, 3 bad settings.",
 };
 
-/* What runs: the daemon with its own interfaces, or a node of the platform. */
+/* The running process: the daemon of an entry VM (AqDaemon) or a node of the
+ * platform (AqNode). */
 typedef struct {
     void *process;
     AqLoop *(*loop)(void *process);
--- a/packages/daemon/vm_list.c
+++ b/packages/daemon/vm_list.c
@@ -9,18 +9,18 @@
 #include "planner_runner.h"
 
 enum {
-    WAIT_S = 30,
-    WAIT_SLACK_MS = 2000,
+    LIST_WAIT_S = 30,
+    LIST_TIMEOUT_MARGIN_MS = 2000,
     RETRY_MS = 1000,
-    MAX_LIST = 8 * 1024 * 1024
+    MAX_LIST_BYTES = 8 * 1024 * 1024
 };
 
 struct VmList {
     Daemon *daemon;
-    GHashTable *states; /* id -> state, both owned */
-    int64_t index;
-    bool is_known;
-    AqHttpCall *call;
+    GHashTable *states; /* VM id -> state; the table owns both strings */
+    int64_t index;      /* index of the latest VM list, from the platform */
+    bool is_known;      /* at least one VM list has arrived */
+    AqHttpCall *call;   /* request for the VM list in progress, or NULL */
     AqTimer retry;
 };
 
@@ -74,19 +74,19 @@
 }
 
 static void
-ask(void *context)
+request_list(void *context)
 {
     VmList *list = context;
     char url[512];
     snprintf(url, sizeof(url), "%s/v1/vms?index=%lld&wait=%ds",
              list->daemon->settings->store_url, (long long)list->index,
-             WAIT_S);
+             LIST_WAIT_S);
     AqHttpRequest request = {
         .method = "GET",
         .url = url,
-        .timeout_ms = WAIT_S * 1000 + WAIT_SLACK_MS,
+        .timeout_ms = LIST_WAIT_S * 1000 + LIST_TIMEOUT_MARGIN_MS,
         .connect_timeout_ms = list->daemon->settings->store_timeout_ms,
-        .max_response_bytes = MAX_LIST,
+        .max_response_bytes = MAX_LIST_BYTES,
     };
     list->call =
         AqHttpClient_Start(list->daemon->http, &request, on_list, list);
@@ -99,7 +99,7 @@
     list->daemon = daemon;
     list->states =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    AqTimer_Init(&list->retry, ask, list);
+    AqTimer_Init(&list->retry, request_list, list);
     AqTimer_Start(daemon->loop, &list->retry, AqLoop_Now(daemon->loop));
     return list;
 }
--- a/packages/daemon/vm_list.h
+++ b/packages/daemon/vm_list.h
@@ -3,15 +3,17 @@
 
 #include "daemon.h"
 
-/* Follows the platform's lagging list of VMs. */
+/* Keeps a copy of the platform's VM list, which lags behind the actual states
+ * of the VMs. */
 
 VmList *VmList_Create(Daemon *daemon);
 void VmList_Destroy(VmList *list);
 
-/* "live", "leaving" or "down"; NULL when the VM is not listed or no list has
- * arrived yet; borrowed. */
+/* Returns the listed state of a VM: "live", "leaving" or "down"; NULL if the
+ * VM is not listed or no list has arrived yet.  The string is owned by "list"
+ * and valid until the next VM list arrives. */
 const char *VmList_State(const VmList *list, const char *id);
-/* Whether a list has arrived. */
+/* Whether at least one VM list has arrived from the platform. */
 bool VmList_IsKnown(const VmList *list);
 
 #endif
