--- a/packages/daemon/claim_client.c
+++ b/packages/daemon/claim_client.c
@@ -9,25 +9,26 @@
 #include "peers.h"
 
 enum {
-    /* Round trip between data centres, a batch and a slow store; after this
-     * the claim is written without the owner. */
-    OWNER_LIMIT_MS = 500,
-    MAX_CALLS = 100000
+    /* Covers a round trip between data centres, the owner's batch period and a
+     * slow store.  Without a reply of the owner in this time, this daemon
+     * writes the claim itself. */
+    OWNER_TIMEOUT_MS = 500,
+    MAX_PEER_CLAIMS = 100000 /* claims of peers without a verdict, at most */
 };
 
-/* The claim of one request of this daemon. */
+/* The claim of a request that a caller sent to this daemon. */
 typedef struct {
-    AqLink link; /* in "asked" while a peer was asked */
-    uint64_t request;
+    AqLink link;      /* in "asked" while the owner's reply is awaited */
+    uint64_t request; /* number of the request at the router */
     AqMsgClaim claim;
-    AqTime requested_until;
-    bool decided;
+    AqTime requested_until; /* limit for the owner's reply; 0: not sent */
+    bool decided;           /* AqRouter_ClaimDone has been called */
 } OwnClaim;
 
-/* A claim of a peer that this daemon writes. */
+/* A claim that this daemon writes to the store for a peer. */
 typedef struct {
-    char from[AQ_WIRE_MAX_NAME];
-    uint64_t request; /* the peer's number */
+    char from[AQ_WIRE_MAX_NAME]; /* id of the peer */
+    uint64_t request;            /* request number that the peer assigned */
 } PeerClaim;
 
 typedef struct {
@@ -41,15 +42,17 @@
 struct ClaimClient {
     Daemon *daemon;
     AqClaims *claims;
-    GHashTable *own;   /* request -> OwnClaim, owned */
-    GHashTable *peers; /* number -> PeerClaim, owned */
-    uint64_t next_peer_number;
-    AqLink asked;
+    GHashTable *own; /* request number -> OwnClaim, owned by the table */
+    GHashTable
+        *peers; /* number with PEER_BIT -> PeerClaim, owned by the table */
+    uint64_t last_peer_number; /* last number used for a claim of a peer */
+    AqLink sent_to_owner; /* OwnClaims sent to their owner, oldest first */
     AqRandom random;
     AqTimer timer;
 };
 
-/* Numbers of peers' claims are told apart from request numbers by this bit. */
+/* Set in the numbers of claims of peers, so that they differ from the numbers
+ * of this daemon's own requests. */
 #define PEER_BIT (UINT64_C(1) << 63)
 
 static void start_timer(ClaimClient *client);
@@ -93,9 +96,9 @@
     start_timer(client);
 }
 
-/* The index of the key is known: now it can be deleted. */
+/* Deletes a key at the store index that was just read. */
 static void
-on_found(void *context, const AqStoreReply *reply)
+on_key_read(void *context, const AqStoreReply *reply)
 {
     StoreCall *call = context;
     AqStore *store = call->client->daemon->store;
@@ -114,7 +117,7 @@
         store->ops->remove_all(store, call->key, on_store, call);
     }
     else {
-        store->ops->get(store, call->key, on_found, call);
+        store->ops->get(store, call->key, on_key_read, call);
     }
 }
 
@@ -182,7 +185,7 @@
 }
 
 static void
-answer_peer(ClaimClient *client, uint64_t number, AqClaimVerdict verdict)
+respond_to_peer(ClaimClient *client, uint64_t number, AqClaimVerdict verdict)
 {
     PeerClaim *peer = g_hash_table_lookup(client->peers, &number);
     if (peer == NULL) {
@@ -205,7 +208,7 @@
     AqList_Remove(&own->link);
     own->decided = true;
     if (verdict == AQ_CLAIM_UNAVAILABLE && own->requested_until != 0) {
-        /* The owner that was asked may still write it. */
+        /* The owner to which the claim was sent may still write it. */
         send_release(client, own);
     }
     AqRouter_ClaimDone(client->daemon->router,
@@ -218,7 +221,7 @@
 {
     ClaimClient *client = context;
     if (request & PEER_BIT) {
-        answer_peer(client, request, verdict);
+        respond_to_peer(client, request, verdict);
     }
     else {
         decide(client, request, verdict);
@@ -233,7 +236,7 @@
 /* ---- Own claims --------------------------------------------------------- */
 
 static void
-submit_here(ClaimClient *client, OwnClaim *own)
+submit_locally(ClaimClient *client, OwnClaim *own)
 {
     AqList_Remove(&own->link);
     AqClaims_Submit(client->claims, AqLoop_Now(client->daemon->loop),
@@ -269,13 +272,13 @@
         msg.as.claim = own->claim;
         if (Peers_Send(client->daemon->peers, owner, &msg)) {
             own->requested_until =
-                AqLoop_Now(client->daemon->loop) + OWNER_LIMIT_MS;
-            AqList_Append(&client->asked, &own->link);
+                AqLoop_Now(client->daemon->loop) + OWNER_TIMEOUT_MS;
+            AqList_Append(&client->sent_to_owner, &own->link);
             start_timer(client);
             return;
         }
     }
-    submit_here(client, own);
+    submit_locally(client, own);
 }
 
 void
@@ -286,8 +289,9 @@
         return;
     }
     if (AqList_IsLinked(&own->link)) {
-        /* The owner may have written it already, or may still do so.  The
-         * release follows the claim on the same connection. */
+        /* The owner may have written the claim already, or may still do so.
+         * The release is sent on the same connection after the claim, so that
+         * the owner handles it second. */
         AqMsg msg = {.type = AQ_MSG_RELEASE};
         msg.as.claim = own->claim;
         Peers_Send(client->daemon->peers, owner_of(client, own->claim.hash),
@@ -325,12 +329,12 @@
 ClaimClient_OnPeerClaim(ClaimClient *client, const char *from,
                         const AqMsgClaim *claim)
 {
-    if (g_hash_table_size(client->peers) >= MAX_CALLS) {
+    if (g_hash_table_size(client->peers) >= MAX_PEER_CLAIMS) {
         return;
     }
     PeerClaim *peer = calloc(1, sizeof(*peer));
     uint64_t *number = g_new(uint64_t, 1);
-    *number = PEER_BIT | ++client->next_peer_number;
+    *number = PEER_BIT | ++client->last_peer_number;
     strncpy(peer->from, from, sizeof(peer->from) - 1);
     peer->request = claim->request;
     g_hash_table_replace(client->peers, number, peer);
@@ -360,12 +364,13 @@
 {
     ClaimClient *client = context;
     AqTime now = AqLoop_Now(client->daemon->loop);
-    AqList_ForEachSafe(at, after, &client->asked)
+    AqList_ForEachSafe(at, after, &client->sent_to_owner)
     {
         OwnClaim *own = AqList_Entry(at, OwnClaim, link);
         if (own->requested_until <= now) {
-            /* The same nonce: if the owner wrote it, it is found there. */
-            submit_here(client, own);
+            /* The nonce stays the same, so that a claim that the owner has
+             * already written is recognised as the same claim. */
+            submit_locally(client, own);
         }
     }
     AqClaims_Tick(client->claims, now, AqClock_ReadWall());
@@ -376,10 +381,10 @@
 start_timer(ClaimClient *client)
 {
     AqTime due = AqClaims_NextTick(client->claims);
-    if (!AqList_IsEmpty(&client->asked)) {
-        /* All wait equally long, so the first is due first. */
-        AqTime first =
-            AqList_Entry(client->asked.next, OwnClaim, link)->requested_until;
+    if (!AqList_IsEmpty(&client->sent_to_owner)) {
+        /* All claims have the same time limit, so the oldest is due first. */
+        AqTime first = AqList_Entry(client->sent_to_owner.next, OwnClaim, link)
+                           ->requested_until;
         due = first < due ? first : due;
     }
     if (due != AQ_TIME_NEVER) {
@@ -404,7 +409,7 @@
         g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, free_own);
     client->peers =
         g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, free);
-    AqList_Init(&client->asked);
+    AqList_Init(&client->sent_to_owner);
     AqRandom_Seed(&client->random, daemon->instance ^ UINT64_C(0x9e3779b9));
     AqTimer_Init(&client->timer, on_timer, client);
     return client;
--- a/packages/daemon/commits.c
+++ b/packages/daemon/commits.c
@@ -10,38 +10,42 @@
 #include "snapshots.h"
 
 enum {
-    COMMIT_LIMIT_MS = 5000,  /* longest time to reach the store */
-    CONFIRM_LIMIT_MS = 2000, /* longest wait for the majority */
+    COMMIT_TIMEOUT_MS =
+        5000, /* longest time for a change to reach the store */
+    CONFIRM_TIMEOUT_MS =
+        2000, /* longest wait for confirmation by a majority */
     RETRY_MS = 200,
-    BATCH_LIMIT = 64, /* changes per write of head */
-    CONFLICTS_AT_ONCE = 2,
-    CONFLICT_WAIT_MS = 20
+    BATCH_MAX_CHANGES = 64, /* changes evaluated per write of head, at most */
+    IMMEDIATE_RETRIES = 2,  /* conflicts in a row that are retried at once */
+    CONFLICT_MAX_WAIT_MS = 20 /* random wait after more conflicts, at most */
 };
 
 typedef struct {
     AqLink link;
     char *op;
-    json_t *intent; /* of Commits_SubmitIntent, or NULL */
+    json_t *intent; /* intent that the change comes from, or NULL */
     CommitEvaluate evaluate;
     CommitDone done;
     void *context;
-    AqTime deadline;
-    bool maybe_written; /* was in a write whose reply did not arrive */
-    int64_t version;    /* at which it was stored */
+    AqTime deadline;    /* end of the wait for the store or for confirmation */
+    bool maybe_written; /* part of a write of head whose reply was lost */
+    int64_t version;    /* document version that contains the change */
 } Commit;
 
 struct Commits {
     Daemon *daemon;
-    AqLink waiting;    /* not in the batch */
-    AqLink batch;      /* in the write that is under way */
-    AqLink confirming; /* stored */
-    bool busy;
-    uint64_t head_index;
-    int64_t snapshot_version; /* of the snapshot that is being written */
-    int64_t old_snapshot;     /* that it replaces; 0: none */
-    AqFleet *next;            /* the document with the batch applied */
+    AqLink waiting;    /* Commits not stored and not in the batch */
+    AqLink batch;      /* Commits in the write of head in progress */
+    AqLink confirming; /* stored Commits that a majority has not confirmed */
+    bool is_batch_running; /* a batch is in progress */
+    uint64_t head_index;   /* store index of head that the batch replaces */
+    int64_t
+        snapshot_version; /* document version of the snapshot being written */
+    int64_t
+        old_snapshot_version; /* version of the snapshot to remove, 0: none */
+    AqFleet *next;            /* document with the batch applied, or NULL */
     AqTimer timer;
-    int conflicts_in_row;
+    int conflicts_in_row; /* conflicts since the last write that succeeded */
     AqRandom random;
     AqMetric *writes;
     AqMetric *conflicts;
@@ -99,7 +103,7 @@
 on_timer(void *context)
 {
     Commits *commits = context;
-    if (!commits->busy) {
+    if (!commits->is_batch_running) {
         expire(commits, AqLoop_Now(commits->daemon->loop));
     }
     Commits_CheckConfirmed(commits);
@@ -158,7 +162,8 @@
     }
 }
 
-/* Ends the batch without a result; its changes wait for the next one. */
+/* Ends the batch without a result and puts its changes at the front of the
+ * waiting ones, for the next batch. */
 static void
 requeue_batch(Commits *commits)
 {
@@ -166,32 +171,33 @@
     move_all(&commits->batch, &commits->waiting);
     AqFleet_Destroy(commits->next);
     commits->next = NULL;
-    commits->busy = false;
+    commits->is_batch_running = false;
     set_timer(commits);
 }
 
 static void
-confirm_later(Commits *commits, Commit *commit, int64_t version)
+await_confirmation(Commits *commits, Commit *commit, int64_t version)
 {
     commit->version = version;
-    commit->deadline = AqLoop_Now(commits->daemon->loop) + CONFIRM_LIMIT_MS;
+    commit->deadline = AqLoop_Now(commits->daemon->loop) + CONFIRM_TIMEOUT_MS;
     AqList_Remove(&commit->link);
     AqList_Append(&commits->confirming, &commit->link);
 }
 
-/* After several conflicts in a row a random wait lets the committers of other
- * daemons get out of step. */
+/* Starts the next batch after a conflict.  After several conflicts in a row it
+ * waits for a random time first, so that daemons that commit at the same time
+ * stop conflicting. */
 static void
 retry_after_conflict(Commits *commits)
 {
-    if (++commits->conflicts_in_row <= CONFLICTS_AT_ONCE) {
+    if (++commits->conflicts_in_row <= IMMEDIATE_RETRIES) {
         start_batch(commits);
         return;
     }
     AqTimer_Start(
         commits->daemon->loop, &commits->timer,
         AqLoop_Now(commits->daemon->loop) + 1 +
-            (AqTime)AqRandom_Below(&commits->random, CONFLICT_WAIT_MS));
+            (AqTime)AqRandom_Below(&commits->random, CONFLICT_MAX_WAIT_MS));
 }
 
 static void
@@ -205,16 +211,17 @@
         {
             Commit *commit = AqList_Entry(at, Commit, link);
             int64_t version = AqFleet_FindOp(next, commit->op);
-            /* A change without an effect of its own has no operation id. */
-            confirm_later(commits, commit,
-                          version > 0 ? version : AqFleet_Version(next));
+            /* A change that added no record has no operation id in the
+             * document. */
+            await_confirmation(commits, commit,
+                               version > 0 ? version : AqFleet_Version(next));
         }
-        commits->busy = false;
+        commits->is_batch_running = false;
         commits->conflicts_in_row = 0;
-        /* The compare-and-swap has replaced the head that named it. */
-        if (commits->old_snapshot > 0) {
-            Snapshots_Remove(commits->daemon, commits->old_snapshot);
-            commits->old_snapshot = 0;
+        /* The head that named the old snapshot has been replaced. */
+        if (commits->old_snapshot_version > 0) {
+            Snapshots_Remove(commits->daemon, commits->old_snapshot_version);
+            commits->old_snapshot_version = 0;
         }
         FleetSync_Install(commits->daemon->sync, next);
         Commits_CheckConfirmed(commits);
@@ -248,22 +255,24 @@
     free(head);
 }
 
-/* The change needs no record of its own: it is stored already, or will be with
- * the batch on which its evaluation rests. */
+/* Handles a change that adds no record because "version" of the document
+ * already has its effect.  If that version is stored, the change waits for
+ * confirmation of the version, otherwise for the write of the batch that
+ * creates it. */
 static void
-needs_no_record(Commits *commits, Commit *commit, int64_t version)
+await_existing_version(Commits *commits, Commit *commit, int64_t version)
 {
     if (version <= AqFleet_Version(Daemon_Fleet(commits->daemon))) {
-        confirm_later(commits, commit, version);
+        await_confirmation(commits, commit, version);
         return;
     }
     AqList_Remove(&commit->link);
     AqList_Append(&commits->batch, &commit->link);
 }
 
-/* Evaluates one change on the document with the earlier ones of the batch
- * applied.  Their write may still fail, so nobody is told a result that
- * depends on them before it is confirmed. */
+/* Evaluates one change on the document with the earlier changes of the batch
+ * applied.  The write of those may still fail, so a result that depends on
+ * them is not reported before the write is confirmed. */
 static void
 evaluate(Commits *commits, Commit *commit)
 {
@@ -271,7 +280,7 @@
     int64_t version = AqFleet_FindOp(commits->next, commit->op);
     AqError_Clear(&error);
     if (version > 0) {
-        needs_no_record(commits, commit, version);
+        await_existing_version(commits, commit, version);
         return;
     }
     json_t *set = json_array();
@@ -285,11 +294,13 @@
         }
     }
     else if (ok) {
-        needs_no_record(commits, commit, AqFleet_Version(commits->next));
+        await_existing_version(commits, commit,
+                               AqFleet_Version(commits->next));
     }
     json_decref(set);
-    /* A refusal waits for the next batch, unless it rests on the stored
-     * document alone. */
+    /* A refusal is final only if the batch is empty, so that it depends on the
+     * stored document alone.  Otherwise the change is evaluated again in the
+     * next batch. */
     if (!ok && AqList_IsEmpty(&commits->batch)) {
         finish(commit, COMMIT_REFUSED, &error);
     }
@@ -301,7 +312,7 @@
     int count = 0;
     AqList_ForEachSafe(at, after, &commits->waiting)
     {
-        if (count++ == BATCH_LIMIT) {
+        if (count++ == BATCH_MAX_CHANGES) {
             break;
         }
         evaluate(commits, AqList_Entry(at, Commit, link));
@@ -316,7 +327,7 @@
     if (AqList_IsEmpty(&commits->batch)) {
         AqFleet_Destroy(commits->next);
         commits->next = NULL;
-        commits->busy = false;
+        commits->is_batch_running = false;
         Commits_CheckConfirmed(commits);
         set_timer(commits);
         return;
@@ -328,14 +339,15 @@
 on_snapshot_written(void *context, const AqStoreReply *reply)
 {
     Commits *commits = context;
-    /* A conflict means that another daemon wrote the same snapshot. */
+    /* A conflict means that another daemon has written the same snapshot. */
     if (reply->status != AQ_STORE_OK && reply->status != AQ_STORE_CONFLICT) {
         requeue_batch(commits);
         return;
     }
     AqFleet *fleet = Daemon_Fleet(commits->daemon);
     if (AqFleet_Version(fleet) != commits->snapshot_version) {
-        /* The watch installed a newer document meanwhile. */
+        /* The watch of head has installed a newer document during the write.
+         */
         requeue_batch(commits);
         return;
     }
@@ -353,7 +365,7 @@
         return;
     }
     commits->head_index = index;
-    commits->old_snapshot = 0;
+    commits->old_snapshot_version = 0;
     if (!AqFleet_NeedsSnapshot(fleet)) {
         write_batch(commits);
         return;
@@ -363,7 +375,7 @@
     char *text = AqFleet_EncodeSnapshot(fleet);
     commits->snapshot_version = AqFleet_Version(fleet);
     if (AqFleet_SnapshotVersion(fleet) != commits->snapshot_version) {
-        commits->old_snapshot = AqFleet_SnapshotVersion(fleet);
+        commits->old_snapshot_version = AqFleet_SnapshotVersion(fleet);
     }
     Snapshots_Key(commits->snapshot_version, key);
     store->ops->put(store, key, text, strlen(text), 0, on_snapshot_written,
@@ -374,10 +386,10 @@
 static void
 start_batch(Commits *commits)
 {
-    if (commits->busy || AqList_IsEmpty(&commits->waiting)) {
+    if (commits->is_batch_running || AqList_IsEmpty(&commits->waiting)) {
         return;
     }
-    commits->busy = true;
+    commits->is_batch_running = true;
     FleetSync_Refresh(commits->daemon->sync, on_refreshed, commits);
 }
 
@@ -393,9 +405,10 @@
     commit->evaluate = evaluate;
     commit->done = done;
     commit->context = context;
-    commit->deadline = AqLoop_Now(commits->daemon->loop) + COMMIT_LIMIT_MS;
+    commit->deadline = AqLoop_Now(commits->daemon->loop) + COMMIT_TIMEOUT_MS;
     AqList_Append(&commits->waiting, &commit->link);
-    /* The batch starts with the timer, so that "done" never runs here. */
+    /* The batch starts from the timer, so that "done" is never called from
+     * inside this function. */
     AqTimer_Start(commits->daemon->loop, &commits->timer,
                   AqLoop_Now(commits->daemon->loop));
     return commit;
@@ -423,8 +436,9 @@
     return AqFleet_Evaluate(fleet, state->intent, wall_ms, set, error);
 }
 
-/* Members change one at a time on top of the epoch in force, so that the
- * majorities of successive epochs intersect. */
+/* Evaluates a change of one member.  Members change one at a time, based on
+ * the epoch in force, so that the majorities of successive epochs intersect.
+ */
 static bool
 evaluate_member(void *context, const AqFleet *fleet, int64_t wall_ms,
                 json_t *set, AqError *error)
@@ -436,7 +450,7 @@
         !AqMembership_MayChangeMembers(membership, now)) {
         return AqError_Set(error, AQ_ERR_CONFLICT,
                            "the epoch has not been accepted by a majority "
-                           "yet; ask again later");
+                           "yet; retry later");
     }
     return AqFleet_Evaluate(fleet, state->intent, wall_ms, set, error);
 }
--- a/packages/daemon/fleet_sync.c
+++ b/packages/daemon/fleet_sync.c
@@ -11,37 +11,43 @@
 #include "snapshots.h"
 
 enum {
-    WATCH_WAIT_MS = 1000, /* also the period of proofs of store contact */
+    /* Longest wait of one watch of head.  Each reply also shows that the store
+     * can be reached, so that this is the period of such evidence. */
+    WATCH_WAIT_MS = 1000,
     RETRY_MS = 300,
-    STORE_SILENT_MS = 1500, /* then the document is taken from a peer */
-    PEER_ASK_MS = 500,      /* least time between two questions */
-    MAX_DOCUMENT = 64 * 1024 * 1024
+    /* After this time without a store reply the document is requested from a
+     * peer. */
+    STORE_SILENT_MS = 1500,
+    PEER_REQUEST_PERIOD_MS =
+        500, /* least time between two document requests */
+    MAX_DOCUMENT_BYTES = 64 * 1024 * 1024
 };
 
-/* One read of head, with the snapshot that it may need. */
+/* One read of head, including the read of the snapshot if head needs it. */
 typedef struct {
-    AqLink link; /* in "reads" until it ends */
+    AqLink link; /* in FleetSync.reads while the read is in progress */
     FleetSync *sync;
-    AqTime started;
-    bool is_watch;
-    FleetSyncDone done; /* of a refresh */
+    AqTime started;     /* when the read began, on the loop's clock */
+    bool is_watch;      /* a watch of head, not a FleetSync_Refresh */
+    FleetSyncDone done; /* callback of FleetSync_Refresh; NULL for a watch */
     void *context;
-    char *head; /* kept while the snapshot is read */
-    size_t head_size;
-    uint64_t index;
+    char *head;       /* copy of the value of head, or NULL */
+    size_t head_size; /* bytes in "head" */
+    uint64_t index;   /* store index of head; 0: there is no head */
 } HeadRead;
 
 struct FleetSync {
     Daemon *daemon;
     AqFleet *fleet;
-    AqLink reads; /* under way; freed when the daemon ends before them */
-    uint64_t watch_index;
+    AqLink reads; /* HeadReads in progress; the destructor frees them */
+    uint64_t watch_index; /* store index of head to watch from */
     AqTimer retry;
-    AqTime last_contact; /* start of the last read that was answered */
-    bool had_contact;
-    AqTime asked_peer_at;
-    int64_t chunk_version; /* of the document that is arriving */
-    AqBuffer chunks;
+    AqTime last_contact; /* start of the last HeadRead that succeeded */
+    bool had_contact;    /* at least one HeadRead has succeeded */
+    AqTime requested_from_peer_at; /* time of the last document request to a
+                                      peer */
+    int64_t chunk_version;         /* version of the document in "chunks" */
+    AqBuffer chunks; /* part of the document received from a peer */
 };
 
 static void start_watch(FleetSync *sync);
@@ -90,7 +96,7 @@
 }
 
 static void
-changed(FleetSync *sync)
+notify_changed(FleetSync *sync)
 {
     Daemon_FleetChanged(sync->daemon);
 }
@@ -104,7 +110,7 @@
     }
     AqFleet_Destroy(sync->fleet);
     sync->fleet = fleet;
-    changed(sync);
+    notify_changed(sync);
 }
 
 /* ---- Reading from the store --------------------------------------------- */
@@ -132,7 +138,7 @@
     free(read);
 }
 
-static void load_head(HeadRead *read, bool may_ask_snapshot);
+static void load_head(HeadRead *read, bool may_request_snapshot);
 
 static void
 on_snapshot(void *context, const AqStoreReply *reply)
@@ -155,7 +161,7 @@
 }
 
 static void
-ask_snapshot(HeadRead *read, int64_t version)
+request_snapshot(HeadRead *read, int64_t version)
 {
     AqStore *store = read->sync->daemon->store;
     char key[SNAPSHOT_KEY_SIZE];
@@ -164,7 +170,7 @@
 }
 
 static void
-load_head(HeadRead *read, bool may_ask_snapshot)
+load_head(HeadRead *read, bool may_request_snapshot)
 {
     FleetSync *sync = read->sync;
     int64_t before = AqFleet_Version(sync->fleet);
@@ -172,8 +178,8 @@
     AqError error;
     AqLoadResult result = AqFleet_LoadHead(sync->fleet, read->head,
                                            read->head_size, &snapshot, &error);
-    if (result == AQ_LOAD_SNAPSHOT && may_ask_snapshot) {
-        ask_snapshot(read, snapshot);
+    if (result == AQ_LOAD_SNAPSHOT && may_request_snapshot) {
+        request_snapshot(read, snapshot);
         return;
     }
     if (result == AQ_LOAD_BAD) {
@@ -181,7 +187,7 @@
                     AqLog_Quote(error.message));
     }
     if (AqFleet_Version(sync->fleet) > before) {
-        changed(sync);
+        notify_changed(sync);
     }
     end_read(read, result == AQ_LOAD_OK || result == AQ_LOAD_OLDER);
 }
@@ -192,7 +198,8 @@
     HeadRead *read = context;
     if (reply->status == AQ_STORE_ABSENT) {
         read->index = 0;
-        /* A store that lost the document must not look like an answer. */
+        /* If this daemon has a document, the store has lost it, which must not
+         * count as a successful read. */
         end_read(read, AqFleet_Version(read->sync->fleet) == 0);
         return;
     }
@@ -213,7 +220,7 @@
     HeadRead *read = calloc(1, sizeof(*read));
     read->sync = sync;
     AqList_Append(&sync->reads, &read->link);
-    /* The reply may be as old as the start of the call. */
+    /* The reply may describe the store as it was when the call began. */
     read->started = AqLoop_Now(sync->daemon->loop);
     return read;
 }
@@ -252,10 +259,10 @@
 {
     AqTime now = AqLoop_Now(sync->daemon->loop);
     if (version <= AqFleet_Version(sync->fleet) || !is_store_silent(sync) ||
-        now - sync->asked_peer_at < PEER_ASK_MS) {
+        now - sync->requested_from_peer_at < PEER_REQUEST_PERIOD_MS) {
         return;
     }
-    sync->asked_peer_at = now;
+    sync->requested_from_peer_at = now;
     AqMsg msg = {.type = AQ_MSG_GET_FLEET};
     Peers_Send(sync->daemon->peers, from, &msg);
 }
@@ -295,7 +302,7 @@
     if (result == AQ_LOAD_OK) {
         AqLog_Event(AQ_LOG_INFO, "document_from_peer", "peer=%s version=%lld",
                     from, (long long)AqFleet_Version(sync->fleet));
-        changed(sync);
+        notify_changed(sync);
     }
 }
 
@@ -310,7 +317,7 @@
     if (chunk->version != sync->chunk_version ||
         chunk->version <= AqFleet_Version(sync->fleet) ||
         chunk->offset != (int64_t)sync->chunks.size ||
-        chunk->total > MAX_DOCUMENT) {
+        chunk->total > MAX_DOCUMENT_BYTES) {
         return;
     }
     AqBuffer_Append(&sync->chunks, chunk->bytes, chunk->size);
--- a/packages/daemon/jobs_runner.c
+++ b/packages/daemon/jobs_runner.c
@@ -13,38 +13,39 @@
 #include "task_client.h"
 
 enum {
-    STEP_MS = 250,
-    LIST_MS = 1000,        /* reads of all documents while planning */
-    INTENT_LIMIT_MS = 5000 /* longest time to store an intent */
+    STEP_PERIOD_MS = 250,
+    LIST_PERIOD_MS =
+        1000, /* period of reads of all job documents as planner */
+    INTENT_TIMEOUT_MS = 5000 /* longest time to store an intent */
 };
 
 typedef struct {
     AqLink link;
-    json_t *intent;
+    json_t *intent; /* intent to store; NULL for a listing */
     AqExchange *exchange;
     AqTime deadline;
-    bool maybe_written;
-} Pending;
+    bool maybe_written; /* a write of the intent may have lost its reply */
+} PendingExchange;
 
 struct JobsRunner {
     Daemon *daemon;
     AqJobs *jobs;
     TaskClient *client;
     AqTimer timer;
-    AqLink intents;
-    AqLink listings; /* exchanges that wait for a list of all documents */
-    bool busy;       /* a store call is under way */
-    AqTime listed_at;
-    char writing[AQ_WIRE_MAX_NAME]; /* team of the write under way */
+    AqLink intents;        /* exchanges whose intents are not stored yet */
+    AqLink listings;       /* exchanges that wait for a list of all jobs */
+    bool is_calling_store; /* a store call is in progress */
+    AqTime listed_at;      /* time of the last read of all job documents */
+    char writing_team[AQ_WIRE_MAX_NAME]; /* team whose document is being
+                                            written */
 };
 
-static void run(JobsRunner *task);
+static void start_store_call(JobsRunner *runner);
 
-/* ---- Answers -------------------------------------------------------------
- */
+/* ---- Responses ---------------------------------------------------------- */
 
 static void
-free_pending(Pending *pending)
+free_pending(PendingExchange *pending)
 {
     AqList_Remove(&pending->link);
     json_decref(pending->intent);
@@ -52,7 +53,7 @@
 }
 
 static void
-answer_stored(Pending *pending)
+respond_stored(PendingExchange *pending)
 {
     Operators_Respond(
         pending->exchange, 200,
@@ -61,7 +62,7 @@
 }
 
 static void
-answer_error(Pending *pending, const AqError *error)
+respond_error(PendingExchange *pending, const AqError *error)
 {
     bool invalid = error->kind == AQ_ERR_INVALID;
     Operators_RespondRefused(pending->exchange, invalid ? 400 : 409,
@@ -70,7 +71,7 @@
 }
 
 static void
-answer_late(Pending *pending)
+respond_timeout(PendingExchange *pending)
 {
     if (pending->maybe_written) {
         Operators_RespondRefused(pending->exchange, 504, "unknown",
@@ -86,29 +87,28 @@
 }
 
 static void
-expire(JobsRunner *task, AqTime now)
+expire(JobsRunner *runner, AqTime now)
 {
-    AqList_ForEachSafe(at, after, &task->intents)
+    AqList_ForEachSafe(at, after, &runner->intents)
     {
-        Pending *pending = AqList_Entry(at, Pending, link);
+        PendingExchange *pending = AqList_Entry(at, PendingExchange, link);
         if (pending->deadline <= now) {
-            answer_late(pending);
+            respond_timeout(pending);
         }
     }
 }
 
-/* ---- Store ---------------------------------------------------------------
- */
+/* ---- Store -------------------------------------------------------------- */
 
 static void
-load_items(JobsRunner *task, const AqStoreReply *reply)
+load_items(JobsRunner *runner, const AqStoreReply *reply)
 {
     for (size_t i = 0; i < reply->count; i++) {
         const AqStoreItem *item = &reply->items[i];
         AqError error;
         const char *team = item->key + strlen(AQ_JOBS_PREFIX);
         if (strncmp(item->key, AQ_JOBS_PREFIX, strlen(AQ_JOBS_PREFIX)) == 0 &&
-            !AqJobs_Load(task->jobs, team, item->value, item->size,
+            !AqJobs_Load(runner->jobs, team, item->value, item->size,
                          item->index, &error)) {
             AqLog_Event(AQ_LOG_ERROR, "jobs_document_bad", "error=%s",
                         AqLog_Quote(error.message));
@@ -119,56 +119,56 @@
 static void
 on_read_back(void *context, const AqStoreReply *reply)
 {
-    JobsRunner *task = context;
-    load_items(task, reply);
-    task->busy = false;
+    JobsRunner *runner = context;
+    load_items(runner, reply);
+    runner->is_calling_store = false;
     if (reply->status == AQ_STORE_OK || reply->status == AQ_STORE_ABSENT) {
-        run(task);
+        start_store_call(runner);
     }
 }
 
-/* Whatever the write did, the document is read back: after a success for its
- * index, after a conflict or a lost reply for its content. */
+/* Reads a team's document back after each write: after a success for the new
+ * store index, after a conflict or a lost reply for the content. */
 static void
 on_written(void *context, const AqStoreReply *reply)
 {
-    JobsRunner *task = context;
-    AqStore *store = task->daemon->store;
+    JobsRunner *runner = context;
+    AqStore *store = runner->daemon->store;
     char key[sizeof(AQ_JOBS_PREFIX) + AQ_WIRE_MAX_NAME];
     if (reply->status == AQ_STORE_UNKNOWN) {
-        AqList_ForEach(at, &task->intents)
+        AqList_ForEach(at, &runner->intents)
         {
-            AqList_Entry(at, Pending, link)->maybe_written = true;
+            AqList_Entry(at, PendingExchange, link)->maybe_written = true;
         }
     }
-    AqJobs_Rollback(task->jobs, task->writing);
-    snprintf(key, sizeof(key), "%s%s", AQ_JOBS_PREFIX, task->writing);
-    store->ops->get(store, key, on_read_back, task);
+    AqJobs_Rollback(runner->jobs, runner->writing_team);
+    snprintf(key, sizeof(key), "%s%s", AQ_JOBS_PREFIX, runner->writing_team);
+    store->ops->get(store, key, on_read_back, runner);
 }
 
 static void
-write_team(JobsRunner *task, const char *team)
+write_team(JobsRunner *runner, const char *team)
 {
-    AqStore *store = task->daemon->store;
+    AqStore *store = runner->daemon->store;
     uint64_t index;
     char key[sizeof(AQ_JOBS_PREFIX) + AQ_WIRE_MAX_NAME];
-    char *text = AqJobs_Encode(task->jobs, team, &index);
-    task->busy = true;
-    g_strlcpy(task->writing, team, sizeof(task->writing));
-    snprintf(key, sizeof(key), "%s%s", AQ_JOBS_PREFIX, task->writing);
-    store->ops->put(store, key, text, strlen(text), index, on_written, task);
+    char *text = AqJobs_Encode(runner->jobs, team, &index);
+    runner->is_calling_store = true;
+    g_strlcpy(runner->writing_team, team, sizeof(runner->writing_team));
+    snprintf(key, sizeof(key), "%s%s", AQ_JOBS_PREFIX, runner->writing_team);
+    store->ops->put(store, key, text, strlen(text), index, on_written, runner);
     free(text);
 }
 
 static void
-answer_listings(JobsRunner *task, bool ok)
+respond_listings(JobsRunner *runner, bool ok)
 {
     AqLink *link;
-    while ((link = AqList_PopFirst(&task->listings)) != NULL) {
-        Pending *pending = AqList_Entry(link, Pending, link);
+    while ((link = AqList_PopFirst(&runner->listings)) != NULL) {
+        PendingExchange *pending = AqList_Entry(link, PendingExchange, link);
         if (ok) {
             Operators_Respond(pending->exchange, 200,
-                              AqJobs_Describe(task->jobs));
+                              AqJobs_Describe(runner->jobs));
         }
         else {
             Operators_RespondRefused(pending->exchange, 503, "unavailable",
@@ -179,171 +179,171 @@
     }
 }
 
-static void take_intents(JobsRunner *task);
+static void evaluate_intents(JobsRunner *runner);
 
 static void
 on_listed(void *context, const AqStoreReply *reply)
 {
-    JobsRunner *task = context;
+    JobsRunner *runner = context;
     bool ok = reply->status == AQ_STORE_OK || reply->status == AQ_STORE_ABSENT;
-    task->busy = false;
+    runner->is_calling_store = false;
     if (ok) {
-        load_items(task, reply);
-        task->listed_at = AqLoop_Now(task->daemon->loop);
+        load_items(runner, reply);
+        runner->listed_at = AqLoop_Now(runner->daemon->loop);
     }
-    answer_listings(task, ok);
+    respond_listings(runner, ok);
     if (ok) {
-        take_intents(task);
-        run(task);
+        evaluate_intents(runner);
+        start_store_call(runner);
     }
 }
 
 static void
-list_all(JobsRunner *task)
+list_all(JobsRunner *runner)
 {
-    AqStore *store = task->daemon->store;
-    task->busy = true;
-    store->ops->list(store, AQ_JOBS_PREFIX, on_listed, task);
+    AqStore *store = runner->daemon->store;
+    runner->is_calling_store = true;
+    store->ops->list(store, AQ_JOBS_PREFIX, on_listed, runner);
 }
 
-/* ---- Intents -------------------------------------------------------------
- */
+/* ---- Intents ------------------------------------------------------------ */
 
-/* Evaluates all waiting intents on the documents just read.  One that changes
- * nothing has been applied; the others stay until their write is read back. */
+/* Evaluates all waiting intents on the documents that were just read.  An
+ * intent that changes nothing has been stored already, and its exchange gets
+ * the response; the others wait until their write has been read back. */
 static void
-take_intents(JobsRunner *task)
+evaluate_intents(JobsRunner *runner)
 {
-    AqList_ForEachSafe(at, after, &task->intents)
+    AqList_ForEachSafe(at, after, &runner->intents)
     {
-        Pending *pending = AqList_Entry(at, Pending, link);
+        PendingExchange *pending = AqList_Entry(at, PendingExchange, link);
         AqError error;
-        bool was_dirty = AqJobs_NextDirty(task->jobs) != NULL;
-        if (!AqJobs_Evaluate(task->jobs, Daemon_Fleet(task->daemon),
+        bool was_dirty = AqJobs_NextDirty(runner->jobs) != NULL;
+        if (!AqJobs_Evaluate(runner->jobs, Daemon_Fleet(runner->daemon),
                              pending->intent, AqClock_ReadWall(), &error)) {
-            answer_error(pending, &error);
+            respond_error(pending, &error);
         }
-        else if (!was_dirty && AqJobs_NextDirty(task->jobs) == NULL) {
-            answer_stored(pending);
+        else if (!was_dirty && AqJobs_NextDirty(runner->jobs) == NULL) {
+            respond_stored(pending);
         }
     }
 }
 
-static Pending *
-create_pending(JobsRunner *task, AqExchange *exchange)
+static PendingExchange *
+create_pending(JobsRunner *runner, AqExchange *exchange)
 {
-    Pending *pending = calloc(1, sizeof(*pending));
+    PendingExchange *pending = calloc(1, sizeof(*pending));
     AqList_Init(&pending->link);
     pending->exchange = exchange;
-    pending->deadline = AqLoop_Now(task->daemon->loop) + INTENT_LIMIT_MS;
-    /* The answer must not be sent from inside the handler's caller. */
-    AqTimer_Start(task->daemon->loop, &task->timer,
-                  AqLoop_Now(task->daemon->loop));
+    pending->deadline = AqLoop_Now(runner->daemon->loop) + INTENT_TIMEOUT_MS;
+    /* The response is sent from the timer, because it must not be sent while
+     * the HTTP server still calls the request handler. */
+    AqTimer_Start(runner->daemon->loop, &runner->timer,
+                  AqLoop_Now(runner->daemon->loop));
     return pending;
 }
 
 void
-JobsRunner_Submit(JobsRunner *task, json_t *intent, AqExchange *exchange)
+JobsRunner_Submit(JobsRunner *runner, json_t *intent, AqExchange *exchange)
 {
-    Pending *pending = create_pending(task, exchange);
+    PendingExchange *pending = create_pending(runner, exchange);
     pending->intent = json_incref(intent);
-    AqList_Append(&task->intents, &pending->link);
+    AqList_Append(&runner->intents, &pending->link);
 }
 
 void
-JobsRunner_List(JobsRunner *task, AqExchange *exchange)
+JobsRunner_List(JobsRunner *runner, AqExchange *exchange)
 {
-    Pending *pending = create_pending(task, exchange);
-    AqList_Append(&task->listings, &pending->link);
+    PendingExchange *pending = create_pending(runner, exchange);
+    AqList_Append(&runner->listings, &pending->link);
 }
 
-/* ---- Planning ------------------------------------------------------------
- */
+/* ---- Planning ----------------------------------------------------------- */
 
 static void
 on_order(void *context, const AqTaskOrder *order)
 {
-    JobsRunner *task = context;
-    TaskClient_Send(task->client, order);
+    JobsRunner *runner = context;
+    TaskClient_Send(runner->client, order);
 }
 
 static void
-plan(JobsRunner *task)
+plan(JobsRunner *runner)
 {
-    TaskClient_Report(task->client);
-    AqJobs_Step(task->jobs, Daemon_Fleet(task->daemon), AqClock_ReadWall(),
-                on_order, task);
+    TaskClient_Report(runner->client);
+    AqJobs_Step(runner->jobs, Daemon_Fleet(runner->daemon), AqClock_ReadWall(),
+                on_order, runner);
 }
 
 /* Starts the next store call that is needed.  After a failed read only the
- * timer calls this: a refused connection fails at once, and calls in a row
- * were seen to reach 50,000 a second in a store outage. */
+ * timer calls this function: a refused connection fails at once, and calls
+ * without a pause reached 50,000 a second in a store outage. */
 static void
-run(JobsRunner *task)
+start_store_call(JobsRunner *runner)
 {
-    AqTime now = AqLoop_Now(task->daemon->loop);
-    bool active = PlannerRunner_IsActive(task->daemon->planner);
-    if (task->busy) {
+    AqTime now = AqLoop_Now(runner->daemon->loop);
+    bool active = PlannerRunner_IsActive(runner->daemon->planner);
+    if (runner->is_calling_store) {
         return;
     }
-    const char *dirty = AqJobs_NextDirty(task->jobs);
+    const char *dirty = AqJobs_NextDirty(runner->jobs);
     if (dirty != NULL) {
-        write_team(task, dirty);
+        write_team(runner, dirty);
     }
-    else if (!AqList_IsEmpty(&task->intents) ||
-             !AqList_IsEmpty(&task->listings) ||
-             (active && now - task->listed_at >= LIST_MS)) {
-        list_all(task);
+    else if (!AqList_IsEmpty(&runner->intents) ||
+             !AqList_IsEmpty(&runner->listings) ||
+             (active && now - runner->listed_at >= LIST_PERIOD_MS)) {
+        list_all(runner);
     }
 }
 
 static void
 on_timer(void *context)
 {
-    JobsRunner *task = context;
-    AqTime now = AqLoop_Now(task->daemon->loop);
-    AqTimer_Start(task->daemon->loop, &task->timer, now + STEP_MS);
-    if (task->busy) {
+    JobsRunner *runner = context;
+    AqTime now = AqLoop_Now(runner->daemon->loop);
+    AqTimer_Start(runner->daemon->loop, &runner->timer, now + STEP_PERIOD_MS);
+    if (runner->is_calling_store) {
         return;
     }
-    expire(task, now);
-    if (PlannerRunner_IsActive(task->daemon->planner) &&
-        now - task->listed_at < 2 * LIST_MS) {
-        plan(task);
+    expire(runner, now);
+    if (PlannerRunner_IsActive(runner->daemon->planner) &&
+        now - runner->listed_at < 2 * LIST_PERIOD_MS) {
+        plan(runner);
     }
-    run(task);
+    start_store_call(runner);
 }
 
 JobsRunner *
 JobsRunner_Create(Daemon *daemon)
 {
-    JobsRunner *task = calloc(1, sizeof(*task));
-    task->daemon = daemon;
-    task->jobs = AqJobs_Create();
-    task->client = TaskClient_Create(daemon, task->jobs);
-    task->listed_at = -LIST_MS;
-    AqList_Init(&task->intents);
-    AqList_Init(&task->listings);
-    AqTimer_Init(&task->timer, on_timer, task);
-    AqTimer_Start(daemon->loop, &task->timer, AqLoop_Now(daemon->loop));
-    return task;
+    JobsRunner *runner = calloc(1, sizeof(*runner));
+    runner->daemon = daemon;
+    runner->jobs = AqJobs_Create();
+    runner->client = TaskClient_Create(daemon, runner->jobs);
+    runner->listed_at = -LIST_PERIOD_MS;
+    AqList_Init(&runner->intents);
+    AqList_Init(&runner->listings);
+    AqTimer_Init(&runner->timer, on_timer, runner);
+    AqTimer_Start(daemon->loop, &runner->timer, AqLoop_Now(daemon->loop));
+    return runner;
 }
 
 void
-JobsRunner_Destroy(JobsRunner *task)
+JobsRunner_Destroy(JobsRunner *runner)
 {
     AqLink *link;
-    if (task == NULL) {
+    if (runner == NULL) {
         return;
     }
-    AqTimer_Stop(&task->timer);
-    while ((link = AqList_PopFirst(&task->intents)) != NULL) {
-        free_pending(AqList_Entry(link, Pending, link));
+    AqTimer_Stop(&runner->timer);
+    while ((link = AqList_PopFirst(&runner->intents)) != NULL) {
+        free_pending(AqList_Entry(link, PendingExchange, link));
     }
-    while ((link = AqList_PopFirst(&task->listings)) != NULL) {
-        free_pending(AqList_Entry(link, Pending, link));
+    while ((link = AqList_PopFirst(&runner->listings)) != NULL) {
+        free_pending(AqList_Entry(link, PendingExchange, link));
     }
-    TaskClient_Destroy(task->client);
-    AqJobs_Destroy(task->jobs);
-    free(task);
+    TaskClient_Destroy(runner->client);
+    AqJobs_Destroy(runner->jobs);
+    free(runner);
 }
--- a/packages/daemon/jobs_runner.h
+++ b/packages/daemon/jobs_runner.h
@@ -5,16 +5,18 @@
 
 #include "daemon.h"
 
-/* Jobs: takes intents from operators, and while this daemon is the planner
- * decides starts and sends the orders to the platform. */
+/* Runs jobs: stores operators' intents about jobs and, while this daemon is
+ * the planner, decides starts of tasks and sends the orders to the platform.
+ */
 
 JobsRunner *JobsRunner_Create(Daemon *daemon);
-void JobsRunner_Destroy(JobsRunner *task);
+void JobsRunner_Destroy(JobsRunner *runner);
 
-/* Answers the exchange when the intent is stored, refused or timed out.  Takes
- * a reference. */
-void JobsRunner_Submit(JobsRunner *task, json_t *intent, AqExchange *exchange);
-/* Answers with all jobs, read from the store. */
-void JobsRunner_List(JobsRunner *task, AqExchange *exchange);
+/* Queues an operator's intent; takes its own reference to "intent".  Responds
+ * to "exchange" when the intent is stored, is refused or times out. */
+void JobsRunner_Submit(JobsRunner *runner, json_t *intent,
+                       AqExchange *exchange);
+/* Responds to "exchange" with all jobs, as read from the store. */
+void JobsRunner_List(JobsRunner *runner, AqExchange *exchange);
 
 #endif
--- a/packages/daemon/planner_runner.c
+++ b/packages/daemon/planner_runner.c
@@ -12,26 +12,26 @@
 enum {
     PERIOD_MS = 500,
     REBOOT_TIMEOUT_MS = 5000,
-    MAX_ANSWER = 65536
+    MAX_RESPONSE_BYTES = 65536
 };
 
 struct PlannerRunner {
     Daemon *daemon;
     AqPlanner *planner;
     AqTimer timer;
-    bool committing;
-    bool removing;
-    uint64_t steps;
-    json_t *reboots; /* of the latest step */
+    bool committing; /* the commit of a step is in progress */
+    bool removing;   /* the commit of a member's removal is in progress */
+    uint64_t steps;  /* steps submitted so far, for operation ids */
+    json_t *reboots; /* ids of the VMs to reboot, from the latest step */
 };
 
-/* ---- What the planner sees ---------------------------------------------- */
+/* ---- View of the planner ------------------------------------------------ */
 
 static const char *
 listed(void *context, const char *vm)
 {
     const Daemon *daemon = context;
-    /* Until a list has arrived every VM counts as live. */
+    /* Until the first VM list has arrived, every VM counts as live. */
     return VmList_IsKnown(daemon->vms) ? VmList_State(daemon->vms, vm)
                                        : "live";
 }
@@ -61,7 +61,7 @@
 /* ---- Reboots ------------------------------------------------------------ */
 
 static void
-on_reboot(void *context, const AqHttpReply *reply)
+on_reboot_reply(void *context, const AqHttpReply *reply)
 {
     (void)context;
     if (reply->result != AQ_HTTP_DONE || reply->status >= 300) {
@@ -71,7 +71,7 @@
 }
 
 static void
-ask_reboot(const Daemon *daemon, const char *vm)
+request_reboot(const Daemon *daemon, const char *vm)
 {
     AqVmView view;
     char url[512];
@@ -79,7 +79,8 @@
         view.state != AQ_VM_REBOOTING) {
         return;
     }
-    /* The same operation for the same reboot, so that repeats do nothing. */
+    /* All repeats of one reboot request have the same operation id, so that
+     * the platform ignores the repeats. */
     snprintf(url, sizeof(url), "%s/v1/vms/%s/reboot?op=%s-%lld",
              daemon->settings->store_url, vm, vm, (long long)view.since);
     AqHttpRequest request = {
@@ -90,21 +91,21 @@
         .body = "",
         .timeout_ms = REBOOT_TIMEOUT_MS,
         .connect_timeout_ms = daemon->settings->store_timeout_ms,
-        .max_response_bytes = MAX_ANSWER,
+        .max_response_bytes = MAX_RESPONSE_BYTES,
     };
-    AqHttpClient_Start(daemon->http, &request, on_reboot, NULL);
+    AqHttpClient_Start(daemon->http, &request, on_reboot_reply, NULL);
 }
 
 static void
-ask_reboots(PlannerRunner *task)
+request_reboots(PlannerRunner *runner)
 {
     size_t i;
     json_t *name;
-    json_array_foreach(task->reboots, i, name)
+    json_array_foreach(runner->reboots, i, name)
     {
-        ask_reboot(task->daemon, json_string_value(name));
+        request_reboot(runner->daemon, json_string_value(name));
     }
-    json_array_clear(task->reboots);
+    json_array_clear(runner->reboots);
 }
 
 /* ---- Steps -------------------------------------------------------------- */
@@ -113,11 +114,11 @@
 evaluate(void *context, const AqFleet *fleet, int64_t wall_ms, json_t *set,
          AqError *error)
 {
-    PlannerRunner *task = context;
+    PlannerRunner *runner = context;
     (void)error;
-    json_array_clear(task->reboots);
-    AqPlanner_Step(task->planner, fleet, wall_ms, &planner_view, task->daemon,
-                   set, task->reboots);
+    json_array_clear(runner->reboots);
+    AqPlanner_Step(runner->planner, fleet, wall_ms, &planner_view,
+                   runner->daemon, set, runner->reboots);
     return true;
 }
 
@@ -125,8 +126,8 @@
 on_committed(void *context, CommitStatus status, int64_t version,
              const AqError *error)
 {
-    PlannerRunner *task = context;
-    task->committing = false;
+    PlannerRunner *runner = context;
+    runner->committing = false;
     if (status == COMMIT_REFUSED) {
         AqLog_Event(AQ_LOG_ERROR, "planner_step_refused", "error=%s",
                     AqLog_Quote(error->message));
@@ -137,42 +138,44 @@
     }
 }
 
-/* Whether a step on the document in force would change anything; saves the
- * read of head that a commit begins with. */
+/* Whether a step on the document in force would change anything.  If not, the
+ * caller saves a commit, which begins with a read from the store. */
 static bool
-has_work(PlannerRunner *task)
+has_work(PlannerRunner *runner)
 {
     json_t *set = json_array();
-    evaluate(task, Daemon_Fleet(task->daemon), AqClock_ReadWall(), set, NULL);
+    evaluate(runner, Daemon_Fleet(runner->daemon), AqClock_ReadWall(), set,
+             NULL);
     bool result = json_array_size(set) > 0;
     json_decref(set);
     return result;
 }
 
 static void
-step(PlannerRunner *task)
+step(PlannerRunner *runner)
 {
     char op[160];
-    if (!has_work(task)) {
-        ask_reboots(task);
+    if (!has_work(runner)) {
+        request_reboots(runner);
         return;
     }
-    ask_reboots(task);
+    request_reboots(runner);
     snprintf(op, sizeof(op), "planner-%s-%llx-%llu",
-             task->daemon->settings->node_id,
-             (unsigned long long)task->daemon->instance,
-             (unsigned long long)++task->steps);
-    task->committing = true;
-    Commits_Submit(task->daemon->commits, op, evaluate, on_committed, task);
+             runner->daemon->settings->node_id,
+             (unsigned long long)runner->daemon->instance,
+             (unsigned long long)++runner->steps);
+    runner->committing = true;
+    Commits_Submit(runner->daemon->commits, op, evaluate, on_committed,
+                   runner);
 }
 
 static void
 on_removed(void *context, CommitStatus status, int64_t version,
            const AqError *error)
 {
-    PlannerRunner *task = context;
+    PlannerRunner *runner = context;
     (void)error;
-    task->removing = false;
+    runner->removing = false;
     if (status == COMMIT_ACCEPTED || status == COMMIT_STORED) {
         AqLog_Event(AQ_LOG_WARNING, "member_removed", "version=%lld",
                     (long long)version);
@@ -180,11 +183,11 @@
 }
 
 static void
-remove_silent_member(PlannerRunner *task, AqTime now)
+remove_silent_member(PlannerRunner *runner, AqTime now)
 {
-    const Daemon *daemon = task->daemon;
+    const Daemon *daemon = runner->daemon;
     const char *id = AqMembership_ToRemove(daemon->membership, now);
-    if (id == NULL || task->removing) {
+    if (id == NULL || runner->removing) {
         return;
     }
     char op[200];
@@ -193,15 +196,15 @@
     json_t *intent = json_pack("{s:s,s:s,s:{s:s}}", "op", op, "kind",
                                "member.remove", "args", "id", id);
     AqLog_Event(AQ_LOG_WARNING, "member_silent", "member=%s", id);
-    task->removing = true;
-    Commits_SubmitMember(daemon->commits, intent, on_removed, task);
+    runner->removing = true;
+    Commits_SubmitMember(daemon->commits, intent, on_removed, runner);
     json_decref(intent);
 }
 
 bool
-PlannerRunner_IsActive(const PlannerRunner *task)
+PlannerRunner_IsActive(const PlannerRunner *runner)
 {
-    const Daemon *daemon = task->daemon;
+    const Daemon *daemon = runner->daemon;
     AqTime now = AqLoop_Now(daemon->loop);
     const char *id = daemon->settings->node_id;
     return daemon->phase == DAEMON_RUNNING &&
@@ -211,50 +214,50 @@
 }
 
 void
-PlannerRunner_ListChanged(PlannerRunner *task)
+PlannerRunner_ListChanged(PlannerRunner *runner)
 {
-    if (PlannerRunner_IsActive(task)) {
-        has_work(task);
-        AqTimer_Start(task->daemon->loop, &task->timer,
-                      AqLoop_Now(task->daemon->loop));
+    if (PlannerRunner_IsActive(runner)) {
+        has_work(runner);
+        AqTimer_Start(runner->daemon->loop, &runner->timer,
+                      AqLoop_Now(runner->daemon->loop));
     }
 }
 
 static void
 on_timer(void *context)
 {
-    PlannerRunner *task = context;
-    AqTime now = AqLoop_Now(task->daemon->loop);
-    if (task->daemon->phase == DAEMON_RUNNING) {
-        remove_silent_member(task, now);
+    PlannerRunner *runner = context;
+    AqTime now = AqLoop_Now(runner->daemon->loop);
+    if (runner->daemon->phase == DAEMON_RUNNING) {
+        remove_silent_member(runner, now);
     }
-    if (!task->committing && PlannerRunner_IsActive(task)) {
-        step(task);
+    if (!runner->committing && PlannerRunner_IsActive(runner)) {
+        step(runner);
     }
-    AqTimer_Start(task->daemon->loop, &task->timer, now + PERIOD_MS);
+    AqTimer_Start(runner->daemon->loop, &runner->timer, now + PERIOD_MS);
 }
 
 PlannerRunner *
 PlannerRunner_Create(Daemon *daemon)
 {
-    PlannerRunner *task = calloc(1, sizeof(*task));
-    task->daemon = daemon;
-    task->planner = AqPlanner_Create();
-    task->reboots = json_array();
-    AqTimer_Init(&task->timer, on_timer, task);
-    AqTimer_Start(daemon->loop, &task->timer,
+    PlannerRunner *runner = calloc(1, sizeof(*runner));
+    runner->daemon = daemon;
+    runner->planner = AqPlanner_Create();
+    runner->reboots = json_array();
+    AqTimer_Init(&runner->timer, on_timer, runner);
+    AqTimer_Start(daemon->loop, &runner->timer,
                   AqLoop_Now(daemon->loop) + PERIOD_MS);
-    return task;
+    return runner;
 }
 
 void
-PlannerRunner_Destroy(PlannerRunner *task)
+PlannerRunner_Destroy(PlannerRunner *runner)
 {
-    if (task == NULL) {
+    if (runner == NULL) {
         return;
     }
-    AqTimer_Stop(&task->timer);
-    AqPlanner_Destroy(task->planner);
-    json_decref(task->reboots);
-    free(task);
+    AqTimer_Stop(&runner->timer);
+    AqPlanner_Destroy(runner->planner);
+    json_decref(runner->reboots);
+    free(runner);
 }
--- a/packages/daemon/planner_runner.h
+++ b/packages/daemon/planner_runner.h
@@ -3,18 +3,20 @@
 
 #include "daemon.h"
 
-/* Runs the planner while this daemon is the live member with the lowest rank:
- * commits its steps, asks the platform for reboots, removes members that a
- * majority no longer hears. */
+/* Runs the planner while this daemon is the live member that owns the role
+ * "planner": commits the planner's steps and requests reboots from the
+ * platform.  On every daemon, commits the removal of members from which a
+ * majority receives no heartbeats. */
 
 PlannerRunner *PlannerRunner_Create(Daemon *daemon);
-void PlannerRunner_Destroy(PlannerRunner *task);
+void PlannerRunner_Destroy(PlannerRunner *runner);
 
-/* The VM list changed.  The planner looks at it at once: a VM that is down for
- * less than a period would otherwise not be seen to reboot. */
-void PlannerRunner_ListChanged(PlannerRunner *task);
+/* Handles a change of the VM list.  The planner evaluates the new list at
+ * once: otherwise it would miss the reboot of a VM that is down for less than
+ * the planner's period. */
+void PlannerRunner_ListChanged(PlannerRunner *runner);
 
-/* Whether this daemon does the background work now. */
-bool PlannerRunner_IsActive(const PlannerRunner *task);
+/* Whether this daemon currently runs the planner and the jobs. */
+bool PlannerRunner_IsActive(const PlannerRunner *runner);
 
 #endif
--- a/packages/daemon/slot_leasing.c
+++ b/packages/daemon/slot_leasing.c
@@ -7,9 +7,10 @@
 #include "peers.h"
 
 enum {
-    TERM_MS = 2000, /* how long new requests may start on leased slots */
-    RETURN_CHECK_MS = 100,
-    MAX_LEASE_SLOTS = 16 /* slots of one service asked for at once */
+    LEASE_TERM_MS =
+        2000, /* time in which new requests may start on leased slots */
+    RETURN_CHECK_PERIOD_MS = 100,
+    MAX_LEASE_SLOTS = 16 /* slots of one service per lease request, at most */
 };
 
 struct SlotLeasing {
@@ -23,7 +24,8 @@
     const AqMsgHeartbeat *beat;
 } LesseeState;
 
-/* A service that a heartbeat does not list has idle slots and no queue. */
+/* Whether the sender of a heartbeat can lease out slots of a service.  A
+ * service that the heartbeat does not list has idle slots and no queue. */
 static bool
 may_grant_lease(const AqMsgHeartbeat *beat, const char *service)
 {
@@ -61,7 +63,7 @@
 typedef struct {
     Daemon *daemon;
     const char *lessee;
-    int wanted;
+    int remaining_slots; /* slots that are still to be leased out */
 } LessorState;
 
 static void
@@ -73,24 +75,25 @@
     (void)slots;
     int idle = AqSlices_Usable(daemon->slices, now, endpoint) -
                AqRouter_InFlight(daemon->router, endpoint);
-    if (state->wanted == 0 || idle <= 0) {
+    if (state->remaining_slots == 0 || idle <= 0) {
         return;
     }
-    int leased_out = AqSlices_GrantLease(daemon->slices, now, state->lessee,
-                                         endpoint, idle, state->wanted);
+    int leased_out =
+        AqSlices_GrantLease(daemon->slices, now, state->lessee, endpoint, idle,
+                            state->remaining_slots);
     if (leased_out == 0) {
         return;
     }
-    state->wanted -= leased_out;
-    /* The router must know before the lessee does. */
+    state->remaining_slots -= leased_out;
+    /* The router must stop using the slots before the lessee can start to. */
     AqRouter_SetSlots(daemon->router, now, endpoint,
                       AqSlices_Usable(daemon->slices, now, endpoint));
     AqMsg msg = {.type = AQ_MSG_LEND};
     strncpy(msg.as.slots.name, endpoint, sizeof(msg.as.slots.name) - 1);
     msg.as.slots.count = leased_out;
-    msg.as.slots.term_ms = TERM_MS;
+    msg.as.slots.term_ms = LEASE_TERM_MS;
     if (!Peers_Send(daemon->peers, state->lessee, &msg)) {
-        /* Never left: the slots are still ours. */
+        /* The grant was not sent, so the slots stay at this daemon. */
         AqSlices_LeaseReturned(daemon->slices, state->lessee, endpoint,
                                leased_out);
     }
@@ -102,12 +105,13 @@
     if (AqRouter_Queued(daemon->router, msg->name) > 0 || msg->count <= 0) {
         return;
     }
-    /* Half of the idle slots stay for requests that arrive here. */
+    /* Half of the idle slots are kept for requests that callers send to this
+     * daemon. */
     int idle = AqRouter_FreeSlots(daemon->router, msg->name) / 2;
     LessorState state = {
         .daemon = daemon,
         .lessee = from,
-        .wanted = msg->count < idle ? (int)msg->count : idle,
+        .remaining_slots = msg->count < idle ? (int)msg->count : idle,
     };
     Endpoints_Each(daemon->endpoints, msg->name, grant_lease_from, &state);
     Endpoints_RefreshSlots(daemon->endpoints);
@@ -158,7 +162,7 @@
         Endpoints_RefreshSlots(daemon->endpoints);
     }
     AqTimer_Start(daemon->loop, &leasing->timer,
-                  AqLoop_Now(daemon->loop) + RETURN_CHECK_MS);
+                  AqLoop_Now(daemon->loop) + RETURN_CHECK_PERIOD_MS);
 }
 
 SlotLeasing *
--- a/packages/daemon/slot_leasing.h
+++ b/packages/daemon/slot_leasing.h
@@ -3,20 +3,22 @@
 
 #include "daemon.h"
 
-/* Leases idle slots out to peers that have a queue, and leases slots in when
- * requests wait here. */
+/* Leases idle slots to peers whose requests are queued, and requests slot
+ * leases from peers while requests are queued at this daemon. */
 
 typedef struct SlotLeasing SlotLeasing;
 
 SlotLeasing *SlotLeasing_Create(Daemon *daemon);
 void SlotLeasing_Destroy(SlotLeasing *leasing);
 
-/* A peer reported its queues and idle slots: requests a lease when that
- * helps. */
+/* Handles the heartbeat of a peer: requests slot leases for the services that
+ * have a queue at this daemon, and idle slots and no queue at the peer. */
 void SlotLeasing_OnHeartbeat(Daemon *daemon, const char *from,
                              const AqMsgHeartbeat *beat);
+/* Handles the request of a peer for slot leases of one service. */
 void SlotLeasing_OnRequest(Daemon *daemon, const char *from,
                            const AqMsgSlots *msg);
+/* Handles a slot lease that a peer has granted to this daemon. */
 void SlotLeasing_OnGrant(Daemon *daemon, const char *from,
                          const AqMsgSlots *msg);
 
