--- a/packages/daemon/burn_sync.c
+++ b/packages/daemon/burn_sync.c
@@ -14,23 +14,25 @@
 enum {
     PERIOD_MS = 30000,
     RETRY_MS = 5000,
-    /* The copies of the counters may cost each node 2 KB/s of the 13 KB/s
-     * that control is allowed: larger ones are sent less often. */
+    /* Limit for the copies of one daemon's counters: 2 KB/s of the 13 KB/s
+     * that control traffic may use per daemon.  Larger copies are sent less
+     * often. */
     BYTES_PER_SECOND = 2048,
-    MAX_MESSAGE = 200 * 1024 /* a frame has 256 KiB at most */
+    /* Larger counters are not sent to peers: a frame has 256 KiB at most. */
+    MAX_MESSAGE_BYTES = 200 * 1024
 };
 
 struct BurnSync {
     Daemon *daemon;
     AqBurn *burn;
     AqTimer timer;
-    bool has_read; /* the copies in the store, once after the start */
-    char *text;    /* to be written */
-    char key[sizeof(BURN_PREFIX) + AQ_WIRE_MAX_NAME];
+    bool has_read; /* the copies in the store were read after the start */
+    char *text;    /* encoded counters being written to the store, or NULL */
+    char key[sizeof(BURN_PREFIX) +
+             AQ_WIRE_MAX_NAME]; /* of this daemon's copy */
 };
 
-/* ---- Counting ------------------------------------------------------------
- */
+/* ---- Counting ----------------------------------------------------------- */
 
 static AqBurnKind
 kind_of(const AqOutcome *outcome, bool in_time)
@@ -58,8 +60,9 @@
 BurnSync_Count(BurnSync *burn, const char *service, const AqOutcome *outcome,
                bool in_time)
 {
-    /* Names of services that no pool serves come from callers at will.  A
-     * refused repeat belongs to a request that is counted already. */
+    /* Services that no pool serves are not counted: callers can send any
+     * number of such names.  Nor are refused duplicates, which belong to a
+     * request that is counted already. */
     if (outcome->reason != AQ_REASON_NO_SERVICE &&
         outcome->reason != AQ_REASON_DUPLICATE) {
         AqBurn_Count(burn->burn, AqClock_ReadWall(), service,
@@ -85,8 +88,7 @@
     }
 }
 
-/* ---- Copies --------------------------------------------------------------
- */
+/* ---- Copies ------------------------------------------------------------- */
 
 static void
 merge_text(BurnSync *burn, const char *text, size_t size)
@@ -111,7 +113,7 @@
 {
     const Daemon *daemon = burn->daemon;
     AqMsg msg = {.type = AQ_MSG_BURN};
-    if (strlen(burn->text) > MAX_MESSAGE) {
+    if (strlen(burn->text) > MAX_MESSAGE_BYTES) {
         return;
     }
     strncpy(msg.as.burn.holder, daemon->settings->node_id,
@@ -125,9 +127,10 @@
     }
 }
 
-/* Time until the next copy, so that the rate stays within its share. */
+/* Returns the time until the next copies of "size" bytes, so that their rate
+ * stays within BYTES_PER_SECOND. */
 static AqTime
-period(const BurnSync *burn, size_t size)
+copy_period(const BurnSync *burn, size_t size)
 {
     size_t copies = AqMembership_Count(burn->daemon->membership) + 1;
     AqTime needed = (AqTime)(size * copies * 1000 / BYTES_PER_SECOND);
@@ -189,7 +192,7 @@
     burn->text = AqJson_Dump(counters);
     json_decref(counters);
     AqTimer_Start(burn->daemon->loop, &burn->timer,
-                  now + period(burn, strlen(burn->text)));
+                  now + copy_period(burn, strlen(burn->text)));
     send_to_peers(burn);
     store->ops->get(store, burn->key, on_own_copy, burn);
 }
--- a/packages/daemon/caller_request.h
+++ b/packages/daemon/caller_request.h
@@ -8,9 +8,8 @@
 /* A request of a caller, parsed from the method, path and headers. */
 
 typedef struct {
-    uint64_t number; /* request number assigned by the router */
-    AqExchange
-        *exchange; /* owned by the HTTP server; valid until the response */
+    uint64_t number;      /* request number assigned by the router */
+    AqExchange *exchange; /* owned by the HTTP server until the response */
     char *service;
     char *path; /* path and query to send to the endpoint */
     char *request_id;
--- a/packages/daemon/callers.c
+++ b/packages/daemon/callers.c
@@ -20,10 +20,8 @@
 struct Callers {
     Daemon *daemon;
     AqHttpServer *server;
-    GHashTable
-        *by_number; /* request number -> CallerRequest, owned by the table */
-    uint64_t
-        last_generated_id; /* last number used in a generated request id */
+    GHashTable *by_number;      /* request number -> CallerRequest, owned */
+    uint64_t last_generated_id; /* last number in a generated request id */
 };
 
 /* ---- Responses ---------------------------------------------------------- */
--- a/packages/daemon/claim_client.c
+++ b/packages/daemon/claim_client.c
@@ -42,9 +42,8 @@
 struct ClaimClient {
     Daemon *daemon;
     AqClaims *claims;
-    GHashTable *own; /* request number -> OwnClaim, owned by the table */
-    GHashTable
-        *peers; /* number with PEER_BIT -> PeerClaim, owned by the table */
+    GHashTable *own;   /* request number -> OwnClaim, owned by the table */
+    GHashTable *peers; /* number with PEER_BIT -> PeerClaim, owned */
     uint64_t last_peer_number; /* last number used for a claim of a peer */
     AqLink sent_to_owner; /* OwnClaims sent to their owner, oldest first */
     AqRandom random;
--- a/packages/daemon/commits.c
+++ b/packages/daemon/commits.c
@@ -39,11 +39,11 @@
     AqLink confirming; /* stored Commits that a majority has not confirmed */
     bool is_batch_running; /* a batch is in progress */
     uint64_t head_index;   /* store index of head that the batch replaces */
-    int64_t
-        snapshot_version; /* document version of the snapshot being written */
-    int64_t
-        old_snapshot_version; /* version of the snapshot to remove, 0: none */
-    AqFleet *next;            /* document with the batch applied, or NULL */
+    /* Document version of the snapshot being written. */
+    int64_t snapshot_version;
+    /* Document version of the snapshot to remove after the write; 0: none. */
+    int64_t old_snapshot_version;
+    AqFleet *next; /* document with the batch applied, or NULL */
     AqTimer timer;
     int conflicts_in_row; /* conflicts since the last write that succeeded */
     AqRandom random;
--- a/packages/daemon/operators.c
+++ b/packages/daemon/operators.c
@@ -12,10 +12,10 @@
 #include "status.h"
 
 enum {
-    MAX_BODY = 1024 * 1024,
+    MAX_BODY_BYTES = 1024 * 1024,
     MAX_CONNECTIONS = 64,
     IDLE_TIMEOUT_S = 30,
-    MAX_OP = 128 /* bytes of an operation id, as in package fleet */
+    MAX_OP_BYTES = 128 /* longest operation id, as in package fleet */
 };
 
 struct Operators {
@@ -23,7 +23,7 @@
     AqHttpServer *server;
 };
 
-/* ---- Answers ------------------------------------------------------------ */
+/* ---- Responses ---------------------------------------------------------- */
 
 void
 Operators_Respond(AqExchange *exchange, int status, json_t *root)
@@ -44,7 +44,8 @@
         json_pack("{s:s,s:s}", "outcome", outcome, "reason", reason));
 }
 
-/* Compares all bytes, so that the time taken does not tell how many agree. */
+/* Compares all bytes, so that the time taken does not reveal how many bytes of
+ * "text" match the token. */
 static bool
 is_token(const char *text, const char *token)
 {
@@ -125,10 +126,10 @@
         !AqJson_GetString(intent, "kind", &kind, error)) {
         return false;
     }
-    if (op[0] == '\0' || strlen(op) > MAX_OP) {
+    if (op[0] == '\0' || strlen(op) > MAX_OP_BYTES) {
         return AqError_Set(error, AQ_ERR_INVALID,
                            "op has %zu bytes; send a unique id of 1 to %d",
-                           strlen(op), MAX_OP);
+                           strlen(op), MAX_OP_BYTES);
     }
     if (strncmp(kind, "member.", 7) == 0) {
         return AqError_Set(error, AQ_ERR_INVALID,
@@ -152,7 +153,7 @@
 }
 
 static void
-take_intent(Operators *operators, AqExchange *exchange)
+handle_intent(Operators *operators, AqExchange *exchange)
 {
     size_t size;
     AqError error;
@@ -171,10 +172,10 @@
     json_decref(intent);
 }
 
-/* ---- Reading ------------------------------------------------------------ */
+/* ---- Queries ------------------------------------------------------------ */
 
 static void
-show_state(Operators *operators, AqExchange *exchange)
+respond_state(Operators *operators, AqExchange *exchange)
 {
     const char *kind = AqExchange_Argument(exchange, "kind");
     if (kind != NULL && strcmp(kind, "jobs") == 0) {
@@ -205,10 +206,10 @@
                                  "operators.token of the settings");
     }
     else if (strcmp(path, "/admin/v1/intents") == 0 && !is_get) {
-        take_intent(operators, exchange);
+        handle_intent(operators, exchange);
     }
     else if (strcmp(path, "/admin/v1/state") == 0 && is_get) {
-        show_state(operators, exchange);
+        respond_state(operators, exchange);
     }
     else if (strcmp(path, "/admin/v1/status") == 0 && is_get) {
         Operators_Respond(exchange, 200, Status_Status(operators->daemon));
@@ -233,7 +234,7 @@
     AqHttpServerConfig config = {
         .address = settings->operators_address,
         .port = (uint16_t)settings->operators_port,
-        .max_body = MAX_BODY,
+        .max_body = MAX_BODY_BYTES,
         .max_connections = MAX_CONNECTIONS,
         .idle_timeout_s = IDLE_TIMEOUT_S,
     };
--- a/packages/daemon/peer_socket.c
+++ b/packages/daemon/peer_socket.c
@@ -11,8 +11,9 @@
 
 enum {
     BACKLOG = 64,
-    /* Unacknowledged data for this long means that something between the two
-     * ends has lost the connection. */
+    /* The system closes a connection on which sent data stays unacknowledged
+     * for this long: something between the two ends has lost the connection.
+     */
     USER_TIMEOUT_MS = 2000
 };
 
--- a/packages/daemon/peer_socket.h
+++ b/packages/daemon/peer_socket.h
@@ -8,15 +8,18 @@
 
 /* Non-blocking TCP sockets between daemons; IPv4 numbers only. */
 
-/* Splits "IP:port"; false when it has another form. */
+/* Splits "IP:port" into "ip" and *port.  Returns false if "text" has another
+ * form. */
 bool peer_socket_parse(const char *text, char ip[16], uint16_t *port);
-/* Listens; *port is set to the port in use.  -1 on failure. */
+/* Opens a listening socket; *port 0 lets the system choose a port.  Returns
+ * the socket and sets *port to the port in use, or returns -1 and sets
+ * "error". */
 int peer_socket_listen(const char *ip, uint16_t *port, AqError *error);
-/* Begins to connect; -1 on failure. */
+/* Begins to connect to a peer.  Returns the socket, or -1 on failure. */
 int peer_socket_connect(const char *ip, uint16_t port);
-/* Accepts one connection, or -1 when none waits. */
+/* Accepts one connection.  Returns its socket, or -1 if none is waiting. */
 int peer_socket_accept(int listener);
-/* Whether a connect that became writable has succeeded. */
+/* Whether the connect of a socket that became writable has succeeded. */
 bool peer_socket_is_connected(int fd);
 
 #endif
--- a/packages/daemon/peers.c
+++ b/packages/daemon/peers.c
@@ -13,12 +13,15 @@
 
 enum {
     DIAL_RETRY_MS = 500,
-    MIN_HEARTBEAT_MS = 20, /* between two heartbeats out of turn */
-    DIAL_LIMIT_MS = 2000,  /* longest wait for a connect */
-    /* A connected peer that sends nothing for so long may have lost both
-     * connections without an error; then neither end can tell the other. */
-    MUTE_MS = 4000,
-    MAX_OUTGOING = 4 * 1024 * 1024 /* bytes waiting for one peer */
+    MIN_HEARTBEAT_INTERVAL_MS =
+        20, /* least time between a heartbeat and an early one */
+    CONNECT_TIMEOUT_MS = 2000, /* longest wait until a dial has connected */
+    /* A connected peer that sends nothing for this long may have lost the
+     * connections of both directions without an error, so that neither end can
+     * report the loss.  This daemon then dials the peer again. */
+    PEER_SILENT_MS = 4000,
+    MAX_QUEUED_BYTES =
+        4 * 1024 * 1024 /* bytes waiting for one peer before a redial */
 };
 
 /* ---- Sending ------------------------------------------------------------ */
@@ -146,13 +149,13 @@
 }
 
 static bool
-is_mute(const Outgoing *out, AqTime now)
+is_peer_silent(const Outgoing *out, AqTime now)
 {
     const Incoming *in =
         out->id[0] != '\0' ? peers_find_incoming(out->peers, out->id) : NULL;
     return out->connected && out->id[0] != '\0' &&
-           now - out->since > MUTE_MS &&
-           (in == NULL || now - in->last_received_at > MUTE_MS);
+           now - out->since > PEER_SILENT_MS &&
+           (in == NULL || now - in->last_received_at > PEER_SILENT_MS);
 }
 
 static void
@@ -162,11 +165,11 @@
     {
         Outgoing *out = AqList_Entry(at, Outgoing, link);
         if (out->fd >= 0 && !out->connected &&
-            now - out->since > DIAL_LIMIT_MS) {
+            now - out->since > CONNECT_TIMEOUT_MS) {
             peers_schedule_redial(out, "connect timed out");
         }
-        if (is_mute(out, now)) {
-            peers_schedule_redial(out, "the peer is silent");
+        if (is_peer_silent(out, now)) {
+            peers_schedule_redial(out, "no bytes received from the peer");
             out->retry_at = now;
         }
         if (out->fd < 0 && out->retry_at <= now) {
@@ -181,8 +184,8 @@
     if (!out->connected) {
         return false;
     }
-    if (out->out.size > MAX_OUTGOING) {
-        peers_schedule_redial(out, "too much waits to be sent");
+    if (out->out.size > MAX_QUEUED_BYTES) {
+        peers_schedule_redial(out, "the send buffer is full");
         return false;
     }
     AqWire_Encode(msg, &out->out);
@@ -210,7 +213,8 @@
     if (out != NULL) {
         return send_on(out, msg);
     }
-    /* Without a document the ids of the seeds are not known yet. */
+    /* While there is no fleet document, the ids of the seeds are unknown and
+     * the message goes to all of them. */
     bool sent = false;
     AqList_ForEach(at, &peers->outgoing)
     {
@@ -251,7 +255,7 @@
 void
 Peers_TriggerHeartbeat(Peers *peers)
 {
-    AqTime due = peers->last_heartbeat + MIN_HEARTBEAT_MS;
+    AqTime due = peers->last_heartbeat + MIN_HEARTBEAT_INTERVAL_MS;
     AqTime now = AqLoop_Now(peers->daemon->loop);
     if (due < now) {
         due = now;
@@ -261,8 +265,7 @@
     }
 }
 
-/* ---- Lifecycle -----------------------------------------------------------
- */
+/* ---- Lifecycle ---------------------------------------------------------- */
 
 Peers *
 Peers_Create(Daemon *daemon, AqError *error)
--- a/packages/daemon/peers.h
+++ b/packages/daemon/peers.h
@@ -4,30 +4,33 @@
 #include "daemon.h"
 
 /* TCP connections between daemons.  Each daemon dials every other member and
- * sends only on the connections that it dialled, so that a link that is cut
- * one way shows as such. */
+ * sends only on the connections that it dialled, so that a link that fails in
+ * one direction only is detected as such. */
 
 Peers *Peers_Create(Daemon *daemon, AqError *error);
 void Peers_Destroy(Peers *peers);
 
 uint16_t Peers_Port(const Peers *peers);
-/* "IP:port" that the other daemons dial. */
+/* Writes to "address" the "IP:port" at which other daemons dial this one. */
 void Peers_Address(const Peers *peers, char address[AQ_WIRE_MAX_NAME]);
 
-/* Installs the members to dial: from the fleet document, or from the seeds
- * while there is no document.  Members that left are disconnected. */
+/* Updates the set of peers to dial: the members in the fleet document, or the
+ * seeds of the settings while there is no document.  Members that have left
+ * are disconnected. */
 void Peers_Refresh(Peers *peers);
 
-/* Sends a message, or drops it when the peer is not connected or its buffer
- * is full.  The message stays with the caller. */
+/* Sends a message to a peer.  Returns false, and drops the message, if the
+ * peer is not connected or its send buffer is full.  The caller keeps
+ * ownership of "msg". */
 bool Peers_Send(Peers *peers, const char *to, const AqMsg *msg);
 bool Peers_IsConnected(const Peers *peers, const char *to);
 
-/* Sends a heartbeat out of turn, so that the others learn at once of a new
- * version in force. */
+/* Sends the next heartbeat to all peers early, so that they receive a new
+ * version in force at once. */
 void Peers_TriggerHeartbeat(Peers *peers);
 
-/* Bytes sent and received since the start. */
+/* Sets the numbers of bytes sent to and received from peers since the daemon
+ * started. */
 void Peers_GetTraffic(const Peers *peers, uint64_t *sent, uint64_t *received);
 
 #endif
--- a/packages/daemon/peers_in.c
+++ b/packages/daemon/peers_in.c
@@ -10,10 +10,12 @@
 #include "peer_socket.h"
 
 enum {
-    DEAF_MS = 2000, /* a peer that does not hear us */
-    READ_SIZE = 65536,
+    /* This daemon dials a peer again that has received no heartbeat from it
+     * for this long. */
+    HEARTBEAT_LOST_MS = 2000,
+    READ_BYTES = 65536,
     MAX_INCOMING_CONNECTIONS = 256,
-    HELLO_LIMIT_MS = 3000 /* longest wait for HELLO on a new connection */
+    HELLO_TIMEOUT_MS = 3000 /* longest wait for HELLO on a new connection */
 };
 
 void
@@ -60,11 +62,12 @@
         }
         return false;
     }
-    /* An older connection of the same peer is closed, so that none of its
-     * messages is handled after the first of the newer one. */
+    /* An older connection of the same peer is closed, so that no message from
+     * the older one is handled after the first message from the newer one. */
     Incoming *older = peers_find_incoming(in->peers, msg->as.hello.id);
     if (older != NULL) {
-        /* Without its id nothing that it still brings is accepted. */
+        /* Messages that still arrive on a connection without an id are
+         * rejected. */
         older->id[0] = '\0';
         shutdown(older->fd, SHUT_RD);
     }
@@ -74,27 +77,31 @@
     return true;
 }
 
-/* A peer that reports our last heartbeat as old does not hear us although the
- * connection is open: dial again. */
+/* Dials a peer again if its heartbeat reports that it has received none of
+ * this daemon's heartbeats for HEARTBEAT_LOST_MS, although the connection is
+ * open. */
 static void
-check_heard(Incoming *in, const AqMsgHeartbeat *beat)
+check_heartbeats_received(Incoming *in, const AqMsgHeartbeat *beat)
 {
     AqTime now = AqLoop_Now(in->peers->daemon->loop);
     Outgoing *out = peers_find_outgoing(in->peers, in->id);
-    if (out == NULL || !out->connected || now - out->since < DEAF_MS) {
+    if (out == NULL || !out->connected ||
+        now - out->since < HEARTBEAT_LOST_MS) {
         return;
     }
     for (size_t i = 0; i < beat->peer_age_count; i++) {
         if (strcmp(beat->peer_ages[i].name,
                    in->peers->daemon->settings->node_id) == 0 &&
-            beat->peer_ages[i].value < DEAF_MS) {
+            beat->peer_ages[i].value < HEARTBEAT_LOST_MS) {
             return;
         }
     }
-    peers_schedule_redial(out, "the peer does not hear this daemon");
+    peers_schedule_redial(out,
+                          "the peer receives no heartbeats from this daemon");
 }
 
-/* Handles all whole frames; false when the connection must be closed. */
+/* Handles all complete frames that were received.  Returns false if the
+ * connection must be closed. */
 static bool
 handle_frames(Incoming *in)
 {
@@ -122,7 +129,7 @@
         }
         else {
             if (msg.type == AQ_MSG_HEARTBEAT) {
-                check_heard(in, &msg.as.heartbeat);
+                check_heartbeats_received(in, &msg.as.heartbeat);
             }
             Daemon_PeerMessage(in->peers->daemon, in->id, &msg);
         }
@@ -136,7 +143,7 @@
 on_incoming(void *context, int events)
 {
     Incoming *in = context;
-    char bytes[READ_SIZE];
+    char bytes[READ_BYTES];
     (void)events;
     ssize_t n = recv(in->fd, bytes, sizeof(bytes), 0);
     if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) {
@@ -157,14 +164,14 @@
     peers_free_incoming(in);
 }
 
-/* Closes connections that never said who they are. */
+/* Closes the connections of peers that did not send HELLO in time. */
 static void
-drop_unnamed(Peers *peers, AqTime now)
+drop_unidentified(Peers *peers, AqTime now)
 {
     AqList_ForEachSafe(at, after, &peers->incoming)
     {
         Incoming *in = AqList_Entry(at, Incoming, link);
-        if (in->id[0] == '\0' && now - in->since > HELLO_LIMIT_MS) {
+        if (in->id[0] == '\0' && now - in->since > HELLO_TIMEOUT_MS) {
             peers_free_incoming(in);
         }
     }
@@ -175,7 +182,7 @@
 {
     Peers *peers = context;
     (void)events;
-    drop_unnamed(peers, AqLoop_Now(peers->daemon->loop));
+    drop_unidentified(peers, AqLoop_Now(peers->daemon->loop));
     int fd = peer_socket_accept(peers->listener);
     if (fd < 0) {
         return;
--- a/packages/daemon/peers_members.c
+++ b/packages/daemon/peers_members.c
@@ -3,21 +3,22 @@
 #include <stdlib.h>
 #include <string.h>
 
+/* Marks a peer as required, and adds and dials it if it is not in the list. */
 static void
-want(Peers *peers, const char *id, const char *address)
+require_peer(Peers *peers, const char *id, const char *address)
 {
     AqList_ForEach(at, &peers->outgoing)
     {
         Outgoing *out = AqList_Entry(at, Outgoing, link);
         if (strcmp(out->id, id) == 0 && strcmp(out->address, address) == 0) {
-            out->wanted = true;
+            out->is_required = true;
             return;
         }
     }
     Outgoing *out = calloc(1, sizeof(*out));
     out->peers = peers;
     out->fd = -1;
-    out->wanted = true;
+    out->is_required = true;
     strncpy(out->id, id, sizeof(out->id) - 1);
     strncpy(out->address, address, sizeof(out->address) - 1);
     AqBuffer_Init(&out->out);
@@ -26,7 +27,7 @@
 }
 
 static void
-want_members(Peers *peers, const json_t *members)
+require_members(Peers *peers, const json_t *members)
 {
     const char *id;
     json_t *record;
@@ -37,39 +38,40 @@
         const Incoming *in = peers_find_incoming(peers, id);
         if (address != NULL &&
             strcmp(id, peers->daemon->settings->node_id) != 0) {
-            /* A member that came back at another address can only correct its
-             * record when the others dial it there. */
-            want(peers, id, in != NULL ? in->address : address);
+            /* A member that restarts at another address can correct its
+             * record only if the other members dial the new address, which its
+             * HELLO contains. */
+            require_peer(peers, id, in != NULL ? in->address : address);
         }
     }
 }
 
 static void
-want_seeds(Peers *peers)
+require_seeds(Peers *peers)
 {
     char *text = strdup(peers->daemon->settings->peers_seeds);
     char *rest = text;
     char *seed;
     while ((seed = strsep(&rest, ", ")) != NULL) {
         if (seed[0] != '\0') {
-            want(peers, "", seed);
+            require_peer(peers, "", seed);
         }
     }
     free(text);
 }
 
-/* A daemon that is not a member yet must hear the members before it may join:
- * those it has dialled dial back. */
+/* Dials the peers that have dialled this daemon but are not members yet: they
+ * must receive messages from members before they can join. */
 static void
-want_joining(Peers *peers)
+require_joining_peers(Peers *peers)
 {
     AqList_ForEach(at, &peers->incoming)
     {
         const Incoming *in = AqList_Entry(at, Incoming, link);
         const Outgoing *out =
             in->id[0] != '\0' ? peers_find_outgoing(peers, in->id) : NULL;
-        if (in->id[0] != '\0' && (out == NULL || !out->wanted)) {
-            want(peers, in->id, in->address);
+        if (in->id[0] != '\0' && (out == NULL || !out->is_required)) {
+            require_peer(peers, in->id, in->address);
         }
     }
 }
@@ -88,19 +90,19 @@
     const AqFleet *fleet = Daemon_Fleet(peers->daemon);
     AqList_ForEach(at, &peers->outgoing)
     {
-        AqList_Entry(at, Outgoing, link)->wanted = false;
+        AqList_Entry(at, Outgoing, link)->is_required = false;
     }
     if (AqFleet_Version(fleet) > 0) {
-        want_members(peers, AqFleet_All(fleet, AQ_REC_MEMBER));
+        require_members(peers, AqFleet_All(fleet, AQ_REC_MEMBER));
     }
     else {
-        want_seeds(peers);
+        require_seeds(peers);
     }
-    want_joining(peers);
+    require_joining_peers(peers);
     AqList_ForEachSafe(at, after, &peers->outgoing)
     {
         Outgoing *out = AqList_Entry(at, Outgoing, link);
-        if (!out->wanted) {
+        if (!out->is_required) {
             peers_free_outgoing(out);
         }
     }
--- a/packages/daemon/peers_private.h
+++ b/packages/daemon/peers_private.h
@@ -4,35 +4,37 @@
 #include "aq_buffer.h"
 #include "peers.h"
 
-/* What peers.c (sending), peers_members.c (whom to dial) and peers_in.c
- * (receiving) share. */
+/* Declarations shared by peers.c (sending), peers_members.c (which peers to
+ * dial) and peers_in.c (receiving). */
 
-/* A connection that this daemon dialled; only for sending. */
+/* A connection that this daemon dialled; used only for sending. */
 typedef struct {
     AqLink link;
     Peers *peers;
-    char id[AQ_WIRE_MAX_NAME]; /* "" for a seed */
-    char address[32];          /* IP:port */
-    int fd;                    /* -1 while not connected */
+    char id[AQ_WIRE_MAX_NAME]; /* the peer's id, "" for a seed */
+    char address[32];          /* the peer's IP:port */
+    int fd;                    /* socket, -1 while none is open */
     AqWatch *watch;
     bool connected;
-    bool wanted;  /* used while the list is refreshed */
-    AqTime since; /* of the dial or the connect */
-    AqTime retry_at;
-    AqBuffer out;
+    bool is_required; /* the peer is to be dialled; for Peers_Refresh */
+    AqTime since;     /* when the dial began or, later, when it connected */
+    AqTime retry_at;  /* earliest time of the next dial */
+    AqBuffer out;     /* bytes waiting to be sent */
 } Outgoing;
 
-/* A connection that a peer dialled; only for receiving. */
+/* A connection that a peer dialled; used only for receiving. */
 typedef struct {
     AqLink link;
     Peers *peers;
-    char id[AQ_WIRE_MAX_NAME];      /* "" until HELLO was checked */
-    char address[AQ_WIRE_MAX_NAME]; /* for the way back */
+    char id[AQ_WIRE_MAX_NAME]; /* the peer's id, "" until its HELLO is accepted
+                                */
+    char address[AQ_WIRE_MAX_NAME]; /* IP:port to dial the peer, from its HELLO
+                                     */
     int fd;
     AqWatch *watch;
-    AqTime since;
-    AqTime last_received_at; /* when the last bytes came */
-    AqBuffer in;
+    AqTime since;            /* when the connection was accepted */
+    AqTime last_received_at; /* when the peer's last bytes arrived */
+    AqBuffer in;             /* received bytes that are not handled yet */
 } Incoming;
 
 struct Peers {
@@ -45,33 +47,35 @@
     size_t incoming_count;
     AqTimer heartbeat;
     AqTime last_heartbeat;
-    uint64_t sent;
-    uint64_t received;
+    uint64_t sent;     /* bytes sent to peers since the start */
+    uint64_t received; /* bytes received from peers since the start */
 };
 
-/* ---- peers.c --------------------------------------------------------------
- */
+/* ---- peers.c ------------------------------------------------------------ */
 
-/* The connection dialled to a peer, or NULL; borrowed. */
+/* Returns the connection that this daemon dialled to a peer, or NULL.  Owned
+ * by "peers". */
 Outgoing *peers_find_outgoing(const Peers *peers, const char *id);
-/* Closes a dialled connection and dials again a little later. */
+/* Closes a dialled connection, to be dialled again after a short delay.  "why"
+ * is the reason for the log. */
 void peers_schedule_redial(Outgoing *out, const char *why);
 
+/* Begins to connect to a peer. */
 void peers_dial(Outgoing *out, AqTime now);
+/* Closes a dialled connection, to be dialled again at "retry_at". */
 void peers_disconnect(Outgoing *out, AqTime retry_at);
 
-/* ---- peers_members.c (Peers_Refresh) ---------------------------------------
- */
+/* ---- peers_members.c (Peers_Refresh) ------------------------------------ */
 
 void peers_free_outgoing(Outgoing *out);
 
-/* ---- peers_in.c -----------------------------------------------------------
- */
+/* ---- peers_in.c --------------------------------------------------------- */
 
-/* The connection that a peer dialled, or NULL; borrowed. */
+/* Returns the connection that a peer dialled to this daemon, or NULL.  Owned
+ * by "peers". */
 Incoming *peers_find_incoming(const Peers *peers, const char *id);
 void peers_free_incoming(Incoming *in);
-/* A connection waits at the listener; the context is the Peers. */
+/* Accepts a connection that waits at the listener; "context" is the Peers. */
 void peers_on_listener(void *context, int events);
 
 #endif
--- a/packages/daemon/snapshots.c
+++ b/packages/daemon/snapshots.c
@@ -28,9 +28,9 @@
     free(removal);
 }
 
-/* The index of the key is known: now it can be deleted. */
+/* Deletes the snapshot at the store index that was just read. */
 static void
-on_found(void *context, const AqStoreReply *reply)
+on_key_read(void *context, const AqStoreReply *reply)
 {
     Removal *removal = context;
     AqStore *store = removal->daemon->store;
@@ -49,5 +49,5 @@
     Removal *removal = calloc(1, sizeof(*removal));
     removal->daemon = daemon;
     Snapshots_Key(version, removal->key);
-    store->ops->get(store, removal->key, on_found, removal);
+    store->ops->get(store, removal->key, on_key_read, removal);
 }
--- a/packages/daemon/status.h
+++ b/packages/daemon/status.h
@@ -5,11 +5,13 @@
 
 #include "daemon.h"
 
-/* What operators read.  Results are new references. */
+/* The state and status that operators read, as JSON values.  The caller owns
+ * the returned references. */
 
-/* Records of a kind ("pools", "vms", ...), or NULL for an unknown kind. */
+/* Returns the records of a kind ("pools", "vms", ...) in the fleet document,
+ * or NULL for an unknown kind. */
 json_t *Status_State(const Daemon *daemon, const char *kind);
-/* This daemon and what it sees of the others. */
+/* Returns the status of this daemon and its view of the other members. */
 json_t *Status_Status(const Daemon *daemon);
 
 #endif
--- a/packages/daemon/stopping.c
+++ b/packages/daemon/stopping.c
@@ -8,17 +8,19 @@
 #include "commits.h"
 
 enum {
-    CHECK_MS = 50,
-    LEAVE_LIMIT_MS = 8000 /* after that the others remove this member */
+    CHECK_PERIOD_MS = 50,
+    /* Longest time to leave the epoch.  The other members remove this one if
+     * it has not left by then. */
+    LEAVE_TIMEOUT_MS = 8000
 };
 
 struct Stopping {
     Daemon *daemon;
     AqTimer timer;
     AqTime phase_since;
-    AqTime limit;
-    AqTime leave_until;
-    int leave_tries;
+    AqTime drain_deadline; /* end of the wait for requests in flight */
+    AqTime leave_deadline; /* end of the attempts to leave the epoch */
+    int leave_attempts;
 };
 
 static void
@@ -39,16 +41,16 @@
     AqTime now = AqLoop_Now(stopping->daemon->loop);
     (void)version;
     if (status == COMMIT_REFUSED && error->kind == AQ_ERR_CONFLICT &&
-        now < stopping->leave_until) {
-        /* Another member changes; ask again. */
+        now < stopping->leave_deadline) {
+        /* The change of another member is in progress; retry. */
         AqTimer_Start(stopping->daemon->loop, &stopping->timer,
-                      now + CHECK_MS);
+                      now + CHECK_PERIOD_MS);
         return;
     }
     if (status != COMMIT_ACCEPTED && status != COMMIT_STORED) {
         AqLog_Event(AQ_LOG_WARNING, "leave_not_stored",
-                    "error=%s remedy=\"the others remove this member after "
-                    "5 s\"",
+                    "error=%s remedy=\"the other members remove this one "
+                    "after 5 s\"",
                     AqLog_Quote(error->message));
     }
     AqLoop_Stop(stopping->daemon->loop);
@@ -61,7 +63,7 @@
     char op[200];
     snprintf(op, sizeof(op), "member-leave-%s-%llx-%d",
              daemon->settings->node_id, (unsigned long long)daemon->instance,
-             ++stopping->leave_tries);
+             ++stopping->leave_attempts);
     json_t *intent =
         json_pack("{s:s,s:s,s:{s:s}}", "op", op, "kind", "member.remove",
                   "args", "id", daemon->settings->node_id);
@@ -83,15 +85,16 @@
         AqRouter_Stop(daemon->router, now);
     }
     if (daemon->phase == DAEMON_DRAINING &&
-        (Callers_Pending(daemon->callers) == 0 || now >= stopping->limit)) {
+        (Callers_Pending(daemon->callers) == 0 ||
+         now >= stopping->drain_deadline)) {
         enter(stopping, DAEMON_LEAVING);
-        stopping->leave_until = now + LEAVE_LIMIT_MS;
+        stopping->leave_deadline = now + LEAVE_TIMEOUT_MS;
     }
     if (daemon->phase == DAEMON_LEAVING) {
         leave(stopping);
     }
     else {
-        AqTimer_Start(daemon->loop, &stopping->timer, now + CHECK_MS);
+        AqTimer_Start(daemon->loop, &stopping->timer, now + CHECK_PERIOD_MS);
     }
 }
 
@@ -126,7 +129,7 @@
         return;
     }
     enter(stopping, DAEMON_UNREADY);
-    stopping->limit = now + daemon->settings->stop_limit_ms;
+    stopping->drain_deadline = now + daemon->settings->stop_limit_ms;
     Callers_CloseAfterResponse(daemon->callers);
     AqTimer_Start(daemon->loop, &stopping->timer, now);
 }
--- a/packages/daemon/stopping.h
+++ b/packages/daemon/stopping.h
@@ -3,15 +3,16 @@
 
 #include "daemon.h"
 
-/* Graceful stop: readiness goes false, the balancer gets time to notice, the
- * listener closes, requests in flight finish, the daemon leaves the epoch. */
+/* Graceful stop of the daemon: readiness becomes false, the balancer gets time
+ * to notice, the listener for callers closes, requests in flight finish, and
+ * the daemon leaves the epoch. */
 
 typedef struct Stopping Stopping;
 
 Stopping *Stopping_Create(Daemon *daemon);
 void Stopping_Destroy(Stopping *stopping);
 
-/* The second call ends the loop at once. */
+/* Begins a graceful stop; a second call ends the event loop at once. */
 void Stopping_Begin(Stopping *stopping);
 
 #endif
--- a/packages/daemon/task_client.c
+++ b/packages/daemon/task_client.c
@@ -9,22 +9,22 @@
 #include "planner_runner.h"
 
 enum {
-    LEASE_MS = 10000,
-    WAIT_S = 5,
-    WAIT_SLACK_MS = 2000,
+    LEASE_MS = 10000, /* lease of a started task */
+    LIST_WAIT_S = 5,
+    LIST_TIMEOUT_MARGIN_MS = 2000,
     RETRY_MS = 1000,
-    MAX_LIST = 32 * 1024 * 1024,
-    MAX_ANSWER = 65536
+    MAX_LIST_BYTES = 32 * 1024 * 1024,
+    MAX_RESPONSE_BYTES = 65536
 };
 
 struct TaskClient {
     Daemon *daemon;
     AqJobs *jobs;
-    json_t *tasks; /* the latest list, or NULL */
-    int64_t index;
-    AqHttpCall *watch;
+    json_t *tasks; /* latest JSON list of tasks from the platform, or NULL */
+    int64_t index; /* the platform's index of "tasks", for the next list */
+    AqHttpCall *watch; /* request for the list in progress, or NULL */
     AqTimer retry;
-    AqLink orders; /* calls under way */
+    AqLink orders; /* Orders that the platform has not replied to */
 };
 
 typedef struct {
@@ -35,8 +35,7 @@
     char *task;
 } Order;
 
-/* ---- Orders --------------------------------------------------------------
- */
+/* ---- Orders ------------------------------------------------------------- */
 
 static void
 free_order(Order *order)
@@ -47,7 +46,7 @@
 }
 
 static void
-on_answer(void *context, const AqHttpReply *reply)
+on_order_reply(void *context, const AqHttpReply *reply)
 {
     Order *order = context;
     if (order->action == AQ_TASK_START && reply->result == AQ_HTTP_DONE) {
@@ -92,12 +91,12 @@
         .body = body,
         .size = strlen(body),
         .has_body = true,
-        /* Every order is idempotent by the name of its task, so that a resend
-         * on a reused connection does no harm. */
+        /* Every order names its task and is idempotent, so that a resend on a
+         * reused connection does no harm. */
         .fresh_connection = false,
         .timeout_ms = settings->store_timeout_ms,
         .connect_timeout_ms = settings->store_timeout_ms,
-        .max_response_bytes = MAX_ANSWER,
+        .max_response_bytes = MAX_RESPONSE_BYTES,
     };
     Order *call = calloc(1, sizeof(*call));
     call->client = client;
@@ -105,14 +104,13 @@
     call->task = strdup(order->task);
     AqList_Init(&call->link);
     AqList_Append(&client->orders, &call->link);
-    call->call =
-        AqHttpClient_Start(client->daemon->http, &request, on_answer, call);
+    call->call = AqHttpClient_Start(client->daemon->http, &request,
+                                    on_order_reply, call);
     free(body);
     json_decref(root);
 }
 
-/* ---- Reports -------------------------------------------------------------
- */
+/* ---- Reports ------------------------------------------------------------ */
 
 static void
 report_task(TaskClient *client, const json_t *task)
@@ -169,13 +167,13 @@
 }
 
 static void
-ask(void *context)
+request_list(void *context)
 {
     TaskClient *client = context;
     const AqSettings *settings = client->daemon->settings;
     char url[512];
-    /* Each change of a task is answered with the whole list, so only the
-     * planner, which acts on it, waits for it. */
+    /* The platform sends the whole list of tasks after each change of a task,
+     * so only the planner, which acts on the list, requests it. */
     if (!PlannerRunner_IsActive(client->daemon->planner)) {
         json_decref(client->tasks);
         client->tasks = NULL;
@@ -185,13 +183,13 @@
         return;
     }
     snprintf(url, sizeof(url), "%s/v1/tasks?index=%lld&wait=%ds",
-             settings->store_url, (long long)client->index, WAIT_S);
+             settings->store_url, (long long)client->index, LIST_WAIT_S);
     AqHttpRequest request = {
         .method = "GET",
         .url = url,
-        .timeout_ms = WAIT_S * 1000 + WAIT_SLACK_MS,
+        .timeout_ms = LIST_WAIT_S * 1000 + LIST_TIMEOUT_MARGIN_MS,
         .connect_timeout_ms = settings->store_timeout_ms,
-        .max_response_bytes = MAX_LIST,
+        .max_response_bytes = MAX_LIST_BYTES,
     };
     client->watch =
         AqHttpClient_Start(client->daemon->http, &request, on_list, client);
@@ -204,7 +202,7 @@
     client->daemon = daemon;
     client->jobs = jobs;
     AqList_Init(&client->orders);
-    AqTimer_Init(&client->retry, ask, client);
+    AqTimer_Init(&client->retry, request_list, client);
     AqTimer_Start(daemon->loop, &client->retry, AqLoop_Now(daemon->loop));
     return client;
 }
