--- a/packages/daemon/attempts.c
+++ b/packages/daemon/attempts.c
@@ -13,17 +13,18 @@
 enum {
     CONNECT_TIMEOUT_MS = 1000,
     MAX_SENT_HEADERS = 80,
-    /* The router ends an attempt at its deadline.  libcurl's own timeout ends
-     * this much later and applies only if the router fails to do so. */
+    /* libcurl ends an attempt this much later than the deadline of the
+     * request, at which the router ends it; libcurl's timeout applies only if
+     * the router fails to do so. */
     TIMEOUT_MARGIN_MS = 2000
 };
 
 typedef struct {
     uint64_t id;
-    uint64_t request; /* number of the request */
+    uint64_t request; /* number of the request at the router */
     char *endpoint;
     char name[96];    /* value of the header Aq-Attempt-Id */
-    AqHttpCall *call; /* NULL once the reply has arrived */
+    AqHttpCall *call; /* HTTP call in progress; NULL after the reply */
     Attempts *owner;
 } Attempt;
 
--- a/packages/daemon/attempts.h
+++ b/packages/daemon/attempts.h
@@ -13,7 +13,9 @@
  * EndpointResponse_Destroy. */
 typedef struct {
     int status;
-    char **headers; /* lines "Name: value", NULL-terminated; none hop-by-hop */
+    /* Header lines "Name: value", NULL-terminated, without those for which
+     * Attempts_IsOwnHeader is true. */
+    char **headers;
     char *body;
     size_t size; /* bytes in "body" */
 } EndpointResponse;
@@ -24,7 +26,7 @@
  * the call of Attempts_Start. */
 typedef struct {
     const char *method;
-    const char *path; /* path and query of the URL */
+    const char *path; /* path and query to request from the endpoint */
     const char *request_id;
     const char *const *headers; /* lines "Name: value", NULL-terminated */
     const char *body;
--- a/packages/daemon/burn_sync.c
+++ b/packages/daemon/burn_sync.c
@@ -18,7 +18,8 @@
      * that control traffic may use per daemon.  Larger copies are sent less
      * often. */
     BYTES_PER_SECOND = 2048,
-    /* Larger counters are not sent to peers: a frame has 256 KiB at most. */
+    /* Longest encoded counters that are sent to peers: a frame has 256 KiB at
+     * most.  Longer ones are written to the store only. */
     MAX_MESSAGE_BYTES = 200 * 1024
 };
 
@@ -26,10 +27,10 @@
     Daemon *daemon;
     AqBurn *burn;
     AqTimer timer;
-    bool has_read; /* the copies in the store were read after the start */
+    bool has_read; /* the copies in the store have been read */
     char *text;    /* encoded counters being written to the store, or NULL */
-    char key[sizeof(BURN_PREFIX) +
-             AQ_WIRE_MAX_NAME]; /* of this daemon's copy */
+    /* Store key of the copy of this daemon's counters. */
+    char key[sizeof(BURN_PREFIX) + AQ_WIRE_MAX_NAME];
 };
 
 /* ---- Counting ----------------------------------------------------------- */
--- a/packages/daemon/caller_request.h
+++ b/packages/daemon/caller_request.h
@@ -8,8 +8,9 @@
 /* A request of a caller, parsed from the method, path and headers. */
 
 typedef struct {
-    uint64_t number;      /* request number assigned by the router */
-    AqExchange *exchange; /* owned by the HTTP server until the response */
+    uint64_t number; /* request number assigned by the router */
+    /* HTTP exchange, owned by the server; valid until the response is sent. */
+    AqExchange *exchange;
     char *service;
     char *path; /* path and query to send to the endpoint */
     char *request_id;
--- a/packages/daemon/claim_client.c
+++ b/packages/daemon/claim_client.c
@@ -13,21 +13,25 @@
      * slow store.  Without a reply of the owner in this time, this daemon
      * writes the claim itself. */
     OWNER_TIMEOUT_MS = 500,
-    MAX_PEER_CLAIMS = 100000 /* claims of peers without a verdict, at most */
+    /* Most claims of peers that wait for a verdict; further claims are dropped
+     * without a reply. */
+    MAX_PEER_CLAIMS = 100000
 };
 
 /* The claim of a request that a caller sent to this daemon. */
 typedef struct {
-    AqLink link;      /* in "asked" while the owner's reply is awaited */
+    AqLink link;      /* in "sent_to_owner" until the owner replies */
     uint64_t request; /* number of the request at the router */
     AqMsgClaim claim;
-    AqTime requested_until; /* limit for the owner's reply; 0: not sent */
-    bool decided;           /* AqRouter_ClaimDone has been called */
+    /* Deadline of the owner's reply to the claim; 0 if the claim was not sent
+     * to the owner. */
+    AqTime requested_until;
+    bool decided; /* the verdict was passed to the router */
 } OwnClaim;
 
 /* A claim that this daemon writes to the store for a peer. */
 typedef struct {
-    char from[AQ_WIRE_MAX_NAME]; /* id of the peer */
+    char from[AQ_WIRE_MAX_NAME]; /* id of the peer that sent the claim */
     uint64_t request;            /* request number that the peer assigned */
 } PeerClaim;
 
@@ -44,7 +48,7 @@
     AqClaims *claims;
     GHashTable *own;   /* request number -> OwnClaim, owned by the table */
     GHashTable *peers; /* number with PEER_BIT -> PeerClaim, owned */
-    uint64_t last_peer_number; /* last number used for a claim of a peer */
+    uint64_t last_peer_number; /* last number assigned to a claim of a peer */
     AqLink sent_to_owner; /* OwnClaims sent to their owner, oldest first */
     AqRandom random;
     AqTimer timer;
@@ -95,7 +99,8 @@
     start_timer(client);
 }
 
-/* Deletes a key at the store index that was just read. */
+/* Deletes a batch of claims, unless its store index differs from the one in
+ * "reply". */
 static void
 on_key_read(void *context, const AqStoreReply *reply)
 {
--- a/packages/daemon/commits.c
+++ b/packages/daemon/commits.c
@@ -10,14 +10,21 @@
 #include "snapshots.h"
 
 enum {
-    COMMIT_TIMEOUT_MS =
-        5000, /* longest time for a change to reach the store */
-    CONFIRM_TIMEOUT_MS =
-        2000, /* longest wait for confirmation by a majority */
+    /* Longest time for a change to reach the store; the result is
+     * COMMIT_UNAVAILABLE or COMMIT_UNKNOWN after that. */
+    COMMIT_TIMEOUT_MS = 5000,
+    /* Longest wait for a majority to confirm a stored change; the result is
+     * COMMIT_STORED after that. */
+    CONFIRM_TIMEOUT_MS = 2000,
     RETRY_MS = 200,
-    BATCH_MAX_CHANGES = 64, /* changes evaluated per write of head, at most */
-    IMMEDIATE_RETRIES = 2,  /* conflicts in a row that are retried at once */
-    CONFLICT_MAX_WAIT_MS = 20 /* random wait after more conflicts, at most */
+    /* Most changes evaluated for one write of head; further changes wait for
+     * the next write. */
+    BATCH_MAX_CHANGES = 64,
+    /* Write conflicts in a row that are retried without a wait. */
+    IMMEDIATE_RETRIES = 2,
+    /* Upper bound of the random wait before a retry after further conflicts in
+     * a row. */
+    CONFLICT_MAX_WAIT_MS = 20
 };
 
 typedef struct {
@@ -27,25 +34,25 @@
     CommitEvaluate evaluate;
     CommitDone done;
     void *context;
-    AqTime deadline;    /* end of the wait for the store or for confirmation */
-    bool maybe_written; /* part of a write of head whose reply was lost */
+    AqTime deadline; /* end of the wait for storage or, later, confirmation */
+    bool maybe_written; /* the change was in a write whose reply was lost */
     int64_t version;    /* document version that contains the change */
 } Commit;
 
 struct Commits {
     Daemon *daemon;
-    AqLink waiting;    /* Commits not stored and not in the batch */
-    AqLink batch;      /* Commits in the write of head in progress */
+    AqLink waiting;    /* Commits neither stored nor in the batch */
+    AqLink batch;      /* Commits that the current write of head contains */
     AqLink confirming; /* stored Commits that a majority has not confirmed */
-    bool is_batch_running; /* a batch is in progress */
-    uint64_t head_index;   /* store index of head that the batch replaces */
+    bool is_batch_running; /* a batch of changes is in progress */
+    uint64_t head_index;   /* store index of head when the batch read it */
     /* Document version of the snapshot being written. */
     int64_t snapshot_version;
     /* Document version of the snapshot to remove after the write; 0: none. */
     int64_t old_snapshot_version;
-    AqFleet *next; /* document with the batch applied, or NULL */
+    AqFleet *next; /* fleet document with the batch applied, or NULL */
     AqTimer timer;
-    int conflicts_in_row; /* conflicts since the last write that succeeded */
+    int conflicts_in_row; /* write conflicts since the last success */
     AqRandom random;
     AqMetric *writes;
     AqMetric *conflicts;
@@ -163,7 +170,7 @@
 }
 
 /* Ends the batch without a result and puts its changes at the front of the
- * waiting ones, for the next batch. */
+ * list of waiting changes. */
 static void
 requeue_batch(Commits *commits)
 {
@@ -346,8 +353,8 @@
     }
     AqFleet *fleet = Daemon_Fleet(commits->daemon);
     if (AqFleet_Version(fleet) != commits->snapshot_version) {
-        /* The watch of head has installed a newer document during the write.
-         */
+        /* The watch of head has installed a newer document while the snapshot
+         * was written. */
         requeue_batch(commits);
         return;
     }
--- a/packages/daemon/commits.h
+++ b/packages/daemon/commits.h
@@ -15,11 +15,12 @@
 void Commits_Destroy(Commits *commits);
 
 typedef enum {
-    COMMIT_ACCEPTED,    /* stored, and in force at a majority of the epoch */
-    COMMIT_STORED,      /* stored, not yet confirmed by a majority */
-    COMMIT_REFUSED,     /* nothing stored; the error gives the reason */
-    COMMIT_UNAVAILABLE, /* nothing stored; the store cannot be reached */
-    COMMIT_UNKNOWN      /* may be stored; submit the same operation id again */
+    /* The change is stored, and in force at a majority of the epoch. */
+    COMMIT_ACCEPTED,
+    COMMIT_STORED,      /* change stored, not yet confirmed by a majority */
+    COMMIT_REFUSED,     /* change not stored; the error gives the reason */
+    COMMIT_UNAVAILABLE, /* change not stored; the store was not reached */
+    COMMIT_UNKNOWN      /* change may be stored; repeat the operation id */
 } CommitStatus;
 
 /* Evaluates a change on the newest fleet document at "wall_ms" (Unix time in
@@ -44,7 +45,7 @@
 
 /* Queues an intent of kind member.add or member.remove; takes its own
  * reference to "intent".  The intent is refused with AQ_ERR_CONFLICT while the
- * members of the epoch may not change, and can be submitted again later. */
+ * members of the epoch may not change; it can be submitted again later. */
 void Commits_SubmitMember(Commits *commits, json_t *intent, CommitDone done,
                           void *context);
 
--- a/packages/daemon/daemon.h
+++ b/packages/daemon/daemon.h
@@ -36,7 +36,7 @@
 
 typedef enum {
     DAEMON_RUNNING,
-    DAEMON_UNREADY,  /* stopping: not ready, but requests are accepted */
+    DAEMON_UNREADY,  /* stopping: readiness is false, requests are accepted */
     DAEMON_DRAINING, /* stopping: no new requests are accepted */
     DAEMON_LEAVING   /* stopping: the daemon leaves the epoch */
 } DaemonPhase;
--- a/packages/daemon/endpoints.c
+++ b/packages/daemon/endpoints.c
@@ -14,7 +14,8 @@
      * period plus that of the heartbeats, which report a leaving endpoint to
      * the other daemons, stays below 3 s. */
     STEADY_PERIOD_MS = 2000,
-    STEADY_CHECKERS = 2, /* daemons that check one steady endpoint */
+    /* Number of daemons that check one steady endpoint, see is_steady. */
+    STEADY_CHECKERS = 2,
     HEALTH_TIMEOUT_MS = 1000,
     HEALTH_MAX_RESPONSE_BYTES = 65536,
     CHECK_SLOTS_PERIOD_MS = 100,
@@ -29,15 +30,21 @@
     char *address;
     AqVmState state;
     int slots;
-    bool is_in_document;   /* in the fleet document; for Endpoints_Refresh */
+    bool is_in_document;   /* listed in the document that is being applied */
     bool reported_leaving; /* the endpoint itself reports that it is leaving */
-    AqTime peer_leaving_until; /* end of validity of the last peer's report */
-    bool leaving;              /* the router treats the endpoint as leaving */
-    int usable;                /* slots that the router may use */
-    uint64_t generation;       /* see Endpoints_Generation */
-    AqHttpCall *check;         /* health check in progress, or NULL */
+    /* End of the validity of the last report by a peer that the endpoint is
+     * leaving. */
+    AqTime peer_leaving_until;
+    bool leaving; /* the router treats the endpoint as leaving */
+    /* Number of slots of the endpoint that the router may use. */
+    int usable;
+    /* Changes when idle connections to the endpoint must not be used again. */
+    uint64_t generation;
+    AqHttpCall *check; /* health check in progress, or NULL */
     AqTime next_check;
-    AqTime healthy_since; /* AQ_TIME_NEVER after a failed health check */
+    /* Time since which every health check of the endpoint has succeeded;
+     * AQ_TIME_NEVER after a failed check. */
+    AqTime healthy_since;
     Endpoints *owner;
 } Endpoint;
 
@@ -45,7 +52,9 @@
     Daemon *daemon;
     GHashTable *by_id;
     AqTimer timer;
-    bool has_slots; /* result of Endpoints_HaveSlots */
+    /* Whether this daemon has held half of its assigned slots since it became
+     * a fresh member. */
+    bool has_slots;
     EndpointsCounts counts;
     bool was_steady; /* AqSlices_IsSteady before the last refresh of slots */
     bool was_fresh;  /* AqMembership_IsFresh at the last refresh of slots */
@@ -169,7 +178,7 @@
 
 /* Whether this daemon must check the endpoint now.  All daemons check an
  * endpoint that returns from maintenance, since any of them may be the
- * planner. A steady endpoint is checked by STEADY_CHECKERS daemons, any other
+ * planner.  A steady endpoint is checked by STEADY_CHECKERS daemons, any other
  * endpoint by the daemons that are assigned slots of it. */
 static bool
 needs_check(const Endpoint *e, AqTime now)
@@ -244,7 +253,7 @@
     e->service = strdup("");
     e->address = strdup("");
     e->healthy_since = AQ_TIME_NEVER;
-    /* Spreads the checks of the endpoints over the period. */
+    /* Spreads the health checks of different endpoints over the period. */
     e->next_check = AqLoop_Now(endpoints->daemon->loop) +
                     (AqTime)(g_str_hash(e->id) % HEALTH_PERIOD_MS);
     g_hash_table_insert(endpoints->by_id, e->id, e);
--- a/packages/daemon/endpoints.h
+++ b/packages/daemon/endpoints.h
@@ -37,8 +37,8 @@
  * after a few seconds unless a peer repeats the report. */
 void Endpoints_OnPeerLeaving(Endpoints *endpoints, const char *id);
 
-/* Whether every health check of the endpoint within the last "ms" milliseconds
- * has succeeded. */
+/* Whether the health checks of the endpoint have succeeded without a failure
+ * for at least "ms" milliseconds. */
 bool Endpoints_HealthyFor(const Endpoints *endpoints, const char *id,
                           int64_t ms);
 
--- a/packages/daemon/fleet_sync.c
+++ b/packages/daemon/fleet_sync.c
@@ -11,15 +11,15 @@
 #include "snapshots.h"
 
 enum {
-    /* Longest wait of one watch of head.  Each reply also shows that the store
-     * can be reached, so that this is the period of such evidence. */
+    /* Longest wait of one watch of head, and so the longest time between two
+     * replies that show that the store can be reached. */
     WATCH_WAIT_MS = 1000,
     RETRY_MS = 300,
     /* After this time without a store reply the document is requested from a
      * peer. */
     STORE_SILENT_MS = 1500,
-    PEER_REQUEST_PERIOD_MS =
-        500, /* least time between two document requests */
+    /* Least time between two requests to peers for the fleet document. */
+    PEER_REQUEST_PERIOD_MS = 500,
     MAX_DOCUMENT_BYTES = 64 * 1024 * 1024
 };
 
@@ -39,15 +39,15 @@
 struct FleetSync {
     Daemon *daemon;
     AqFleet *fleet;
-    AqLink reads; /* HeadReads in progress; the destructor frees them */
-    uint64_t watch_index; /* store index of head to watch from */
+    AqLink reads; /* HeadReads in progress; FleetSync_Destroy frees them */
+    uint64_t watch_index; /* store index of head, to watch for changes from */
     AqTimer retry;
     AqTime last_contact; /* start of the last HeadRead that succeeded */
     bool had_contact;    /* at least one HeadRead has succeeded */
-    AqTime requested_from_peer_at; /* time of the last document request to a
-                                      peer */
-    int64_t chunk_version;         /* version of the document in "chunks" */
-    AqBuffer chunks; /* part of the document received from a peer */
+    /* Time of the last request to a peer for the fleet document. */
+    AqTime peer_requested_at;
+    int64_t chunk_version; /* version of the document in "chunks" */
+    AqBuffer chunks;       /* part of a document received from a peer */
 };
 
 static void start_watch(FleetSync *sync);
@@ -198,8 +198,8 @@
     HeadRead *read = context;
     if (reply->status == AQ_STORE_ABSENT) {
         read->index = 0;
-        /* If this daemon has a document, the store has lost it, which must not
-         * count as a successful read. */
+        /* If this daemon has a fleet document, the store has lost its copy;
+         * that must not count as a successful read. */
         end_read(read, AqFleet_Version(read->sync->fleet) == 0);
         return;
     }
@@ -259,10 +259,10 @@
 {
     AqTime now = AqLoop_Now(sync->daemon->loop);
     if (version <= AqFleet_Version(sync->fleet) || !is_store_silent(sync) ||
-        now - sync->requested_from_peer_at < PEER_REQUEST_PERIOD_MS) {
+        now - sync->peer_requested_at < PEER_REQUEST_PERIOD_MS) {
         return;
     }
-    sync->requested_from_peer_at = now;
+    sync->peer_requested_at = now;
     AqMsg msg = {.type = AQ_MSG_GET_FLEET};
     Peers_Send(sync->daemon->peers, from, &msg);
 }
--- a/packages/daemon/jobs_runner.c
+++ b/packages/daemon/jobs_runner.c
@@ -14,9 +14,12 @@
 
 enum {
     STEP_PERIOD_MS = 250,
-    LIST_PERIOD_MS =
-        1000, /* period of reads of all job documents as planner */
-    INTENT_TIMEOUT_MS = 5000 /* longest time to store an intent */
+    /* Period of the reads of all job documents while this daemon is the
+     * planner. */
+    LIST_PERIOD_MS = 1000,
+    /* Longest time to store an operator's intent; the operator gets an error
+     * response after that. */
+    INTENT_TIMEOUT_MS = 5000
 };
 
 typedef struct {
@@ -24,7 +27,8 @@
     json_t *intent; /* intent to store; NULL for a listing */
     AqExchange *exchange;
     AqTime deadline;
-    bool maybe_written; /* a write of the intent may have lost its reply */
+    /* Whether the intent may be in a write whose reply was lost. */
+    bool maybe_written;
 } PendingExchange;
 
 struct JobsRunner {
@@ -32,12 +36,12 @@
     AqJobs *jobs;
     TaskClient *client;
     AqTimer timer;
-    AqLink intents;        /* exchanges whose intents are not stored yet */
-    AqLink listings;       /* exchanges that wait for a list of all jobs */
+    AqLink intents;        /* PendingExchanges whose intents are not stored */
+    AqLink listings;       /* PendingExchanges that wait for all jobs */
     bool is_calling_store; /* a store call is in progress */
     AqTime listed_at;      /* time of the last read of all job documents */
-    char writing_team[AQ_WIRE_MAX_NAME]; /* team whose document is being
-                                            written */
+    /* Name of the team whose document is being written. */
+    char writing_team[AQ_WIRE_MAX_NAME];
 };
 
 static void start_store_call(JobsRunner *runner);
--- a/packages/daemon/peers.c
+++ b/packages/daemon/peers.c
@@ -13,15 +13,18 @@
 
 enum {
     DIAL_RETRY_MS = 500,
-    MIN_HEARTBEAT_INTERVAL_MS =
-        20, /* least time between a heartbeat and an early one */
-    CONNECT_TIMEOUT_MS = 2000, /* longest wait until a dial has connected */
+    /* Least time between a heartbeat and the next one that is sent early. */
+    MIN_HEARTBEAT_INTERVAL_MS = 20,
+    /* Longest wait for a dialled connection to be established before it is
+     * closed and dialled again. */
+    CONNECT_TIMEOUT_MS = 2000,
     /* A connected peer that sends nothing for this long may have lost the
      * connections of both directions without an error, so that neither end can
      * report the loss.  This daemon then dials the peer again. */
     PEER_SILENT_MS = 4000,
-    MAX_QUEUED_BYTES =
-        4 * 1024 * 1024 /* bytes waiting for one peer before a redial */
+    /* Most bytes that may wait to be sent to one peer; the connection is
+     * closed and dialled again when there are more. */
+    MAX_QUEUED_BYTES = 4 * 1024 * 1024
 };
 
 /* ---- Sending ------------------------------------------------------------ */
--- a/packages/daemon/peers_in.c
+++ b/packages/daemon/peers_in.c
@@ -10,12 +10,14 @@
 #include "peer_socket.h"
 
 enum {
-    /* This daemon dials a peer again that has received no heartbeat from it
-     * for this long. */
+    /* If a peer reports that it has received no heartbeat of this daemon for
+     * this long, this daemon dials the peer again. */
     HEARTBEAT_LOST_MS = 2000,
     READ_BYTES = 65536,
     MAX_INCOMING_CONNECTIONS = 256,
-    HELLO_TIMEOUT_MS = 3000 /* longest wait for HELLO on a new connection */
+    /* Longest wait for a HELLO on a new connection.  A connection without one
+     * is closed when the next connection arrives after that. */
+    HELLO_TIMEOUT_MS = 3000
 };
 
 void
@@ -77,9 +79,9 @@
     return true;
 }
 
-/* Dials a peer again if its heartbeat reports that it has received none of
- * this daemon's heartbeats for HEARTBEAT_LOST_MS, although the connection is
- * open. */
+/* Dials a peer again if the heartbeat "beat" reports that the peer has
+ * received no heartbeat of this daemon for HEARTBEAT_LOST_MS, although the
+ * connection is open. */
 static void
 check_heartbeats_received(Incoming *in, const AqMsgHeartbeat *beat)
 {
--- a/packages/daemon/peers_private.h
+++ b/packages/daemon/peers_private.h
@@ -13,28 +13,26 @@
     Peers *peers;
     char id[AQ_WIRE_MAX_NAME]; /* the peer's id, "" for a seed */
     char address[32];          /* the peer's IP:port */
-    int fd;                    /* socket, -1 while none is open */
+    int fd;                    /* socket of the connection, -1 while closed */
     AqWatch *watch;
     bool connected;
-    bool is_required; /* the peer is to be dialled; for Peers_Refresh */
-    AqTime since;     /* when the dial began or, later, when it connected */
-    AqTime retry_at;  /* earliest time of the next dial */
-    AqBuffer out;     /* bytes waiting to be sent */
+    bool is_required; /* the peer must be dialled; set by Peers_Refresh */
+    AqTime since;     /* when the connection was dialled or established */
+    AqTime retry_at;  /* time from which the peer may be dialled again */
+    AqBuffer out;     /* bytes waiting to be sent to the peer */
 } Outgoing;
 
 /* A connection that a peer dialled; used only for receiving. */
 typedef struct {
     AqLink link;
     Peers *peers;
-    char id[AQ_WIRE_MAX_NAME]; /* the peer's id, "" until its HELLO is accepted
-                                */
-    char address[AQ_WIRE_MAX_NAME]; /* IP:port to dial the peer, from its HELLO
-                                     */
+    char id[AQ_WIRE_MAX_NAME];      /* the peer's id, "" before its HELLO */
+    char address[AQ_WIRE_MAX_NAME]; /* IP:port at which to dial the peer */
     int fd;
     AqWatch *watch;
     AqTime since;            /* when the connection was accepted */
     AqTime last_received_at; /* when the peer's last bytes arrived */
-    AqBuffer in;             /* received bytes that are not handled yet */
+    AqBuffer in; /* bytes received from the peer, not handled yet */
 } Incoming;
 
 struct Peers {
--- a/packages/daemon/slot_leasing.c
+++ b/packages/daemon/slot_leasing.c
@@ -7,10 +7,11 @@
 #include "peers.h"
 
 enum {
-    LEASE_TERM_MS =
-        2000, /* time in which new requests may start on leased slots */
+    /* Time during which new requests may start on slots leased to a peer. */
+    LEASE_TERM_MS = 2000,
     RETURN_CHECK_PERIOD_MS = 100,
-    MAX_LEASE_SLOTS = 16 /* slots of one service per lease request, at most */
+    /* Most slots of one service that are requested from a peer at once. */
+    MAX_LEASE_SLOTS = 16
 };
 
 struct SlotLeasing {
--- a/packages/daemon/snapshots.c
+++ b/packages/daemon/snapshots.c
@@ -28,7 +28,8 @@
     free(removal);
 }
 
-/* Deletes the snapshot at the store index that was just read. */
+/* Deletes a snapshot, unless its store index differs from the one in "reply".
+ */
 static void
 on_key_read(void *context, const AqStoreReply *reply)
 {
--- a/packages/daemon/stopping.c
+++ b/packages/daemon/stopping.c
@@ -9,8 +9,8 @@
 
 enum {
     CHECK_PERIOD_MS = 50,
-    /* Longest time to leave the epoch.  The other members remove this one if
-     * it has not left by then. */
+    /* Longest time for this daemon to leave the epoch.  After that the other
+     * members remove it. */
     LEAVE_TIMEOUT_MS = 8000
 };
 
@@ -42,7 +42,7 @@
     (void)version;
     if (status == COMMIT_REFUSED && error->kind == AQ_ERR_CONFLICT &&
         now < stopping->leave_deadline) {
-        /* The change of another member is in progress; retry. */
+        /* The epoch is changing because of another member; retry. */
         AqTimer_Start(stopping->daemon->loop, &stopping->timer,
                       now + CHECK_PERIOD_MS);
         return;
--- a/packages/daemon/task_client.c
+++ b/packages/daemon/task_client.c
@@ -9,7 +9,7 @@
 #include "planner_runner.h"
 
 enum {
-    LEASE_MS = 10000, /* lease of a started task */
+    LEASE_MS = 10000, /* lease of a task, requested when it starts */
     LIST_WAIT_S = 5,
     LIST_TIMEOUT_MARGIN_MS = 2000,
     RETRY_MS = 1000,
@@ -21,10 +21,10 @@
     Daemon *daemon;
     AqJobs *jobs;
     json_t *tasks; /* latest JSON list of tasks from the platform, or NULL */
-    int64_t index; /* the platform's index of "tasks", for the next list */
+    int64_t index; /* change index of "tasks", for the next request */
     AqHttpCall *watch; /* request for the list in progress, or NULL */
     AqTimer retry;
-    AqLink orders; /* Orders that the platform has not replied to */
+    AqLink orders; /* Orders to which the platform has not replied */
 };
 
 typedef struct {
