--- a/packages/daemon/claim_client.c
+++ b/packages/daemon/claim_client.c
@@ -32,7 +32,7 @@
 /* A claim that this daemon writes to the store for a peer. */
 typedef struct {
     char from[AQ_WIRE_MAX_NAME]; /* id of the peer that sent the claim */
-    uint64_t request;            /* request number that the peer assigned */
+    uint64_t request; /* number of the request at the router of the peer */
 } PeerClaim;
 
 typedef struct {
--- a/packages/daemon/endpoints.c
+++ b/packages/daemon/endpoints.c
@@ -30,7 +30,7 @@
     char *address;
     AqVmState state;
     int slots;
-    bool is_in_document;   /* listed in the document that is being applied */
+    bool is_in_document;   /* listed in the fleet document being applied */
     bool reported_leaving; /* the endpoint itself reports that it is leaving */
     /* End of the validity of the last report by a peer that the endpoint is
      * leaving. */
--- a/packages/daemon/operators.h
+++ b/packages/daemon/operators.h
@@ -3,8 +3,8 @@
 
 #include "daemon.h"
 
-/* The HTTP server for operators: intents, state, status and burn report. Every
- * request needs the bearer token of the settings. */
+/* The HTTP server for operators: accepts intents and serves state, status and
+ * the burn report.  Every request needs the bearer token of the settings. */
 
 Operators *Operators_Create(Daemon *daemon, AqError *error);
 void Operators_Destroy(Operators *operators);
--- a/packages/daemon/task_client.c
+++ b/packages/daemon/task_client.c
@@ -21,7 +21,7 @@
     Daemon *daemon;
     AqJobs *jobs;
     json_t *tasks; /* latest JSON list of tasks from the platform, or NULL */
-    int64_t index; /* change index of "tasks", for the next request */
+    int64_t index; /* platform's change index of the latest list of tasks */
     AqHttpCall *watch; /* request for the list in progress, or NULL */
     AqTimer retry;
     AqLink orders; /* Orders to which the platform has not replied */
--- a/packages/daemon/vm_list.c
+++ b/packages/daemon/vm_list.c
@@ -18,7 +18,7 @@
 struct VmList {
     Daemon *daemon;
     GHashTable *states; /* VM id -> state; the table owns both strings */
-    int64_t index;      /* change index of the VM list, for the next request */
+    int64_t index;      /* platform's change index of the latest VM list */
     bool is_known;      /* at least one VM list has arrived */
     AqHttpCall *call;   /* request for the VM list in progress, or NULL */
     AqTimer retry;
