--- a/packages/base/Include/aq_json.h
+++ b/packages/base/Include/aq_json.h
@@ -7,30 +7,41 @@
 
 #include "aq_error.h"
 
-/* Typed access to JSON objects with error messages that name the field, the
- * value found and what is allowed. */
+/* Typed access to the fields of JSON objects.  Error messages name the field,
+ * its value or type, and what is allowed. */
 
-/* Parses text; a new reference, or NULL with AQ_ERR_INVALID. */
+/* Parses "size" bytes of JSON text.  Returns a new reference that the caller
+ * releases with json_decref, or NULL and fills *error (AQ_ERR_INVALID). */
 json_t *AqJson_Parse(const char *text, size_t size, AqError *error);
-/* Compact text with sorted keys; the caller frees it with free(). */
+/* Returns the value as compact JSON text with sorted keys.  The caller
+ * releases the text with free(). */
 char *AqJson_Dump(const json_t *value);
 
-/* Required fields.  A string result is borrowed from the object. */
+/* Read a field that must be present.  Return false and fill *error
+ * (AQ_ERR_INVALID) if the field is missing, has another type or, for an
+ * integer, lies outside of low .. high.  The object owns the string that
+ * *value points to. */
 bool AqJson_GetString(const json_t *object, const char *field,
                       const char **value, AqError *error);
 bool AqJson_GetInt(const json_t *object, const char *field, int64_t low,
                    int64_t high, int64_t *value, AqError *error);
 
-/* Optional fields: the default when absent; an error for another type. */
+/* Read a field that may be missing; *value is then "default_value".  Return
+ * false and fill *error (AQ_ERR_INVALID) if the field has another type or, for
+ * an integer, lies outside of low .. high.  The object owns the string that
+ * *value points to. */
 bool AqJson_OptString(const json_t *object, const char *field,
-                      const char *absent, const char **value, AqError *error);
+                      const char *default_value, const char **value,
+                      AqError *error);
 bool AqJson_OptInt(const json_t *object, const char *field, int64_t low,
-                   int64_t high, int64_t absent, int64_t *value,
+                   int64_t high, int64_t default_value, int64_t *value,
                    AqError *error);
-bool AqJson_OptBool(const json_t *object, const char *field, bool absent,
-                    bool *value, AqError *error);
+bool AqJson_OptBool(const json_t *object, const char *field,
+                    bool default_value, bool *value, AqError *error);
 
-/* Fails with the first field that is not in the NULL-terminated list. */
+/* Checks that every field of the object is named in the NULL-terminated array
+ * "allowed".  Otherwise returns false and fills *error (AQ_ERR_INVALID),
+ * naming the first unknown field. */
 bool AqJson_CheckFields(const json_t *object, const char *const *allowed,
                         AqError *error);
 
--- a/packages/base/Include/aq_log.h
+++ b/packages/base/Include/aq_log.h
@@ -3,9 +3,11 @@
 
 #include <stdbool.h>
 
-/* Logging through GLib: one line of key=value pairs for each event, on
- * standard error.  AqLog_Event("info", "request_refused", "service=%s
- * reason=%s", ...) prints time, level, process name and event first. */
+/* Structured logging through GLib.  Each event is one line of key=value pairs
+ * on standard error, or on standard output after AqLog_UseStandardOutput.  The
+ * line of AqLog_Event(AQ_LOG_INFO, "request_refused", "service=%s reason=%s",
+ * ...) starts with the time, the level, the process name and the event name.
+ */
 
 typedef enum {
     AQ_LOG_ERROR,
@@ -14,26 +16,30 @@
     AQ_LOG_DEBUG
 } AqLogLevel;
 
-/* Installs the writer.  "process" is copied and printed in every line. */
+/* Installs the GLib log writer and sets the least severe level that is logged.
+ * "process" is copied and written into every line. */
 void AqLog_Start(const char *process, AqLogLevel level);
 void AqLog_SetLevel(AqLogLevel level);
-/* Writes to standard output from now on, without ever waiting for its reader:
- * a line that does not fit is dropped, and the next one that does says how
- * many were. */
+/* Writes all further log lines to standard output, which is made non-blocking,
+ * so that logging never waits for the reader.  A line that cannot be written
+ * at once is dropped.  A log_lines_dropped event with the number of dropped
+ * lines precedes the next line that is written. */
 void AqLog_UseStandardOutput(void);
-/* Lines dropped since the start. */
+/* Returns the number of log lines dropped since the process started. */
 unsigned long AqLog_Dropped(void);
-/* Reads "error", "warning", "info" or "debug"; false for anything else. */
+/* Sets *level from "error", "warning", "info" or "debug".  Returns false for
+ * any other text. */
 bool AqLog_ParseLevel(const char *text, AqLogLevel *level);
 
-/* "event" is a snake_case name; the format gives the other pairs.  A value
- * with blanks is written with "%s" around AqLog_Quote. */
+/* Logs an event unless "level" is less severe than the current log level.
+ * "event" is a snake_case name.  "format" yields the remaining key=value
+ * pairs; a value that may contain blanks is passed through AqLog_Quote. */
 void AqLog_Event(AqLogLevel level, const char *event, const char *format, ...)
     __attribute__((format(printf, 3, 4)));
 
-/* The text in double quotes, with quotes, backslashes and control characters
- * escaped.  Points into one of four static buffers used in turn; texts over
- * 500 bytes are cut. */
+/* Returns the text in double quotes, with quotes, backslashes and control
+ * characters escaped.  The result lies in one of four static buffers, which
+ * are reused in turn, and is truncated to about 500 bytes. */
 const char *AqLog_Quote(const char *text);
 
 #endif
--- a/packages/base/buffer.c
+++ b/packages/base/buffer.c
@@ -7,7 +7,7 @@
 #include <string.h>
 
 enum {
-    INITIAL_CAPACITY = 256
+    INITIAL_CAPACITY_BYTES = 256
 };
 
 void
@@ -25,8 +25,8 @@
     AqBuffer_Init(buffer);
 }
 
-/* Makes room for "more" bytes and the final NUL.  Running out of memory ends
- * the process, as it does in GLib. */
+/* Grows the allocation as needed to append "more" bytes and the final NUL.
+ * Aborts the process if memory is exhausted, as GLib does. */
 static void
 reserve(AqBuffer *buffer, size_t more)
 {
@@ -36,7 +36,7 @@
         return;
     }
     if (capacity == 0) {
-        capacity = INITIAL_CAPACITY;
+        capacity = INITIAL_CAPACITY_BYTES;
     }
     while (capacity < need) {
         capacity *= 2;
--- a/packages/base/json.c
+++ b/packages/base/json.c
@@ -32,17 +32,17 @@
 }
 
 static bool
-wrong_type(const char *field, const char *wanted, const json_t *found,
-           AqError *error)
+set_type_error(const char *field, const char *expected_type,
+               const json_t *found, AqError *error)
 {
     if (found == NULL) {
         return AqError_Set(error, AQ_ERR_INVALID,
                            "field \"%s\" is missing; add it as a %s", field,
-                           wanted);
+                           expected_type);
     }
     return AqError_Set(error, AQ_ERR_INVALID,
                        "field \"%s\" is a %s; it must be a %s", field,
-                       type_name(found), wanted);
+                       type_name(found), expected_type);
 }
 
 bool
@@ -51,7 +51,7 @@
 {
     const json_t *found = json_object_get(object, field);
     if (!json_is_string(found)) {
-        return wrong_type(field, "string", found, error);
+        return set_type_error(field, "string", found, error);
     }
     *value = json_string_value(found);
     return true;
@@ -63,7 +63,7 @@
 {
     const json_t *found = json_object_get(object, field);
     if (!json_is_integer(found)) {
-        return wrong_type(field, "whole number", found, error);
+        return set_type_error(field, "whole number", found, error);
     }
     int64_t n = json_integer_value(found);
     if (n < low || n > high) {
@@ -78,11 +78,11 @@
 }
 
 bool
-AqJson_OptString(const json_t *object, const char *field, const char *absent,
-                 const char **value, AqError *error)
+AqJson_OptString(const json_t *object, const char *field,
+                 const char *default_value, const char **value, AqError *error)
 {
     if (json_object_get(object, field) == NULL) {
-        *value = absent;
+        *value = default_value;
         return true;
     }
     return AqJson_GetString(object, field, value, error);
@@ -90,26 +90,27 @@
 
 bool
 AqJson_OptInt(const json_t *object, const char *field, int64_t low,
-              int64_t high, int64_t absent, int64_t *value, AqError *error)
+              int64_t high, int64_t default_value, int64_t *value,
+              AqError *error)
 {
     if (json_object_get(object, field) == NULL) {
-        *value = absent;
+        *value = default_value;
         return true;
     }
     return AqJson_GetInt(object, field, low, high, value, error);
 }
 
 bool
-AqJson_OptBool(const json_t *object, const char *field, bool absent,
+AqJson_OptBool(const json_t *object, const char *field, bool default_value,
                bool *value, AqError *error)
 {
     const json_t *found = json_object_get(object, field);
     if (found == NULL) {
-        *value = absent;
+        *value = default_value;
         return true;
     }
     if (!json_is_boolean(found)) {
-        return wrong_type(field, "boolean", found, error);
+        return set_type_error(field, "boolean", found, error);
     }
     *value = json_is_true(found);
     return true;
--- a/packages/base/log.c
+++ b/packages/base/log.c
@@ -11,50 +11,52 @@
 #include "aq_clock.h"
 
 enum {
-    QUOTE_SLOTS = 4,
-    QUOTE_SIZE = 512,
-    LINE_SIZE = 2048
+    QUOTE_BUFFER_COUNT = 4,
+    QUOTE_BUFFER_BYTES = 512,
+    LINE_BYTES = 2048
 };
 
 static AqLogLevel current_level = AQ_LOG_INFO;
 static char process_name[64] = "-";
 
-static bool to_standard_output;
-static unsigned long dropped;          /* since the start */
-static unsigned long dropped_reported; /* of them said in a line */
+static bool uses_standard_output;
+static unsigned long dropped_lines; /* since the process started */
+/* Number of dropped lines that log_lines_dropped events have reported. */
+static unsigned long reported_dropped_lines;
 
 static const char *const level_names[] = {"error", "warning", "info", "debug"};
 
-/* Writes a whole line or nothing.  A pipe takes a line of at most PIPE_BUF
- * bytes as a whole or not at all. */
+/* Writes a line to standard output and returns whether all of it was written.
+ * A non-blocking write of at most PIPE_BUF bytes to a pipe writes all bytes or
+ * none. */
 static bool
-write_whole(const char *line, size_t size)
+write_line_whole(const char *line, size_t size)
 {
     return write(STDOUT_FILENO, line, size) == (ssize_t)size;
 }
 
 static void
-write_without_waiting(const char *text)
+write_nonblocking(const char *text)
 {
-    char line[LINE_SIZE + 256];
-    if (dropped > dropped_reported) {
+    char line[LINE_BYTES + 256];
+    if (dropped_lines > reported_dropped_lines) {
         int size =
             snprintf(line, sizeof(line),
                      "level=warning event=log_lines_dropped count=%lu\n",
-                     dropped - dropped_reported);
-        if (!write_whole(line, (size_t)size)) {
-            dropped++;
+                     dropped_lines - reported_dropped_lines);
+        if (!write_line_whole(line, (size_t)size)) {
+            dropped_lines++;
             return;
         }
-        dropped_reported = dropped;
+        reported_dropped_lines = dropped_lines;
     }
     int size = snprintf(line, sizeof(line), "%s\n", text);
     if (size >= (int)sizeof(line)) {
         size = (int)sizeof(line) - 1;
         line[size - 1] = '\n';
     }
-    if (!write_whole(line, (size_t)size)) {
-        dropped++;
+    if (!write_line_whole(line, (size_t)size)) {
+        dropped_lines++;
     }
 }
 
@@ -65,26 +67,26 @@
     if (flags >= 0) {
         fcntl(STDOUT_FILENO, F_SETFL, flags | O_NONBLOCK);
     }
-    to_standard_output = true;
+    uses_standard_output = true;
 }
 
 unsigned long
 AqLog_Dropped(void)
 {
-    return dropped;
+    return dropped_lines;
 }
 
 static GLogWriterOutput
-write_line(GLogLevelFlags flags, const GLogField *fields, gsize count,
-           gpointer data)
+glib_log_writer(GLogLevelFlags flags, const GLogField *fields, gsize count,
+                gpointer data)
 {
     (void)flags;
     (void)data;
     for (gsize i = 0; i < count; i++) {
         if (strcmp(fields[i].key, "MESSAGE") == 0) {
             const char *text = fields[i].value;
-            if (to_standard_output) {
-                write_without_waiting(text);
+            if (uses_standard_output) {
+                write_nonblocking(text);
             }
             else {
                 fprintf(stderr, "%s\n", text);
@@ -100,7 +102,7 @@
 {
     g_strlcpy(process_name, process, sizeof(process_name));
     current_level = level;
-    g_log_set_writer_func(write_line, NULL, NULL);
+    g_log_set_writer_func(glib_log_writer, NULL, NULL);
 }
 
 void
@@ -142,7 +144,7 @@
     if (level > current_level) {
         return;
     }
-    char pairs[LINE_SIZE];
+    char pairs[LINE_BYTES];
     va_list args;
     va_start(args, format);
     vsnprintf(pairs, sizeof(pairs), format, args);
@@ -153,7 +155,8 @@
                      process_name, event, pairs[0] != '\0' ? " " : "", pairs);
 }
 
-/* Writes one byte, escaped, and returns the place after it. */
+/* Writes the byte c, escaped if necessary, to "out" without a final NUL.
+ * Returns a pointer to the byte after the output. */
 static char *
 escape_byte(char *out, unsigned char c)
 {
@@ -173,17 +176,18 @@
 const char *
 AqLog_Quote(const char *text)
 {
-    static char slots[QUOTE_SLOTS][QUOTE_SIZE];
-    static unsigned next_slot;
-    char *slot = slots[next_slot++ % QUOTE_SLOTS];
-    char *out = slot;
-    /* Room for the longest escape, the closing quote and the NUL. */
-    char *end = slot + QUOTE_SIZE - 6;
+    static char buffers[QUOTE_BUFFER_COUNT][QUOTE_BUFFER_BYTES];
+    static unsigned next_buffer;
+    char *buffer = buffers[next_buffer++ % QUOTE_BUFFER_COUNT];
+    char *out = buffer;
+    /* Reserves space for the longest escape sequence (4 bytes), the closing
+     * quote and the NUL. */
+    char *end = buffer + QUOTE_BUFFER_BYTES - 6;
     *out++ = '"';
     for (; *text != '\0' && out < end; text++) {
         out = escape_byte(out, (unsigned char)*text);
     }
     *out++ = '"';
     *out = '\0';
-    return slot;
+    return buffer;
 }
--- a/packages/base/metrics.c
+++ b/packages/base/metrics.c
@@ -6,12 +6,12 @@
 
 #include "aq_list.h"
 
-/* Upper bounds of the buckets of a histogram, ms. */
-static const int64_t bounds[] = {1,   2,   5,    10,   20,   50,   100,
-                                 200, 500, 1000, 2000, 5000, 10000};
+/* Inclusive upper bounds of a histogram's buckets, ms. */
+static const int64_t bucket_bounds_ms[] = {
+    1, 2, 5, 10, 20, 50, 100, 200, 500, 1000, 2000, 5000, 10000};
 
 enum {
-    BOUNDS = sizeof(bounds) / sizeof(bounds[0])
+    BUCKET_COUNT = sizeof(bucket_bounds_ms) / sizeof(bucket_bounds_ms[0])
 };
 
 typedef enum {
@@ -25,9 +25,13 @@
     char *name;
     char *labels;
     MetricKind kind;
-    int64_t value;          /* of a histogram: the sum */
-    int64_t counts[BOUNDS]; /* in each bucket, not cumulative */
-    int64_t count;          /* of all observations */
+    /* Value of a counter or gauge; for a histogram the sum of all
+     * observations, ms. */
+    int64_t value;
+    /* Number of observations in each bucket; not cumulative, unlike the output
+     * of AqMetrics_Write. */
+    int64_t bucket_counts[BUCKET_COUNT];
+    int64_t observation_count; /* all, also above the last bucket's bound */
 };
 
 struct AqMetrics {
@@ -100,10 +104,10 @@
 AqMetric_Observe(AqMetric *metric, int64_t ms)
 {
     metric->value += ms;
-    metric->count++;
-    for (int i = 0; i < BOUNDS; i++) {
-        if (ms <= bounds[i]) {
-            metric->counts[i]++;
+    metric->observation_count++;
+    for (int i = 0; i < BUCKET_COUNT; i++) {
+        if (ms <= bucket_bounds_ms[i]) {
+            metric->bucket_counts[i]++;
             return;
         }
     }
@@ -127,8 +131,8 @@
     return metric->value;
 }
 
-/* Whether an earlier metric has the same name, so that its TYPE line has been
- * written already. */
+/* Returns whether the registry has an earlier metric with the same name, whose
+ * output already includes the TYPE line for that name. */
 static bool
 is_type_written(const AqMetrics *metrics, const AqMetric *metric)
 {
@@ -148,19 +152,20 @@
 static void
 write_histogram(const AqMetric *metric, AqBuffer *out)
 {
-    int64_t below = 0;
+    int64_t cumulative_count = 0;
     const char *comma = metric->labels[0] != '\0' ? "," : "";
-    for (int i = 0; i < BOUNDS; i++) {
-        below += metric->counts[i];
+    for (int i = 0; i < BUCKET_COUNT; i++) {
+        cumulative_count += metric->bucket_counts[i];
         AqBuffer_Printf(out, "%s_bucket{%s%sle=\"%lld\"} %lld\n", metric->name,
-                        metric->labels, comma, (long long)bounds[i],
-                        (long long)below);
+                        metric->labels, comma, (long long)bucket_bounds_ms[i],
+                        (long long)cumulative_count);
     }
     AqBuffer_Printf(out, "%s_bucket{%s%sle=\"+Inf\"} %lld\n", metric->name,
-                    metric->labels, comma, (long long)metric->count);
+                    metric->labels, comma,
+                    (long long)metric->observation_count);
     AqBuffer_Printf(out, "%s_sum{%s} %lld\n%s_count{%s} %lld\n", metric->name,
                     metric->labels, (long long)metric->value, metric->name,
-                    metric->labels, (long long)metric->count);
+                    metric->labels, (long long)metric->observation_count);
 }
 
 void
--- a/packages/base/random.c
+++ b/packages/base/random.c
@@ -8,7 +8,9 @@
     return (x << k) | (x >> (64 - k));
 }
 
-/* SplitMix64 (Steele, Lea and Flood 2014) spreads the seed over the state. */
+/* Returns the next number of SplitMix64 (Steele, Lea and Flood 2014) and
+ * advances its state *x.  The numbers initialise the xoshiro256** state from a
+ * 64-bit seed. */
 static uint64_t
 split_mix(uint64_t *x)
 {
@@ -47,7 +49,8 @@
     if (bound == 0) {
         return 0;
     }
-    /* Multiply-shift; the bias is below bound / 2^64. */
+    /* Multiplication and shift instead of a modulo; the relative bias of a
+     * result's probability is below bound / 2^64. */
     return (uint64_t)(((unsigned __int128)AqRandom_Next(random) * bound) >>
                       64);
 }
--- a/packages/base/tests/test_base.c
+++ b/packages/base/tests/test_base.c
@@ -12,8 +12,8 @@
 #include "aq_metrics.h"
 #include "aq_random.h"
 
-/* Guards against a link that stays in two lists or corrupts its neighbours
- * when removed twice. */
+/* Guards against a list link that stays linked after its removal, or whose
+ * second removal corrupts the links that were next to it. */
 static void
 test_list_removal(void)
 {
@@ -31,8 +31,8 @@
     CU_ASSERT_PTR_NULL(AqList_PopFirst(&list));
 }
 
-/* Guards against runs that differ although the seed is the same, and against
- * a skewed generator. */
+/* Guards against generators with the same seed that return different numbers,
+ * and against exponentially distributed numbers with a wrong mean. */
 static void
 test_random(void)
 {
@@ -49,8 +49,8 @@
     CU_ASSERT_EQUAL(AqRandom_Below(&a, 0), 0);
 }
 
-/* Guards against a rendezvous hash that moves keys between the candidates
- * that stay when another one leaves. */
+/* Guards against a rendezvous hash that reassigns keys between the remaining
+ * candidates when another candidate is removed. */
 static void
 test_rendezvous_moves_only_lost_keys(void)
 {
@@ -70,7 +70,8 @@
     }
 }
 
-/* Guards against lost bytes when a buffer is consumed and grows again. */
+/* Guards against a buffer that loses bytes when it grows or when bytes at its
+ * start are consumed. */
 static void
 test_buffer(void)
 {
@@ -87,7 +88,8 @@
     AqBuffer_Clear(&buffer);
 }
 
-/* Guards against JSON errors that do not name the field or the range. */
+/* Guards against invalid JSON input that is accepted, and against error
+ * messages that do not name the field or the allowed range. */
 static void
 test_json_errors(void)
 {
@@ -119,7 +121,8 @@
     }
 }
 
-/* Guards against a log value that breaks the one-line key=value format. */
+/* Guards against a quoted log value that breaks the one-line key=value format
+ * because it contains a quote or a line feed, or exceeds its buffer. */
 static void
 test_log_quote(void)
 {
@@ -130,8 +133,8 @@
     CU_ASSERT_TRUE(strlen(AqLog_Quote(longer)) < 512);
 }
 
-/* Guards against two metrics for one name and label set, and against a
- * repeated TYPE line, which scrapers refuse. */
+/* Guards against two metrics with the same name and labels, and against a
+ * repeated TYPE line for one name, which Prometheus rejects. */
 static void
 test_metrics(void)
 {
--- a/packages/io/Include/aq_http_client.h
+++ b/packages/io/Include/aq_http_client.h
@@ -9,28 +9,33 @@
 #include "aq_error.h"
 #include "aq_loop.h"
 
-/* HTTP/1.1 client over libcurl's multi interface, joined to an AqLoop. */
+/* HTTP/1.1 client over libcurl's multi interface, driven by an AqLoop. */
 
 typedef struct AqHttpClient AqHttpClient;
 typedef struct AqHttpCall AqHttpCall;
 
 typedef enum {
-    AQ_HTTP_DONE,     /* a whole answer */
-    AQ_HTTP_NOT_SENT, /* no byte of the request left */
-    AQ_HTTP_CUT,      /* closed or broken after sending began */
-    AQ_HTTP_TIMEOUT,  /* timed out after sending began */
-    AQ_HTTP_TOO_LARGE /* the answer is over max_response_bytes */
+    AQ_HTTP_DONE,        /* a complete response was received */
+    AQ_HTTP_NOT_SENT,    /* the call failed before any request byte was sent */
+    AQ_HTTP_INTERRUPTED, /* the connection closed or failed after the client
+                            began to send the request */
+    AQ_HTTP_TIMEOUT, /* timed out after the client began to send the request */
+    AQ_HTTP_TOO_LARGE /* the response exceeds max_response_bytes, or its header
+                         the client's fixed limit */
 } AqHttpResult;
 
 typedef struct {
     AqHttpResult result;
-    int status;                 /* AQ_HTTP_DONE only */
-    const char *body;           /* borrowed for the call */
-    size_t size;                /* bytes */
-    const char *const *headers; /* "Name: value" lines, NULL-terminated */
-    const char *message;        /* libcurl's text for a failure */
-    uint64_t sent;              /* bytes of HTTP, without TCP/IP headers */
-    uint64_t received;
+    int status; /* HTTP status; valid only for AQ_HTTP_DONE */
+    /* Response body; valid only during the "done" callback. */
+    const char *body;
+    size_t size; /* length of the body, bytes */
+    /* NULL-terminated array of the response's "Name: value" header lines;
+     * valid only during the "done" callback. */
+    const char *const *headers;
+    const char *message; /* libcurl's description of the result */
+    uint64_t sent;       /* bytes of the request, without TCP/IP headers */
+    uint64_t received;   /* bytes of the response, without TCP/IP headers */
 } AqHttpReply;
 
 typedef void (*AqHttpDone)(void *context, const AqHttpReply *reply);
@@ -38,48 +43,54 @@
 typedef struct {
     const char *method;
     const char *url;
-    /* "IP:port" that the connection goes to although the URL names another
-     * host, or NULL.  A URL with another host name never reuses connections
-     * of the former name. */
+    /* "IP:port" to connect to instead of the URL's host and port, or NULL.  A
+     * connection is only reused for requests whose URL has the same host name,
+     * even if "connect_to" is the same. */
     const char *connect_to;
-    const char *const *headers; /* "Name: value", NULL-terminated, or NULL */
-    const void *body;           /* copied */
-    size_t size;
+    /* NULL-terminated array of "Name: value" request header lines, or NULL. */
+    const char *const *headers;
+    const void *body; /* request body, copied by AqHttpClient_Start */
+    size_t size;      /* length of the body, bytes */
     bool has_body;
-    /* A new connection, closed afterwards.  libcurl 7.88 sends a request
-     * again when a reused connection closes before the first byte of the
-     * answer; on a fresh connection it does not. */
+    /* Whether to open a new connection for the request and to close it
+     * afterwards.  If a reused connection closes before the first byte of the
+     * response, libcurl 7.88 sends the request again; on a new connection it
+     * does not. */
     bool fresh_connection;
     AqTime timeout_ms;
     AqTime connect_timeout_ms;
-    size_t max_response_bytes; /* bytes */
+    size_t max_response_bytes; /* longest response body that is accepted */
 } AqHttpRequest;
 
 AqHttpClient *AqHttpClient_Create(AqLoop *loop, AqError *error);
 void AqHttpClient_Destroy(AqHttpClient *client);
-/* Ends all calls now, with "done" (not sent, or cut), as well as those that
- * are started from there.  Comes before the owners of the contexts are
- * destroyed. */
+/* Ends all calls at once, including those that their "done" callbacks start:
+ * calls "done" with AQ_HTTP_NOT_SENT, or with AQ_HTTP_INTERRUPTED after
+ * sending began.  Must be called before the owners of the "context" pointers
+ * are destroyed. */
 void AqHttpClient_Close(AqHttpClient *client);
 
-/* Starts a call; "done" is called once from the loop, never from inside, and
- * the call is freed after it. */
+/* Starts an HTTP call and returns it.  The event loop calls "done" exactly
+ * once, never from within AqHttpClient_Start, and then frees the call. */
 AqHttpCall *AqHttpClient_Start(AqHttpClient *client,
                                const AqHttpRequest *request, AqHttpDone done,
                                void *context);
-/* Ends a call without "done" and closes its connection.  Returns whether no
- * byte of the request left. */
+/* Ends and frees a call without calling its "done" callback, and closes its
+ * connection.  Returns true if no byte of the request was sent. */
 bool AqHttpClient_Cancel(AqHttpCall *call);
 
-/* Bytes of HTTP sent and received by finished calls since the start. */
+/* Sets *sent and *received to the bytes of HTTP that finished calls have sent
+ * and received since the client was created. */
 void AqHttpClient_GetTraffic(const AqHttpClient *client, uint64_t *sent,
                              uint64_t *received);
 
-/* Closes the idle connections to "IP:port".  Calls under way with that
- * connect_to go on; their connections close when they end. */
+/* Closes the idle connections to "address" ("IP:port").  Calls in progress
+ * whose "connect_to" is this address continue; each of their connections is
+ * closed when its call ends. */
 void AqHttpClient_CloseIdle(AqHttpClient *client, const char *address);
 
-/* Value of a header in a reply (case-insensitive name), or NULL; borrowed. */
+/* Returns the value of the header with this case-insensitive name, or NULL if
+ * the reply has none.  The reply owns the result. */
 const char *AqHttpReply_Header(const AqHttpReply *reply, const char *name);
 
 #endif
--- a/packages/io/Include/aq_http_server.h
+++ b/packages/io/Include/aq_http_server.h
@@ -8,29 +8,34 @@
 #include "aq_error.h"
 #include "aq_loop.h"
 
-/* HTTP/1.1 server over libmicrohttpd, joined to an AqLoop.  A request is
- * handed on when its whole body is there, and answered later. */
+/* HTTP/1.1 server over libmicrohttpd, driven by an AqLoop.  The server calls
+ * its handler when a request's whole body has arrived; the handler may send
+ * the response later. */
 
 typedef struct AqHttpServer AqHttpServer;
 typedef struct AqExchange AqExchange;
 
-/* One header of an answer; both strings are copied. */
+/* One response header.  AqExchange_Respond copies both strings. */
 typedef struct {
     const char *name;
     const char *value;
 } AqHttpHeader;
 
-/* Takes a request.  The exchange stays valid until it is answered with
- * AqExchange_Respond, which must happen exactly once, now or later. */
+/* Called for each request with a new exchange.  The exchange stays valid until
+ * AqExchange_Respond is called for it, which must happen exactly once, during
+ * this callback or later. */
 typedef void (*AqHttpHandler)(void *context, AqExchange *exchange);
 
 typedef struct {
-    const char *address; /* IP number */
-    uint16_t port;       /* 0: any free port */
-    size_t max_body;     /* bytes; longer ones are answered 413 */
+    const char *address; /* IPv4 address to listen on */
+    uint16_t port;       /* TCP port to listen on; 0: any free port */
+    size_t max_body;     /* longest request body, bytes; 413 if exceeded */
     unsigned max_connections;
-    unsigned idle_timeout_s; /* also the longest pause inside a request */
-    /* Header added to the server's own error answers (413), or NULL. */
+    /* A connection is closed after this time without received or sent data,
+     * between requests or within one. */
+    unsigned idle_timeout_s;
+    /* Name and value of a header that is added to the 413 responses, which the
+     * server sends without calling the handler; the name may be NULL. */
     const char *error_header_name;
     const char *error_header_value;
 } AqHttpServerConfig;
@@ -42,30 +47,36 @@
 void AqHttpServer_Destroy(AqHttpServer *server);
 
 uint16_t AqHttpServer_Port(const AqHttpServer *server);
-/* Closes the listening socket; open connections are closed after their
- * answer. */
+/* Closes the listening socket.  Each open connection is closed after its next
+ * response. */
 void AqHttpServer_StopListening(AqHttpServer *server);
-/* Answers carry "Connection: close" from now on. */
+/* Adds "Connection: close" to all further responses. */
 void AqHttpServer_CloseAfterResponse(AqHttpServer *server);
-/* Requests taken and not yet answered. */
+/* Returns the number of requests that were passed to the handler and whose
+ * responses have not been sent yet. */
 size_t AqHttpServer_Pending(const AqHttpServer *server);
 
-/* Borrowed for the life of the exchange. */
+/* Returns the request's HTTP method.  The exchange owns the strings and the
+ * bytes that this function and the following ones return. */
 const char *AqExchange_Method(const AqExchange *exchange);
 const char *AqExchange_Path(const AqExchange *exchange);
-/* The query text after "?", "" when there is none. */
+/* Returns the part of the request's URL after "?", or "" if there is none. */
 const char *AqExchange_Query(const AqExchange *exchange);
 const char *AqExchange_Body(const AqExchange *exchange, size_t *size);
 const char *AqExchange_Header(const AqExchange *exchange, const char *name);
-/* A decoded query argument, or NULL. */
+/* Returns the URL-decoded value of the query argument "name", or NULL if the
+ * query does not have it. */
 const char *AqExchange_Argument(const AqExchange *exchange, const char *name);
-/* Calls "visit" for each header of the request. */
+/* Calls "visit" with "context" for each header of the request.  Does nothing
+ * if the connection has ended. */
 void AqExchange_EachHeader(const AqExchange *exchange,
                            void (*visit)(void *context, const char *name,
                                          const char *value),
                            void *context);
 
-/* Answers; "headers" has "count" entries; the body is copied. */
+/* Sends the response to a request.  "headers" is an array of "count" entries;
+ * "body" has "size" bytes and is copied.  The exchange must not be used
+ * afterwards. */
 void AqExchange_Respond(AqExchange *exchange, int status,
                         const AqHttpHeader *headers, size_t count,
                         const void *body, size_t size);
--- a/packages/io/Include/aq_loop.h
+++ b/packages/io/Include/aq_loop.h
@@ -7,7 +7,8 @@
 #include "aq_error.h"
 #include "aq_list.h"
 
-/* Single-threaded event loop over an APR pollset, with timers. */
+/* Single-threaded event loop over an APR pollset, with timers.  One iteration
+ * of the loop, from the wait to the last callback, is called a round. */
 
 typedef struct AqLoop AqLoop;
 typedef struct AqWatch AqWatch;
@@ -20,11 +21,12 @@
 typedef void (*AqWatchFn)(void *context, int events);
 typedef void (*AqTimerFn)(void *context);
 
-/* A timer is a field of the object that uses it.  It must be initialised with
- * AqTimer_Init and stopped before the object is freed. */
+/* One-shot timer, usually a field of the object that uses the timer.  A timer
+ * must be initialised with AqTimer_Init and stopped before its memory is
+ * freed. */
 typedef struct {
     AqLink link;
-    AqTime due; /* ms */
+    AqTime due; /* loop time at which the timer fires */
     AqTimerFn fn;
     void *context;
 } AqTimer;
@@ -32,36 +34,44 @@
 AqLoop *AqLoop_Create(AqError *error);
 void AqLoop_Destroy(AqLoop *loop);
 
-/* For tests: time is that of a virtual clock from now on (borrowed).  A round
- * without an event does not wait, but moves the clock on by its wait. */
+/* For tests: makes the loop use a virtual clock, which the caller owns and
+ * keeps until the loop is destroyed.  A round in which no descriptor is ready
+ * does not wait, but advances the virtual clock by the length of the wait. */
 void AqLoop_SetClock(AqLoop *loop, AqClock *clock);
 
-/* Time of the current round, ms; the same for all callbacks of a round. */
+/* Returns the loop's time, which is read once in each round after the wait, so
+ * that all callbacks of a round see the same time. */
 AqTime AqLoop_Now(const AqLoop *loop);
 
-/* Watches a descriptor, which stays owned by the caller.  The result is owned
- * by the loop until AqLoop_Unwatch. */
+/* Calls "fn" from the loop whenever the descriptor is ready for one of the
+ * events (AQ_READABLE, AQ_WRITABLE).  The caller still owns the descriptor.
+ * Returns a watch that the loop owns and AqLoop_Unwatch ends, or NULL and
+ * fills *error. */
 AqWatch *AqLoop_Watch(AqLoop *loop, int fd, int events, AqWatchFn fn,
                       void *context, AqError *error);
 void AqLoop_SetEvents(AqLoop *loop, AqWatch *watch, int events);
-/* Must come before the descriptor is closed; safe from any callback. */
+/* Stops watching a descriptor.  Must be called before the descriptor is
+ * closed; may be called from any callback of the loop.  Does nothing if
+ * "watch" is NULL. */
 void AqLoop_Unwatch(AqLoop *loop, AqWatch *watch);
 
 void AqTimer_Init(AqTimer *timer, AqTimerFn fn, void *context);
-/* Starts the timer, or moves it when it runs already. */
+/* Starts the timer, which then fires once at loop time "due".  Changes the due
+ * time if the timer is already running. */
 void AqTimer_Start(AqLoop *loop, AqTimer *timer, AqTime due);
 void AqTimer_Stop(AqTimer *timer);
 
-/* Called at the end of each round, before waiting; returns the time at which
- * the next round must begin at the latest.  At most eight. */
+/* Function that the loop calls before the wait of each round.  Returns the
+ * latest loop time at which that wait must end.  AqLoop_OnRound registers such
+ * a function; the ninth one of a loop aborts the process. */
 typedef AqTime (*AqRoundFn)(void *context);
 void AqLoop_OnRound(AqLoop *loop, AqRoundFn fn, void *context);
 
-/* Runs until AqLoop_Stop. */
+/* Runs rounds until AqLoop_Stop is called. */
 void AqLoop_Run(AqLoop *loop);
 void AqLoop_Stop(AqLoop *loop);
-/* Runs one round that waits at most wait_ms; for tests and for programs with
- * a loop of their own. */
+/* Runs one round, which waits for at most wait_ms.  For tests and for programs
+ * with a main loop of their own. */
 void AqLoop_RunOnce(AqLoop *loop, AqTime wait_ms);
 
 #endif
--- a/packages/io/http_client.c
+++ b/packages/io/http_client.c
@@ -10,12 +10,14 @@
 #include "http_sockets.h"
 
 enum {
-    MAX_HEADERS = 64,         /* lines kept of an answer */
-    MAX_HEADER_BYTES = 16384, /* of all lines of an answer */
+    MAX_HEADER_LINES = 64,    /* further lines of a response are dropped */
+    MAX_HEADER_BYTES = 16384, /* longer response headers fail the call */
     MAX_IDLE_CONNECTIONS = 4096,
-    IDLE_AGE_S = 30, /* longest time an idle connection is kept */
-    KEEPALIVE_S = 5,
-    MAX_CLOSED = 100000
+    MAX_IDLE_AGE_S = 30, /* connections idle for longer are not reused */
+    /* Idle time before the first TCP keepalive probe of a connection, and the
+     * interval between its probes. */
+    KEEPALIVE_INTERVAL_S = 5,
+    MAX_CLOSE_CALLS = 100000 /* most calls that AqHttpClient_Close ends */
 };
 
 struct AqHttpClient {
@@ -35,16 +37,19 @@
     CURL *easy;
     struct curl_slist *headers;
     struct curl_slist *connect_to;
-    struct sockaddr_in to; /* of connect_to; family 0: none */
+    struct sockaddr_in to; /* address from connect_to; family 0: no address */
     char *request_body;
     AqBuffer body;
-    AqBuffer header_text; /* lines, each ended by NUL */
+    AqBuffer header_text; /* response header lines, each followed by a NUL */
     size_t max_response_bytes;
-    bool headers_ended; /* the empty line after the headers arrived */
-    bool has_length;    /* Content-Length or chunked: the end is known */
-    bool is_head;
-    bool sending; /* set before the first byte of the request is written */
-    bool too_large;
+    bool headers_ended; /* the empty line after the response headers arrived */
+    bool has_length;    /* the response has Content-Length or
+                           Transfer-Encoding, so that its end is known */
+    bool is_head;       /* the request's method is HEAD */
+    /* Set just before the first byte of the request is written to the
+     * connection. */
+    bool may_have_sent;
+    bool is_response_too_large;
     AqHttpDone done;
     void *context;
 };
@@ -63,11 +68,11 @@
     free(call);
 }
 
-/* Whether the end of the answer is proved.  libcurl takes an answer that is
- * closed inside its header, or that has no length, as complete (seen with
- * 7.88.1). */
+/* Returns whether the response certainly arrived as a whole.  libcurl (7.88.1)
+ * reports success also if the connection closes within the response header, or
+ * if the response has no length and ends when the connection closes. */
 static bool
-is_whole(const AqHttpCall *call)
+is_response_complete(const AqHttpCall *call)
 {
     long status = 0;
     curl_easy_getinfo(call->easy, CURLINFO_RESPONSE_CODE, &status);
@@ -81,15 +86,16 @@
 classify(const AqHttpCall *call, CURLcode code)
 {
     if (code == CURLE_OK) {
-        return is_whole(call) ? AQ_HTTP_DONE : AQ_HTTP_CUT;
+        return is_response_complete(call) ? AQ_HTTP_DONE : AQ_HTTP_INTERRUPTED;
     }
-    if (call->too_large) {
+    if (call->is_response_too_large) {
         return AQ_HTTP_TOO_LARGE;
     }
-    if (!call->sending) {
+    if (!call->may_have_sent) {
         return AQ_HTTP_NOT_SENT;
     }
-    return code == CURLE_OPERATION_TIMEDOUT ? AQ_HTTP_TIMEOUT : AQ_HTTP_CUT;
+    return code == CURLE_OPERATION_TIMEDOUT ? AQ_HTTP_TIMEOUT
+                                            : AQ_HTTP_INTERRUPTED;
 }
 
 static void
@@ -110,11 +116,11 @@
 static void
 finish_call(AqHttpCall *call, CURLcode code)
 {
-    const char *lines[MAX_HEADERS + 1];
+    const char *lines[MAX_HEADER_LINES + 1];
     size_t count = 0;
     const char *text = AqBuffer_Text(&call->header_text);
     const char *end = text + call->header_text.size;
-    while (text < end && count < MAX_HEADERS) {
+    while (text < end && count < MAX_HEADER_LINES) {
         lines[count++] = text;
         text += strlen(text) + 1;
     }
@@ -133,8 +139,8 @@
     count_bytes(call, &reply);
     AqHttpDone done = call->done;
     void *context = call->context;
-    /* The call leaves the list first, so that destroying the client from
-     * "done" does not meet it. */
+    /* The call is unlinked first, so that it is not freed twice if "done"
+     * destroys the client. */
     AqList_Remove(&call->link);
     done(context, &reply);
     free_call(call);
@@ -155,7 +161,7 @@
     }
 }
 
-/* ---- Joining the loop --------------------------------------------------- */
+/* ---- Event loop integration --------------------------------------------- */
 
 typedef struct {
     AqHttpClient *client;
@@ -272,8 +278,9 @@
 AqHttpClient_Close(AqHttpClient *client)
 {
     client->closed = true;
-    /* The limit guards against a caller that starts again without end. */
-    for (int i = 0; i < MAX_CLOSED; i++) {
+    /* The limit prevents an endless loop if "done" callbacks always start a
+     * new call. */
+    for (int i = 0; i < MAX_CLOSE_CALLS; i++) {
         AqLink *link = AqList_PopFirst(&client->calls);
         if (link == NULL) {
             break;
@@ -303,17 +310,17 @@
 AqHttpClient_CloseIdle(AqHttpClient *client, const char *address)
 {
     struct sockaddr_in to;
-    if (!HttpSockets_Parse(address, &to)) {
+    if (!HttpSockets_ParseAddress(address, &to)) {
         return;
     }
     AqList_ForEach(at, &client->calls)
     {
         const AqHttpCall *call = AqList_Entry(at, AqHttpCall, link);
-        if (HttpSockets_IsSame(&call->to, &to)) {
+        if (HttpSockets_IsSameAddress(&call->to, &to)) {
             curl_easy_setopt(call->easy, CURLOPT_FORBID_REUSE, 1L);
         }
     }
-    HttpSockets_ShutIdle(&client->sockets, &to);
+    HttpSockets_ShutDownIdle(&client->sockets, &to);
 }
 
 /* ---- One call ----------------------------------------------------------- */
@@ -324,7 +331,7 @@
     AqHttpCall *call = context;
     size_t size = unit * count;
     if (call->body.size + size > call->max_response_bytes) {
-        call->too_large = true;
+        call->is_response_too_large = true;
         return 0;
     }
     AqBuffer_Append(&call->body, bytes, size);
@@ -342,7 +349,8 @@
         length--;
     }
     if (length >= 5 && strncmp(bytes, "HTTP/", 5) == 0) {
-        /* A new answer begins, after 100 Continue or a resend. */
+        /* A status line begins a new response, for example after 100 Continue
+         * or after libcurl has sent the request again. */
         AqBuffer_Clear(&call->header_text);
         call->headers_ended = false;
         call->has_length = false;
@@ -357,7 +365,7 @@
         call->has_length = true;
     }
     if (call->header_text.size + length + 1 > MAX_HEADER_BYTES) {
-        call->too_large = true;
+        call->is_response_too_large = true;
         return 0;
     }
     AqBuffer_Append(&call->header_text, bytes, length);
@@ -374,7 +382,7 @@
     (void)local_ip;
     (void)primary_port;
     (void)local_port;
-    call->sending = true;
+    call->may_have_sent = true;
     return CURL_PREREQFUNC_OK;
 }
 
@@ -404,7 +412,8 @@
          at++) {
         call->headers = curl_slist_append(call->headers, *at);
     }
-    /* Without this libcurl waits a second for 100 Continue. */
+    /* An empty Expect header disables libcurl's wait of one second for 100
+     * Continue before it sends a body. */
     call->headers = curl_slist_append(call->headers, "Expect:");
     curl_easy_setopt(call->easy, CURLOPT_HTTPHEADER, call->headers);
     if (request->connect_to != NULL) {
@@ -412,7 +421,7 @@
         snprintf(entry, sizeof(entry), "::%s", request->connect_to);
         call->connect_to = curl_slist_append(NULL, entry);
         curl_easy_setopt(call->easy, CURLOPT_CONNECT_TO, call->connect_to);
-        HttpSockets_Parse(request->connect_to, &call->to);
+        HttpSockets_ParseAddress(request->connect_to, &call->to);
     }
 }
 
@@ -420,7 +429,7 @@
 set_connection(AqHttpCall *call, const AqHttpRequest *request)
 {
     CURL *easy = call->easy;
-    HttpSockets_Follow(&call->client->sockets, easy);
+    HttpSockets_Track(&call->client->sockets, easy);
     curl_easy_setopt(easy, CURLOPT_HTTP_VERSION, (long)CURL_HTTP_VERSION_1_1);
     curl_easy_setopt(easy, CURLOPT_PROTOCOLS_STR, "http");
     curl_easy_setopt(easy, CURLOPT_PROXY, "");
@@ -428,9 +437,9 @@
     curl_easy_setopt(easy, CURLOPT_NOSIGNAL, 1L);
     curl_easy_setopt(easy, CURLOPT_TCP_NODELAY, 1L);
     curl_easy_setopt(easy, CURLOPT_TCP_KEEPALIVE, 1L);
-    curl_easy_setopt(easy, CURLOPT_TCP_KEEPIDLE, (long)KEEPALIVE_S);
-    curl_easy_setopt(easy, CURLOPT_TCP_KEEPINTVL, (long)KEEPALIVE_S);
-    curl_easy_setopt(easy, CURLOPT_MAXAGE_CONN, (long)IDLE_AGE_S);
+    curl_easy_setopt(easy, CURLOPT_TCP_KEEPIDLE, (long)KEEPALIVE_INTERVAL_S);
+    curl_easy_setopt(easy, CURLOPT_TCP_KEEPINTVL, (long)KEEPALIVE_INTERVAL_S);
+    curl_easy_setopt(easy, CURLOPT_MAXAGE_CONN, (long)MAX_IDLE_AGE_S);
     curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, (long)request->timeout_ms);
     curl_easy_setopt(easy, CURLOPT_CONNECTTIMEOUT_MS,
                      (long)request->connect_timeout_ms);
@@ -476,7 +485,7 @@
 bool
 AqHttpClient_Cancel(AqHttpCall *call)
 {
-    bool not_sent = !call->sending;
+    bool not_sent = !call->may_have_sent;
     free_call(call);
     return not_sent;
 }
--- a/packages/io/http_server.c
+++ b/packages/io/http_server.c
@@ -14,7 +14,9 @@
 #include "aq_log.h"
 
 enum {
-    CONNECTION_MEMORY = 32768, /* bytes for the headers of a connection */
+    /* Memory that libmicrohttpd reserves per connection, mainly for headers.
+     */
+    CONNECTION_MEMORY_BYTES = 32768,
     LISTEN_BACKLOG = 1024
 };
 
@@ -29,9 +31,10 @@
     const char *error_header_name;
     const char *error_header_value;
     uint16_t port;
-    bool close_after_answer;
+    bool close_after_response;
     bool destroying;
-    bool resumed; /* connections were resumed since the last MHD_run */
+    /* Whether connections were resumed since the last MHD_run. */
+    bool has_resumed_connections;
 };
 
 struct AqExchange {
@@ -41,10 +44,11 @@
     char *path;
     char *query;
     AqBuffer body;
-    bool body_too_large;
-    bool handed_on;
-    bool suspended;
-    bool abandoned; /* the connection ended before the answer */
+    bool is_body_too_large;
+    bool is_passed_to_handler;
+    bool is_suspended;
+    /* Whether the connection ended before AqExchange_Respond was called. */
+    bool is_connection_ended;
     struct MHD_Response *response;
     int status;
 };
@@ -57,10 +61,11 @@
     AqExchange *exchange = calloc(1, sizeof(*exchange));
     (void)context;
     exchange->connection = connection;
-    const char *mark = strchr(uri, '?');
-    exchange->path =
-        mark != NULL ? strndup(uri, (size_t)(mark - uri)) : strdup(uri);
-    exchange->query = strdup(mark != NULL ? mark + 1 : "");
+    const char *query_mark = strchr(uri, '?');
+    exchange->path = query_mark != NULL
+                         ? strndup(uri, (size_t)(query_mark - uri))
+                         : strdup(uri);
+    exchange->query = strdup(query_mark != NULL ? query_mark + 1 : "");
     AqBuffer_Init(&exchange->body);
     return exchange;
 }
@@ -90,13 +95,14 @@
         return;
     }
     *request_context = NULL;
-    if (exchange->handed_on && exchange->response == NULL) {
-        /* The handler still holds it; AqExchange_Respond frees it. */
-        exchange->abandoned = true;
+    if (exchange->is_passed_to_handler && exchange->response == NULL) {
+        /* The handler's owner still uses the exchange; AqExchange_Respond
+         * frees the exchange. */
+        exchange->is_connection_ended = true;
         exchange->connection = NULL;
         return;
     }
-    if (exchange->handed_on) {
+    if (exchange->is_passed_to_handler) {
         server->pending--;
     }
     free_exchange(exchange);
@@ -123,9 +129,11 @@
     return result;
 }
 
-/* Whether the announced length is over the limit already. */
+/* Returns whether the request's Content-Length exceeds the server's limit for
+ * request bodies. */
 static bool
-announces_too_much(AqHttpServer *server, struct MHD_Connection *connection)
+is_declared_length_too_large(AqHttpServer *server,
+                             struct MHD_Connection *connection)
 {
     const char *text = MHD_lookup_connection_value(
         connection, MHD_HEADER_KIND, MHD_HTTP_HEADER_CONTENT_LENGTH);
@@ -133,12 +141,12 @@
 }
 
 static enum MHD_Result
-take_body(AqExchange *exchange, const char *bytes, size_t *size)
+append_body(AqExchange *exchange, const char *bytes, size_t *size)
 {
     if (exchange->body.size + *size > exchange->server->max_body) {
-        exchange->body_too_large = true;
+        exchange->is_body_too_large = true;
     }
-    if (!exchange->body_too_large) {
+    if (!exchange->is_body_too_large) {
         AqBuffer_Append(&exchange->body, bytes, *size);
     }
     *size = 0;
@@ -146,10 +154,10 @@
 }
 
 static enum MHD_Result
-hand_on(AqExchange *exchange)
+pass_to_handler(AqExchange *exchange)
 {
     AqHttpServer *server = exchange->server;
-    exchange->handed_on = true;
+    exchange->is_passed_to_handler = true;
     server->pending++;
     server->handler(server->context, exchange);
     if (exchange->response != NULL) {
@@ -157,7 +165,7 @@
                                   (unsigned)exchange->status,
                                   exchange->response);
     }
-    exchange->suspended = true;
+    exchange->is_suspended = true;
     MHD_suspend_connection(exchange->connection);
     return MHD_YES;
 }
@@ -174,25 +182,25 @@
     if (exchange->method == NULL) {
         exchange->server = server;
         exchange->method = strdup(method);
-        if (announces_too_much(server, connection)) {
+        if (is_declared_length_too_large(server, connection)) {
             return respond_too_large(exchange);
         }
         return MHD_YES;
     }
     if (*size > 0) {
-        return take_body(exchange, bytes, size);
+        return append_body(exchange, bytes, size);
     }
-    if (exchange->body_too_large) {
+    if (exchange->is_body_too_large) {
         return respond_too_large(exchange);
     }
     if (exchange->response != NULL) {
         return MHD_queue_response(connection, (unsigned)exchange->status,
                                   exchange->response);
     }
-    if (exchange->handed_on) {
+    if (exchange->is_passed_to_handler) {
         return MHD_YES;
     }
-    return hand_on(exchange);
+    return pass_to_handler(exchange);
 }
 
 /* ---- Server ------------------------------------------------------------- */
@@ -202,7 +210,7 @@
 {
     AqHttpServer *server = context;
     (void)events;
-    server->resumed = false;
+    server->has_resumed_connections = false;
     MHD_run(server->daemon);
 }
 
@@ -214,7 +222,7 @@
     if (server->daemon == NULL) {
         return AQ_TIME_NEVER;
     }
-    if (server->resumed) {
+    if (server->has_resumed_connections) {
         run_daemon(server, 0);
     }
     if (MHD_get_timeout(server->daemon, &timeout) != MHD_YES) {
@@ -296,7 +304,7 @@
         MHD_OPTION_NOTIFY_COMPLETED, on_completed, server,
         MHD_OPTION_CONNECTION_LIMIT, config->max_connections,
         MHD_OPTION_CONNECTION_TIMEOUT, config->idle_timeout_s,
-        MHD_OPTION_CONNECTION_MEMORY_LIMIT, (size_t)CONNECTION_MEMORY,
+        MHD_OPTION_CONNECTION_MEMORY_LIMIT, (size_t)CONNECTION_MEMORY_BYTES,
         MHD_OPTION_END);
     if (server->daemon == NULL) {
         AqError_Set(error, AQ_ERR_SYSTEM,
@@ -328,8 +336,8 @@
     }
     server->destroying = true;
     AqLoop_Unwatch(server->loop, server->watch);
-    /* libmicrohttpd must not be stopped with suspended connections; they are
-     * left to the end of the process. */
+    /* libmicrohttpd must not be stopped while it has suspended connections. In
+     * that case its resources are released only when the process exits. */
     if (server->daemon != NULL && server->pending == 0) {
         MHD_stop_daemon(server->daemon);
     }
@@ -349,13 +357,13 @@
     if (fd >= 0) {
         close(fd);
     }
-    server->close_after_answer = true;
+    server->close_after_response = true;
 }
 
 void
 AqHttpServer_CloseAfterResponse(AqHttpServer *server)
 {
-    server->close_after_answer = true;
+    server->close_after_response = true;
 }
 
 size_t
@@ -445,7 +453,7 @@
                    size_t size)
 {
     AqHttpServer *server = exchange->server;
-    if (exchange->abandoned) {
+    if (exchange->is_connection_ended) {
         server->pending--;
         free_exchange(exchange);
         return;
@@ -457,12 +465,12 @@
         MHD_add_response_header(exchange->response, headers[i].name,
                                 headers[i].value);
     }
-    if (server->close_after_answer) {
+    if (server->close_after_response) {
         MHD_add_response_header(exchange->response, "Connection", "close");
     }
-    if (exchange->suspended) {
-        exchange->suspended = false;
-        server->resumed = true;
+    if (exchange->is_suspended) {
+        exchange->is_suspended = false;
+        server->has_resumed_connections = true;
         MHD_resume_connection(exchange->connection);
     }
 }
--- a/packages/io/http_sockets.c
+++ b/packages/io/http_sockets.c
@@ -14,13 +14,13 @@
 }
 
 static HttpSocket *
-find(const HttpSockets *sockets, curl_socket_t fd)
+find_socket(const HttpSockets *sockets, curl_socket_t fd)
 {
     return (size_t)fd < sockets->count ? &sockets->by_fd[fd] : NULL;
 }
 
 static HttpSocket *
-add(HttpSockets *sockets, curl_socket_t fd)
+add_socket(HttpSockets *sockets, curl_socket_t fd)
 {
     if ((size_t)fd >= sockets->count) {
         size_t count = (size_t)fd * 2 + 16;
@@ -44,7 +44,7 @@
     if (fd < 0) {
         return CURL_SOCKET_BAD;
     }
-    HttpSocket *entry = add(context, fd);
+    HttpSocket *entry = add_socket(context, fd);
     entry->is_open = true;
     if (address->family == AF_INET) {
         memcpy(&entry->to, &address->addr, sizeof(entry->to));
@@ -55,7 +55,7 @@
 static int
 on_close(void *context, curl_socket_t fd)
 {
-    HttpSocket *entry = find(context, fd);
+    HttpSocket *entry = find_socket(context, fd);
     if (entry != NULL) {
         entry->is_open = false;
     }
@@ -63,7 +63,7 @@
 }
 
 void
-HttpSockets_Follow(HttpSockets *sockets, CURL *easy)
+HttpSockets_Track(HttpSockets *sockets, CURL *easy)
 {
     curl_easy_setopt(easy, CURLOPT_OPENSOCKETFUNCTION, on_open);
     curl_easy_setopt(easy, CURLOPT_OPENSOCKETDATA, sockets);
@@ -74,20 +74,20 @@
 void
 HttpSockets_SetWatched(HttpSockets *sockets, curl_socket_t fd, bool is_watched)
 {
-    HttpSocket *entry = find(sockets, fd);
+    HttpSocket *entry = find_socket(sockets, fd);
     if (entry != NULL) {
         entry->is_watched = is_watched;
     }
 }
 
 void
-HttpSockets_ShutIdle(HttpSockets *sockets, const struct sockaddr_in *to)
+HttpSockets_ShutDownIdle(HttpSockets *sockets, const struct sockaddr_in *to)
 {
     for (size_t fd = 0; fd < sockets->count; fd++) {
         const HttpSocket *entry = &sockets->by_fd[fd];
         if (entry->is_open && !entry->is_watched &&
-            HttpSockets_IsSame(&entry->to, to)) {
-            /* libcurl finds the connection dead and closes the descriptor
+            HttpSockets_IsSameAddress(&entry->to, to)) {
+            /* libcurl detects the closed connection and closes the descriptor
              * later. */
             shutdown((int)fd, SHUT_RDWR);
         }
@@ -95,7 +95,7 @@
 }
 
 bool
-HttpSockets_Parse(const char *text, struct sockaddr_in *to)
+HttpSockets_ParseAddress(const char *text, struct sockaddr_in *to)
 {
     char ip[16];
     const char *colon = strrchr(text, ':');
@@ -114,7 +114,8 @@
 }
 
 bool
-HttpSockets_IsSame(const struct sockaddr_in *a, const struct sockaddr_in *b)
+HttpSockets_IsSameAddress(const struct sockaddr_in *a,
+                          const struct sockaddr_in *b)
 {
     return a->sin_family == b->sin_family && a->sin_port == b->sin_port &&
            a->sin_addr.s_addr == b->sin_addr.s_addr;
--- a/packages/io/http_sockets.h
+++ b/packages/io/http_sockets.h
@@ -6,33 +6,39 @@
 #include <stdbool.h>
 #include <stddef.h>
 
-/* The sockets that libcurl has open, so that idle ones to one address can be
- * closed: libcurl 7.88 has no call for that. */
-
+/* State of one descriptor that libcurl has opened as a socket. */
 typedef struct {
-    struct sockaddr_in to;
+    struct sockaddr_in to; /* IPv4 address and port of the remote end */
     bool is_open;
-    bool is_watched; /* by a call; libcurl does not watch idle ones */
+    /* Whether libcurl has the socket watched, which it does only while an HTTP
+     * call uses the socket.  An open socket that is not watched is idle. */
+    bool is_watched;
 } HttpSocket;
 
-/* Zero at first; must stay in place while a handle that follows it or a
- * connection of one exists. */
+/* Table of the sockets that libcurl has open.  It serves to close the idle
+ * connections to one address, for which libcurl 7.88 has no function.  The
+ * table must be zero-initialised, and must not be moved or freed while an easy
+ * handle passed to HttpSockets_Track, or a connection of such a handle,
+ * exists. */
 typedef struct {
-    HttpSocket *by_fd;
-    size_t count; /* elements */
+    HttpSocket *by_fd; /* array indexed by descriptor, owned by this table */
+    size_t count;      /* number of elements of by_fd */
 } HttpSockets;
 
 void HttpSockets_Clear(HttpSockets *sockets);
-/* Makes a handle report its sockets here. */
-void HttpSockets_Follow(HttpSockets *sockets, CURL *easy);
+/* Sets the socket callbacks of an easy handle, so that each socket it opens or
+ * closes is recorded in the table. */
+void HttpSockets_Track(HttpSockets *sockets, CURL *easy);
 void HttpSockets_SetWatched(HttpSockets *sockets, curl_socket_t fd,
                             bool is_watched);
-/* Ends the idle connections to an address. */
-void HttpSockets_ShutIdle(HttpSockets *sockets, const struct sockaddr_in *to);
+/* Shuts down the idle connections to the address *to. */
+void HttpSockets_ShutDownIdle(HttpSockets *sockets,
+                              const struct sockaddr_in *to);
 
-/* Reads "IP:port"; false when it is not one. */
-bool HttpSockets_Parse(const char *text, struct sockaddr_in *to);
-bool HttpSockets_IsSame(const struct sockaddr_in *a,
-                        const struct sockaddr_in *b);
+/* Sets *to from a text "IP:port".  Returns false if the text has no colon or
+ * no valid IPv4 address; the port is not checked. */
+bool HttpSockets_ParseAddress(const char *text, struct sockaddr_in *to);
+bool HttpSockets_IsSameAddress(const struct sockaddr_in *a,
+                               const struct sockaddr_in *b);
 
 #endif
--- a/packages/io/loop.c
+++ b/packages/io/loop.c
@@ -7,31 +7,32 @@
 
 enum {
     POLLSET_SIZE = 16384,
-    MAX_ROUND_HOOKS = 8,
+    MAX_ROUND_CALLBACKS = 8,
     MAX_WAIT_MS = 1000
 };
 
 struct AqWatch {
-    AqLink link; /* in "retired" once unwatched */
+    AqLink link; /* in the loop's "unwatched" list after AqLoop_Unwatch */
     apr_pool_t *pool;
     apr_pollfd_t descriptor;
-    AqWatchFn fn; /* NULL once unwatched */
+    AqWatchFn fn; /* event callback; NULL after AqLoop_Unwatch */
     void *context;
 };
 
 struct AqLoop {
     apr_pool_t *pool;
     apr_pollset_t *pollset;
-    AqLink timers; /* not sorted; a daemon has a few dozen */
-    AqLink retired;
-    AqTime now;
-    AqClock *clock; /* NULL: the machine's */
+    AqLink timers;    /* running timers; unsorted, since a daemon has only a
+                         few dozen */
+    AqLink unwatched; /* ended watches, freed at the end of the round */
+    AqTime now;       /* time of the current round */
+    AqClock *clock;   /* virtual clock; NULL: the host's CLOCK_BOOTTIME */
     bool running;
-    int hook_count;
+    int round_callback_count;
     struct {
         AqRoundFn fn;
         void *context;
-    } hooks[MAX_ROUND_HOOKS];
+    } round_callbacks[MAX_ROUND_CALLBACKS];
 };
 
 AqLoop *
@@ -39,7 +40,7 @@
 {
     AqLoop *loop = calloc(1, sizeof(*loop));
     AqList_Init(&loop->timers);
-    AqList_Init(&loop->retired);
+    AqList_Init(&loop->unwatched);
     loop->now = AqClock_ReadMonotonic();
     if (apr_initialize() != APR_SUCCESS ||
         apr_pool_create(&loop->pool, NULL) != APR_SUCCESS) {
@@ -62,10 +63,10 @@
 }
 
 static void
-free_retired(AqLoop *loop)
+free_unwatched(AqLoop *loop)
 {
     AqLink *link;
-    while ((link = AqList_PopFirst(&loop->retired)) != NULL) {
+    while ((link = AqList_PopFirst(&loop->unwatched)) != NULL) {
         AqWatch *watch = AqList_Entry(link, AqWatch, link);
         apr_pool_destroy(watch->pool);
         free(watch);
@@ -78,7 +79,7 @@
     if (loop == NULL) {
         return;
     }
-    free_retired(loop);
+    free_unwatched(loop);
     if (loop->pollset != NULL) {
         apr_pollset_destroy(loop->pollset);
     }
@@ -128,7 +129,8 @@
     AqWatch *watch = calloc(1, sizeof(*watch));
     apr_socket_t *socket = NULL;
     AqList_Init(&watch->link);
-    /* One pool for each watch, since APR frees a pool only as a whole. */
+    /* Each watch has its own APR pool, since APR releases memory only with the
+     * whole pool. */
     apr_pool_create(&watch->pool, NULL);
     apr_os_sock_put(&socket, &fd, watch->pool);
     watch->fn = fn;
@@ -151,12 +153,12 @@
 void
 AqLoop_SetEvents(AqLoop *loop, AqWatch *watch, int events)
 {
-    apr_int16_t wanted = to_apr_events(events);
-    if (watch->descriptor.reqevents == wanted) {
+    apr_int16_t requested_events = to_apr_events(events);
+    if (watch->descriptor.reqevents == requested_events) {
         return;
     }
     apr_pollset_remove(loop->pollset, &watch->descriptor);
-    watch->descriptor.reqevents = wanted;
+    watch->descriptor.reqevents = requested_events;
     apr_pollset_add(loop->pollset, &watch->descriptor);
 }
 
@@ -167,9 +169,10 @@
         return;
     }
     apr_pollset_remove(loop->pollset, &watch->descriptor);
-    /* An event of this round may still point to the watch. */
+    /* The watch is freed at the end of the round, since an event of this round
+     * that has not been dispatched yet may point to it. */
     watch->fn = NULL;
-    AqList_Append(&loop->retired, &watch->link);
+    AqList_Append(&loop->unwatched, &watch->link);
 }
 
 void
@@ -200,15 +203,16 @@
 void
 AqLoop_OnRound(AqLoop *loop, AqRoundFn fn, void *context)
 {
-    if (loop->hook_count == MAX_ROUND_HOOKS) {
+    if (loop->round_callback_count == MAX_ROUND_CALLBACKS) {
         abort();
     }
-    loop->hooks[loop->hook_count].fn = fn;
-    loop->hooks[loop->hook_count].context = context;
-    loop->hook_count++;
+    loop->round_callbacks[loop->round_callback_count].fn = fn;
+    loop->round_callbacks[loop->round_callback_count].context = context;
+    loop->round_callback_count++;
 }
 
-/* The due timer that comes first in the list, or NULL. */
+/* Returns the first timer of the loop's list that is due, or NULL if none
+ * is. */
 static AqTimer *
 find_due_timer(AqLoop *loop)
 {
@@ -226,7 +230,8 @@
 run_timers(AqLoop *loop)
 {
     AqTimer *timer;
-    /* A timer that starts itself again is due later, so this ends. */
+    /* This while loop ends because a callback that restarts its timer sets a
+     * due time later than the time of the round. */
     while ((timer = find_due_timer(loop)) != NULL) {
         AqTimer_Stop(timer);
         timer->fn(timer->context);
@@ -236,8 +241,9 @@
 static AqTime
 next_due(AqLoop *loop, AqTime latest)
 {
-    for (int i = 0; i < loop->hook_count; i++) {
-        AqTime due = loop->hooks[i].fn(loop->hooks[i].context);
+    for (int i = 0; i < loop->round_callback_count; i++) {
+        AqTime due =
+            loop->round_callbacks[i].fn(loop->round_callbacks[i].context);
         if (due < latest) {
             latest = due;
         }
@@ -256,7 +262,8 @@
 dispatch(AqWatch *watch, apr_int16_t returned)
 {
     int events = 0;
-    /* Errors are found by the read or write that follows. */
+    /* POLLHUP and POLLERR are reported as ready events; the callback's next
+     * read or write then returns the error. */
     if (returned & (APR_POLLIN | APR_POLLHUP | APR_POLLERR)) {
         events |= AQ_READABLE;
     }
@@ -289,7 +296,7 @@
             dispatch(ready[i].client_data, ready[i].rtnevents);
         }
     }
-    free_retired(loop);
+    free_unwatched(loop);
     run_timers(loop);
 }
 
--- a/packages/io/tests/raw_server.c
+++ b/packages/io/tests/raw_server.c
@@ -7,14 +7,14 @@
 #include <unistd.h>
 
 enum {
-    MAX_REQUEST = 65536
+    MAX_REQUEST_BYTES = 65536
 };
 
 typedef struct {
     RawServer *server;
     int fd;
     AqWatch *watch;
-    char bytes[MAX_REQUEST + 1];
+    char bytes[MAX_REQUEST_BYTES + 1];
     size_t size;
 } Connection;
 
@@ -33,9 +33,9 @@
     (void)n;
 }
 
-/* Whether header and body of a request have arrived. */
+/* Returns whether the whole header and body of the request have arrived. */
 static int
-is_whole(const Connection *c)
+is_request_complete(const Connection *c)
 {
     const char *end = strstr(c->bytes, "\r\n\r\n");
     const char *length = strcasestr(c->bytes, "Content-Length:");
@@ -43,27 +43,28 @@
     return end != NULL && c->size >= (size_t)(end + 4 - c->bytes) + body;
 }
 
-/* Acts on what has arrived; returns whether the connection stays open. */
+/* Processes the bytes received so far as the stage requires: sends a response,
+ * a part of one, or nothing.  Returns whether the connection stays open. */
 static int
-act(Connection *c, RawStage stage)
+handle_received_bytes(Connection *c, RawStage stage)
 {
     int has_header = strstr(c->bytes, "\r\n\r\n") != NULL;
     if (stage == STAGE_IN_HEADER || (stage == STAGE_IN_BODY && has_header)) {
         return 0;
     }
-    if (!is_whole(c)) {
+    if (!is_request_complete(c)) {
         return 1;
     }
     c->server->requests++;
     c->size = 0;
     c->bytes[0] = '\0';
     switch (stage) {
-    case STAGE_BEFORE_ANSWER:
+    case STAGE_BEFORE_RESPONSE:
         return 0;
-    case STAGE_IN_ANSWER_HEADER:
+    case STAGE_IN_RESPONSE_HEADER:
         send_text(c, "HTTP/1.1 200 OK\r\nContent-Le");
         return 0;
-    case STAGE_IN_ANSWER_BODY:
+    case STAGE_IN_RESPONSE_BODY:
         send_text(c, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n12345");
         return 0;
     case STAGE_IN_CHUNK:
@@ -73,7 +74,7 @@
     case STAGE_WITHOUT_LENGTH:
         send_text(c, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n12345");
         return 0;
-    case STAGE_SILENT:
+    case STAGE_NO_RESPONSE:
         return 1;
     default:
         send_text(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
@@ -86,17 +87,18 @@
 {
     Connection *c = context;
     (void)events;
-    ssize_t n = recv(c->fd, c->bytes + c->size, MAX_REQUEST - c->size, 0);
+    ssize_t n =
+        recv(c->fd, c->bytes + c->size, MAX_REQUEST_BYTES - c->size, 0);
     if (n <= 0) {
         close_connection(c);
         return;
     }
     c->size += (size_t)n;
     c->bytes[c->size] = '\0';
-    RawStage stage = c->server->requests < c->server->whole_answers_first
-                         ? STAGE_WHOLE_ANSWER
+    RawStage stage = c->server->requests < c->server->complete_responses_first
+                         ? STAGE_COMPLETE_RESPONSE
                          : c->server->stage;
-    if (!act(c, stage)) {
+    if (!handle_received_bytes(c, stage)) {
         close_connection(c);
     }
 }
@@ -112,7 +114,7 @@
     }
     server->connections++;
     if (server->stage == STAGE_BEFORE_READING &&
-        server->requests >= server->whole_answers_first) {
+        server->requests >= server->complete_responses_first) {
         close(fd);
         return;
     }
--- a/packages/io/tests/raw_server.h
+++ b/packages/io/tests/raw_server.h
@@ -5,31 +5,34 @@
 
 #include "aq_loop.h"
 
-/* A TCP server that counts whole requests and closes its connection at a
- * chosen stage. */
-
+/* Stage of an HTTP request or response at which the test server RawServer
+ * closes the connection. */
 typedef enum {
-    STAGE_WHOLE_ANSWER,
+    STAGE_COMPLETE_RESPONSE,
     STAGE_BEFORE_READING,
     STAGE_IN_HEADER,
     STAGE_IN_BODY,
-    STAGE_BEFORE_ANSWER,
-    STAGE_IN_ANSWER_HEADER,
-    STAGE_IN_ANSWER_BODY,
+    STAGE_BEFORE_RESPONSE,
+    STAGE_IN_RESPONSE_HEADER,
+    STAGE_IN_RESPONSE_BODY,
     STAGE_IN_CHUNK,
-    STAGE_WITHOUT_LENGTH, /* the answer ends with the connection */
-    STAGE_SILENT
+    STAGE_WITHOUT_LENGTH, /* the close ends a response without a length */
+    STAGE_NO_RESPONSE
 } RawStage;
 
+/* TCP server for tests.  It counts the complete HTTP requests it receives, and
+ * closes the connection at the configured stage. */
 typedef struct {
     AqLoop *loop;
     int fd;
     AqWatch *watch;
     unsigned port;
     RawStage stage;
-    int whole_answers_first; /* answered before "stage" applies */
-    int requests;            /* that arrived whole */
-    int connections;
+    /* Number of requests that get a complete response before "stage"
+     * applies. */
+    int complete_responses_first;
+    int requests;    /* number of requests received completely */
+    int connections; /* number of connections accepted */
 } RawServer;
 
 void raw_server_start(RawServer *server, AqLoop *loop);
--- a/packages/io/tests/test_io.c
+++ b/packages/io/tests/test_io.c
@@ -66,35 +66,37 @@
     return reply;
 }
 
-/* Guards against a second run of a POST that libcurl sends again by itself,
- * against cut answers that look whole, and against "not sent" for a request
- * of which bytes may have left. */
+/* Guards against a POST that libcurl sends again on its own, so that the
+ * server runs it twice, against truncated responses that are reported as
+ * complete, and against "not sent" for a request that may have been sent in
+ * part. */
 static void
 test_close_at_each_stage(void)
 {
     static const struct {
         RawStage stage;
         AqHttpResult result;
-        int runs;
+        int post_count;
     } cases[] = {
-        {STAGE_WHOLE_ANSWER, AQ_HTTP_DONE, 1},
-        {STAGE_BEFORE_READING, AQ_HTTP_CUT, 0},
-        {STAGE_IN_HEADER, AQ_HTTP_CUT, 0},
-        {STAGE_IN_BODY, AQ_HTTP_CUT, 0},
-        {STAGE_BEFORE_ANSWER, AQ_HTTP_CUT, 1},
-        {STAGE_IN_ANSWER_HEADER, AQ_HTTP_CUT, 1},
-        {STAGE_IN_ANSWER_BODY, AQ_HTTP_CUT, 1},
-        {STAGE_IN_CHUNK, AQ_HTTP_CUT, 1},
-        {STAGE_WITHOUT_LENGTH, AQ_HTTP_CUT, 1},
-        {STAGE_SILENT, AQ_HTTP_TIMEOUT, 1},
+        {STAGE_COMPLETE_RESPONSE, AQ_HTTP_DONE, 1},
+        {STAGE_BEFORE_READING, AQ_HTTP_INTERRUPTED, 0},
+        {STAGE_IN_HEADER, AQ_HTTP_INTERRUPTED, 0},
+        {STAGE_IN_BODY, AQ_HTTP_INTERRUPTED, 0},
+        {STAGE_BEFORE_RESPONSE, AQ_HTTP_INTERRUPTED, 1},
+        {STAGE_IN_RESPONSE_HEADER, AQ_HTTP_INTERRUPTED, 1},
+        {STAGE_IN_RESPONSE_BODY, AQ_HTTP_INTERRUPTED, 1},
+        {STAGE_IN_CHUNK, AQ_HTTP_INTERRUPTED, 1},
+        {STAGE_WITHOUT_LENGTH, AQ_HTTP_INTERRUPTED, 1},
+        {STAGE_NO_RESPONSE, AQ_HTTP_TIMEOUT, 1},
     };
     for (size_t i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
         AqError error;
         AqLoop *loop = AqLoop_Create(&error);
         AqHttpClient *client = AqHttpClient_Create(loop, &error);
-        RawServer server = {.stage = cases[i].stage, .whole_answers_first = 1};
+        RawServer server = {.stage = cases[i].stage,
+                            .complete_responses_first = 1};
         raw_server_start(&server, loop);
-        /* Leaves an idle connection that must not be used. */
+        /* Leaves an idle connection, which the POST below must not reuse. */
         Reply first =
             call(loop, client, server.port, "GET", NULL, false, 2000);
         CU_ASSERT_EQUAL(first.result, AQ_HTTP_DONE);
@@ -104,7 +106,7 @@
             printf("case %zu: result %d\n", i, reply.result);
         }
         CU_ASSERT_EQUAL(reply.result, cases[i].result);
-        CU_ASSERT_EQUAL(server.requests, 1 + cases[i].runs);
+        CU_ASSERT_EQUAL(server.requests, 1 + cases[i].post_count);
         CU_ASSERT_EQUAL(server.connections, 2);
         AqHttpClient_Destroy(client);
         AqLoop_RunOnce(loop, 0);
@@ -113,16 +115,17 @@
     }
 }
 
-/* Shows why the fresh connection is needed: the same POST on a reused
- * connection reaches the server twice and looks successful. */
+/* Documents why a POST needs fresh_connection: on a reused connection that the
+ * server closes before the response, libcurl sends the POST a second time, so
+ * that the server runs it twice without the client noticing. */
 static void
 test_reused_connection_resends(void)
 {
     AqError error;
     AqLoop *loop = AqLoop_Create(&error);
     AqHttpClient *client = AqHttpClient_Create(loop, &error);
-    RawServer server = {.stage = STAGE_BEFORE_ANSWER,
-                        .whole_answers_first = 1};
+    RawServer server = {.stage = STAGE_BEFORE_RESPONSE,
+                        .complete_responses_first = 1};
     raw_server_start(&server, loop);
     call(loop, client, server.port, "GET", NULL, false, 2000);
     call(loop, client, server.port, "POST", "x", false, 2000);
@@ -133,7 +136,8 @@
     AqLoop_Destroy(loop);
 }
 
-/* Guards against "may have run" for a request that never had a connection. */
+/* Guards against a result other than "not sent" for a request whose connection
+ * was refused. */
 static void
 test_refused_connection_is_not_sent(void)
 {
@@ -149,7 +153,8 @@
     AqLoop_Destroy(loop);
 }
 
-/* Guards against a call whose context is lost when its client is closed. */
+/* Guards against a call whose "done" callback is never called because its
+ * client is closed. */
 static void
 test_close_ends_calls(void)
 {
@@ -185,8 +190,9 @@
     AqExchange_Respond(exchange, 200, &header, 1, body, size);
 }
 
-/* Guards against a body limit that is not kept, an answer without an outcome,
- * and a request that cannot be answered later. */
+/* Guards against request or response bodies above the limit that are accepted,
+ * against a 413 response without the configured header, and against a request
+ * that cannot be answered after its handler has returned. */
 static void
 test_server(void)
 {
@@ -258,14 +264,15 @@
 }
 
 static void
-note_time(void *context)
+record_time(void *context)
 {
     AqTime **pair = context;
     *pair[0] = *pair[1];
 }
 
-/* Guards against tests whose verdict depends on the machine's load: a timer
- * runs at its very time on a virtual clock, without a wait. */
+/* Guards against tests whose result depends on the load of the host: on a
+ * virtual clock a timer must fire exactly at its due time, without a real
+ * wait. */
 static void
 test_virtual_clock(void)
 {
@@ -275,16 +282,16 @@
     AqError error;
     AqLoop *loop = AqLoop_Create(&error);
     AqClock clock = {.now = 1000};
-    AqTime seen = 0;
-    AqTime *pair[] = {&seen, &clock.now};
+    AqTime fired_at = 0;
+    AqTime *pair[] = {&fired_at, &clock.now};
     AqTimer timer;
     AqLoop_SetClock(loop, &clock);
-    AqTimer_Init(&timer, note_time, pair);
+    AqTimer_Init(&timer, record_time, pair);
     AqTimer_Start(loop, &timer, clock.now + HOUR_MS);
     AqLoop_RunOnce(loop, HOUR_MS - 1);
-    CU_ASSERT_EQUAL(seen, 0);
+    CU_ASSERT_EQUAL(fired_at, 0);
     AqLoop_RunOnce(loop, HOUR_MS);
-    CU_ASSERT_EQUAL(seen, 1000 + HOUR_MS);
+    CU_ASSERT_EQUAL(fired_at, 1000 + HOUR_MS);
     AqLoop_Destroy(loop);
 }
 
