--- a/packages/base/Include/aq_error.h
+++ b/packages/base/Include/aq_error.h
@@ -15,11 +15,12 @@
     AQ_ERR_REFUSED,     /* a rule, budget or quota forbids the request now */
     AQ_ERR_CONFLICT,    /* another change of the object was applied first */
     AQ_ERR_UNAVAILABLE, /* a required service is unreachable; no effect */
-    AQ_ERR_TIMEOUT,     /* no reply in time; the request may have taken effect
-                         */
-    AQ_ERR_LIMIT,       /* a size or count limit was exceeded */
-    AQ_ERR_PROTOCOL,    /* the peer sent bytes that violate the protocol */
-    AQ_ERR_SYSTEM       /* the operating system or a library failed */
+    /* No reply arrived in time; the request may or may not have taken effect.
+     */
+    AQ_ERR_TIMEOUT,
+    AQ_ERR_LIMIT,    /* a size or count limit was exceeded */
+    AQ_ERR_PROTOCOL, /* the peer sent bytes that violate the protocol */
+    AQ_ERR_SYSTEM    /* the operating system or a library failed */
 } AqErrorKind;
 
 #define AQ_ERROR_MESSAGE_SIZE 512
--- a/packages/base/buffer.c
+++ b/packages/base/buffer.c
@@ -25,8 +25,8 @@
     AqBuffer_Init(buffer);
 }
 
-/* Grows the allocation as needed to append "more" bytes and the final NUL.
- * Aborts the process if memory is exhausted, as GLib does. */
+/* Grows the buffer's memory as needed to append "more" bytes and the final
+ * NUL. Aborts the process if memory is exhausted, as GLib does. */
 static void
 reserve(AqBuffer *buffer, size_t more)
 {
--- a/packages/base/log.c
+++ b/packages/base/log.c
@@ -20,7 +20,8 @@
 static char process_name[64] = "-";
 
 static bool uses_standard_output;
-static unsigned long dropped_lines; /* since the process started */
+/* Number of log lines dropped since the process started. */
+static unsigned long dropped_lines;
 /* Number of dropped lines that log_lines_dropped events have reported. */
 static unsigned long reported_dropped_lines;
 
--- a/packages/base/metrics.c
+++ b/packages/base/metrics.c
@@ -31,7 +31,8 @@
     /* Number of observations in each bucket; not cumulative, unlike the output
      * of AqMetrics_Write. */
     int64_t bucket_counts[BUCKET_COUNT];
-    int64_t observation_count; /* all, also above the last bucket's bound */
+    /* Number of all observations, including those above the last bound. */
+    int64_t observation_count;
 };
 
 struct AqMetrics {
--- a/packages/io/Include/aq_http_client.h
+++ b/packages/io/Include/aq_http_client.h
@@ -15,13 +15,16 @@
 typedef struct AqHttpCall AqHttpCall;
 
 typedef enum {
-    AQ_HTTP_DONE,        /* a complete response was received */
-    AQ_HTTP_NOT_SENT,    /* the call failed before any request byte was sent */
-    AQ_HTTP_INTERRUPTED, /* the connection closed or failed after the client
-                            began to send the request */
-    AQ_HTTP_TIMEOUT, /* timed out after the client began to send the request */
-    AQ_HTTP_TOO_LARGE /* the response exceeds max_response_bytes, or its header
-                         the client's fixed limit */
+    AQ_HTTP_DONE,     /* a complete response was received */
+    AQ_HTTP_NOT_SENT, /* the call failed before any request byte was sent */
+    /* The connection closed or failed after the client began to send the
+     * request, and before the end of the response arrived. */
+    AQ_HTTP_INTERRUPTED,
+    /* The call timed out after the client began to send the request. */
+    AQ_HTTP_TIMEOUT,
+    /* The response body exceeds max_response_bytes of the request, or the
+     * response header exceeds a fixed limit of 16384 bytes. */
+    AQ_HTTP_TOO_LARGE
 } AqHttpResult;
 
 typedef struct {
--- a/packages/io/http_client.c
+++ b/packages/io/http_client.c
@@ -10,7 +10,7 @@
 #include "http_sockets.h"
 
 enum {
-    MAX_HEADER_LINES = 64,    /* further lines of a response are dropped */
+    MAX_HEADER_LINES = 64, /* further header lines of a response are dropped */
     MAX_HEADER_BYTES = 16384, /* longer response headers fail the call */
     MAX_IDLE_CONNECTIONS = 4096,
     MAX_IDLE_AGE_S = 30, /* connections idle for longer are not reused */
--- a/packages/io/http_server.c
+++ b/packages/io/http_server.c
@@ -242,7 +242,7 @@
     int on = 1;
     if (inet_pton(AF_INET, config->address, &address.sin_addr) != 1) {
         AqError_Set(error, AQ_ERR_INVALID,
-                    "\"%s\" is not an IPv4 number; write one like 127.0.0.1",
+                    "\"%s\" is not an IPv4 address; write one like 127.0.0.1",
                     config->address);
         return -1;
     }
--- a/packages/io/loop.c
+++ b/packages/io/loop.c
@@ -25,7 +25,7 @@
     AqLink timers;    /* running timers; unsorted, since a daemon has only a
                          few dozen */
     AqLink unwatched; /* ended watches, freed at the end of the round */
-    AqTime now;       /* time of the current round */
+    AqTime now;       /* loop time of the current round */
     AqClock *clock;   /* virtual clock; NULL: the host's CLOCK_BOOTTIME */
     bool running;
     int round_callback_count;
--- a/packages/settings/Include/aq_settings.h
+++ b/packages/settings/Include/aq_settings.h
@@ -8,26 +8,29 @@
 #include "aq_clock.h"
 #include "aq_error.h"
 
-/* Settings of amaranthquayd, read from a TOML file.  Every key is checked for
- * type and range, unknown keys are refused, and each error names the file,
- * the key, the value, what is allowed and the remedy. */
+/* Settings of amaranthquayd, read from a TOML file.  The type and range of
+ * every key are checked, and unknown keys are rejected.  Each error message
+ * names the file, the key, the value, the allowed values and the remedy. */
 
 typedef struct {
-    char *node_id;         /* entry VM, unique in the deployment */
-    char *node_zone;       /* data centre */
-    char *node_cpu_share;  /* of a core, as a decimal number */
-    char *node_log_level;  /* error, warning, info or debug */
-    char *callers_address; /* IP numbers */
-    int64_t callers_port;  /* 0: any free port */
+    char *node_id;        /* id of this entry VM, unique in the deployment */
+    char *node_zone;      /* data centre of this entry VM */
+    char *node_cpu_share; /* this VM's share of a core, such as "0.25" */
+    char *node_log_level; /* "error", "warning", "info" or "debug" */
+    /* IPv4 address of the listener for callers. */
+    char *callers_address;
+    int64_t callers_port; /* TCP port for callers; 0: any free port */
     int64_t callers_connections;
     char *operators_address;
     int64_t operators_port;
     char *operators_token;
     char *peers_address;
     int64_t peers_port;
-    char *peers_advertise; /* "IP:port", or "": address and port */
+    /* "IP:port" that other entry VMs connect to; "": the address and port of
+     * the listener for peers. */
+    char *peers_advertise;
     char *peers_secret;
-    char *peers_seeds; /* "IP:port,IP:port" */
+    char *peers_seeds; /* addresses of entry VMs: "IP:port,IP:port" */
     char *store_url;
     int64_t store_timeout_ms;
     int64_t claims_retention_ms;
@@ -38,23 +41,33 @@
     int64_t router_default_timeout_ms;
     int64_t stop_balancer_wait_ms;
     int64_t stop_limit_ms;
-    /* On the platform (platform_store is not empty): "IP:port" each. */
+    /* "IP:port" of the platform's store; "": the daemon does not run on the
+     * platform. */
     char *platform_store;
-    char *platform_machines; /* "": VMs can't be ordered about */
-    char *platform_advice;   /* "": no queue needs tickets */
+    /* "IP:port" of the platform's VM list; "": the daemon sends no move or
+     * maintenance orders for VMs. */
+    char *platform_machines;
+    /* "IP:port" of the service that grants queue tickets; "": no queue
+     * requires tickets. */
+    char *platform_advice;
+    /* On the platform: "IP:port" of the listener for callers. */
     char *callers_listen;
+    /* On the platform: "IP:port" of the listener for the balancer's check. */
     char *readiness_listen;
-    char *metrics_listen; /* "": none */
+    /* On the platform: "IP:port" of the listener for metrics; "": none. */
+    char *metrics_listen;
     int64_t limits_longest_lease_ms;
     int64_t limits_machine_pause_ms;
     int64_t stop_grace_s;
 } AqSettings;
 
-/* Reads and checks a file.  The result is new. */
+/* Reads and checks a settings file.  Returns new settings, which the caller
+ * frees with AqSettings_Destroy, or NULL and fills *error. */
 AqSettings *AqSettings_Load(const char *path, AqError *error);
 void AqSettings_Destroy(AqSettings *settings);
 
-/* Appends a table of all keys with type, default and range. */
+/* Appends a table of all settings to *out, one line each with the key, type,
+ * default, range and description. */
 void AqSettings_Describe(AqBuffer *out);
 
 #endif
--- a/packages/settings/settings.c
+++ b/packages/settings/settings.c
@@ -10,12 +10,16 @@
     const char *section;
     const char *key;
     bool is_text;
-    size_t offset;       /* of the field in AqSettings */
-    const char *text;    /* default; NULL: the key is required */
-    const char *allowed; /* text: blank-separated choices, or NULL */
-    int64_t number;      /* default */
-    int64_t low, high;   /* number: range; text: length in bytes */
-    const char *help;
+    size_t offset; /* byte offset of the setting's field in AqSettings */
+    /* Default of a text setting; NULL if the key is required. */
+    const char *default_text;
+    /* Allowed values of a text setting, separated by blanks; NULL: any. */
+    const char *choices;
+    int64_t default_number; /* default value of a number setting */
+    /* Allowed range of a number setting, or of the length of a text setting in
+     * bytes. */
+    int64_t low, high;
+    const char *help; /* one-line description for AqSettings_Describe */
 } Key;
 
 #define TEXT(section, key, field, text, allowed, low, high, help)             \
@@ -42,45 +46,47 @@
     TEXT("node", "zone", node_zone, NULL, NULL, 1, 63,
          "data centre of this entry VM"),
     TEXT("node", "cpu_share", node_cpu_share, "1", NULL, 1, 16,
-         "share of a core that this VM has, such as 0.25"),
+         "this VM's share of a CPU core, such as 0.25"),
     TEXT("node", "log_level", node_log_level, "info",
          "error warning info debug", 1, 16, "least severe level logged"),
     TEXT("callers", "address", callers_address, "127.0.0.1", NULL, 7, 15,
-         "IP number for callers"),
+         "IPv4 address for callers"),
     NUMBER("callers", "port", callers_port, 8080, 0, MAX_PORT,
            "TCP port for callers; 0: any free port"),
     NUMBER("callers", "connections", callers_connections, 4096, 1, 16384,
-           "most open connections of callers"),
+           "largest number of open connections of callers"),
     TEXT("operators", "address", operators_address, "127.0.0.1", NULL, 7, 15,
-         "IP number for operators"),
+         "IPv4 address for operators"),
     NUMBER("operators", "port", operators_port, 8081, 0, MAX_PORT,
            "TCP port for operators; 0: any free port"),
     TEXT("operators", "token", operators_token, NULL, NULL, 16, 200,
          "bearer token that operators send"),
     TEXT("peers", "address", peers_address, "127.0.0.1", NULL, 7, 15,
-         "IP number for other entry VMs"),
+         "IPv4 address for other entry VMs"),
     NUMBER("peers", "port", peers_port, 8082, 0, MAX_PORT,
            "TCP port for other entry VMs; 0: any free port"),
     TEXT("peers", "advertise", peers_advertise, "", NULL, 0, 21,
-         "\"IP:port\" that other entry VMs dial; empty: address and port"),
+         "\"IP:port\" that other entry VMs connect to; empty: address and "
+         "port"),
     TEXT("peers", "secret", peers_secret, NULL, NULL, 16, 63,
          "secret that all entry VMs share"),
     TEXT("peers", "seeds", peers_seeds, "", NULL, 0, 1000,
-         "list of \"IP:port\" of entry VMs, to start without the store"),
+         "list of \"IP:port\" of entry VMs, used to start without the store"),
     TEXT("store", "url", store_url, NULL, NULL, 10, 200,
-         "platform service, such as http://127.0.0.1:8500"),
+         "URL of the platform's key-value service, such as "
+         "http://127.0.0.1:8500"),
     NUMBER("store", "timeout_ms", store_timeout_ms, 1000, 50, 10000,
            "longest wait for a reply of the store, ms"),
     NUMBER("claims", "retention_ms", claims_retention_ms, HOUR_MS, 60000,
            DAY_MS, "how long a non-idempotent request id is remembered, ms"),
     NUMBER("claims", "batch_ms", claims_batch_ms, 40, 1, 1000,
-           "least time between two writes of a claim partition, ms"),
+           "shortest time between two writes of a claim partition, ms"),
     NUMBER("router", "queue_limit", router_queue_limit, 512, 1, 100000,
-           "most requests waiting per service"),
+           "largest number of queued requests per service"),
     NUMBER("router", "max_request_bytes", router_max_request_bytes, MIB, 1024,
            16 * MIB, "longest request body, bytes"),
     NUMBER("router", "max_answer_bytes", router_max_answer_bytes, 4 * MIB,
-           1024, 64 * MIB, "longest answer body, bytes"),
+           1024, 64 * MIB, "longest response body, bytes"),
     NUMBER("router", "default_timeout_ms", router_default_timeout_ms, 10000,
            10, 600000, "deadline of a request without Aq-Timeout-Ms, ms"),
     NUMBER("stop", "balancer_wait_ms", stop_balancer_wait_ms, 5000, 0, 600000,
@@ -92,19 +98,22 @@
     TEXT("platform", "store", platform_store, "", NULL, 0, 21,
          "\"IP:port\" of the platform's store; empty: not on the platform"),
     TEXT("platform", "machines", platform_machines, "", NULL, 0, 21,
-         "\"IP:port\" of the platform's VM list; empty: no moves or upkeep"),
+         "\"IP:port\" of the platform's VM list; empty: no moves or "
+         "maintenance"),
     TEXT("platform", "advice", platform_advice, "", NULL, 0, 21,
-         "\"IP:port\" of the service that gives tickets; empty: none"),
+         "\"IP:port\" of the service that grants tickets; empty: no tickets"),
     TEXT("callers", "listen", callers_listen, "", NULL, 0, 21,
          "on the platform: \"IP:port\" for callers"),
     TEXT("readiness", "listen", readiness_listen, "", NULL, 0, 21,
-         "on the platform: \"IP:port\" for the balancer's check"),
+         "on the platform: \"IP:port\" for the balancer's readiness check"),
     TEXT("metrics", "listen", metrics_listen, "", NULL, 0, 21,
-         "on the platform: \"IP:port\" for metrics; empty: none"),
+         "on the platform: \"IP:port\" for metrics; empty: no listener"),
     NUMBER("limits", "longest_lease_ms", limits_longest_lease_ms, 6000, 1000,
-           HOUR_MS, "longest lease that a VM gives a task, ms"),
+           HOUR_MS, "longest lease of a task on a VM, ms"),
     NUMBER("limits", "machine_pause_ms", limits_machine_pause_ms, 3000, 0,
-           HOUR_MS, "pause between two holders' orders for one VM, ms"),
+           HOUR_MS,
+           "shortest time between the orders of two entry VMs for "
+           "one VM, ms"),
 };
 
 enum {
@@ -114,7 +123,7 @@
 typedef struct {
     const char *path;
     AqSettings *settings;
-    bool seen[KEY_COUNT];
+    bool is_present[KEY_COUNT];
     AqError *error;
     bool failed;
 } Loader;
@@ -165,12 +174,12 @@
                            entry->text, (long long)length, (long long)key->low,
                            (long long)key->high);
     }
-    if (key->allowed != NULL && !is_choice(key->allowed, entry->text)) {
+    if (key->choices != NULL && !is_choice(key->choices, entry->text)) {
         return AqError_Set(loader->error, AQ_ERR_INVALID,
                            "%s:%u: %s.%s = \"%.80s\" is not allowed; choose "
                            "one of: %s",
                            loader->path, entry->line, key->section, key->key,
-                           entry->text, key->allowed);
+                           entry->text, key->choices);
     }
     char **field = text_field(loader->settings, key);
     free(*field);
@@ -202,7 +211,7 @@
         const Key *key = &keys[i];
         if (strcmp(key->section, entry->section) == 0 &&
             strcmp(key->key, entry->key) == 0) {
-            loader->seen[i] = true;
+            loader->is_present[i] = true;
             loader->failed = !(key->is_text ? set_text(loader, key, entry)
                                             : set_number(loader, key, entry));
             return !loader->failed;
@@ -223,20 +232,22 @@
     for (size_t i = 0; i < KEY_COUNT; i++) {
         const Key *key = &keys[i];
         if (!key->is_text) {
-            *number_field(settings, key) = key->number;
+            *number_field(settings, key) = key->default_number;
         }
-        else if (key->text != NULL) {
-            *text_field(settings, key) = strdup(key->text);
+        else if (key->default_text != NULL) {
+            *text_field(settings, key) = strdup(key->default_text);
         }
     }
 }
 
-/* On the platform, operators, peers and the store are reached through it. */
+/* Returns whether the key must be present in the settings file.  On the
+ * platform only keys of [node] can be required, because operators, peers and
+ * the store are then reached through the platform. */
 static bool
 is_required(const Loader *loader, const Key *key)
 {
     bool is_on_platform = loader->settings->platform_store[0] != '\0';
-    return key->is_text && key->text == NULL &&
+    return key->is_text && key->default_text == NULL &&
            (!is_on_platform || strcmp(key->section, "node") == 0);
 }
 
@@ -261,7 +272,7 @@
 {
     for (size_t i = 0; i < KEY_COUNT; i++) {
         const Key *key = &keys[i];
-        if (is_required(loader, key) && !loader->seen[i]) {
+        if (is_required(loader, key) && !loader->is_present[i]) {
             return AqError_Set(loader->error, AQ_ERR_INVALID,
                                "%s: %s.%s is missing (%s); add \"%s = ...\" "
                                "under [%s]",
@@ -316,14 +327,15 @@
         if (key->is_text) {
             AqBuffer_Printf(
                 out, "%s.%s\ttext\t%s\t%lld..%lld bytes\t%s\n", key->section,
-                key->key, key->text != NULL ? key->text : "(required)",
+                key->key,
+                key->default_text != NULL ? key->default_text : "(required)",
                 (long long)key->low, (long long)key->high, key->help);
         }
         else {
-            AqBuffer_Printf(out, "%s.%s\tnumber\t%lld\t%lld..%lld\t%s\n",
-                            key->section, key->key, (long long)key->number,
-                            (long long)key->low, (long long)key->high,
-                            key->help);
+            AqBuffer_Printf(
+                out, "%s.%s\tnumber\t%lld\t%lld..%lld\t%s\n", key->section,
+                key->key, (long long)key->default_number, (long long)key->low,
+                (long long)key->high, key->help);
         }
     }
 }
--- a/packages/settings/tests/test_settings.c
+++ b/packages/settings/tests/test_settings.c
@@ -26,8 +26,8 @@
     return settings;
 }
 
-/* Guards against a setting that is taken although it is wrong, and against
- * errors that do not say which key, value and range. */
+/* Guards against invalid settings that are accepted, and against error
+ * messages that do not name the key, the value and the allowed range. */
 static void
 test_bad_settings(void)
 {
@@ -63,8 +63,8 @@
     }
 }
 
-/* Guards against defaults that differ from the documented ones and values
- * that land in the wrong field. */
+/* Guards against defaults that differ from the documented ones, and against
+ * values that are stored in the wrong field. */
 static void
 test_good_settings(void)
 {
--- a/packages/settings/toml_reader.cpp
+++ b/packages/settings/toml_reader.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-/* Joins an array of strings with commas; false for any other value. */
+/* Sets "text" to the strings of an array, joined with commas.  Returns false
+ * if the value is not an array of strings. */
 bool
 join_strings(const toml::value &value, std::string &text)
 {
--- a/packages/settings/toml_reader.h
+++ b/packages/settings/toml_reader.h
@@ -5,7 +5,7 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* C interface to the TOML parser, which is a C++ library. */
+/* C interface to the TOML parser toml11, which is a C++ library. */
 
 #ifdef __cplusplus
 extern "C" {
@@ -18,16 +18,19 @@
 } TomlType;
 
 typedef struct {
-    const char *section; /* "" for a key outside of all tables */
+    const char *section; /* name of the key's table; "": no table */
     const char *key;
     TomlType type;
-    const char *text; /* the string, or the value as written */
-    int64_t number;
-    unsigned line;
+    /* The string, the strings of an array joined with commas, or the text of
+     * any other value. */
+    const char *text;
+    int64_t number; /* value of an integer, otherwise 0 */
+    unsigned line;  /* line number of the value in the file */
 } TomlEntry;
 
-/* Calls "visit" for each key of the file until it returns false.  Returns
- * false when the file cannot be read or parsed; "message" then says why. */
+/* Calls "visit" with "context" for each key of the file until "visit" returns
+ * false.  Returns false if the file cannot be read or parsed, and writes the
+ * reason to "message", a buffer of "size" bytes. */
 bool toml_read(const char *path,
                bool (*visit)(void *context, const TomlEntry *entry),
                void *context, char *message, size_t size);
--- a/packages/store/store_http.c
+++ b/packages/store/store_http.c
@@ -9,9 +9,13 @@
 #include "aq_list.h"
 
 enum {
-    MAX_URL = 1024,
-    MAX_REPLY = 32 * 1024 * 1024, /* of a list; one value has up to 1 MB */
-    WATCH_SLACK_MS = 500          /* extra wait for the reply of a watch */
+    MAX_URL_BYTES = 1024,
+    /* Longest accepted reply body.  The longest replies are those of "list",
+     * in which each value has up to 1 MB. */
+    MAX_REPLY_BYTES = 32 * 1024 * 1024,
+    /* Time added to the timeout of a watch, besides its wait_ms, for the reply
+     * to arrive. */
+    WATCH_REPLY_MARGIN_MS = 500
 };
 
 typedef struct {
@@ -20,7 +24,9 @@
     char *url;
     AqTime timeout_ms;
     AqStoreCalls calls;
-    AqLink pending; /* freed without a reply when the client ends first */
+    /* Calls without a reply yet.  Those left when the store is destroyed are
+     * freed without calling "done". */
+    AqLink pending;
 } StoreHttp;
 
 typedef struct {
@@ -28,19 +34,20 @@
     AqStoreDone done;
     void *context;
     bool is_write;
-} Pending;
+} PendingCall;
 
 /* ---- Replies ------------------------------------------------------------ */
 
 static void
-reply_status(Pending *pending, AqStoreStatus status, uint64_t index)
+reply_status(PendingCall *pending, AqStoreStatus status, uint64_t index)
 {
     AqStoreReply reply = {.status = status, .index = index};
     pending->done(pending->context, &reply);
 }
 
-/* Fills an item from one element of the reply.  "value" is set to new memory
- * that the caller frees with g_free. */
+/* Fills *item from one element of the reply's JSON array.  Sets *value to the
+ * decoded value, which the caller frees with g_free.  Returns false if a field
+ * is missing or invalid. */
 static bool
 parse_item(const json_t *element, AqStoreItem *item, guchar **value)
 {
@@ -60,7 +67,7 @@
 }
 
 static void
-reply_items(Pending *pending, const json_t *array, uint64_t index)
+reply_items(PendingCall *pending, const json_t *array, uint64_t index)
 {
     size_t count = json_array_size(array);
     AqStoreItem *items = calloc(count + 1, sizeof(*items));
@@ -89,7 +96,7 @@
 }
 
 static void
-finish_read(Pending *pending, const AqHttpReply *reply)
+finish_read(PendingCall *pending, const AqHttpReply *reply)
 {
     const char *text = AqHttpReply_Header(reply, "X-Consul-Index");
     uint64_t index = text != NULL ? strtoull(text, NULL, 10) : 0;
@@ -110,7 +117,7 @@
 }
 
 static void
-finish_write(Pending *pending, const AqHttpReply *reply)
+finish_write(PendingCall *pending, const AqHttpReply *reply)
 {
     AqStoreStatus status = AQ_STORE_UNKNOWN;
     if (reply->status == 200 && strncmp(reply->body, "true", 4) == 0) {
@@ -119,14 +126,15 @@
     else if (reply->status == 200 && strncmp(reply->body, "false", 5) == 0) {
         status = AQ_STORE_CONFLICT;
     }
-    /* An error status does not prove that the write had no effect. */
+    /* Any other HTTP status is reported as AQ_STORE_UNKNOWN, since an error
+     * status does not prove that the write had no effect. */
     reply_status(pending, status, 0);
 }
 
 static void
 on_reply(void *context, const AqHttpReply *reply)
 {
-    Pending *pending = context;
+    PendingCall *pending = context;
     if (reply->result == AQ_HTTP_NOT_SENT) {
         reply_status(pending, AQ_STORE_UNAVAILABLE, 0);
     }
@@ -148,10 +156,11 @@
 /* ---- Calls -------------------------------------------------------------- */
 
 static void
-start(StoreHttp *store, const char *method, const char *url, const void *body,
-      size_t size, AqTime extra_ms, AqStoreDone done, void *context)
+start_call(StoreHttp *store, const char *method, const char *url,
+           const void *body, size_t size, AqTime extra_ms, AqStoreDone done,
+           void *context)
 {
-    Pending *pending = calloc(1, sizeof(*pending));
+    PendingCall *pending = calloc(1, sizeof(*pending));
     AqList_Append(&store->pending, &pending->link);
     pending->done = done;
     pending->context = context;
@@ -162,12 +171,13 @@
         .body = body,
         .size = size,
         .has_body = body != NULL,
-        /* A resend by libcurl of a write that took effect would be answered
-         * "false" although the write succeeded. */
+        /* Writes use a new connection because libcurl may send a request again
+         * on a reused one.  If the first request took effect, the service
+         * answers the second with "false" although the write succeeded. */
         .fresh_connection = pending->is_write,
         .timeout_ms = store->timeout_ms + extra_ms,
         .connect_timeout_ms = store->timeout_ms,
-        .max_response_bytes = MAX_REPLY,
+        .max_response_bytes = MAX_REPLY_BYTES,
     };
     AqHttpClient_Start(store->client, &request, on_reply, pending);
 }
@@ -176,20 +186,20 @@
 store_get(AqStore *base, const char *key, AqStoreDone done, void *context)
 {
     StoreHttp *store = (StoreHttp *)base;
-    char url[MAX_URL];
+    char url[MAX_URL_BYTES];
     store->calls.reads++;
     snprintf(url, sizeof(url), "%s/v1/kv/%s", store->url, key);
-    start(store, "GET", url, NULL, 0, 0, done, context);
+    start_call(store, "GET", url, NULL, 0, 0, done, context);
 }
 
 static void
 store_list(AqStore *base, const char *prefix, AqStoreDone done, void *context)
 {
     StoreHttp *store = (StoreHttp *)base;
-    char url[MAX_URL];
+    char url[MAX_URL_BYTES];
     store->calls.reads++;
     snprintf(url, sizeof(url), "%s/v1/kv/%s?recurse=true", store->url, prefix);
-    start(store, "GET", url, NULL, 0, 0, done, context);
+    start_call(store, "GET", url, NULL, 0, 0, done, context);
 }
 
 static void
@@ -197,11 +207,11 @@
           uint64_t index, AqStoreDone done, void *context)
 {
     StoreHttp *store = (StoreHttp *)base;
-    char url[MAX_URL];
+    char url[MAX_URL_BYTES];
     store->calls.writes++;
     snprintf(url, sizeof(url), "%s/v1/kv/%s?cas=%llu", store->url, key,
              (unsigned long long)index);
-    start(store, "PUT", url, value, size, 0, done, context);
+    start_call(store, "PUT", url, value, size, 0, done, context);
 }
 
 static void
@@ -209,11 +219,11 @@
              void *context)
 {
     StoreHttp *store = (StoreHttp *)base;
-    char url[MAX_URL];
+    char url[MAX_URL_BYTES];
     store->calls.writes++;
     snprintf(url, sizeof(url), "%s/v1/kv/%s?cas=%llu", store->url, key,
              (unsigned long long)index);
-    start(store, "DELETE", url, NULL, 0, 0, done, context);
+    start_call(store, "DELETE", url, NULL, 0, 0, done, context);
 }
 
 static void
@@ -221,10 +231,10 @@
                  void *context)
 {
     StoreHttp *store = (StoreHttp *)base;
-    char url[MAX_URL];
+    char url[MAX_URL_BYTES];
     store->calls.writes++;
     snprintf(url, sizeof(url), "%s/v1/kv/%s?recurse=true", store->url, prefix);
-    start(store, "DELETE", url, NULL, 0, 0, done, context);
+    start_call(store, "DELETE", url, NULL, 0, 0, done, context);
 }
 
 static void
@@ -232,11 +242,12 @@
             AqStoreDone done, void *context)
 {
     StoreHttp *store = (StoreHttp *)base;
-    char url[MAX_URL];
+    char url[MAX_URL_BYTES];
     store->calls.watches++;
     snprintf(url, sizeof(url), "%s/v1/kv/%s?index=%llu&wait=%lldms",
              store->url, key, (unsigned long long)index, (long long)wait_ms);
-    start(store, "GET", url, NULL, 0, wait_ms + WATCH_SLACK_MS, done, context);
+    start_call(store, "GET", url, NULL, 0, wait_ms + WATCH_REPLY_MARGIN_MS,
+               done, context);
 }
 
 static void
@@ -245,7 +256,7 @@
     StoreHttp *store = (StoreHttp *)base;
     AqLink *at;
     while ((at = AqList_PopFirst(&store->pending)) != NULL) {
-        free(AqList_Entry(at, Pending, link));
+        free(AqList_Entry(at, PendingCall, link));
     }
     free(store->url);
     free(store);
--- a/packages/wire/Include/aq_wire.h
+++ b/packages/wire/Include/aq_wire.h
@@ -9,17 +9,21 @@
 #include "aq_clock.h"
 #include "aq_error.h"
 
-/* Messages between daemons.  A frame is a 4-byte big-endian length, a version
- * byte and one msgpack array [type, ...].  Decoding checks every length and
- * type; it never allocates more than the frame's size times a constant. */
+/* Encoding and decoding of the messages between daemons.  A message is sent as
+ * a frame: a 4-byte big-endian length, a version byte and one msgpack array
+ * [type, ...].  Decoding checks every length and type, and never allocates
+ * more memory than the frame's size times a constant. */
 
 enum {
     AQ_WIRE_VERSION = 1,
-    AQ_WIRE_MAX_FRAME = 256 * 1024,  /* bytes after the length field */
-    AQ_WIRE_MAX_NAME = 64,           /* bytes of an id, NUL included */
-    AQ_WIRE_FLEET_CHUNK = 64 * 1024, /* bytes of a document in one FLEET */
-    AQ_WIRE_MAX_ITEMS = 4096,        /* elements of a list in a message */
-    AQ_WIRE_MAX_AGE_MS = 1000000000  /* longest age; also stands for "never" */
+    /* Most bytes of a frame after its length field. */
+    AQ_WIRE_MAX_FRAME = 256 * 1024,
+    AQ_WIRE_MAX_NAME = 64, /* most bytes of an id, including the final NUL */
+    /* Most bytes of a fleet document in one FLEET message. */
+    AQ_WIRE_FLEET_CHUNK = 64 * 1024,
+    AQ_WIRE_MAX_ITEMS = 4096, /* most elements of one list in a message */
+    /* Longest age or lease term in a message; as an age also "never". */
+    AQ_WIRE_MAX_AGE_MS = 1000000000
 };
 
 typedef enum {
@@ -37,25 +41,29 @@
 } AqMsgType;
 
 typedef struct {
-    char id[AQ_WIRE_MAX_NAME];      /* entry VM */
-    char secret[AQ_WIRE_MAX_NAME];  /* peers.secret */
-    char address[AQ_WIRE_MAX_NAME]; /* "IP:port" of its listener for peers,
-                                       for the way back */
-    uint64_t instance;              /* new at each start of the daemon */
-    int64_t epoch;
+    char id[AQ_WIRE_MAX_NAME];     /* id of the sending entry VM */
+    char secret[AQ_WIRE_MAX_NAME]; /* value of the setting peers.secret */
+    /* "IP:port" at which the sender accepts connections of its peers. */
+    char address[AQ_WIRE_MAX_NAME];
+    /* Number that the sending daemon picks anew at each of its starts. */
+    uint64_t instance;
+    int64_t epoch; /* epoch that the sender has adopted */
 } AqMsgHello;
 
-/* A named number: heard peer and age in ms, leaving VM and its requests in
- * flight. */
+/* A name with a number.  In a heartbeat's list "peer_ages": a peer and the age
+ * in ms of the last heartbeat received from that peer.  In "leaving": a VM and
+ * the number of the sender's requests in flight on that VM.  In "over": an
+ * endpoint and the number of slots that the sender lacks on that endpoint. */
 typedef struct {
     char name[AQ_WIRE_MAX_NAME];
     int64_t value;
 } AqWireCount;
 
 typedef struct {
-    char name[AQ_WIRE_MAX_NAME]; /* service */
-    int64_t queued;              /* requests waiting */
-    int64_t idle;                /* free slots of this member */
+    char name[AQ_WIRE_MAX_NAME]; /* name of the service */
+    /* Number of requests that wait in the sender's queue of the service. */
+    int64_t queued;
+    int64_t idle; /* sender's free slots of the service */
 } AqWireService;
 
 /* Slots of an endpoint that the sender has leased in. */
@@ -66,21 +74,33 @@
 } AqWireSlotLease;
 
 typedef struct {
-    uint64_t seq; /* never falls in one instance */
-    uint64_t instance;
-    int64_t epoch;          /* adopted epoch; 0 while the start guard runs */
-    int64_t version;        /* fleet document in force */
-    int64_t store_age_ms;   /* since the last confirmed store contact */
-    bool stopping;          /* graceful stop has begun */
-    bool joining;           /* not counted in a majority yet */
-    bool slots_known;       /* over and slot_leases have been filled in */
-    AqWireCount *peer_ages; /* owned by the message, as the lists below */
+    /* Number of the heartbeat; never decreases within one instance of the
+     * sender. */
+    uint64_t seq;
+    uint64_t instance; /* number that the sender picked at its start */
+    /* Epoch that the sender has adopted; 0 during its start guard. */
+    int64_t epoch;
+    int64_t version; /* version of the fleet document that the sender uses */
+    /* Time since the sender's last confirmed contact with the store. */
+    int64_t store_age_ms;
+    bool stopping; /* whether the sender has begun its graceful stop */
+    bool joining;  /* whether the sender does not count in a majority yet */
+    /* Whether the sender has filled in "over" and "slot_leases". */
+    bool slots_known;
+    /* Age of the last heartbeat received from each peer.  This list and the
+     * ones below are owned by the message. */
+    AqWireCount *peer_ages;
     size_t peer_age_count;
-    uint64_t *acked_seq; /* peer_age_count elements: the last seq received from
-                            that peer, 0 for none; NULL stands for zeros */
-    AqWireCount *leaving; /* VMs with requests in flight; not listed: 0 */
+    /* Array of peer_age_count elements: the "seq" of the last heartbeat
+     * received from the peer at the same place in peer_ages, or 0 for none.
+     * NULL stands for zeros only. */
+    uint64_t *acked_seq;
+    /* Leaving VMs, each with the number of the sender's requests in flight on
+     * the VM.  The number is 0 for a VM that is not listed. */
+    AqWireCount *leaving;
     size_t leaving_count;
-    AqWireCount *over; /* endpoints with more in flight than the share */
+    /* Endpoints on which the sender has more requests in flight than slots. */
+    AqWireCount *over;
     size_t over_count;
     AqWireSlotLease *slot_leases;
     size_t slot_lease_count;
@@ -90,10 +110,10 @@
 
 typedef struct {
     uint64_t request; /* number that the sender gave to the claim */
-    uint8_t hash[16]; /* of service and request id */
+    uint8_t hash[16]; /* XXH3-128 hash of service and request id */
     uint64_t nonce;
-    char holder[AQ_WIRE_MAX_NAME];
-} AqMsgClaim; /* also RELEASE */
+    char holder[AQ_WIRE_MAX_NAME]; /* daemon that is to run the request */
+} AqMsgClaim;                      /* fields of a CLAIM or RELEASE message */
 
 typedef enum {
     AQ_CLAIM_GRANTED = 1,
@@ -106,27 +126,29 @@
     AqClaimVerdict verdict;
 } AqMsgClaimResult;
 
-/* BORROW: up to "count" slots of any endpoint of "name" (a service).
- * LEND and RETURN: "count" slots of "name" (an endpoint). */
+/* Fields of a slot message.  BORROW requests the lease of up to "count" slots
+ * of any endpoints of the service "name".  LEND grants the lease of "count"
+ * slots of the endpoint "name", and RETURN gives them back. */
 typedef struct {
     char name[AQ_WIRE_MAX_NAME];
     int64_t count;
-    int64_t term_ms; /* LEND: how long new requests may start on them */
+    int64_t term_ms; /* LEND: time in which requests may start on the slots */
 } AqMsgSlots;
 
-/* One chunk of the fleet document of a version.  The first has offset 0. */
+/* One chunk of the fleet document of the given version. */
 typedef struct {
     int64_t version;
-    int64_t total; /* bytes of the whole document */
-    int64_t offset;
-    char *bytes; /* owned by the message */
-    size_t size;
+    int64_t total;  /* bytes of the whole document */
+    int64_t offset; /* byte offset of the chunk in the document */
+    char *bytes;    /* content of the chunk, owned by the message */
+    size_t size;    /* bytes of the chunk */
 } AqMsgFleet;
 
-/* Burn counters of one entry VM as JSON text. */
+/* Fields of a BURN message: the service-level burn counters of one entry VM.
+ */
 typedef struct {
     char holder[AQ_WIRE_MAX_NAME];
-    char *text; /* owned by the message, NUL-terminated */
+    char *text; /* counters as NUL-terminated JSON, owned by the message */
 } AqMsgBurn;
 
 typedef struct {
@@ -142,10 +164,12 @@
     } as;
 } AqMsg;
 
-/* Appends one frame to *out.  Numbers are cut to the range that decoding
- * allows.  A heartbeat that would exceed AQ_WIRE_MAX_FRAME is sent without its
- * lists and with epoch and version 0, which claims nothing; any other message
- * that is too large, or that has an empty name, appends nothing. */
+/* Appends the frame of a message to *out.  Numbers are clamped to the range
+ * that decoding accepts.  A heartbeat that would exceed AQ_WIRE_MAX_FRAME is
+ * encoded without its lists and with epoch and version 0, so that it asserts
+ * nothing about the sender's epoch, fleet document and slots.  For any other
+ * message that is too large, or that has an empty name where one is required,
+ * nothing is appended. */
 void AqWire_Encode(const AqMsg *msg, AqBuffer *out);
 
 typedef enum {
@@ -154,14 +178,15 @@
     AQ_WIRE_BAD
 } AqWireResult;
 
-/* Decodes the frame at the start of "bytes".  AQ_WIRE_MSG: fills *msg, to be
- * cleared with AqMsg_Clear, and *used with the frame's size.
- * AQ_WIRE_NEED_MORE: the frame is not complete.  AQ_WIRE_BAD: fills *error
- * (AQ_ERR_PROTOCOL); the connection must be closed. */
+/* Decodes the frame at the start of "bytes".  Returns AQ_WIRE_MSG and sets
+ * *msg to the message, which the caller releases with AqMsg_Clear, and *used
+ * to the size of the frame in bytes.  Returns AQ_WIRE_NEED_MORE if the frame
+ * is not complete yet.  Returns AQ_WIRE_BAD and fills *error (AQ_ERR_PROTOCOL)
+ * if the frame is invalid; the caller must then close the connection. */
 AqWireResult AqWire_Decode(const char *bytes, size_t size, AqMsg *msg,
                            size_t *used, AqError *error);
 
-/* Frees what the message owns. */
+/* Frees the memory that the message owns and zeroes the message. */
 void AqMsg_Clear(AqMsg *msg);
 
 #endif
--- a/packages/wire/decode.c
+++ b/packages/wire/decode.c
@@ -6,9 +6,9 @@
 
 /* Reads the fields of one msgpack array in order. */
 typedef struct {
-    const char *message; /* name, for errors */
-    const msgpack_object *items;
-    uint32_t at;
+    const char *message; /* name of the message type, for error messages */
+    const msgpack_object *items; /* elements of the array */
+    uint32_t at; /* array position in "items" of the next element to read */
     AqError *error;
 } Reader;
 
@@ -25,26 +25,28 @@
 }
 
 static bool
-bad_field(const Reader *r, const char *field, const char *wanted)
+set_field_error(const Reader *r, const char *field, const char *expected)
 {
     AqError_Set(r->error, AQ_ERR_PROTOCOL,
                 "%s: field \"%s\" must be %s; the peer runs another program "
                 "or its message was damaged",
-                r->message, field, wanted);
+                r->message, field, expected);
     return false;
 }
 
-/* The next field; the count was checked by the caller. */
+/* Returns the next element of the array.  begin_array has checked that the
+ * array has as many elements as the caller reads. */
 static const msgpack_object *
 next_field(Reader *r)
 {
     return &r->items[r->at++];
 }
 
-/* Starts reading "object", which must be an array of "count" elements. */
+/* Initialises *r to read the elements of "object".  Returns false and fills
+ * *error if "object" is not an array of "count" elements. */
 static bool
-open_array(Reader *r, const char *message, const msgpack_object *object,
-           uint32_t count, AqError *error)
+begin_array(Reader *r, const char *message, const msgpack_object *object,
+            uint32_t count, AqError *error)
 {
     r->message = message;
     r->at = 0;
@@ -66,7 +68,7 @@
 {
     const msgpack_object *o = next_field(r);
     if (o->type != MSGPACK_OBJECT_POSITIVE_INTEGER) {
-        return bad_field(r, field, "an integer of at least 0");
+        return set_field_error(r, field, "an integer of at least 0");
     }
     *value = o->via.u64;
     return true;
@@ -94,15 +96,16 @@
 {
     const msgpack_object *o = next_field(r);
     if (o->type != MSGPACK_OBJECT_BOOLEAN) {
-        return bad_field(r, field, "a boolean");
+        return set_field_error(r, field, "a boolean");
     }
     *value = o->via.boolean;
     return true;
 }
 
-/* Control characters are refused because names appear in log lines. */
+/* Returns whether the text has no control characters.  Names with control
+ * characters are rejected because names are written into log lines. */
 static bool
-is_plain(const char *text, uint32_t size)
+has_no_control_chars(const char *text, uint32_t size)
 {
     for (uint32_t i = 0; i < size; i++) {
         unsigned char c = (unsigned char)text[i];
@@ -114,16 +117,16 @@
 }
 
 static bool
-read_text(Reader *r, const char *field, uint32_t least,
+read_text(Reader *r, const char *field, uint32_t min_size,
           char name[AQ_WIRE_MAX_NAME])
 {
     const msgpack_object *o = next_field(r);
-    if (o->type != MSGPACK_OBJECT_STR || o->via.str.size < least ||
+    if (o->type != MSGPACK_OBJECT_STR || o->via.str.size < min_size ||
         o->via.str.size >= AQ_WIRE_MAX_NAME ||
-        !is_plain(o->via.str.ptr, o->via.str.size)) {
-        return bad_field(r, field,
-                         "a string of at most 63 bytes without control "
-                         "characters");
+        !has_no_control_chars(o->via.str.ptr, o->via.str.size)) {
+        return set_field_error(r, field,
+                               "a string of at most 63 bytes without control "
+                               "characters");
     }
     memcpy(name, o->via.str.ptr, o->via.str.size);
     name[o->via.str.size] = '\0';
@@ -136,15 +139,17 @@
     return read_text(r, field, 1, name);
 }
 
-/* Reads a list's head and allocates "*items" of "*count" zeroed elements. */
+/* Reads the header of a list.  Sets *elements to the list's msgpack elements,
+ * *count to their number, and *items to a new zeroed array of "*count" entries
+ * of "item_size" bytes, or NULL if the list is empty. */
 static bool
-read_list(Reader *r, const char *field, size_t item_size, void **items,
-          const msgpack_object **elements, size_t *count)
+read_list_header(Reader *r, const char *field, size_t item_size, void **items,
+                 const msgpack_object **elements, size_t *count)
 {
     const msgpack_object *o = next_field(r);
     if (o->type != MSGPACK_OBJECT_ARRAY ||
         o->via.array.size > AQ_WIRE_MAX_ITEMS) {
-        return bad_field(r, field, "a list of at most 4096 elements");
+        return set_field_error(r, field, "a list of at most 4096 elements");
     }
     *elements = o->via.array.ptr;
     *count = o->via.array.size;
@@ -159,13 +164,13 @@
 read_counts(Reader *r, const char *field, AqWireCount **items, size_t *count)
 {
     const msgpack_object *elements;
-    if (!read_list(r, field, sizeof(**items), (void **)items, &elements,
-                   count)) {
+    if (!read_list_header(r, field, sizeof(**items), (void **)items, &elements,
+                          count)) {
         return false;
     }
     for (size_t i = 0; i < *count; i++) {
         Reader e;
-        if (!open_array(&e, r->message, &elements[i], 2, r->error) ||
+        if (!begin_array(&e, r->message, &elements[i], 2, r->error) ||
             !read_name(&e, field, (*items)[i].name) ||
             !read_int(&e, field, INT64_MAX, &(*items)[i].value)) {
             return false;
@@ -178,9 +183,9 @@
 read_peer_ages(Reader *r, AqMsgHeartbeat *beat)
 {
     const msgpack_object *elements;
-    if (!read_list(r, "heard", sizeof(*beat->peer_ages),
-                   (void **)&beat->peer_ages, &elements,
-                   &beat->peer_age_count)) {
+    if (!read_list_header(r, "heard", sizeof(*beat->peer_ages),
+                          (void **)&beat->peer_ages, &elements,
+                          &beat->peer_age_count)) {
         return false;
     }
     if (beat->peer_age_count > 0) {
@@ -191,7 +196,7 @@
     }
     for (size_t i = 0; i < beat->peer_age_count; i++) {
         Reader e;
-        if (!open_array(&e, r->message, &elements[i], 3, r->error) ||
+        if (!begin_array(&e, r->message, &elements[i], 3, r->error) ||
             !read_name(&e, "heard", beat->peer_ages[i].name) ||
             !read_int(&e, "heard", AQ_WIRE_MAX_AGE_MS,
                       &beat->peer_ages[i].value) ||
@@ -206,15 +211,15 @@
 read_slot_leases(Reader *r, AqMsgHeartbeat *beat)
 {
     const msgpack_object *elements;
-    if (!read_list(r, "loans", sizeof(*beat->slot_leases),
-                   (void **)&beat->slot_leases, &elements,
-                   &beat->slot_lease_count)) {
+    if (!read_list_header(r, "loans", sizeof(*beat->slot_leases),
+                          (void **)&beat->slot_leases, &elements,
+                          &beat->slot_lease_count)) {
         return false;
     }
     for (size_t i = 0; i < beat->slot_lease_count; i++) {
         Reader e;
         AqWireSlotLease *lease = &beat->slot_leases[i];
-        if (!open_array(&e, r->message, &elements[i], 3, r->error) ||
+        if (!begin_array(&e, r->message, &elements[i], 3, r->error) ||
             !read_name(&e, "loans", lease->lessor) ||
             !read_name(&e, "loans", lease->endpoint) ||
             !read_int(&e, "loans", WIRE_MAX_SLOTS, &lease->count)) {
@@ -228,15 +233,15 @@
 read_services(Reader *r, AqMsgHeartbeat *beat)
 {
     const msgpack_object *elements;
-    if (!read_list(r, "services", sizeof(*beat->services),
-                   (void **)&beat->services, &elements,
-                   &beat->service_count)) {
+    if (!read_list_header(r, "services", sizeof(*beat->services),
+                          (void **)&beat->services, &elements,
+                          &beat->service_count)) {
         return false;
     }
     for (size_t i = 0; i < beat->service_count; i++) {
         Reader e;
         AqWireService *service = &beat->services[i];
-        if (!open_array(&e, r->message, &elements[i], 3, r->error) ||
+        if (!begin_array(&e, r->message, &elements[i], 3, r->error) ||
             !read_name(&e, "services", service->name) ||
             !read_int(&e, "services", INT64_MAX, &service->queued) ||
             !read_int(&e, "services", INT64_MAX, &service->idle)) {
@@ -282,7 +287,7 @@
     }
     const msgpack_object *o = next_field(r);
     if (o->type != MSGPACK_OBJECT_BIN || o->via.bin.size != WIRE_HASH_SIZE) {
-        return bad_field(r, "hash", "a binary of 16 bytes");
+        return set_field_error(r, "hash", "a binary of 16 bytes");
     }
     memcpy(claim->hash, o->via.bin.ptr, WIRE_HASH_SIZE);
     return read_uint(r, "nonce", &claim->nonce) &&
@@ -298,7 +303,7 @@
         return false;
     }
     if (verdict < AQ_CLAIM_GRANTED) {
-        return bad_field(r, "verdict", "1, 2 or 3");
+        return set_field_error(r, "verdict", "1, 2 or 3");
     }
     result->verdict = (AqClaimVerdict)verdict;
     return true;
@@ -316,17 +321,18 @@
 read_fleet(Reader *r, AqMsgFleet *fleet)
 {
     if (!read_int(r, "version", INT64_MAX, &fleet->version) ||
-        !read_int(r, "total", WIRE_MAX_DOCUMENT, &fleet->total) ||
-        !read_int(r, "offset", WIRE_MAX_DOCUMENT, &fleet->offset)) {
+        !read_int(r, "total", WIRE_MAX_DOCUMENT_BYTES, &fleet->total) ||
+        !read_int(r, "offset", WIRE_MAX_DOCUMENT_BYTES, &fleet->offset)) {
         return false;
     }
     const msgpack_object *o = next_field(r);
     if (o->type != MSGPACK_OBJECT_BIN ||
         o->via.bin.size > AQ_WIRE_FLEET_CHUNK ||
         fleet->offset + (int64_t)o->via.bin.size > fleet->total) {
-        return bad_field(r, "bytes",
-                         "a binary of at most 65536 bytes that ends within "
-                         "\"total\"");
+        return set_field_error(
+            r, "bytes",
+            "a binary of at most 65536 bytes that ends within "
+            "\"total\"");
     }
     fleet->bytes = malloc(o->via.bin.size + 1);
     if (fleet->bytes == NULL) {
@@ -350,7 +356,7 @@
     if (o->type != MSGPACK_OBJECT_STR ||
         (o->via.str.size > 0 &&
          memchr(o->via.str.ptr, '\0', o->via.str.size) != NULL)) {
-        return bad_field(r, "text", "a string without NUL bytes");
+        return set_field_error(r, "text", "a string without NUL bytes");
     }
     burn->text =
         strndup(o->via.str.size > 0 ? o->via.str.ptr : "", o->via.str.size);
@@ -387,11 +393,13 @@
     return false;
 }
 
-/* Reads the type and the fields of an unpacked message. */
+/* Sets *msg from an unpacked msgpack array.  Returns false and fills *error if
+ * the type or a field is invalid. */
 static bool
 read_message(const msgpack_object *object, AqMsg *msg, AqError *error)
 {
-    /* Elements of each message's array, the type included. */
+    /* Number of elements of the array of each message type, including the type
+     * number. */
     static const uint32_t fields[] = {0, 6, 14, 5, 3, 5, 4, 4, 4, 1, 5, 3};
     if (object->type != MSGPACK_OBJECT_ARRAY || object->via.array.size == 0 ||
         object->via.array.ptr[0].type != MSGPACK_OBJECT_POSITIVE_INTEGER) {
@@ -410,8 +418,8 @@
     }
     msg->type = (AqMsgType)type;
     Reader r;
-    if (!open_array(&r, wire_type_name((int)type), object, fields[type],
-                    error)) {
+    if (!begin_array(&r, wire_type_name((int)type), object, fields[type],
+                     error)) {
         return false;
     }
     r.at = 1;
--- a/packages/wire/encode.c
+++ b/packages/wire/encode.c
@@ -22,7 +22,7 @@
     }
 }
 
-/* Cuts the number to 0 .. high. */
+/* Packs "value", clamped to the range 0 .. high. */
 static void
 pack_int(msgpack_packer *pk, int64_t value, int64_t high)
 {
@@ -33,7 +33,7 @@
 }
 
 static size_t
-pack_list(msgpack_packer *pk, size_t count)
+pack_list_header(msgpack_packer *pk, size_t count)
 {
     if (count > AQ_WIRE_MAX_ITEMS) {
         count = AQ_WIRE_MAX_ITEMS;
@@ -45,7 +45,7 @@
 static void
 pack_counts(msgpack_packer *pk, const AqWireCount *items, size_t count)
 {
-    count = pack_list(pk, count);
+    count = pack_list_header(pk, count);
     for (size_t i = 0; i < count; i++) {
         msgpack_pack_array(pk, 2);
         pack_name(pk, items[i].name);
@@ -56,7 +56,7 @@
 static void
 pack_peer_ages(msgpack_packer *pk, const AqMsgHeartbeat *beat)
 {
-    size_t count = pack_list(pk, beat->peer_age_count);
+    size_t count = pack_list_header(pk, beat->peer_age_count);
     for (size_t i = 0; i < count; i++) {
         msgpack_pack_array(pk, 3);
         pack_name(pk, beat->peer_ages[i].name);
@@ -69,7 +69,7 @@
 pack_slot_leases(msgpack_packer *pk, const AqWireSlotLease *slot_leases,
                  size_t count)
 {
-    count = pack_list(pk, count);
+    count = pack_list_header(pk, count);
     for (size_t i = 0; i < count; i++) {
         msgpack_pack_array(pk, 3);
         pack_name(pk, slot_leases[i].lessor);
@@ -81,7 +81,7 @@
 static void
 pack_services(msgpack_packer *pk, const AqWireService *items, size_t count)
 {
-    count = pack_list(pk, count);
+    count = pack_list_header(pk, count);
     for (size_t i = 0; i < count; i++) {
         msgpack_pack_array(pk, 3);
         pack_name(pk, items[i].name);
@@ -150,8 +150,8 @@
     msgpack_pack_array(pk, 5);
     msgpack_pack_int(pk, AQ_MSG_FLEET);
     pack_int(pk, fleet->version, INT64_MAX);
-    pack_int(pk, fleet->total, WIRE_MAX_DOCUMENT);
-    pack_int(pk, fleet->offset, WIRE_MAX_DOCUMENT);
+    pack_int(pk, fleet->total, WIRE_MAX_DOCUMENT_BYTES);
+    pack_int(pk, fleet->offset, WIRE_MAX_DOCUMENT_BYTES);
     msgpack_pack_bin(pk, fleet->size);
     msgpack_pack_bin_body(pk, fleet->bytes, fleet->size);
 }
@@ -167,7 +167,8 @@
     msgpack_pack_str_body(pk, burn->text, n);
 }
 
-/* False when a field that decoding requires is empty or too large. */
+/* Packs the message.  Returns false if decoding would reject the message,
+ * because a required name is empty or a fleet chunk is too large. */
 static bool
 pack_message(msgpack_packer *pk, const AqMsg *msg)
 {
@@ -228,17 +229,17 @@
     bool ok = pack_message(&pk, msg);
     if (ok && body.size >= AQ_WIRE_MAX_FRAME &&
         msg->type == AQ_MSG_HEARTBEAT) {
-        AqMsgHeartbeat bare = msg->as.heartbeat;
-        bare.epoch = 0;
-        bare.version = 0;
-        bare.slots_known = false;
-        bare.peer_age_count = 0;
-        bare.leaving_count = 0;
-        bare.over_count = 0;
-        bare.slot_lease_count = 0;
-        bare.service_count = 0;
+        AqMsgHeartbeat reduced = msg->as.heartbeat;
+        reduced.epoch = 0;
+        reduced.version = 0;
+        reduced.slots_known = false;
+        reduced.peer_age_count = 0;
+        reduced.leaving_count = 0;
+        reduced.over_count = 0;
+        reduced.slot_lease_count = 0;
+        reduced.service_count = 0;
         msgpack_sbuffer_clear(&body);
-        pack_heartbeat(&pk, &bare);
+        pack_heartbeat(&pk, &reduced);
     }
     if (ok && body.size < AQ_WIRE_MAX_FRAME) {
         append_frame(&body, out);
--- a/packages/wire/tests/fuzz_wire.c
+++ b/packages/wire/tests/fuzz_wire.c
@@ -7,18 +7,18 @@
 #include "aq_wire.h"
 
 /* Decodes mutated frames of a seed corpus: fuzz_wire CORPUS SEED RUNS.  Guards
- * against crashes, reads outside the frame (found by the sanitizers), results
- * that break the bounds of the header, errors without a message, and decoding
- * that does not survive its own encoding. */
+ * against crashes, reads outside the frame (detected by the sanitizers),
+ * frames that use more bytes than given, errors without a message, and decoded
+ * messages that change when they are encoded and decoded again. */
 
 enum {
     MAX_FILES = 64,
-    MAX_SIZE = 16 * 1024
+    MAX_FRAME_BYTES = 16 * 1024
 };
 
 typedef struct {
     size_t size;
-    unsigned char bytes[MAX_SIZE];
+    unsigned char bytes[MAX_FRAME_BYTES];
 } Frame;
 
 static Frame corpus[MAX_FILES];
@@ -26,7 +26,7 @@
 static AqRandom rng;
 
 static size_t
-below(size_t bound)
+random_below(size_t bound)
 {
     return (size_t)AqRandom_Below(&rng, bound);
 }
@@ -52,7 +52,8 @@
     fclose(file);
 }
 
-/* Loads the files in order of name, so that a run can be repeated. */
+/* Loads the corpus files in order of name, so that a run with the same seed
+ * decodes the same frames. */
 static void
 load_corpus(const char *directory)
 {
@@ -77,23 +78,24 @@
     }
 }
 
-/* Overwrites, inserts or removes bytes, or splices in another frame. */
+/* Changes one randomly chosen place of the frame: flips a bit, overwrites,
+ * inserts or removes a byte, or copies in the end of another corpus frame. */
 static void
 mutate(Frame *frame)
 {
-    static const unsigned char marks[] = {
+    static const unsigned char special_bytes[] = {
         0x00, 0x7f, 0x80, 0x90, 0x9f, 0xa0, 0xc0, 0xc1, 0xc4, 0xc6,
         0xcb, 0xcf, 0xd3, 0xd9, 0xdb, 0xdc, 0xdd, 0xde, 0xdf, 0xff};
-    size_t at = below(frame->size);
-    switch (below(6)) {
+    size_t at = random_below(frame->size);
+    switch (random_below(6)) {
     case 0:
-        frame->bytes[at] ^= (unsigned char)(1U << below(8));
+        frame->bytes[at] ^= (unsigned char)(1U << random_below(8));
         break;
     case 1:
-        frame->bytes[at] = marks[below(sizeof(marks))];
+        frame->bytes[at] = special_bytes[random_below(sizeof(special_bytes))];
         break;
     case 2:
-        frame->bytes[at] = (unsigned char)below(256);
+        frame->bytes[at] = (unsigned char)random_below(256);
         break;
     case 3:
         memmove(frame->bytes + at, frame->bytes + at + 1,
@@ -101,16 +103,17 @@
         frame->size -= frame->size > 1;
         break;
     case 4:
-        if (frame->size < MAX_SIZE) {
+        if (frame->size < MAX_FRAME_BYTES) {
             memmove(frame->bytes + at + 1, frame->bytes + at,
                     frame->size - at);
-            frame->bytes[at] = marks[below(sizeof(marks))];
+            frame->bytes[at] =
+                special_bytes[random_below(sizeof(special_bytes))];
             frame->size++;
         }
         break;
     default: {
-        const Frame *other = &corpus[below(corpus_count)];
-        size_t from = below(other->size);
+        const Frame *other = &corpus[random_below(corpus_count)];
+        size_t from = random_below(other->size);
         size_t n = other->size - from;
         n = n < frame->size - at ? n : frame->size - at;
         memcpy(frame->bytes + at, other->bytes + from, n);
@@ -119,10 +122,10 @@
     }
 }
 
-/* Makes the length field agree with the size, so that most mutations reach the
- * decoder behind it. */
+/* Sets the frame's length field to its actual size, so that the frame passes
+ * the length check and its content is decoded. */
 static void
-fix_length(Frame *frame)
+set_length_field(Frame *frame)
 {
     size_t length = frame->size >= 4 ? frame->size - 4 : 0;
     for (int i = 0; i < 4 && frame->size >= 4; i++) {
@@ -141,7 +144,9 @@
     exit(1);
 }
 
-/* A decoded message must encode to a frame that decodes to the same bytes. */
+/* Fails unless the decoded message encodes to a frame that decodes to a
+ * message with the same encoding.  "frame" is the frame that the message came
+ * from. */
 static void
 check_round_trip(const Frame *frame, const AqMsg *msg)
 {
@@ -168,9 +173,10 @@
 }
 
 static AqWireResult
-run_one(Frame *frame)
+decode_frame(Frame *frame)
 {
-    /* A buffer of the exact size lets the sanitizer see every over-read. */
+    /* The buffer has exactly the frame's size, so that the sanitizer detects
+     * every read beyond the end of the frame. */
     char *bytes = malloc(frame->size + (frame->size == 0));
     AqMsg msg;
     size_t used = 0;
@@ -211,26 +217,28 @@
     static Frame frame;
     for (size_t i = 0; i < corpus_count; i++) {
         frame = corpus[i];
-        if (run_one(&frame) != AQ_WIRE_MSG) {
+        if (decode_frame(&frame) != AQ_WIRE_MSG) {
             fail("a corpus frame does not decode; run make_corpus", &frame);
         }
     }
     for (unsigned long run = 0; run < runs; run++) {
-        const Frame *source = &corpus[below(corpus_count)];
+        const Frame *source = &corpus[random_below(corpus_count)];
         frame.size = source->size;
         memcpy(frame.bytes, source->bytes, source->size);
-        for (size_t n = 1 + below(4); n > 0; n--) {
+        for (size_t n = 1 + random_below(4); n > 0; n--) {
             mutate(&frame);
         }
-        if (below(8) != 0) {
-            fix_length(&frame);
+        if (random_below(8) != 0) {
+            set_length_field(&frame);
         }
-        results[run_one(&frame)]++;
+        results[decode_frame(&frame)]++;
     }
     printf("%lu decodes of %zu frames: %lu good, %lu incomplete, %lu bad\n",
            runs, corpus_count, results[AQ_WIRE_MSG],
            results[AQ_WIRE_NEED_MORE], results[AQ_WIRE_BAD]);
-    /* Most runs must get past the frame header, and some must be good. */
+    /* The test fails if less than a quarter of the decodes rejected the frame,
+     * or less than a hundredth returned a message, since most mutated frames
+     * must get past the check of the frame header and some must be valid. */
     return corpus_count < 10 || results[AQ_WIRE_BAD] < runs / 4 ||
            results[AQ_WIRE_MSG] < runs / 100;
 }
--- a/packages/wire/tests/make_corpus.c
+++ b/packages/wire/tests/make_corpus.c
@@ -2,7 +2,7 @@
 
 #include "samples.h"
 
-/* Writes the frame of each sample to DIRECTORY/NAME.frame. */
+/* Writes the frame of each sample message to DIRECTORY/NAME.frame. */
 int
 main(int argc, char **argv)
 {
@@ -10,7 +10,7 @@
         fprintf(stderr, "usage: make_corpus DIRECTORY\n");
         return 2;
     }
-    for (int i = 0; i < SAMPLES; i++) {
+    for (int i = 0; i < SAMPLE_COUNT; i++) {
         AqMsg msg;
         char path[512];
         snprintf(path, sizeof(path), "%s/%s.frame", argv[1],
--- a/packages/wire/tests/samples.c
+++ b/packages/wire/tests/samples.c
@@ -11,7 +11,7 @@
 }
 
 static AqWireCount *
-counts(const char *stem, size_t n)
+make_counts(const char *stem, size_t n)
 {
     AqWireCount *items = calloc(n + 1, sizeof(*items));
     for (size_t i = 0; items != NULL && i < n; i++) {
@@ -32,12 +32,12 @@
     beat->stopping = n % 2 == 1;
     beat->joining = n % 2 == 0;
     beat->slots_known = true;
-    beat->peer_ages = counts("vm", n);
+    beat->peer_ages = make_counts("vm", n);
     beat->peer_age_count = n;
     beat->acked_seq = calloc(n + 1, sizeof(*beat->acked_seq));
-    beat->leaving = counts("worker", n);
+    beat->leaving = make_counts("worker", n);
     beat->leaving_count = n;
-    beat->over = counts("endpoint", n);
+    beat->over = make_counts("endpoint", n);
     beat->over_count = n;
     beat->slot_leases = calloc(n + 1, sizeof(*beat->slot_leases));
     beat->slot_lease_count = n;
--- a/packages/wire/tests/samples.h
+++ b/packages/wire/tests/samples.h
@@ -4,11 +4,13 @@
 #include "aq_wire.h"
 
 enum {
-    SAMPLES = 14
+    SAMPLE_COUNT = 14
 };
 
-/* Fills one message of each type, with and without lists, and extremes.  The
- * message is cleared with AqMsg_Clear.  Returns its name for files. */
+/* Sets *msg to sample message number "i" (0 .. SAMPLE_COUNT - 1) and returns
+ * the sample's name for files.  The samples include every message type, lists
+ * of several lengths, and extreme values.  The caller clears the message with
+ * AqMsg_Clear. */
 const char *sample_fill(int i, AqMsg *msg);
 
 #endif
--- a/packages/wire/tests/test_wire.c
+++ b/packages/wire/tests/test_wire.c
@@ -7,7 +7,7 @@
 
 #include "samples.h"
 
-/* New zeroed bytes. */
+/* Returns new zeroed memory for "count" elements of "size" bytes. */
 static void *
 new_bytes(size_t count, size_t size)
 {
@@ -18,13 +18,13 @@
     return bytes;
 }
 
-/* Guards against fields that are lost, swapped or cut on the way, for every
- * type of message. */
+/* Guards, for every message type, against fields that are lost, swapped or
+ * truncated by encoding and decoding. */
 static void
 test_round_trip(void)
 {
     bool seen[AQ_MSG_BURN + 1] = {false};
-    for (int i = 0; i < SAMPLES; i++) {
+    for (int i = 0; i < SAMPLE_COUNT; i++) {
         AqMsg msg, back;
         AqBuffer first, second;
         size_t used = 0;
@@ -52,7 +52,8 @@
     }
 }
 
-/* Guards against an encoder and a decoder that swap the same two fields. */
+/* Guards against an encoder and a decoder that both swap the same two fields,
+ * which a round trip does not detect. */
 static void
 test_fields(void)
 {
@@ -88,8 +89,9 @@
     AqBuffer_Clear(&frame);
 }
 
-/* Guards against a decoder that accepts half a frame, reads beyond it, or
- * takes the second of two frames for part of the first. */
+/* Guards against a decoder that accepts an incomplete frame, reads beyond the
+ * end of its input, or treats the bytes of a following frame as part of the
+ * first. */
 static void
 test_incomplete(void)
 {
@@ -120,13 +122,13 @@
 
 #define BODY(text) (text), sizeof(text) - 1
 
-/* Guards against malformed frames that are taken, and against errors that do
- * not say what is wrong. */
+/* Guards against malformed frames that are accepted, and against error
+ * messages that do not state the fault. */
 static void
 test_bad_frames(void)
 {
     static const struct {
-        const char *body; /* after the version byte */
+        const char *body; /* content of the frame after the version byte */
         size_t size;
         const char *in_message;
     } cases[] = {
@@ -185,8 +187,9 @@
     }
 }
 
-/* Guards against waiting for a frame that can never be good, and against
- * buffering an oversized one first. */
+/* Guards against a decoder that waits for more bytes of a frame whose header
+ * is already invalid, so that a connection hangs or an oversized frame is
+ * buffered in full before its rejection. */
 static void
 test_bad_header(void)
 {
@@ -213,7 +216,7 @@
     }
 }
 
-/* Appends a heartbeat with one list of "count" elements. */
+/* Appends the frame of a heartbeat whose "over" list has "count" elements. */
 static void
 encode_list(size_t count, AqBuffer *out)
 {
@@ -229,8 +232,9 @@
     AqMsg_Clear(&msg);
 }
 
-/* Guards against an encoder whose frames a peer refuses, and against a cut
- * list of overloaded endpoints that reads as letting go of the others. */
+/* Guards against an encoder whose oversized frames peers reject, and against a
+ * truncated "over" list, from which peers would conclude that the sender has
+ * released its slots of the omitted endpoints. */
 static void
 test_large_messages(void)
 {
@@ -256,9 +260,9 @@
     AqBuffer_Clear(&out);
 }
 
-/* Guards against a frame whose decoding takes memory out of proportion: 40
- * bytes of heap for each byte of the frame, the worst being one-byte elements
- * that msgpack-c keeps in 24 bytes each. */
+/* Guards against a frame whose decoding allocates too much memory.  The limit
+ * is 40 bytes of heap per byte of the frame; the worst case is an array of
+ * one-byte elements, each of which msgpack-c stores in 24 bytes. */
 static void
 test_bounded_memory(void)
 {
@@ -272,7 +276,8 @@
     AqMsg msg;
     size_t used;
     AqError error;
-    /* Freed memory stays in the heap's arena, whose growth is the peak. */
+    /* With these options freed memory stays in the heap's arena, so that the
+     * growth of the arena is the peak of the memory use. */
     mallopt(M_MMAP_MAX, 0);
     mallopt(M_TRIM_THRESHOLD, 1 << 30);
     struct mallinfo2 before = mallinfo2();
--- a/packages/wire/wire_internal.h
+++ b/packages/wire/wire_internal.h
@@ -4,23 +4,28 @@
 #include "aq_wire.h"
 
 enum {
-    WIRE_LENGTH_SIZE = 4,  /* big-endian length field */
-    WIRE_HEADER_SIZE = 5,  /* length field and version byte */
-    WIRE_MAX_DEPTH = 3,    /* message, list, list element */
-    WIRE_HASH_SIZE = 16,   /* XXH3-128 */
-    WIRE_MAX_SLOTS = 10000 /* slots in one BORROW, LEND or RETURN */
+    WIRE_LENGTH_SIZE = 4, /* bytes of a frame's big-endian length field */
+    WIRE_HEADER_SIZE = 5, /* bytes of a frame's length field and version */
+    WIRE_MAX_DEPTH = 3,   /* nested arrays: message, list, list element */
+    WIRE_HASH_SIZE = 16,  /* bytes of an XXH3 hash of 128 bits */
+    /* Most slots in one BORROW, LEND or RETURN message or slot lease. */
+    WIRE_MAX_SLOTS = 10000
 };
 
-/* The longest document that FLEET may announce: the store's value limit of
- * 1 MB for head and for the snapshot, with room for JSON escapes. */
-#define WIRE_MAX_DOCUMENT ((int64_t)4 * 1024 * 1024)
+/* Longest fleet document, in bytes, that a FLEET message may announce.  The
+ * document consists of two store values of at most 1 MB, the head and the
+ * snapshot; the rest is space for JSON escapes. */
+#define WIRE_MAX_DOCUMENT_BYTES ((int64_t)4 * 1024 * 1024)
 
-/* Name of a message type for error messages; static storage. */
+/* Returns the name of a message type for error messages, or "unknown".  The
+ * string has static storage. */
 const char *wire_type_name(int type);
 
-/* Checks, without allocating, that "bytes" is exactly one msgpack value of
- * arrays, strings, binaries, booleans and integers, that no count or length
- * exceeds the bytes that are left, and that nesting is bounded. */
+/* Checks, without allocating memory, that "bytes" is exactly one msgpack
+ * value, made of arrays, strings, binaries, booleans and integers, that no
+ * element count or length exceeds the remaining bytes, and that arrays are
+ * nested at most WIRE_MAX_DEPTH deep.  Otherwise returns false and fills
+ * *error (AQ_ERR_PROTOCOL). */
 bool wire_check_shape(const char *bytes, size_t size, AqError *error);
 
 #endif
