--- a/packages/base/Include/aq_error.h
+++ b/packages/base/Include/aq_error.h
@@ -10,11 +10,12 @@
 
 typedef enum {
     AQ_OK = 0,
-    AQ_ERR_INVALID,     /* the input is invalid; a retry with it fails too */
-    AQ_ERR_NOT_FOUND,   /* the named object does not exist */
-    AQ_ERR_REFUSED,     /* a rule, budget or quota forbids the request now */
-    AQ_ERR_CONFLICT,    /* another change of the object was applied first */
-    AQ_ERR_UNAVAILABLE, /* a required service is unreachable; no effect */
+    AQ_ERR_INVALID,   /* the input is invalid; a retry with it fails too */
+    AQ_ERR_NOT_FOUND, /* the named object does not exist */
+    AQ_ERR_REFUSED,   /* a rule, budget or quota forbids the request now */
+    AQ_ERR_CONFLICT,  /* another change of the object was applied first */
+    /* A required service is unreachable; the request had no effect. */
+    AQ_ERR_UNAVAILABLE,
     /* No reply arrived in time; the request may or may not have taken effect.
      */
     AQ_ERR_TIMEOUT,
--- a/packages/base/Include/aq_json.h
+++ b/packages/base/Include/aq_json.h
@@ -19,8 +19,8 @@
 
 /* Read a field that must be present.  Return false and fill *error
  * (AQ_ERR_INVALID) if the field is missing, has another type or, for an
- * integer, lies outside of low .. high.  The object owns the string that
- * *value points to. */
+ * integer, is less than "low" or greater than "high".  The object owns the
+ * string that *value points to. */
 bool AqJson_GetString(const json_t *object, const char *field,
                       const char **value, AqError *error);
 bool AqJson_GetInt(const json_t *object, const char *field, int64_t low,
@@ -28,8 +28,8 @@
 
 /* Read a field that may be missing; *value is then "default_value".  Return
  * false and fill *error (AQ_ERR_INVALID) if the field has another type or, for
- * an integer, lies outside of low .. high.  The object owns the string that
- * *value points to. */
+ * an integer, is less than "low" or greater than "high".  The object owns the
+ * string that *value points to. */
 bool AqJson_OptString(const json_t *object, const char *field,
                       const char *default_value, const char **value,
                       AqError *error);
--- a/packages/io/Include/aq_http_client.h
+++ b/packages/io/Include/aq_http_client.h
@@ -67,10 +67,10 @@
 
 AqHttpClient *AqHttpClient_Create(AqLoop *loop, AqError *error);
 void AqHttpClient_Destroy(AqHttpClient *client);
-/* Ends all calls at once, including those that their "done" callbacks start:
- * calls "done" with AQ_HTTP_NOT_SENT, or with AQ_HTTP_INTERRUPTED after
- * sending began.  Must be called before the owners of the "context" pointers
- * are destroyed. */
+/* Ends all calls at once, including those that their "done" callbacks start,
+ * up to 100000 calls: calls "done" with AQ_HTTP_NOT_SENT, or with
+ * AQ_HTTP_INTERRUPTED after sending began.  Must be called before the owners
+ * of the "context" pointers are destroyed. */
 void AqHttpClient_Close(AqHttpClient *client);
 
 /* Starts an HTTP call and returns it.  The event loop calls "done" exactly
--- a/packages/io/http_client.c
+++ b/packages/io/http_client.c
@@ -11,13 +11,17 @@
 
 enum {
     MAX_HEADER_LINES = 64, /* further header lines of a response are dropped */
-    MAX_HEADER_BYTES = 16384, /* longer response headers fail the call */
+    /* Most bytes of all header lines of a response together, each line counted
+     * with a final NUL; the call fails if a response has more. */
+    MAX_HEADER_BYTES = 16384,
     MAX_IDLE_CONNECTIONS = 4096,
     MAX_IDLE_AGE_S = 30, /* connections idle for longer are not reused */
     /* Idle time before the first TCP keepalive probe of a connection, and the
      * interval between its probes. */
     KEEPALIVE_INTERVAL_S = 5,
-    MAX_CLOSE_CALLS = 100000 /* most calls that AqHttpClient_Close ends */
+    /* Most calls that AqHttpClient_Close ends; the limit prevents an endless
+     * loop if "done" callbacks always start a new call. */
+    MAX_CLOSE_CALLS = 100000
 };
 
 struct AqHttpClient {
--- a/packages/settings/Include/aq_settings.h
+++ b/packages/settings/Include/aq_settings.h
@@ -44,11 +44,13 @@
     /* "IP:port" of the platform's store; "": the daemon does not run on the
      * platform. */
     char *platform_store;
-    /* "IP:port" of the platform's VM list; "": the daemon sends no move or
-     * maintenance orders for VMs. */
+    /* "IP:port" of the platform service that lists the VMs and takes orders to
+     * move a VM or take it down for maintenance; "": the daemon sends no such
+     * orders. */
     char *platform_machines;
-    /* "IP:port" of the service that grants queue tickets; "": no queue
-     * requires tickets. */
+    /* "IP:port" of the platform service that grants tickets, each of which
+     * permits starting the tasks of a step on one VM; "": no queue requires
+     * tickets. */
     char *platform_advice;
     /* On the platform: "IP:port" of the listener for callers. */
     char *callers_listen;
--- a/packages/store/Include/aq_store.h
+++ b/packages/store/Include/aq_store.h
@@ -15,7 +15,7 @@
     AQ_STORE_ABSENT, /* a read found no such key */
     /* A write had no effect, because the index of a key did not match. */
     AQ_STORE_CONFLICT,
-    /* The service was not reached or a read failed; no effect. */
+    /* The service was not reached or a read failed; the call had no effect. */
     AQ_STORE_UNAVAILABLE,
     AQ_STORE_UNKNOWN, /* no clear reply; a write may have taken effect */
     /* The service no longer has the changes after the watched index. */
@@ -112,7 +112,8 @@
 
     /* Reads one page of the keys that start with "prefix" and come after the
      * key "after" ("" for the first page).  "stale" allows a reply from a copy
-     * of the data that may be seconds old, at a tenth of the cost. */
+     * of the data that may be seconds old; the service counts such a read as a
+     * tenth of a read of the current data. */
     void (*list_after)(AqStore *store, const char *prefix, const char *after,
                        bool stale, AqStoreDone done, void *context);
     /* Waits until a key that starts with "prefix" changes after the store
--- a/packages/wire/Include/aq_wire.h
+++ b/packages/wire/Include/aq_wire.h
@@ -9,20 +9,21 @@
 #include "aq_clock.h"
 #include "aq_error.h"
 
-/* Encoding and decoding of the messages between daemons.  A message is sent as
- * a frame: a 4-byte big-endian length, a version byte and one msgpack array
- * [type, ...].  Decoding checks every length and type, and never allocates
- * more memory than the frame's size times a constant. */
+/* Encoding and decoding of the messages between the daemons of the entry VMs.
+ * A message is sent as a frame: a 4-byte big-endian length, a version byte and
+ * one msgpack array [type, ...].  Decoding checks every length and type, and
+ * never allocates more memory than the frame's size times a constant. */
 
 enum {
     AQ_WIRE_VERSION = 1,
     /* Most bytes of a frame after its length field. */
     AQ_WIRE_MAX_FRAME = 256 * 1024,
-    AQ_WIRE_MAX_NAME = 64, /* most bytes of an id, including the final NUL */
-    /* Most bytes of a fleet document in one FLEET message. */
+    AQ_WIRE_MAX_NAME = 64, /* most bytes of an id or name, with the NUL */
+    /* Most bytes of the fleet document that one FLEET message carries. */
     AQ_WIRE_FLEET_CHUNK = 64 * 1024,
     AQ_WIRE_MAX_ITEMS = 4096, /* most elements of one list in a message */
-    /* Longest age or lease term in a message; as an age also "never". */
+    /* Longest age or lease term in a message, in ms; an age of this value also
+     * stands for "never". */
     AQ_WIRE_MAX_AGE_MS = 1000000000
 };
 
@@ -47,13 +48,16 @@
     char address[AQ_WIRE_MAX_NAME];
     /* Number that the sending daemon picks anew at each of its starts. */
     uint64_t instance;
-    int64_t epoch; /* epoch that the sender has adopted */
+    /* Number of the epoch (set of member daemons) that the sender has adopted.
+     */
+    int64_t epoch;
 } AqMsgHello;
 
-/* A name with a number.  In a heartbeat's list "peer_ages": a peer and the age
- * in ms of the last heartbeat received from that peer.  In "leaving": a VM and
- * the number of the sender's requests in flight on that VM.  In "over": an
- * endpoint and the number of slots that the sender lacks on that endpoint. */
+/* A name with a number.  In a heartbeat's list "peer_ages": a peer and the
+ * time in ms for which the sender has received no heartbeat from that peer.
+ * In "leaving": a VM and the number of the sender's requests in flight on that
+ * VM.  In "over": an endpoint and the number of slots that the sender lacks on
+ * that endpoint. */
 typedef struct {
     char name[AQ_WIRE_MAX_NAME];
     int64_t value;
@@ -63,10 +67,13 @@
     char name[AQ_WIRE_MAX_NAME]; /* name of the service */
     /* Number of requests that wait in the sender's queue of the service. */
     int64_t queued;
-    int64_t idle; /* sender's free slots of the service */
+    /* Number of the sender's slots on endpoints of the service that run no
+     * request. */
+    int64_t idle;
 } AqWireService;
 
-/* Slots of an endpoint that the sender has leased in. */
+/* Number of slots of one endpoint that the sending daemon has leased from the
+ * daemon "lessor".  A slot permits one request in flight on its endpoint. */
 typedef struct {
     char lessor[AQ_WIRE_MAX_NAME];
     char endpoint[AQ_WIRE_MAX_NAME];
@@ -74,32 +81,41 @@
 } AqWireSlotLease;
 
 typedef struct {
-    /* Number of the heartbeat; never decreases within one instance of the
-     * sender. */
+    /* Number of the heartbeat; never decreases between two starts of the
+     * sending daemon. */
     uint64_t seq;
-    uint64_t instance; /* number that the sender picked at its start */
-    /* Epoch that the sender has adopted; 0 during its start guard. */
+    uint64_t instance; /* number that the sender picked at its last start */
+    /* Number of the epoch (set of member daemons) that the sender has adopted.
+     * 0: the heartbeat does not state the epoch, and peers must not conclude
+     * from it that the sender has released slots. */
     int64_t epoch;
     int64_t version; /* version of the fleet document that the sender uses */
-    /* Time since the sender's last confirmed contact with the store. */
+    /* Time since the sender's last confirmed contact with the store, in ms;
+     * AQ_WIRE_MAX_AGE_MS if there was none. */
     int64_t store_age_ms;
     bool stopping; /* whether the sender has begun its graceful stop */
-    bool joining;  /* whether the sender does not count in a majority yet */
-    /* Whether the sender has filled in "over" and "slot_leases". */
+    /* Whether peers must not count the sender in a majority of the members
+     * yet. */
+    bool joining;
+    /* Whether the sender has filled in the lists "over" and "slot_leases"; if
+     * false, peers must ignore both lists. */
     bool slots_known;
-    /* Age of the last heartbeat received from each peer.  This list and the
-     * ones below are owned by the message. */
+    /* Peers, each with the time in ms for which the sender has received no
+     * heartbeat from the peer.  The message owns this list and the lists in
+     * the fields below. */
     AqWireCount *peer_ages;
     size_t peer_age_count;
-    /* Array of peer_age_count elements: the "seq" of the last heartbeat
-     * received from the peer at the same place in peer_ages, or 0 for none.
-     * NULL stands for zeros only. */
+    /* Array of peer_age_count elements: the field "seq" of the last
+     * heartbeat that the sender received from the peer at the same position in
+     * peer_ages, or 0 for none.  NULL stands for zeros only. */
     uint64_t *acked_seq;
-    /* Leaving VMs, each with the number of the sender's requests in flight on
-     * the VM.  The number is 0 for a VM that is not listed. */
+    /* VMs that are going out of service, each with the number of the sender's
+     * requests in flight on the VM.  The number is 0 for a VM that is not
+     * listed. */
     AqWireCount *leaving;
     size_t leaving_count;
-    /* Endpoints on which the sender has more requests in flight than slots. */
+    /* Endpoints on which the sender has more requests in flight than slots,
+     * each with the number of slots that the sender lacks there. */
     AqWireCount *over;
     size_t over_count;
     AqWireSlotLease *slot_leases;
@@ -109,10 +125,12 @@
 } AqMsgHeartbeat;
 
 typedef struct {
-    uint64_t request; /* number that the sender gave to the claim */
-    uint8_t hash[16]; /* XXH3-128 hash of service and request id */
+    /* Number that the sender gave to its claim of a request id; the receiver's
+     * CLAIM_RESULT message repeats the number. */
+    uint64_t request;
+    uint8_t hash[16]; /* XXH3-128 hash of the service name and request id */
     uint64_t nonce;
-    char holder[AQ_WIRE_MAX_NAME]; /* daemon that is to run the request */
+    char holder[AQ_WIRE_MAX_NAME]; /* id of the daemon to run the request */
 } AqMsgClaim;                      /* fields of a CLAIM or RELEASE message */
 
 typedef enum {
@@ -126,29 +144,34 @@
     AqClaimVerdict verdict;
 } AqMsgClaimResult;
 
-/* Fields of a slot message.  BORROW requests the lease of up to "count" slots
- * of any endpoints of the service "name".  LEND grants the lease of "count"
- * slots of the endpoint "name", and RETURN gives them back. */
+/* Fields of a message about slots, each of which permits one request in flight
+ * on an endpoint.  BORROW requests the lease of up to "count" slots of any
+ * endpoints of the service "name".  LEND grants the lease of "count" slots of
+ * the endpoint "name", and RETURN gives them back. */
 typedef struct {
     char name[AQ_WIRE_MAX_NAME];
     int64_t count;
-    int64_t term_ms; /* LEND: time in which requests may start on the slots */
+    /* In LEND: time after the receipt of the message in which new requests may
+     * start on the slots, in ms. */
+    int64_t term_ms;
 } AqMsgSlots;
 
-/* One chunk of the fleet document of the given version. */
+/* One part of the fleet document that has the version "version". */
 typedef struct {
     int64_t version;
-    int64_t total;  /* bytes of the whole document */
-    int64_t offset; /* byte offset of the chunk in the document */
-    char *bytes;    /* content of the chunk, owned by the message */
-    size_t size;    /* bytes of the chunk */
+    int64_t total;  /* size of the whole fleet document, in bytes */
+    int64_t offset; /* byte offset of "bytes" in the fleet document */
+    char *bytes;    /* part of the fleet document, owned by the message */
+    size_t size;    /* size of the part in "bytes", in bytes */
 } AqMsgFleet;
 
-/* Fields of a BURN message: the service-level burn counters of one entry VM.
- */
+/* Fields of a BURN message: the burn counters of the entry VM "holder", which
+ * count the requests of each service by outcome. */
 typedef struct {
     char holder[AQ_WIRE_MAX_NAME];
-    char *text; /* counters as NUL-terminated JSON, owned by the message */
+    /* The sender's counts of requests by service and outcome (burn counters),
+     * as NUL-terminated JSON text; owned by the message. */
+    char *text;
 } AqMsgBurn;
 
 typedef struct {
@@ -166,10 +189,10 @@
 
 /* Appends the frame of a message to *out.  Numbers are clamped to the range
  * that decoding accepts.  A heartbeat that would exceed AQ_WIRE_MAX_FRAME is
- * encoded without its lists and with epoch and version 0, so that it asserts
- * nothing about the sender's epoch, fleet document and slots.  For any other
- * message that is too large, or that has an empty name where one is required,
- * nothing is appended. */
+ * encoded without its lists, with epoch and version 0 and with slots_known
+ * false, so that it states nothing about the sender's epoch, fleet document
+ * and slots.  For any other message that is too large, or that has an empty
+ * name where one is required, nothing is appended. */
 void AqWire_Encode(const AqMsg *msg, AqBuffer *out);
 
 typedef enum {
--- a/packages/wire/decode.c
+++ b/packages/wire/decode.c
@@ -139,9 +139,11 @@
     return read_text(r, field, 1, name);
 }
 
-/* Reads the header of a list.  Sets *elements to the list's msgpack elements,
- * *count to their number, and *items to a new zeroed array of "*count" entries
- * of "item_size" bytes, or NULL if the list is empty. */
+/* Reads the next field, which must be a list.  Sets *elements to the list's
+ * msgpack elements, *count to their number, and *items to a new zeroed array
+ * of "*count" entries of "item_size" bytes, or NULL if the list is empty.
+ * Returns false and sets the error if the field is not a list of at most
+ * AQ_WIRE_MAX_ITEMS elements. */
 static bool
 read_list_header(Reader *r, const char *field, size_t item_size, void **items,
                  const msgpack_object **elements, size_t *count)
@@ -398,8 +400,8 @@
 static bool
 read_message(const msgpack_object *object, AqMsg *msg, AqError *error)
 {
-    /* Number of elements of the array of each message type, including the type
-     * number. */
+    /* Number of elements of the msgpack array of each message type, indexed by
+     * the type number.  The type number is itself one of the elements. */
     static const uint32_t fields[] = {0, 6, 14, 5, 3, 5, 4, 4, 4, 1, 5, 3};
     if (object->type != MSGPACK_OBJECT_ARRAY || object->via.array.size == 0 ||
         object->via.array.ptr[0].type != MSGPACK_OBJECT_POSITIVE_INTEGER) {
--- a/packages/wire/shape.c
+++ b/packages/wire/shape.c
@@ -6,7 +6,7 @@
  * count to the number of remaining bytes before msgpack-c decodes them. */
 typedef struct {
     const unsigned char *at;  /* next byte to read */
-    const unsigned char *end; /* end of the bytes, just after the last one */
+    const unsigned char *end; /* just after the last byte under check */
     AqError *error;
 } ShapeCursor;
 
@@ -130,7 +130,8 @@
 {
     ShapeCursor cursor = {(const unsigned char *)bytes,
                           (const unsigned char *)bytes + size, error};
-    /* Number of elements still to read of the open array at each depth. */
+    /* Number of elements still to read of the array at each level of nesting.
+     */
     uint64_t elements_left[WIRE_MAX_DEPTH];
     int depth = 0;
     do {
--- a/packages/wire/tests/fuzz_wire.c
+++ b/packages/wire/tests/fuzz_wire.c
@@ -6,9 +6,11 @@
 #include "aq_random.h"
 #include "aq_wire.h"
 
-/* Decodes mutated frames of a seed corpus: fuzz_wire CORPUS SEED RUNS.  Guards
- * against crashes, reads outside the frame (detected by the sanitizers),
- * frames that use more bytes than given, errors without a message, and decoded
+/* The test program "fuzz_wire CORPUS SEED RUNS" decodes the frame files of the
+ * directory CORPUS, then RUNS randomly changed copies of them; SEED is the
+ * seed of the random numbers.  The program guards against crashes, reads
+ * outside the frame (detected by the sanitizers), decoding that reports more
+ * bytes as used than it was given, errors without a message, and decoded
  * messages that change when they are encoded and decoded again. */
 
 enum {
@@ -122,8 +124,8 @@
     }
 }
 
-/* Sets the frame's length field to its actual size, so that the frame passes
- * the length check and its content is decoded. */
+/* Sets the frame's length field to the number of bytes after the field, so
+ * that the frame passes the length check and its content is decoded. */
 static void
 set_length_field(Frame *frame)
 {
@@ -144,9 +146,9 @@
     exit(1);
 }
 
-/* Fails unless the decoded message encodes to a frame that decodes to a
- * message with the same encoding.  "frame" is the frame that the message came
- * from. */
+/* Ends the program with status 1 unless the decoded message encodes to a frame
+ * that decodes to a message with the same encoding.  "frame", from which the
+ * message was decoded, is printed on failure. */
 static void
 check_round_trip(const Frame *frame, const AqMsg *msg)
 {
@@ -175,8 +177,8 @@
 static AqWireResult
 decode_frame(Frame *frame)
 {
-    /* The buffer has exactly the frame's size, so that the sanitizer detects
-     * every read beyond the end of the frame. */
+    /* The buffer has exactly the frame's size (1 byte for an empty frame), so
+     * that the sanitizer detects every read beyond the end of the frame. */
     char *bytes = malloc(frame->size + (frame->size == 0));
     AqMsg msg;
     size_t used = 0;
@@ -236,9 +238,11 @@
     printf("%lu decodes of %zu frames: %lu good, %lu incomplete, %lu bad\n",
            runs, corpus_count, results[AQ_WIRE_MSG],
            results[AQ_WIRE_NEED_MORE], results[AQ_WIRE_BAD]);
-    /* The test fails if less than a quarter of the decodes rejected the frame,
-     * or less than a hundredth returned a message, since most mutated frames
-     * must get past the check of the frame header and some must be valid. */
+    /* The test fails if it covered too little: with fewer than 10 corpus files
+     * at least two of the 11 message types are missing, with less than a
+     * quarter of the decodes rejecting the frame the error handling is hardly
+     * tested, and with less than a hundredth returning a message the round
+     * trip is hardly tested. */
     return corpus_count < 10 || results[AQ_WIRE_BAD] < runs / 4 ||
            results[AQ_WIRE_MSG] < runs / 100;
 }
--- a/packages/wire/tests/make_corpus.c
+++ b/packages/wire/tests/make_corpus.c
@@ -2,7 +2,8 @@
 
 #include "samples.h"
 
-/* Writes the frame of each sample message to DIRECTORY/NAME.frame. */
+/* Writes the frame of each sample message to DIRECTORY/NAME.frame; DIRECTORY
+ * is the program's argument and NAME the name of the sample. */
 int
 main(int argc, char **argv)
 {
--- a/packages/wire/tests/test_wire.c
+++ b/packages/wire/tests/test_wire.c
@@ -128,7 +128,7 @@
 test_bad_frames(void)
 {
     static const struct {
-        const char *body; /* content of the frame after the version byte */
+        const char *body; /* bytes of the frame after the version byte */
         size_t size;
         const char *in_message;
     } cases[] = {
--- a/packages/wire/wire_internal.h
+++ b/packages/wire/wire_internal.h
@@ -6,7 +6,7 @@
 enum {
     WIRE_LENGTH_SIZE = 4, /* bytes of a frame's big-endian length field */
     WIRE_HEADER_SIZE = 5, /* bytes of a frame's length field and version */
-    WIRE_MAX_DEPTH = 3,   /* nested arrays: message, list, list element */
+    WIRE_MAX_DEPTH = 3,   /* levels of arrays: message, list, list element */
     WIRE_HASH_SIZE = 16,  /* bytes of an XXH3 hash of 128 bits */
     /* Most slots in one BORROW, LEND or RETURN message or slot lease. */
     WIRE_MAX_SLOTS = 10000
