--- a/packages/daemon/attempts.c
+++ b/packages/daemon/attempts.c
@@ -21,16 +21,16 @@
 
 typedef struct {
     uint64_t id;
-    uint64_t request; /* number of the request at the router */
+    uint64_t request; /* number that the router assigned to the request */
     char *endpoint;
     char name[96];    /* value of the header Aq-Attempt-Id */
-    AqHttpCall *call; /* HTTP call in progress; NULL after the reply */
+    AqHttpCall *call; /* HTTP call in progress; NULL after its reply */
     Attempts *owner;
 } Attempt;
 
 struct Attempts {
     Daemon *daemon;
-    GHashTable *by_id; /* attempt number -> Attempt, owned by the table */
+    GHashTable *by_id; /* attempt id -> Attempt, owned by the table */
 };
 
 void
@@ -183,8 +183,9 @@
     }
     headers[n] = NULL;
 
-    /* libcurl reuses idle connections by host name.  The endpoint's generation
-     * in the name prevents reuse of connections from an earlier generation. */
+    /* libcurl reuses idle connections by host name.  The host name contains
+     * the generation of the endpoint, a number that changes when idle
+     * connections to the endpoint must not be used again. */
     char *url = g_strdup_printf("http://g%llu.endpoint.invalid%s",
                                 (unsigned long long)Endpoints_Generation(
                                     daemon->endpoints, attempt->endpoint),
--- a/packages/daemon/attempts.h
+++ b/packages/daemon/attempts.h
@@ -3,8 +3,8 @@
 
 #include "daemon.h"
 
-/* Sends the attempts of requests to endpoints, with one HTTP call for each
- * attempt. */
+/* Creates the object that sends attempts of requests to endpoints, with one
+ * HTTP call for each attempt. */
 
 Attempts *Attempts_Create(Daemon *daemon);
 void Attempts_Destroy(Attempts *attempts);
@@ -13,8 +13,8 @@
  * EndpointResponse_Destroy. */
 typedef struct {
     int status;
-    /* Header lines "Name: value", NULL-terminated, without those for which
-     * Attempts_IsOwnHeader is true. */
+    /* Header lines "Name: value" of the response, NULL-terminated, without
+     * those for which Attempts_IsOwnHeader is true. */
     char **headers;
     char *body;
     size_t size; /* bytes in "body" */
@@ -28,18 +28,19 @@
     const char *method;
     const char *path; /* path and query to request from the endpoint */
     const char *request_id;
-    const char *const *headers; /* lines "Name: value", NULL-terminated */
+    /* Header lines "Name: value", NULL-terminated. */
+    const char *const *headers;
     const char *body;
     size_t size;     /* bytes in "body" */
     AqTime deadline; /* end of the caller's timeout, on the loop's clock */
 } AttemptRequest;
 
-/* Starts the attempt "order".  AqRouter_AttemptDone is called when the attempt
- * ends, unless it is cancelled. */
+/* Starts the attempt that "order" describes.  AqRouter_AttemptDone is called
+ * when the attempt ends, unless the attempt is cancelled. */
 void Attempts_Start(Attempts *attempts, const AqAttempt *order,
                     const AttemptRequest *request);
-/* Cancels an attempt.  Returns whether no byte of its request was sent; true
- * for an attempt that is not in progress. */
+/* Cancels an attempt.  Returns whether no byte of the attempt's HTTP request
+ * was sent; true for an attempt that is not in progress. */
 bool Attempts_Cancel(Attempts *attempts, uint64_t id);
 
 /* Whether a header line applies to one connection only (RFC 9110, 7.6.1) or is
--- a/packages/daemon/burn_sync.c
+++ b/packages/daemon/burn_sync.c
@@ -14,12 +14,13 @@
 enum {
     PERIOD_MS = 30000,
     RETRY_MS = 5000,
-    /* Limit for the copies of one daemon's counters: 2 KB/s of the 13 KB/s
-     * that control traffic may use per daemon.  Larger copies are sent less
-     * often. */
+    /* Most bytes a second that one daemon sends as copies of its request
+     * counters: 2 KB/s of the 13 KB/s that control traffic may use per daemon.
+     * Larger copies are sent less often. */
     BYTES_PER_SECOND = 2048,
-    /* Longest encoded counters that are sent to peers: a frame has 256 KiB at
-     * most.  Longer ones are written to the store only. */
+    /* Longest encoded request counters that are sent to peers, because a frame
+     * (message to a peer) has 256 KiB at most.  Longer counters are written to
+     * the store only. */
     MAX_MESSAGE_BYTES = 200 * 1024
 };
 
@@ -27,9 +28,11 @@
     Daemon *daemon;
     AqBurn *burn;
     AqTimer timer;
-    bool has_read; /* the copies in the store have been read */
-    char *text;    /* encoded counters being written to the store, or NULL */
-    /* Store key of the copy of this daemon's counters. */
+    bool has_read; /* all daemons' counters have been read from the store */
+    /* This daemon's request counters as JSON while they are being written to
+     * the store; otherwise NULL. */
+    char *text;
+    /* Store key under which this daemon's request counters are written. */
     char key[sizeof(BURN_PREFIX) + AQ_WIRE_MAX_NAME];
 };
 
@@ -62,8 +65,8 @@
                bool in_time)
 {
     /* Services that no pool serves are not counted: callers can send any
-     * number of such names.  Nor are refused duplicates, which belong to a
-     * request that is counted already. */
+     * number of such service names.  Refused duplicates are not counted
+     * either, because the request with the same id is counted already. */
     if (outcome->reason != AQ_REASON_NO_SERVICE &&
         outcome->reason != AQ_REASON_DUPLICATE) {
         AqBurn_Count(burn->burn, AqClock_ReadWall(), service,
@@ -128,7 +131,8 @@
     }
 }
 
-/* Returns the time until the next copies of "size" bytes, so that their rate
+/* Returns the time between two sendings of this daemon's request counters, of
+ * "size" bytes, to the store and the members, so that the rate of all copies
  * stays within BYTES_PER_SECOND. */
 static AqTime
 copy_period(const BurnSync *burn, size_t size)
--- a/packages/daemon/burn_sync.h
+++ b/packages/daemon/burn_sync.h
@@ -5,23 +5,25 @@
 
 #include "daemon.h"
 
-/* Counters of the error budget burn of this daemon, their copies in the store
- * and at peers, and the burn report over all entry VMs. */
+/* Creates the object that counts requests for the error-budget burn rates of
+ * services.  It copies this daemon's counters to the store and to peers, and
+ * merges those of the other entry VMs. */
 
 BurnSync *BurnSync_Create(Daemon *daemon);
 void BurnSync_Destroy(BurnSync *burn);
 
-/* Counts a finished request of a service; "in_time": the request finished
- * before its deadline. */
+/* Counts a caller's finished request to a service for the service's
+ * error-budget burn rate; "in_time": the request finished before its deadline.
+ */
 void BurnSync_Count(BurnSync *burn, const char *service,
                     const AqOutcome *outcome, bool in_time);
-/* Sets the objectives of services to those of their pools in the fleet
- * document in force. */
+/* Sets each service's objective, the share of its requests that must finish in
+ * time, to the one of its pool in the fleet document in force. */
 void BurnSync_Refresh(BurnSync *burn);
-/* Merges the counters that a peer has sent. */
+/* Merges a peer's counters of requests into the burn report of this daemon. */
 void BurnSync_OnPeerCounters(BurnSync *burn, const AqMsgBurn *msg);
-/* Returns the burn report over all entry VMs.  The caller owns the reference.
- */
+/* Returns the burn report, with the error-budget burn rate of each service
+ * over all entry VMs.  The caller owns the reference. */
 json_t *BurnSync_Report(BurnSync *burn);
 
 #endif
--- a/packages/daemon/caller_request.h
+++ b/packages/daemon/caller_request.h
@@ -5,11 +5,12 @@
 #include "aq_http_server.h"
 #include "aq_router.h"
 
-/* A request of a caller, parsed from the method, path and headers. */
+/* A caller's HTTP request, parsed from the method, path and headers. */
 
 typedef struct {
     uint64_t number; /* request number assigned by the router */
-    /* HTTP exchange, owned by the server; valid until the response is sent. */
+    /* HTTP exchange with the caller, owned by the HTTP server; valid until the
+     * response to the caller is sent. */
     AqExchange *exchange;
     char *service;
     char *path; /* path and query to send to the endpoint */
@@ -26,10 +27,11 @@
 /* Prefix of the request paths that are forwarded to endpoints. */
 #define CALLER_PATH_PREFIX "/v1/services/"
 
-/* Parses the request of "exchange", which arrived at "now".  The caller owns
- * the result.  Returns NULL with AQ_ERR_INVALID for a bad request; the message
- * names the header, its value, the allowed values and the remedy.
- * "fallback_id" becomes the id of an idempotent request without an id. */
+/* Parses the caller's request in "exchange", which arrived at "now".  The
+ * result is freed with CallerRequest_Destroy.  Returns NULL with
+ * AQ_ERR_INVALID for a bad request; the message names the header, its value,
+ * the allowed values and the remedy.  "fallback_id" becomes the id of an
+ * idempotent request without an id. */
 CallerRequest *CallerRequest_Create(AqExchange *exchange, AqTime now,
                                     AqTime default_timeout_ms,
                                     const char *fallback_id, AqError *error);
--- a/packages/daemon/callers.c
+++ b/packages/daemon/callers.c
@@ -20,8 +20,10 @@
 struct Callers {
     Daemon *daemon;
     AqHttpServer *server;
-    GHashTable *by_number;      /* request number -> CallerRequest, owned */
-    uint64_t last_generated_id; /* last number in a generated request id */
+    /* Request number -> CallerRequest, owned by the table. */
+    GHashTable *by_number;
+    /* Last number used in a request id that this daemon generated. */
+    uint64_t last_generated_id;
 };
 
 /* ---- Responses ---------------------------------------------------------- */
@@ -71,8 +73,8 @@
                             "send it again after Retry-After"},
 };
 
-/* Used instead of the text of a reason that by itself means "not run" when an
- * earlier attempt of the request may have run. */
+/* Text for a request of which an earlier attempt may have run.  It replaces
+ * the text of a reason of the last attempt that alone would mean "not run". */
 static const ReasonText ran_before = {
     502, "an attempt may have run and no further one was possible",
     "ask the service for its result; repeat it only if it is idempotent"};
@@ -118,8 +120,8 @@
         headers[n++] = (AqHttpHeader){"Aq-Request-Id", request_id};
     }
     if (strcmp(outcome, "not-run") == 0) {
-        /* Retry-After has whole seconds.  They are rounded up, so that a
-         * caller that obeys the header does not retry too early. */
+        /* Retry-After has whole seconds.  The milliseconds are rounded up, so
+         * that a caller that obeys the header does not retry too early. */
         snprintf(seconds, sizeof(seconds), "%lld",
                  (long long)((retry_after_ms + 999) / 1000));
         snprintf(ms, sizeof(ms), "%lld", (long long)retry_after_ms);
--- a/packages/daemon/callers.h
+++ b/packages/daemon/callers.h
@@ -4,15 +4,16 @@
 #include "attempts.h"
 #include "daemon.h"
 
-/* The HTTP server for callers: passes their requests to the router and
- * responds with the outcome.  It also serves health, readiness and metrics. */
+/* Creates the HTTP server for callers.  It passes callers' requests to the
+ * router and responds with their outcomes; it also serves this daemon's
+ * health, readiness and metrics. */
 
 Callers *Callers_Create(Daemon *daemon, AqError *error);
 void Callers_Destroy(Callers *callers);
 
 uint16_t Callers_Port(const Callers *callers);
-/* Returns the number of requests that were accepted and have no response
- * yet. */
+/* Returns the number of callers' requests that were accepted and have no
+ * response yet. */
 size_t Callers_Pending(const Callers *callers);
 void Callers_CloseAfterResponse(Callers *callers);
 void Callers_StopListening(Callers *callers);
--- a/packages/daemon/claim_client.c
+++ b/packages/daemon/claim_client.c
@@ -9,30 +9,33 @@
 #include "peers.h"
 
 enum {
-    /* Covers a round trip between data centres, the owner's batch period and a
-     * slow store.  Without a reply of the owner in this time, this daemon
-     * writes the claim itself. */
+    /* Longest wait for the verdict of the daemon that owns a claim's
+     * partition; after that this daemon writes the claim to the store itself.
+     * The time covers a round trip between data centres, the owner's batch
+     * period and a slow store. */
     OWNER_TIMEOUT_MS = 500,
-    /* Most claims of peers that wait for a verdict; further claims are dropped
-     * without a reply. */
+    /* Greatest number of claims of request ids that peers have sent and that
+     * have no verdict yet.  A claim beyond that number is dropped without a
+     * reply. */
     MAX_PEER_CLAIMS = 100000
 };
 
-/* The claim of a request that a caller sent to this daemon. */
+/* The claim of the id of a request that a caller sent to this daemon. */
 typedef struct {
-    AqLink link;      /* in "sent_to_owner" until the owner replies */
-    uint64_t request; /* number of the request at the router */
+    AqLink link;      /* in "sent_to_owner" until the claim's owner replies */
+    uint64_t request; /* number that the router assigned to the request */
     AqMsgClaim claim;
-    /* Deadline of the owner's reply to the claim; 0 if the claim was not sent
-     * to the owner. */
+    /* Deadline for the reply to the claim of the daemon that owns the claim's
+     * partition; 0 if the claim was not sent to another daemon. */
     AqTime requested_until;
-    bool decided; /* the verdict was passed to the router */
+    bool decided; /* the claim's verdict was passed to the router */
 } OwnClaim;
 
-/* A claim that this daemon writes to the store for a peer. */
+/* A claim of a request id that this daemon writes to the store for a peer. */
 typedef struct {
     char from[AQ_WIRE_MAX_NAME]; /* id of the peer that sent the claim */
-    uint64_t request; /* number of the request at the router of the peer */
+    /* Number that the peer's router assigned to the request. */
+    uint64_t request;
 } PeerClaim;
 
 typedef struct {
@@ -46,16 +49,19 @@
 struct ClaimClient {
     Daemon *daemon;
     AqClaims *claims;
-    GHashTable *own;   /* request number -> OwnClaim, owned by the table */
-    GHashTable *peers; /* number with PEER_BIT -> PeerClaim, owned */
+    /* Router's request number -> OwnClaim, owned by the table. */
+    GHashTable *own;
+    /* Claim number with PEER_BIT -> PeerClaim, owned by the table. */
+    GHashTable *peers;
     uint64_t last_peer_number; /* last number assigned to a claim of a peer */
-    AqLink sent_to_owner; /* OwnClaims sent to their owner, oldest first */
+    /* OwnClaims sent to the daemon that owns their partition, oldest first. */
+    AqLink sent_to_owner;
     AqRandom random;
     AqTimer timer;
 };
 
-/* Set in the numbers of claims of peers, so that they differ from the numbers
- * of this daemon's own requests. */
+/* Bit set in the numbers that this daemon assigns to peers' claims, so that
+ * they differ from the router's numbers of this daemon's own requests. */
 #define PEER_BIT (UINT64_C(1) << 63)
 
 static void start_timer(ClaimClient *client);
@@ -99,8 +105,8 @@
     start_timer(client);
 }
 
-/* Deletes a batch of claims, unless its store index differs from the one in
- * "reply". */
+/* Deletes a batch of claims from the store, unless the batch was last written
+ * at another store revision than that in "reply". */
 static void
 on_key_read(void *context, const AqStoreReply *reply)
 {
@@ -212,7 +218,8 @@
     AqList_Remove(&own->link);
     own->decided = true;
     if (verdict == AQ_CLAIM_UNAVAILABLE && own->requested_until != 0) {
-        /* The owner to which the claim was sent may still write it. */
+        /* The daemon that owns the claim's partition may still write the claim
+         * to the store. */
         send_release(client, own);
     }
     AqRouter_ClaimDone(client->daemon->router,
@@ -293,9 +300,10 @@
         return;
     }
     if (AqList_IsLinked(&own->link)) {
-        /* The owner may have written the claim already, or may still do so.
-         * The release is sent on the same connection after the claim, so that
-         * the owner handles it second. */
+        /* The daemon that owns the claim's partition may have written the
+         * claim to the store already, or may still do so.  The release is sent
+         * on the same connection after the claim, so that the owner handles
+         * the release second. */
         AqMsg msg = {.type = AQ_MSG_RELEASE};
         msg.as.claim = own->claim;
         Peers_Send(client->daemon->peers, owner_of(client, own->claim.hash),
@@ -372,8 +380,9 @@
     {
         OwnClaim *own = AqList_Entry(at, OwnClaim, link);
         if (own->requested_until <= now) {
-            /* The nonce stays the same, so that a claim that the owner has
-             * already written is recognised as the same claim. */
+            /* The claim keeps its nonce, so that a claim that the owner of the
+             * partition has already written to the store is recognised as the
+             * same claim. */
             submit_locally(client, own);
         }
     }
@@ -386,7 +395,8 @@
 {
     AqTime due = AqClaims_NextTick(client->claims);
     if (!AqList_IsEmpty(&client->sent_to_owner)) {
-        /* All claims have the same time limit, so the oldest is due first. */
+        /* All claims sent to an owner have the same time limit for the reply,
+         * so the oldest claim is due first. */
         AqTime first = AqList_Entry(client->sent_to_owner.next, OwnClaim, link)
                            ->requested_until;
         due = first < due ? first : due;
--- a/packages/daemon/commits.c
+++ b/packages/daemon/commits.c
@@ -10,49 +10,60 @@
 #include "snapshots.h"
 
 enum {
-    /* Longest time for a change to reach the store; the result is
-     * COMMIT_UNAVAILABLE or COMMIT_UNKNOWN after that. */
+    /* Longest time from the submission of a change until the store has it; the
+     * result is COMMIT_UNAVAILABLE or COMMIT_UNKNOWN after that. */
     COMMIT_TIMEOUT_MS = 5000,
-    /* Longest wait for a majority to confirm a stored change; the result is
-     * COMMIT_STORED after that. */
+    /* Longest wait for a majority of the epoch's members to report that a
+     * stored change is in force; the result is COMMIT_STORED after that. */
     CONFIRM_TIMEOUT_MS = 2000,
     RETRY_MS = 200,
-    /* Most changes evaluated for one write of head; further changes wait for
-     * the next write. */
+    /* Greatest number of changes evaluated for one write of the store entry
+     * "head"; further changes wait for the next write. */
     BATCH_MAX_CHANGES = 64,
-    /* Write conflicts in a row that are retried without a wait. */
+    /* Number of conflicts in a row, in writes of the store entry "head", that
+     * are retried without a wait. */
     IMMEDIATE_RETRIES = 2,
-    /* Upper bound of the random wait before a retry after further conflicts in
-     * a row. */
+    /* Upper bound of the random wait before a write of the store entry "head"
+     * is retried after more conflicts in a row than IMMEDIATE_RETRIES. */
     CONFLICT_MAX_WAIT_MS = 20
 };
 
 typedef struct {
     AqLink link;
     char *op;
-    json_t *intent; /* intent that the change comes from, or NULL */
+    json_t *intent; /* intent that asked for the change, or NULL */
     CommitEvaluate evaluate;
     CommitDone done;
     void *context;
-    AqTime deadline; /* end of the wait for storage or, later, confirmation */
+    /* End of the wait until the change is stored or, once it is stored, until
+     * a majority of the epoch's members has reported it in force. */
+    AqTime deadline;
     bool maybe_written; /* the change was in a write whose reply was lost */
-    int64_t version;    /* document version that contains the change */
+    int64_t version;    /* fleet document version that contains the change */
 } Commit;
 
 struct Commits {
     Daemon *daemon;
-    AqLink waiting;    /* Commits neither stored nor in the batch */
-    AqLink batch;      /* Commits that the current write of head contains */
-    AqLink confirming; /* stored Commits that a majority has not confirmed */
-    bool is_batch_running; /* a batch of changes is in progress */
-    uint64_t head_index;   /* store index of head when the batch read it */
-    /* Document version of the snapshot being written. */
+    AqLink waiting; /* Commits neither stored nor in "batch" */
+    /* Commits in the current write of the store entry "head". */
+    AqLink batch;
+    /* Stored Commits that a majority of members has not reported in force. */
+    AqLink confirming;
+    /* A batch is in progress: the store entry "head" is being read, changes
+     * are being evaluated, or "head" is being written. */
+    bool is_batch_running;
+    /* Store revision at which the entry "head" was last written, as read for
+     * the batch. */
+    uint64_t head_index;
+    /* Fleet document version of the snapshot being written to the store. */
     int64_t snapshot_version;
-    /* Document version of the snapshot to remove after the write; 0: none. */
+    /* Fleet document version of the snapshot to remove after the next write of
+     * the store entry "head"; 0: none. */
     int64_t old_snapshot_version;
     AqFleet *next; /* fleet document with the batch applied, or NULL */
     AqTimer timer;
-    int conflicts_in_row; /* write conflicts since the last success */
+    /* Write conflicts since the last write that succeeded. */
+    int conflicts_in_row;
     AqRandom random;
     AqMetric *writes;
     AqMetric *conflicts;
@@ -169,8 +180,8 @@
     }
 }
 
-/* Ends the batch without a result and puts its changes at the front of the
- * list of waiting changes. */
+/* Ends the batch of changes without a result and puts the changes at the front
+ * of the list of waiting changes. */
 static void
 requeue_batch(Commits *commits)
 {
@@ -191,9 +202,9 @@
     AqList_Append(&commits->confirming, &commit->link);
 }
 
-/* Starts the next batch after a conflict.  After several conflicts in a row it
- * waits for a random time first, so that daemons that commit at the same time
- * stop conflicting. */
+/* Starts the next batch of changes after a write conflict with another daemon.
+ * After several conflicts in a row the batch starts after a random wait, so
+ * that daemons that commit at the same time stop conflicting. */
 static void
 retry_after_conflict(Commits *commits)
 {
@@ -218,14 +229,15 @@
         {
             Commit *commit = AqList_Entry(at, Commit, link);
             int64_t version = AqFleet_FindOp(next, commit->op);
-            /* A change that added no record has no operation id in the
+            /* A change that added no record has no operation id in the fleet
              * document. */
             await_confirmation(commits, commit,
                                version > 0 ? version : AqFleet_Version(next));
         }
         commits->is_batch_running = false;
         commits->conflicts_in_row = 0;
-        /* The head that named the old snapshot has been replaced. */
+        /* The store entry "head" names the new snapshot now, not the old one.
+         */
         if (commits->old_snapshot_version > 0) {
             Snapshots_Remove(commits->daemon, commits->old_snapshot_version);
             commits->old_snapshot_version = 0;
@@ -262,10 +274,10 @@
     free(head);
 }
 
-/* Handles a change that adds no record because "version" of the document
- * already has its effect.  If that version is stored, the change waits for
- * confirmation of the version, otherwise for the write of the batch that
- * creates it. */
+/* Handles a change that adds no record because "version" of the fleet document
+ * already has its effect.  If that version is stored, the change waits until a
+ * majority reports the version in force, otherwise for the write of the batch
+ * that creates the version. */
 static void
 await_existing_version(Commits *commits, Commit *commit, int64_t version)
 {
@@ -277,9 +289,9 @@
     AqList_Append(&commits->batch, &commit->link);
 }
 
-/* Evaluates one change on the document with the earlier changes of the batch
- * applied.  The write of those may still fail, so a result that depends on
- * them is not reported before the write is confirmed. */
+/* Evaluates one change on the fleet document with the earlier changes of the
+ * batch applied.  The write of the earlier changes may still fail, so a result
+ * that depends on them is not reported before the store confirms the write. */
 static void
 evaluate(Commits *commits, Commit *commit)
 {
@@ -305,9 +317,9 @@
                                AqFleet_Version(commits->next));
     }
     json_decref(set);
-    /* A refusal is final only if the batch is empty, so that it depends on the
-     * stored document alone.  Otherwise the change is evaluated again in the
-     * next batch. */
+    /* The change is refused for good only if the batch is empty, so that the
+     * refusal depends on the stored document alone.  Otherwise the change is
+     * evaluated again in the next batch. */
     if (!ok && AqList_IsEmpty(&commits->batch)) {
         finish(commit, COMMIT_REFUSED, &error);
     }
@@ -353,8 +365,8 @@
     }
     AqFleet *fleet = Daemon_Fleet(commits->daemon);
     if (AqFleet_Version(fleet) != commits->snapshot_version) {
-        /* The watch of head has installed a newer document while the snapshot
-         * was written. */
+        /* The watch of the store entry "head" has installed a newer fleet
+         * document while the snapshot was written. */
         requeue_batch(commits);
         return;
     }
@@ -414,8 +426,8 @@
     commit->context = context;
     commit->deadline = AqLoop_Now(commits->daemon->loop) + COMMIT_TIMEOUT_MS;
     AqList_Append(&commits->waiting, &commit->link);
-    /* The batch starts from the timer, so that "done" is never called from
-     * inside this function. */
+    /* The timer starts the batch with this change, so that "done" is never
+     * called from inside this function. */
     AqTimer_Start(commits->daemon->loop, &commits->timer,
                   AqLoop_Now(commits->daemon->loop));
     return commit;
@@ -443,9 +455,9 @@
     return AqFleet_Evaluate(fleet, state->intent, wall_ms, set, error);
 }
 
-/* Evaluates a change of one member.  Members change one at a time, based on
- * the epoch in force, so that the majorities of successive epochs intersect.
- */
+/* Evaluates the addition or removal of one member.  Members change one at a
+ * time, based on the epoch in force, so that the majorities of successive
+ * epochs intersect. */
 static bool
 evaluate_member(void *context, const AqFleet *fleet, int64_t wall_ms,
                 json_t *set, AqError *error)
--- a/packages/daemon/daemon.c
+++ b/packages/daemon/daemon.c
@@ -40,9 +40,9 @@
     return FleetSync_Fleet(daemon->sync);
 }
 
-/* A daemon that has just joined holds no slots until the guard period of its
- * epoch has passed.  Daemons that reported ready before that refused half of
- * their requests during an upgrade. */
+/* A daemon that has just become a member holds no slots of endpoints until the
+ * guard period of its epoch has passed.  Daemons that reported ready before
+ * that refused half of their requests during an upgrade. */
 bool
 Daemon_IsReady(const Daemon *daemon)
 {
@@ -82,8 +82,9 @@
     AqLog_Event(AQ_LOG_DEBUG, "document_in_force", "version=%lld epoch=%lld",
                 (long long)AqFleet_Version(fleet),
                 (long long)AqFleet_Epoch(fleet));
-    /* AqMembership requires this order: a version may be reported only after
-     * the members that belong to it have been installed. */
+    /* AqMembership requires this order: a version of the fleet document may be
+     * reported to peers only after the members listed in that version have
+     * been installed. */
     if (new_epoch) {
         set_epoch(daemon, fleet);
     }
@@ -181,7 +182,8 @@
     }
 }
 
-/* Whether the fleet document lists this daemon with its current address. */
+/* Whether the fleet document lists this daemon as a member with "address", its
+ * current one. */
 static bool
 is_listed(const Daemon *daemon, const char *address)
 {
@@ -205,8 +207,8 @@
         return;
     }
     char op[200];
-    /* The version in the operation id makes a join after a removal a new
-     * operation. */
+    /* The operation id contains the version of the fleet document, so that a
+     * join after a removal is a new operation. */
     snprintf(op, sizeof(op), "member-add-%s-%llx-%lld",
              daemon->settings->node_id, (unsigned long long)daemon->instance,
              (long long)AqFleet_Version(Daemon_Fleet(daemon)));
--- a/packages/daemon/daemon.h
+++ b/packages/daemon/daemon.h
@@ -17,9 +17,8 @@
 #include "aq_slices.h"
 #include "aq_store.h"
 
-/* The state that the modules of one daemon share.  Each module has its own
- * opaque type and uses the others only through the functions in their
- * headers. */
+/* Opaque types of the modules of one daemon.  Each module uses the others only
+ * through the functions in their headers. */
 
 typedef struct Callers Callers;
 typedef struct Attempts Attempts;
@@ -36,11 +35,13 @@
 
 typedef enum {
     DAEMON_RUNNING,
-    DAEMON_UNREADY,  /* stopping: readiness is false, requests are accepted */
-    DAEMON_DRAINING, /* stopping: no new requests are accepted */
-    DAEMON_LEAVING   /* stopping: the daemon leaves the epoch */
+    /* Stopping: reports not ready, still accepts callers' requests. */
+    DAEMON_UNREADY,
+    DAEMON_DRAINING, /* stopping: accepts no new requests from callers */
+    DAEMON_LEAVING   /* stopping: the daemon removes itself from the members */
 } DaemonPhase;
 
+/* The state that the modules of one daemon share. */
 typedef struct {
     const AqSettings *settings; /* owned by the caller of AqDaemon_Create */
     uint64_t instance; /* random number, new at each start of the daemon */
@@ -75,8 +76,8 @@
 void Daemon_FleetChanged(Daemon *daemon);
 /* Called by Peers for each message "msg" of the authenticated peer "from". */
 void Daemon_PeerMessage(Daemon *daemon, const char *from, const AqMsg *msg);
-/* Called by Peers for each heartbeat, at least every AQ_HEARTBEAT_MS: fills
- * the message that is sent to all peers. */
+/* Fills the heartbeat message that Peers sends to all peers, at least every
+ * AQ_HEARTBEAT_MS. */
 void Daemon_FillHeartbeat(Daemon *daemon, AqMsgHeartbeat *beat);
 
 /* Whether the platform's balancer may send requests to this daemon. */
--- a/packages/daemon/endpoints.c
+++ b/packages/daemon/endpoints.c
@@ -30,15 +30,18 @@
     char *address;
     AqVmState state;
     int slots;
-    bool is_in_document;   /* listed in the fleet document being applied */
+    /* The fleet document being applied lists the endpoint. */
+    bool is_in_document;
     bool reported_leaving; /* the endpoint itself reports that it is leaving */
     /* End of the validity of the last report by a peer that the endpoint is
      * leaving. */
     AqTime peer_leaving_until;
     bool leaving; /* the router treats the endpoint as leaving */
-    /* Number of slots of the endpoint that the router may use. */
+    /* Number of slots of the endpoint that this daemon's router may use now.
+     */
     int usable;
-    /* Changes when idle connections to the endpoint must not be used again. */
+    /* Number that changes when idle connections to the endpoint must not be
+     * used again. */
     uint64_t generation;
     AqHttpCall *check; /* health check in progress, or NULL */
     AqTime next_check;
@@ -52,8 +55,9 @@
     Daemon *daemon;
     GHashTable *by_id;
     AqTimer timer;
-    /* Whether this daemon has held half of its assigned slots since it became
-     * a fresh member. */
+    /* Whether this daemon has held at least half of the endpoints' slots that
+     * are assigned to it, at some time since it became a member with a fresh
+     * fleet document. */
     bool has_slots;
     EndpointsCounts counts;
     bool was_steady; /* AqSlices_IsSteady before the last refresh of slots */
@@ -149,8 +153,8 @@
 }
 
 /* Whether the endpoint is steady: serving, not leaving, not ejected and
- * healthy at its last check.  Requests detect failures of such an endpoint
- * before health checks do. */
+ * healthy at its last check.  A failure of such an endpoint is detected by the
+ * requests sent to it before a health check detects the failure. */
 static bool
 is_steady(const Endpoint *e)
 {
@@ -176,10 +180,10 @@
     return false;
 }
 
-/* Whether this daemon must check the endpoint now.  All daemons check an
- * endpoint that returns from maintenance, since any of them may be the
- * planner.  A steady endpoint is checked by STEADY_CHECKERS daemons, any other
- * endpoint by the daemons that are assigned slots of it. */
+/* Whether this daemon must check the health of the endpoint now.  All daemons
+ * check an endpoint that returns from maintenance, since any of them may be
+ * the planner.  A steady endpoint is checked by STEADY_CHECKERS daemons, any
+ * other endpoint by the daemons that are assigned slots of it. */
 static bool
 needs_check(const Endpoint *e, AqTime now)
 {
@@ -253,7 +257,8 @@
     e->service = strdup("");
     e->address = strdup("");
     e->healthy_since = AQ_TIME_NEVER;
-    /* Spreads the health checks of different endpoints over the period. */
+    /* Spreads the first health checks of different endpoints over
+     * HEALTH_PERIOD_MS. */
     e->next_check = AqLoop_Now(endpoints->daemon->loop) +
                     (AqTime)(g_str_hash(e->id) % HEALTH_PERIOD_MS);
     g_hash_table_insert(endpoints->by_id, e->id, e);
@@ -353,16 +358,16 @@
     bool member =
         AqMembership_IsMember(daemon->membership, daemon->settings->node_id) &&
         AqMembership_IsFresh(daemon->membership, now);
-    /* The flag stays set while this daemon is a fresh member: a later epoch
-     * takes slots away only until its guard period has passed, and meanwhile
-     * the other daemons lease slots to this one. */
+    /* "has_slots" stays true while this daemon is a member with a fresh fleet
+     * document: a later epoch takes slots away only until its guard period has
+     * passed, and meanwhile the other daemons lease slots to this one. */
     endpoints->has_slots =
         member && (endpoints->has_slots || 2 * held >= assigned);
 }
 
-/* Called for each received heartbeat, 2 (n - 1) times a second with n members.
- * Skipping the refresh of each of 900 endpoints saves most of the processor
- * time that an idle daemon can avoid. */
+/* Called for each heartbeat received from a peer, 2 (n - 1) times a second
+ * with n members.  Skipping the refresh of each of 900 endpoints saves most of
+ * the processor time that an idle daemon can avoid. */
 void
 Endpoints_CheckSlots(Endpoints *endpoints)
 {
@@ -420,8 +425,9 @@
     AqMsgHeartbeat *beat;
 } ServiceFill;
 
-/* Adds a service to the heartbeat only if it has a queue or no idle slot: a
- * list of all 53 services took more than half of the heartbeat's bytes. */
+/* Adds a service to the heartbeat only if requests of the service are queued
+ * at this daemon or none of its slots here is idle: a list of all 53 services
+ * took more than half of the heartbeat's bytes. */
 static void
 fill_service(void *context, const char *service)
 {
@@ -441,8 +447,8 @@
 fill_services(const Endpoints *endpoints, AqMsgHeartbeat *beat)
 {
     ServiceFill fill = {endpoints->daemon->router, beat};
-    /* Each service has at least one endpoint, so that there are no more
-     * services than endpoints. */
+    /* Each service has at least one endpoint, so there are no more services
+     * than endpoints. */
     beat->services = calloc(g_hash_table_size(endpoints->by_id) + 1,
                             sizeof(*beat->services));
     AqRouter_EachService(fill.router, fill_service, &fill);
@@ -467,7 +473,8 @@
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const Endpoint *e = value;
         int in_flight = AqRouter_InFlight(daemon->router, e->id);
-        /* The endpoint's own report that it is leaving is always sent. */
+        /* An endpoint that itself reports that it is leaving is always listed
+         * in the heartbeat, also when no request to it is in flight. */
         if (e->reported_leaving ||
             (e->state != AQ_VM_SERVING && in_flight > 0)) {
             beat->leaving[beat->leaving_count++] = count_of(e->id, in_flight);
--- a/packages/daemon/endpoints.h
+++ b/packages/daemon/endpoints.h
@@ -3,35 +3,38 @@
 
 #include "daemon.h"
 
-/* The endpoints in the fleet document, each with its state according to health
- * checks, responses, peers and the VM list. */
+/* Creates the table of the endpoints in the fleet document, each with its
+ * state according to health checks, responses, peers and the platform's VM
+ * list. */
 
 Endpoints *Endpoints_Create(Daemon *daemon);
 void Endpoints_Destroy(Endpoints *endpoints);
 
-/* Updates endpoints, slots and leaving marks from the fleet document in
- * force. */
+/* Updates the endpoints, their slots and which of them are leaving, from the
+ * fleet document in force. */
 void Endpoints_Refresh(Endpoints *endpoints);
 /* Sets in the router how many slots of each endpoint this daemon may use
  * now. */
 void Endpoints_RefreshSlots(Endpoints *endpoints);
 /* Calls Endpoints_RefreshSlots, unless no number of usable slots can have
- * changed since its last call. */
+ * changed since the last call of Endpoints_RefreshSlots. */
 void Endpoints_CheckSlots(Endpoints *endpoints);
 
-/* Whether this daemon has held at least half of its assigned slots at some
- * time since it became a member with a fresh fleet document. */
+/* Whether this daemon has held at least half of the endpoints' slots that are
+ * assigned to it, at some time since it became a member with a fresh fleet
+ * document. */
 bool Endpoints_HaveSlots(const Endpoints *endpoints);
 
-/* Returns the "IP:port" of an endpoint, or NULL for an unknown id.  Owned by
- * "endpoints". */
+/* Returns the "IP:port" of an endpoint, or NULL for an unknown id.  The string
+ * is owned by "endpoints". */
 const char *Endpoints_Address(const Endpoints *endpoints, const char *id);
-/* Returns a number that changes when the idle connections to an endpoint must
- * not be used again; 0 for an unknown id. */
+/* Returns the generation of an endpoint, a number that changes when idle
+ * connections to the endpoint must not be used again; 0 for an unknown id. */
 uint64_t Endpoints_Generation(const Endpoints *endpoints, const char *id);
 void Endpoints_CloseIdle(Endpoints *endpoints, const char *id);
 
-/* Records whether the endpoint itself reports that it is leaving. */
+/* Records whether the endpoint itself reports that it is leaving, so that no
+ * new attempts of requests start on it. */
 void Endpoints_OnLeaving(Endpoints *endpoints, const char *id, bool leaving);
 /* Records that a peer reports the endpoint as leaving.  The record expires
  * after a few seconds unless a peer repeats the report. */
@@ -47,8 +50,8 @@
  * lengths and idle slots of services. */
 void Endpoints_FillHeartbeat(const Endpoints *endpoints, AqMsgHeartbeat *beat);
 
-/* Health checks that have ended since the daemon started, and the bytes of
- * HTTP that they sent and received. */
+/* Health checks of endpoints that have ended since the daemon started, and the
+ * bytes of HTTP that these checks sent and received. */
 typedef struct {
     uint64_t checks;
     uint64_t bytes;
@@ -56,8 +59,8 @@
 
 void Endpoints_GetCounts(const Endpoints *endpoints, EndpointsCounts *counts);
 
-/* Calls "visit" for each endpoint of a service, with the id and the number of
- * slots of the endpoint. */
+/* Calls "visit" for each endpoint of a service, with the endpoint's id and
+ * number of slots. */
 void Endpoints_Each(const Endpoints *endpoints, const char *service,
                     void (*visit)(void *context, const char *id, int slots),
                     void *context);
--- a/packages/daemon/fleet_sync.c
+++ b/packages/daemon/fleet_sync.c
@@ -11,43 +11,57 @@
 #include "snapshots.h"
 
 enum {
-    /* Longest wait of one watch of head, and so the longest time between two
-     * replies that show that the store can be reached. */
+    /* Longest time that a watch of the store entry "head" waits for a change
+     * before the store replies, and so the longest time between two replies
+     * that show that the store can be reached. */
     WATCH_WAIT_MS = 1000,
     RETRY_MS = 300,
-    /* After this time without a store reply the document is requested from a
-     * peer. */
+    /* After this time without a store reply the fleet document is requested
+     * from a peer. */
     STORE_SILENT_MS = 1500,
     /* Least time between two requests to peers for the fleet document. */
     PEER_REQUEST_PERIOD_MS = 500,
     MAX_DOCUMENT_BYTES = 64 * 1024 * 1024
 };
 
-/* One read of head, including the read of the snapshot if head needs it. */
+/* One read of the store entry "head", which describes the newest fleet
+ * document, and of the snapshot that the entry names, if that is needed too.
+ */
 typedef struct {
     AqLink link; /* in FleetSync.reads while the read is in progress */
     FleetSync *sync;
-    AqTime started;     /* when the read began, on the loop's clock */
-    bool is_watch;      /* a watch of head, not a FleetSync_Refresh */
+    AqTime started; /* when the read began, on the loop's clock */
+    /* A watch of the entry "head", not a FleetSync_Refresh. */
+    bool is_watch;
     FleetSyncDone done; /* callback of FleetSync_Refresh; NULL for a watch */
     void *context;
-    char *head;       /* copy of the value of head, or NULL */
+    /* Copy of the value of the store entry "head"; NULL before the store has
+     * replied. */
+    char *head;
     size_t head_size; /* bytes in "head" */
-    uint64_t index;   /* store index of head; 0: there is no head */
+    /* Store revision at which the entry "head" was last written; 0 if the
+     * store has no such entry. */
+    uint64_t index;
 } HeadRead;
 
 struct FleetSync {
     Daemon *daemon;
     AqFleet *fleet;
     AqLink reads; /* HeadReads in progress; FleetSync_Destroy frees them */
-    uint64_t watch_index; /* store index of head, to watch for changes from */
+    /* Store revision of the last watched version of the entry "head"; the next
+     * watch waits for a later one. */
+    uint64_t watch_index;
     AqTimer retry;
-    AqTime last_contact; /* start of the last HeadRead that succeeded */
-    bool had_contact;    /* at least one HeadRead has succeeded */
+    /* Time at which the last successful HeadRead (read from the store)
+     * started. */
+    AqTime last_contact;
+    /* At least one HeadRead (read from the store) has succeeded. */
+    bool had_contact;
     /* Time of the last request to a peer for the fleet document. */
     AqTime peer_requested_at;
-    int64_t chunk_version; /* version of the document in "chunks" */
-    AqBuffer chunks;       /* part of a document received from a peer */
+    int64_t chunk_version; /* version of the fleet document in "chunks" */
+    /* Part of the fleet document received so far from a peer. */
+    AqBuffer chunks;
 };
 
 static void start_watch(FleetSync *sync);
@@ -198,8 +212,9 @@
     HeadRead *read = context;
     if (reply->status == AQ_STORE_ABSENT) {
         read->index = 0;
-        /* If this daemon has a fleet document, the store has lost its copy;
-         * that must not count as a successful read. */
+        /* The store has no entry "head".  If this daemon has a fleet document,
+         * the store has lost that entry, and this read must not count as
+         * successful. */
         end_read(read, AqFleet_Version(read->sync->fleet) == 0);
         return;
     }
@@ -220,7 +235,8 @@
     HeadRead *read = calloc(1, sizeof(*read));
     read->sync = sync;
     AqList_Append(&sync->reads, &read->link);
-    /* The reply may describe the store as it was when the call began. */
+    /* The reply may show the store as it was when this read began, so the
+     * contact with the store is dated back to this time. */
     read->started = AqLoop_Now(sync->daemon->loop);
     return read;
 }
--- a/packages/daemon/jobs_runner.c
+++ b/packages/daemon/jobs_runner.c
@@ -14,20 +14,22 @@
 
 enum {
     STEP_PERIOD_MS = 250,
-    /* Period of the reads of all job documents while this daemon is the
-     * planner. */
+    /* Period of the reads of all job documents from the store while this
+     * daemon is the planner. */
     LIST_PERIOD_MS = 1000,
-    /* Longest time to store an operator's intent; the operator gets an error
-     * response after that. */
+    /* Longest time to store an operator's intent (requested change); the
+     * operator gets an error response after that. */
     INTENT_TIMEOUT_MS = 5000
 };
 
 typedef struct {
     AqLink link;
-    json_t *intent; /* intent to store; NULL for a listing */
+    /* Operator's intent to store; NULL for a request to list all jobs. */
+    json_t *intent;
     AqExchange *exchange;
     AqTime deadline;
-    /* Whether the intent may be in a write whose reply was lost. */
+    /* Whether the intent may be in a write to the store whose reply was lost.
+     */
     bool maybe_written;
 } PendingExchange;
 
@@ -36,11 +38,13 @@
     AqJobs *jobs;
     TaskClient *client;
     AqTimer timer;
-    AqLink intents;        /* PendingExchanges whose intents are not stored */
-    AqLink listings;       /* PendingExchanges that wait for all jobs */
+    AqLink intents; /* PendingExchanges whose intents are not stored yet */
+    /* PendingExchanges that request the list of all jobs. */
+    AqLink listings;
     bool is_calling_store; /* a store call is in progress */
-    AqTime listed_at;      /* time of the last read of all job documents */
-    /* Name of the team whose document is being written. */
+    /* Time of the last read of all job documents from the store. */
+    AqTime listed_at;
+    /* Name of the team whose job document is being written to the store. */
     char writing_team[AQ_WIRE_MAX_NAME];
 };
 
@@ -131,8 +135,9 @@
     }
 }
 
-/* Reads a team's document back after each write: after a success for the new
- * store index, after a conflict or a lost reply for the content. */
+/* Reads a team's job document from the store again after each write: after a
+ * success to get the new store revision, after a conflict or a lost reply to
+ * get the content. */
 static void
 on_written(void *context, const AqStoreReply *reply)
 {
@@ -212,9 +217,10 @@
 
 /* ---- Intents ------------------------------------------------------------ */
 
-/* Evaluates all waiting intents on the documents that were just read.  An
- * intent that changes nothing has been stored already, and its exchange gets
- * the response; the others wait until their write has been read back. */
+/* Evaluates all waiting intents of operators on the job documents that were
+ * just read from the store.  An intent that changes nothing has been stored
+ * already, and its operator gets the response; the other intents wait until
+ * their write has been read back. */
 static void
 evaluate_intents(JobsRunner *runner)
 {
@@ -279,9 +285,9 @@
                 on_order, runner);
 }
 
-/* Starts the next store call that is needed.  After a failed read only the
- * timer calls this function: a refused connection fails at once, and calls
- * without a pause reached 50,000 a second in a store outage. */
+/* Starts the next store call for job documents that is needed.  After a failed
+ * read only the timer calls this function: a refused connection fails at once,
+ * and calls without a pause reached 50,000 a second in a store outage. */
 static void
 start_store_call(JobsRunner *runner)
 {
--- a/packages/daemon/operators.c
+++ b/packages/daemon/operators.c
@@ -15,7 +15,8 @@
     MAX_BODY_BYTES = 1024 * 1024,
     MAX_CONNECTIONS = 64,
     IDLE_TIMEOUT_S = 30,
-    MAX_OP_BYTES = 128 /* longest operation id, as in package fleet */
+    /* Longest operation id of an intent, as in package fleet. */
+    MAX_OP_BYTES = 128
 };
 
 struct Operators {
--- a/packages/daemon/peer_socket.c
+++ b/packages/daemon/peer_socket.c
@@ -11,9 +11,9 @@
 
 enum {
     BACKLOG = 64,
-    /* The system closes a connection on which sent data stays unacknowledged
-     * for this long: something between the two ends has lost the connection.
-     */
+    /* The operating system closes a connection on which sent data stays
+     * unacknowledged for this long: something between the two ends has lost
+     * the connection. */
     USER_TIMEOUT_MS = 2000
 };
 
--- a/packages/daemon/peer_socket.h
+++ b/packages/daemon/peer_socket.h
@@ -19,7 +19,8 @@
 int peer_socket_connect(const char *ip, uint16_t port);
 /* Accepts one connection.  Returns its socket, or -1 if none is waiting. */
 int peer_socket_accept(int listener);
-/* Whether the connect of a socket that became writable has succeeded. */
+/* Whether the connection begun by peer_socket_connect has been established,
+ * once its socket "fd" is writable. */
 bool peer_socket_is_connected(int fd);
 
 #endif
--- a/packages/daemon/peers.c
+++ b/packages/daemon/peers.c
@@ -13,7 +13,8 @@
 
 enum {
     DIAL_RETRY_MS = 500,
-    /* Least time between a heartbeat and the next one that is sent early. */
+    /* Least time between a heartbeat to the peers and the next one, if that is
+     * sent early. */
     MIN_HEARTBEAT_INTERVAL_MS = 20,
     /* Longest wait for a dialled connection to be established before it is
      * closed and dialled again. */
@@ -22,8 +23,8 @@
      * connections of both directions without an error, so that neither end can
      * report the loss.  This daemon then dials the peer again. */
     PEER_SILENT_MS = 4000,
-    /* Most bytes that may wait to be sent to one peer; the connection is
-     * closed and dialled again when there are more. */
+    /* Greatest number of bytes that may wait to be sent to one peer; the
+     * connection is closed and dialled again when there are more. */
     MAX_QUEUED_BYTES = 4 * 1024 * 1024
 };
 
@@ -216,8 +217,8 @@
     if (out != NULL) {
         return send_on(out, msg);
     }
-    /* While there is no fleet document, the ids of the seeds are unknown and
-     * the message goes to all of them. */
+    /* While this daemon has no fleet document, the ids of the seeds are
+     * unknown and the message goes to all seeds. */
     bool sent = false;
     AqList_ForEach(at, &peers->outgoing)
     {
--- a/packages/daemon/peers_in.c
+++ b/packages/daemon/peers_in.c
@@ -15,8 +15,9 @@
     HEARTBEAT_LOST_MS = 2000,
     READ_BYTES = 65536,
     MAX_INCOMING_CONNECTIONS = 256,
-    /* Longest wait for a HELLO on a new connection.  A connection without one
-     * is closed when the next connection arrives after that. */
+    /* Longest wait for the HELLO message, which identifies the peer, on a new
+     * connection.  A connection without this message is closed when the next
+     * connection arrives after that time. */
     HELLO_TIMEOUT_MS = 3000
 };
 
@@ -64,8 +65,9 @@
         }
         return false;
     }
-    /* An older connection of the same peer is closed, so that no message from
-     * the older one is handled after the first message from the newer one. */
+    /* An older connection of the same peer is closed, so that no message on
+     * the older connection is handled after the first message on the newer
+     * one. */
     Incoming *older = peers_find_incoming(in->peers, msg->as.hello.id);
     if (older != NULL) {
         /* Messages that still arrive on a connection without an id are
@@ -102,8 +104,8 @@
                           "the peer receives no heartbeats from this daemon");
 }
 
-/* Handles all complete frames that were received.  Returns false if the
- * connection must be closed. */
+/* Handles all complete frames (messages) that were received on a connection.
+ * Returns false if the connection must be closed. */
 static bool
 handle_frames(Incoming *in)
 {
@@ -166,7 +168,8 @@
     peers_free_incoming(in);
 }
 
-/* Closes the connections of peers that did not send HELLO in time. */
+/* Closes the connections of peers that did not identify themselves with a
+ * HELLO message in time. */
 static void
 drop_unidentified(Peers *peers, AqTime now)
 {
--- a/packages/daemon/peers_members.c
+++ b/packages/daemon/peers_members.c
@@ -3,7 +3,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Marks a peer as required, and adds and dials it if it is not in the list. */
+/* Marks the connection to a peer as required.  If the list of dialled
+ * connections has none to the peer at "address", adds one and dials the peer.
+ */
 static void
 require_peer(Peers *peers, const char *id, const char *address)
 {
@@ -38,9 +40,9 @@
         const Incoming *in = peers_find_incoming(peers, id);
         if (address != NULL &&
             strcmp(id, peers->daemon->settings->node_id) != 0) {
-            /* A member that restarts at another address can correct its
-             * record only if the other members dial the new address, which its
-             * HELLO contains. */
+            /* A member that restarts at another address can correct its record
+             * in the fleet document only if the other members dial the new
+             * address, which its HELLO message contains. */
             require_peer(peers, id, in != NULL ? in->address : address);
         }
     }
@@ -60,8 +62,8 @@
     free(text);
 }
 
-/* Dials the peers that have dialled this daemon but are not members yet: they
- * must receive messages from members before they can join. */
+/* Dials the peers that have dialled this daemon but are not members yet: such
+ * a peer must receive messages from members before it can join. */
 static void
 require_joining_peers(Peers *peers)
 {
--- a/packages/daemon/peers_private.h
+++ b/packages/daemon/peers_private.h
@@ -11,22 +11,26 @@
 typedef struct {
     AqLink link;
     Peers *peers;
-    char id[AQ_WIRE_MAX_NAME]; /* the peer's id, "" for a seed */
-    char address[32];          /* the peer's IP:port */
-    int fd;                    /* socket of the connection, -1 while closed */
+    /* The peer's id; "" for a seed (address in the setting peers.seeds), whose
+     * id is not known yet. */
+    char id[AQ_WIRE_MAX_NAME];
+    char address[32]; /* the peer's IP:port */
+    int fd;           /* socket of the connection, -1 while closed */
     AqWatch *watch;
     bool connected;
-    bool is_required; /* the peer must be dialled; set by Peers_Refresh */
-    AqTime since;     /* when the connection was dialled or established */
-    AqTime retry_at;  /* time from which the peer may be dialled again */
-    AqBuffer out;     /* bytes waiting to be sent to the peer */
+    /* This daemon must dial the peer; set by Peers_Refresh. */
+    bool is_required;
+    AqTime since;    /* when the connection was dialled or established */
+    AqTime retry_at; /* time from which the peer may be dialled again */
+    AqBuffer out;    /* bytes waiting to be sent to the peer */
 } Outgoing;
 
 /* A connection that a peer dialled; used only for receiving. */
 typedef struct {
     AqLink link;
     Peers *peers;
-    char id[AQ_WIRE_MAX_NAME];      /* the peer's id, "" before its HELLO */
+    /* The peer's id; "" before its HELLO message. */
+    char id[AQ_WIRE_MAX_NAME];
     char address[AQ_WIRE_MAX_NAME]; /* IP:port at which to dial the peer */
     int fd;
     AqWatch *watch;
@@ -45,22 +49,23 @@
     size_t incoming_count;
     AqTimer heartbeat;
     AqTime last_heartbeat;
-    uint64_t sent;     /* bytes sent to peers since the start */
-    uint64_t received; /* bytes received from peers since the start */
+    uint64_t sent;     /* bytes sent to peers since the daemon started */
+    uint64_t received; /* bytes received from peers since the daemon started */
 };
 
 /* ---- peers.c ------------------------------------------------------------ */
 
-/* Returns the connection that this daemon dialled to a peer, or NULL.  Owned
- * by "peers". */
+/* Returns the connection that this daemon dialled to a peer, or NULL.  The
+ * connection is owned by "peers". */
 Outgoing *peers_find_outgoing(const Peers *peers, const char *id);
-/* Closes a dialled connection, to be dialled again after a short delay.  "why"
- * is the reason for the log. */
+/* Closes a connection that this daemon dialled and dials the peer again after
+ * a short delay.  "why" is the reason for the log. */
 void peers_schedule_redial(Outgoing *out, const char *why);
 
 /* Begins to connect to a peer. */
 void peers_dial(Outgoing *out, AqTime now);
-/* Closes a dialled connection, to be dialled again at "retry_at". */
+/* Closes a connection that this daemon dialled; the peer may be dialled again
+ * from "retry_at". */
 void peers_disconnect(Outgoing *out, AqTime retry_at);
 
 /* ---- peers_members.c (Peers_Refresh) ------------------------------------ */
@@ -69,11 +74,12 @@
 
 /* ---- peers_in.c --------------------------------------------------------- */
 
-/* Returns the connection that a peer dialled to this daemon, or NULL.  Owned
- * by "peers". */
+/* Returns the connection that a peer dialled to this daemon, or NULL.  The
+ * connection is owned by "peers". */
 Incoming *peers_find_incoming(const Peers *peers, const char *id);
 void peers_free_incoming(Incoming *in);
-/* Accepts a connection that waits at the listener; "context" is the Peers. */
+/* Accepts a connection of a peer that waits at the listener; "context" is the
+ * Peers. */
 void peers_on_listener(void *context, int events);
 
 #endif
--- a/packages/daemon/planner_runner.c
+++ b/packages/daemon/planner_runner.c
@@ -19,10 +19,12 @@
     Daemon *daemon;
     AqPlanner *planner;
     AqTimer timer;
-    bool committing; /* the commit of a step is in progress */
+    bool committing; /* a commit of the planner's changes is in progress */
     bool removing;   /* the commit of a member's removal is in progress */
-    uint64_t steps;  /* steps submitted so far, for operation ids */
-    json_t *reboots; /* ids of the VMs to reboot, from the latest step */
+    /* Commits of the planner's changes so far; part of the operation ids. */
+    uint64_t steps;
+    /* Ids of the VMs to reboot, as last decided by the planner. */
+    json_t *reboots;
 };
 
 /* ---- View of the planner ------------------------------------------------ */
@@ -31,7 +33,8 @@
 listed(void *context, const char *vm)
 {
     const Daemon *daemon = context;
-    /* Until the first VM list has arrived, every VM counts as live. */
+    /* Until the first VM list has arrived from the platform, every VM counts
+     * as live. */
     return VmList_IsKnown(daemon->vms) ? VmList_State(daemon->vms, vm)
                                        : "live";
 }
@@ -138,8 +141,8 @@
     }
 }
 
-/* Whether a step on the document in force would change anything.  If not, the
- * caller saves a commit, which begins with a read from the store. */
+/* Whether the planner would change the fleet document in force.  If not, the
+ * caller avoids a commit, which begins with a read from the store. */
 static bool
 has_work(PlannerRunner *runner)
 {
--- a/packages/daemon/slot_leasing.c
+++ b/packages/daemon/slot_leasing.c
@@ -7,10 +7,12 @@
 #include "peers.h"
 
 enum {
-    /* Time during which new requests may start on slots leased to a peer. */
+    /* Time during which a peer may start new requests on the slots of a lease.
+     */
     LEASE_TERM_MS = 2000,
     RETURN_CHECK_PERIOD_MS = 100,
-    /* Most slots of one service that are requested from a peer at once. */
+    /* Greatest number of slots of one service that one message requests from a
+     * peer. */
     MAX_LEASE_SLOTS = 16
 };
 
@@ -64,7 +66,7 @@
 typedef struct {
     Daemon *daemon;
     const char *lessee;
-    int remaining_slots; /* slots that are still to be leased out */
+    int remaining_slots; /* slots that are still to be leased to the lessee */
 } LessorState;
 
 static void
@@ -86,7 +88,8 @@
         return;
     }
     state->remaining_slots -= leased_out;
-    /* The router must stop using the slots before the lessee can start to. */
+    /* The router of this daemon must stop using the leased slots before the
+     * lessee can start to use them. */
     AqRouter_SetSlots(daemon->router, now, endpoint,
                       AqSlices_Usable(daemon->slices, now, endpoint));
     AqMsg msg = {.type = AQ_MSG_LEND};
@@ -94,7 +97,8 @@
     msg.as.slots.count = leased_out;
     msg.as.slots.term_ms = LEASE_TERM_MS;
     if (!Peers_Send(daemon->peers, state->lessee, &msg)) {
-        /* The grant was not sent, so the slots stay at this daemon. */
+        /* The grant of the lease was not sent to the peer, so the slots stay
+         * at this daemon. */
         AqSlices_LeaseReturned(daemon->slices, state->lessee, endpoint,
                                leased_out);
     }
@@ -106,8 +110,8 @@
     if (AqRouter_Queued(daemon->router, msg->name) > 0 || msg->count <= 0) {
         return;
     }
-    /* Half of the idle slots are kept for requests that callers send to this
-     * daemon. */
+    /* Half of the idle slots of the service are kept for requests that callers
+     * send to this daemon. */
     int idle = AqRouter_FreeSlots(daemon->router, msg->name) / 2;
     LessorState state = {
         .daemon = daemon,
--- a/packages/daemon/slot_leasing.h
+++ b/packages/daemon/slot_leasing.h
@@ -3,16 +3,18 @@
 
 #include "daemon.h"
 
-/* Leases idle slots to peers whose requests are queued, and requests slot
- * leases from peers while requests are queued at this daemon. */
+/* The part of the daemon that leases idle slots of endpoints to peers whose
+ * requests are queued, and requests slot leases from peers while requests are
+ * queued at this daemon. */
 
 typedef struct SlotLeasing SlotLeasing;
 
 SlotLeasing *SlotLeasing_Create(Daemon *daemon);
 void SlotLeasing_Destroy(SlotLeasing *leasing);
 
-/* Handles the heartbeat of a peer: requests slot leases for the services that
- * have a queue at this daemon, and idle slots and no queue at the peer. */
+/* Handles the heartbeat of a peer: requests slot leases from that peer for the
+ * services that have a queue at this daemon, and idle slots and no queue at
+ * the peer. */
 void SlotLeasing_OnHeartbeat(Daemon *daemon, const char *from,
                              const AqMsgHeartbeat *beat);
 /* Handles the request of a peer for slot leases of one service. */
--- a/packages/daemon/snapshots.c
+++ b/packages/daemon/snapshots.c
@@ -28,8 +28,8 @@
     free(removal);
 }
 
-/* Deletes a snapshot, unless its store index differs from the one in "reply".
- */
+/* Deletes a snapshot from the store, unless the snapshot was last written at
+ * another store revision than that in "reply". */
 static void
 on_key_read(void *context, const AqStoreReply *reply)
 {
--- a/packages/daemon/stopping.c
+++ b/packages/daemon/stopping.c
@@ -9,8 +9,8 @@
 
 enum {
     CHECK_PERIOD_MS = 50,
-    /* Longest time for this daemon to leave the epoch.  After that the other
-     * members remove it. */
+    /* Longest time for this daemon to leave the epoch (set of members).  After
+     * that the other members remove this daemon. */
     LEAVE_TIMEOUT_MS = 8000
 };
 
@@ -18,7 +18,8 @@
     Daemon *daemon;
     AqTimer timer;
     AqTime phase_since;
-    AqTime drain_deadline; /* end of the wait for requests in flight */
+    /* End of the wait for callers' requests in flight. */
+    AqTime drain_deadline;
     AqTime leave_deadline; /* end of the attempts to leave the epoch */
     int leave_attempts;
 };
@@ -42,7 +43,8 @@
     (void)version;
     if (status == COMMIT_REFUSED && error->kind == AQ_ERR_CONFLICT &&
         now < stopping->leave_deadline) {
-        /* The epoch is changing because of another member; retry. */
+        /* The epoch (set of members) is changing because of another member;
+         * retry. */
         AqTimer_Start(stopping->daemon->loop, &stopping->timer,
                       now + CHECK_PERIOD_MS);
         return;
--- a/packages/daemon/stopping.h
+++ b/packages/daemon/stopping.h
@@ -3,16 +3,18 @@
 
 #include "daemon.h"
 
-/* Graceful stop of the daemon: readiness becomes false, the balancer gets time
- * to notice, the listener for callers closes, requests in flight finish, and
- * the daemon leaves the epoch. */
+/* A graceful stop of the daemon: it reports not ready, waits until the
+ * platform's balancer can have stopped sending requests, closes the listener
+ * for callers, waits for the requests in flight, up to a limit, and leaves the
+ * epoch (set of members). */
 
 typedef struct Stopping Stopping;
 
 Stopping *Stopping_Create(Daemon *daemon);
 void Stopping_Destroy(Stopping *stopping);
 
-/* Begins a graceful stop; a second call ends the event loop at once. */
+/* Begins a graceful stop of the daemon; a second call ends the event loop at
+ * once. */
 void Stopping_Begin(Stopping *stopping);
 
 #endif
--- a/packages/daemon/task_client.c
+++ b/packages/daemon/task_client.c
@@ -9,7 +9,8 @@
 #include "planner_runner.h"
 
 enum {
-    LEASE_MS = 10000, /* lease of a task, requested when it starts */
+    /* Term of a task's lease, requested when the task starts. */
+    LEASE_MS = 10000,
     LIST_WAIT_S = 5,
     LIST_TIMEOUT_MARGIN_MS = 2000,
     RETRY_MS = 1000,
@@ -21,8 +22,9 @@
     Daemon *daemon;
     AqJobs *jobs;
     json_t *tasks; /* latest JSON list of tasks from the platform, or NULL */
-    int64_t index; /* platform's change index of the latest list of tasks */
-    AqHttpCall *watch; /* request for the list in progress, or NULL */
+    int64_t index; /* platform's change counter at the latest list of tasks */
+    /* HTTP request for the list of tasks, or NULL if none is in progress. */
+    AqHttpCall *watch;
     AqTimer retry;
     AqLink orders; /* Orders to which the platform has not replied */
 };
--- a/packages/daemon/task_client.h
+++ b/packages/daemon/task_client.h
@@ -4,8 +4,8 @@
 #include "aq_jobs.h"
 #include "daemon.h"
 
-/* Client of the platform's task API: sends orders about tasks and receives the
- * states of tasks. */
+/* Client of the platform's task API: sends orders about tasks to the platform
+ * and receives the states of tasks. */
 
 typedef struct TaskClient TaskClient;
 
@@ -14,9 +14,11 @@
 TaskClient *TaskClient_Create(Daemon *daemon, AqJobs *jobs);
 void TaskClient_Destroy(TaskClient *client);
 
-/* Sends an order to the platform; the result of a start goes to "jobs". */
+/* Sends an order about a task to the platform; the platform's reply to a start
+ * order goes to the AqJobs of "client". */
 void TaskClient_Send(TaskClient *client, const AqTaskOrder *order);
-/* Reports each task in the platform's latest list to "jobs". */
+/* Passes the state of each task in the platform's latest list to the AqJobs of
+ * "client". */
 void TaskClient_Report(TaskClient *client);
 
 #endif
--- a/packages/daemon/vm_list.c
+++ b/packages/daemon/vm_list.c
@@ -18,9 +18,10 @@
 struct VmList {
     Daemon *daemon;
     GHashTable *states; /* VM id -> state; the table owns both strings */
-    int64_t index;      /* platform's change index of the latest VM list */
+    int64_t index;      /* platform's change counter at the latest VM list */
     bool is_known;      /* at least one VM list has arrived */
-    AqHttpCall *call;   /* request for the VM list in progress, or NULL */
+    /* HTTP request for the VM list, or NULL if none is in progress. */
+    AqHttpCall *call;
     AqTimer retry;
 };
 
