--- a/packages/daemon/burn_sync.h
+++ b/packages/daemon/burn_sync.h
@@ -13,8 +13,7 @@
 void BurnSync_Destroy(BurnSync *burn);
 
 /* Counts a caller's finished request to a service for the service's
- * error-budget burn rate; "in_time": the request finished before its deadline.
- */
+ * error-budget burn rate; "in_time": the request finished by its deadline. */
 void BurnSync_Count(BurnSync *burn, const char *service,
                     const AqOutcome *outcome, bool in_time);
 /* Sets each service's objective, the share of its requests that must finish in
--- a/packages/daemon/commits.h
+++ b/packages/daemon/commits.h
@@ -25,7 +25,7 @@
     COMMIT_REFUSED,     /* change not stored; "error" gives the reason */
     COMMIT_UNAVAILABLE, /* change not stored; the store was not reached */
     /* The change may be stored; submitting it again under the same operation
-     * id tells whether it is. */
+     * id stores it at most once. */
     COMMIT_UNKNOWN
 } CommitStatus;
 
