--- a/packages/daemon/bench/bench_changes.c
+++ b/packages/daemon/bench/bench_changes.c
@@ -7,7 +7,7 @@
 enum {
     CHANGES = 100,
     SETTLE_MS = 8000,
-    GIVE_UP_US = 10000000
+    IN_FORCE_TIMEOUT_US = 10000000
 };
 
 static long long
@@ -30,15 +30,18 @@
 typedef struct {
     AqTestHttpClient *clients[BENCH_MAX_DAEMONS];
     char urls[BENCH_MAX_DAEMONS][128];
-    double reply[CHANGES];
-    double spread[CHANGES]; /* from the reply */
-    double total[CHANGES];  /* from sending */
+    double reply_ms[CHANGES];
+    /* From the operator's response until the change is in force at all
+     * daemons. */
+    double reply_to_in_force_ms[CHANGES];
+    /* From sending the intent until the change is in force at all daemons. */
+    double sent_to_in_force_ms[CHANGES];
     size_t count;
-    size_t refused;
+    size_t refused_count;
 } Changes;
 
 static void
-one_change(BenchSite *site, Changes *changes, int number)
+measure_change(BenchSite *site, Changes *changes, int number)
 {
     char args[96];
     snprintf(args, sizeof(args),
@@ -49,20 +52,20 @@
     long status = bench_intent(site, "budget.set", args);
     double replied = bench_now_us();
     if (status != 200) {
-        changes->refused++;
+        changes->refused_count++;
         return;
     }
     for (int i = 0; i < site->plan.daemons; i++) {
         while (read_version(changes->clients[i], changes->urls[i]) <= before) {
-            if (bench_now_us() - sent > GIVE_UP_US) {
+            if (bench_now_us() - sent > IN_FORCE_TIMEOUT_US) {
                 bench_fail("change", "is not in force after 10 s");
             }
         }
     }
     double now = bench_now_us();
-    changes->reply[changes->count] = (replied - sent) / 1000;
-    changes->spread[changes->count] = (now - replied) / 1000;
-    changes->total[changes->count++] = (now - sent) / 1000;
+    changes->reply_ms[changes->count] = (replied - sent) / 1000;
+    changes->reply_to_in_force_ms[changes->count] = (now - replied) / 1000;
+    changes->sent_to_in_force_ms[changes->count++] = (now - sent) / 1000;
 }
 
 void
@@ -78,18 +81,20 @@
                   sizeof(c->urls[i]));
     }
     for (int i = 0; i < CHANGES; i++) {
-        one_change(&site, c, i);
+        measure_change(&site, c, i);
     }
     printf("| %d | %d", plan->daemons, plan->vms);
-    printf(" | %.1f | %.1f", bench_percentile(c->reply, c->count, 50),
-           bench_percentile(c->reply, c->count, 99));
-    printf(" | %.1f | %.1f | %.1f", bench_percentile(c->spread, c->count, 50),
-           bench_percentile(c->spread, c->count, 99),
-           bench_percentile(c->spread, c->count, 100));
+    printf(" | %.1f | %.1f", bench_percentile(c->reply_ms, c->count, 50),
+           bench_percentile(c->reply_ms, c->count, 99));
+    printf(" | %.1f | %.1f | %.1f",
+           bench_percentile(c->reply_to_in_force_ms, c->count, 50),
+           bench_percentile(c->reply_to_in_force_ms, c->count, 99),
+           bench_percentile(c->reply_to_in_force_ms, c->count, 100));
     printf(" | %.1f | %.1f | %.1f | %zu |\n",
-           bench_percentile(c->total, c->count, 50),
-           bench_percentile(c->total, c->count, 99),
-           bench_percentile(c->total, c->count, 100), c->refused);
+           bench_percentile(c->sent_to_in_force_ms, c->count, 50),
+           bench_percentile(c->sent_to_in_force_ms, c->count, 99),
+           bench_percentile(c->sent_to_in_force_ms, c->count, 100),
+           c->refused_count);
     fflush(stdout);
     for (int i = 0; i < plan->daemons; i++) {
         AqTestHttpClient_Destroy(c->clients[i]);
--- a/packages/daemon/bench/bench_daemon.c
+++ b/packages/daemon/bench/bench_daemon.c
@@ -5,18 +5,18 @@
 #include <string.h>
 #include <time.h>
 
-/* Measures what the daemon costs, with real processes on loopback.  Usage:
+/* Measures the cost of the daemon with real processes on loopback.  Usage:
  *   bench_daemon [--bin DIRECTORY] requests|silent|changes|idle|jobs
  *   bench_daemon [--bin DIRECTORY] case DAEMONS VMS POOLS SLOTS JOBS
- * "case" measures one idle site.  Run it from a directory that may be
- * written. */
+ * "case" measures one idle site.  The current directory must be
+ * writable. */
 
 enum {
     ENDPOINTS = 8,
     SLOTS = 8
 };
 
-static const int sizes[][2] = {{50, 5}, {200, 12}, {450, 27}, {900, 53}};
+static const int fleet_sizes[][2] = {{50, 5}, {200, 12}, {450, 27}, {900, 53}};
 
 double
 bench_now_us(void)
@@ -62,12 +62,12 @@
 {
     static const int daemons[] = {1, 3, 9, 18};
     bench_idle_header();
-    for (size_t i = 0; i < sizeof(sizes) / sizeof(sizes[0]); i++) {
-        run_idle(3, sizes[i][0], sizes[i][1], SLOTS, 0);
-        run_idle(9, sizes[i][0], sizes[i][1], SLOTS, 0);
-        /* With one slot each VM is checked by fewer daemons: the difference
-         * is the cost of the checks. */
-        run_idle(9, sizes[i][0], sizes[i][1], 1, 0);
+    for (size_t i = 0; i < sizeof(fleet_sizes) / sizeof(fleet_sizes[0]); i++) {
+        run_idle(3, fleet_sizes[i][0], fleet_sizes[i][1], SLOTS, 0);
+        run_idle(9, fleet_sizes[i][0], fleet_sizes[i][1], SLOTS, 0);
+        /* With one slot per VM, fewer daemons check the health of each VM; the
+         * difference is the cost of the health checks. */
+        run_idle(9, fleet_sizes[i][0], fleet_sizes[i][1], 1, 0);
     }
     for (size_t i = 0; i < sizeof(daemons) / sizeof(daemons[0]); i++) {
         if (daemons[i] != 3 && daemons[i] != 9) {
--- a/packages/daemon/bench/bench_daemon.h
+++ b/packages/daemon/bench/bench_daemon.h
@@ -3,21 +3,25 @@
 
 #include "bench_site.h"
 
-/* Parts of bench_daemon; each prints a table. */
+/* Parts of bench_daemon; each prints a table of its measurements. */
 
-/* Requests per second and latency, direct and through the daemons. */
+/* Measures requests per second and latency, both directly at the endpoints and
+ * through "daemons" daemons. */
 void bench_requests(int daemons);
-/* Requests hurt when open connections of endpoints go silent. */
+/* Measures how many requests are affected when open connections of endpoints
+ * go silent, that is, stay open but carry no more bytes. */
 void bench_silent(void);
-/* Cost of daemons without requests. */
+/* Prints the header of the table that bench_idle() fills: the cost of daemons
+ * without requests. */
 void bench_idle_header(void);
 void bench_idle(const BenchPlan *plan);
-/* Time from an operator's change to its being in force. */
+/* Measures the time from an operator's change until the change is in force at
+ * all daemons. */
 void bench_changes(const BenchPlan *plan);
 
-/* Time in microseconds. */
+/* Returns the monotonic time in microseconds. */
 double bench_now_us(void);
-/* Sorts "values" and returns the percentile; 0 for none. */
+/* Sorts "values" and returns their percentile; 0 when "count" is 0. */
 double bench_percentile(double *values, size_t count, double percent);
 
 #endif
--- a/packages/daemon/bench/bench_idle.c
+++ b/packages/daemon/bench/bench_idle.c
@@ -6,7 +6,9 @@
 #include "bench_daemon.h"
 
 enum {
-    SETTLE_MS = 8000, /* the guard of 4 s and the first reads are over */
+    /* Covers the daemons' guard time of 4 s after the start and their first
+     * reads. */
+    SETTLE_MS = 8000,
     MEASURE_MS = 10000,
     TEAMS = 10
 };
@@ -15,7 +17,8 @@
     double cpu_ns;
     double rss_mb;
     double peer_bytes;
-    double http_bytes; /* store, VM list, tasks and health checks */
+    /* Bytes of calls for store, VM list, tasks and health checks. */
+    double http_bytes;
     double checks;
     double check_bytes;
     bool planner;
@@ -28,7 +31,8 @@
         json_object_get(json_object_get(status, object), name));
 }
 
-/* schedstat counts the same time as stat, in ns instead of ticks of 10 ms. */
+/* Reads the CPU time and the resident memory of a process.  schedstat counts
+ * the same CPU time as stat, in ns instead of ticks of 10 ms. */
 static void
 read_process(pid_t pid, Sample *sample)
 {
@@ -93,12 +97,12 @@
 
 /* ---- Table -------------------------------------------------------------- */
 
-static const char *const calls[] = {"kv_get",      "kv_list",    "kv_watch",
-                                    "kv_put",      "vms_watch",  "task_put",
-                                    "tasks_watch", "task_action"};
+static const char *const store_call_kinds[] = {
+    "kv_get",    "kv_list",  "kv_watch",    "kv_put",
+    "vms_watch", "task_put", "tasks_watch", "task_action"};
 
 enum {
-    CALLS = sizeof(calls) / sizeof(calls[0])
+    STORE_CALL_KINDS = sizeof(store_call_kinds) / sizeof(store_call_kinds[0])
 };
 
 void
@@ -107,8 +111,8 @@
     printf("| daemons | VMs | pools | slots | jobs | core %% | of the planner "
            "| MB | peer B/s | HTTP B/s without checks | of the planner "
            "| checks/s | check B/s");
-    for (int i = 0; i < CALLS; i++) {
-        printf(" | %s/s", calls[i]);
+    for (int i = 0; i < STORE_CALL_KINDS; i++) {
+        printf(" | %s/s", store_call_kinds[i]);
     }
     printf(" | VM list bytes |\n");
 }
@@ -155,10 +159,11 @@
            planner_http, checks, check_bytes);
 }
 
-/* Bytes of the VM list.  Every daemon gets it at each change and at the end of
- * each wait of 30 s, which is longer than the measurement. */
+/* Returns the size of the VM list in bytes.  Every daemon receives the list at
+ * each change and at the end of each long poll of 30 s, which is longer than
+ * the measurement. */
 static size_t
-list_size(const BenchSite *site)
+read_vm_list_bytes(const BenchSite *site)
 {
     char url[128];
     AqError error;
@@ -196,13 +201,15 @@
     double seconds = (bench_now_us() - start) / 1e6;
     json_t *last = bench_control(site.platform, "GET", "/test/v1/calls", NULL);
     print_row(plan, before, after, seconds);
-    for (int i = 0; i < CALLS; i++) {
+    for (int i = 0; i < STORE_CALL_KINDS; i++) {
         double count =
-            (double)(json_integer_value(json_object_get(last, calls[i])) -
-                     json_integer_value(json_object_get(first, calls[i])));
+            (double)(json_integer_value(
+                         json_object_get(last, store_call_kinds[i])) -
+                     json_integer_value(
+                         json_object_get(first, store_call_kinds[i])));
         printf(" | %.1f", count / seconds);
     }
-    printf(" | %zu |\n", list_size(&site));
+    printf(" | %zu |\n", read_vm_list_bytes(&site));
     fflush(stdout);
     json_decref(first);
     json_decref(last);
--- a/packages/daemon/bench/bench_requests.c
+++ b/packages/daemon/bench/bench_requests.c
@@ -7,12 +7,14 @@
 
 enum {
     MAX_WORKERS = 32,
-    MAX_REQUESTS = 200000, /* of one worker */
+    /* Most latencies that one worker records; further requests are not
+     * counted. */
+    MAX_REQUESTS = 200000,
     SECONDS = 5,
     TIMEOUT_MS = 5000,
-    LATE_US = 1000000,
+    LATE_THRESHOLD_US = 1000000,
     SILENT_ROUNDS = 5,
-    SILENT_AFTER_MS = 2000
+    SILENCE_DELAY_MS = 2000
 };
 
 typedef enum {
@@ -20,7 +22,8 @@
     KIND_NON_IDEMPOTENT
 } Kind;
 
-/* One caller: sends its next request when the answer to the last is there. */
+/* Caller thread that sends its next request when the response to the previous
+ * request has arrived. */
 typedef struct {
     pthread_t thread;
     int number;
@@ -28,22 +31,24 @@
     Kind kind;
     char url[160];
     double end_us;
-    double *latency_us; /* of completed requests */
+    double *latency_us; /* latencies of completed requests */
     size_t completed;
     size_t not_run;
-    size_t unknown; /* told so, or no answer */
-    size_t late;    /* completed after more than 1 s */
+    /* Requests that were neither completed nor not run, or had no response. */
+    size_t unknown;
+    size_t late; /* requests completed after more than 1 s */
 } Worker;
 
-static int runs;
+static int run_count;
 
 static void
 count_reply(Worker *worker, const AqTestHttpReply *reply, double us)
 {
-    char outcome[24] = "completed"; /* a direct answer has no outcome */
+    /* An endpoint's direct response has no Aq-Outcome header. */
+    char outcome[24] = "completed";
     AqTestHttpReply_Header(reply, "Aq-Outcome", outcome, sizeof(outcome));
     if (reply->status == 200 && strcmp(outcome, "completed") == 0) {
-        worker->late += us > LATE_US;
+        worker->late += us > LATE_THRESHOLD_US;
         if (worker->completed < MAX_REQUESTS) {
             worker->latency_us[worker->completed++] = us;
         }
@@ -61,7 +66,7 @@
 {
     Worker *worker = context;
     AqTestHttpClient *client = AqTestHttpClient_Create();
-    bool once = worker->kind == KIND_NON_IDEMPOTENT;
+    bool is_non_idempotent = worker->kind == KIND_NON_IDEMPOTENT;
     for (long i = 0; bench_now_us() < worker->end_us; i++) {
         char id[96];
         AqError error;
@@ -69,11 +74,11 @@
         snprintf(id, sizeof(id), "Aq-Request-Id: r%d-%d-%ld", worker->run,
                  worker->number, i);
         const char *headers[] = {id, "Aq-Timeout-Ms: 5000", NULL};
-        AqTestHttpCall call = {.method = once ? "POST" : "GET",
+        AqTestHttpCall call = {.method = is_non_idempotent ? "POST" : "GET",
                                .url = worker->url,
                                .headers = headers,
-                               .body = once ? "x" : NULL,
-                               .size = once ? 1 : 0,
+                               .body = is_non_idempotent ? "x" : NULL,
+                               .size = is_non_idempotent ? 1 : 0,
                                .timeout_ms = TIMEOUT_MS + 3000};
         double start = bench_now_us();
         if (AqTestHttpClient_Call(client, &call, &reply, &error)) {
@@ -94,7 +99,7 @@
     for (int i = 0; i < count; i++) {
         Worker *worker = &workers[i];
         worker->number = i;
-        worker->run = ++runs;
+        worker->run = ++run_count;
         worker->kind = kind;
         worker->end_us = bench_now_us() + ms * 1000.0;
         worker->latency_us = malloc(MAX_REQUESTS * sizeof(double));
@@ -105,7 +110,7 @@
     }
 }
 
-/* Waits for the callers and adds them up in workers[0]. */
+/* Waits for all callers and adds their results to those of workers[0]. */
 static void
 join_workers(Worker *workers, int count)
 {
@@ -141,7 +146,8 @@
     for (int i = 0; i < count; i++) {
         if (direct) {
             char name[24];
-            snprintf(name, sizeof(name), "endpoint%d", i % BENCH_PORTS);
+            snprintf(name, sizeof(name), "endpoint%d",
+                     i % BENCH_PORTS_PER_ENDPOINT);
             snprintf(workers[i].url, sizeof(workers[i].url), "http://%s/work",
                      AqProcess_Address(
                          site->endpoints[i % site->plan.endpoints], name));
@@ -185,7 +191,8 @@
                       .endpoints = 4,
                       .service_ms = 1};
     bench_start(&site, &plan);
-    bench_sleep(6000); /* the guard of 4 s is over */
+    /* Covers the daemons' guard time of 4 s after the start. */
+    bench_sleep(6000);
     for (size_t i = 0; i < sizeof(callers) / sizeof(callers[0]); i++) {
         measure(&site, callers[i], true, KIND_IDEMPOTENT);
         measure(&site, callers[i], false, KIND_IDEMPOTENT);
@@ -198,15 +205,15 @@
 /* ---- Silent connections ------------------------------------------------- */
 
 static void
-silent_round(BenchSite *site, int round)
+run_silent_round(BenchSite *site, int round)
 {
     Worker workers[2][8];
     for (int kind = 0; kind < 2; kind++) {
         set_urls(site, workers[kind], 8, false);
         start_workers(workers[kind], 8, (Kind)kind, 10000);
     }
-    bench_sleep(SILENT_AFTER_MS);
-    /* All open connections of one of four endpoint processes. */
+    bench_sleep(SILENCE_DELAY_MS);
+    /* Silences all open connections of one of the four endpoint processes. */
     json_decref(bench_control(site->endpoints[round % site->plan.endpoints],
                               "POST", "/test/v1/faults",
                               "{\"silence_open\":true}"));
@@ -237,7 +244,7 @@
     bench_start(&site, &plan);
     bench_sleep(6000);
     for (int round = 0; round < SILENT_ROUNDS; round++) {
-        silent_round(&site, round);
+        run_silent_round(&site, round);
     }
     bench_stop(&site);
 }
--- a/packages/daemon/bench/bench_site.c
+++ b/packages/daemon/bench/bench_site.c
@@ -10,13 +10,15 @@
 #include "aq_fleet.h"
 
 enum {
-    START_MS = 60000,
+    START_TIMEOUT_MS = 60000,
     POLL_MS = 50,
-    RACK_VMS = 4,
+    VMS_PER_RACK = 4,
     ZONES = 2,
-    OPS_KEPT = 256, /* operation ids that a document keeps */
-    TAIL = 8,       /* changes since the snapshot when all have joined */
-    TAIL_FULL = 16
+    MAX_KEPT_OPS = 256, /* most operation ids that a fleet document keeps */
+    /* Changes in the tail, that is, since the snapshot, when all daemons have
+     * joined. */
+    JOINED_TAIL_CHANGES = 8,
+    MAX_TAIL_CHANGES = 16
 };
 
 const char *bench_bin = "build/packages";
@@ -44,14 +46,15 @@
     AqError error;
     snprintf(log, sizeof(log), "%s/%s.log", site->directory, name);
     AqProcess *process = AqProcess_Spawn(argv, log, &error);
-    if (process == NULL || !AqProcess_WaitReady(process, START_MS, &error)) {
+    if (process == NULL ||
+        !AqProcess_WaitReady(process, START_TIMEOUT_MS, &error)) {
         bench_fail(name, error.message);
     }
     return process;
 }
 
 static void
-program(const char *name, char *out, size_t room)
+program_path(const char *name, char *out, size_t room)
 {
     snprintf(out, room, "%s/%s", bench_bin, name);
 }
@@ -60,7 +63,7 @@
 start_platform(BenchSite *site)
 {
     char path[256];
-    program("testkit/aq-platform", path, sizeof(path));
+    program_path("testkit/aq-platform", path, sizeof(path));
     const char *const argv[] = {path, "--lag-ms=200", "--reboot-ms=200", NULL};
     site->platform = spawn(site, argv, "platform");
 }
@@ -71,8 +74,8 @@
     char path[256];
     char count[24];
     char service[32];
-    program("testkit/aq-endpoint", path, sizeof(path));
-    snprintf(count, sizeof(count), "--count=%d", BENCH_PORTS);
+    program_path("testkit/aq-endpoint", path, sizeof(path));
+    snprintf(count, sizeof(count), "--count=%d", BENCH_PORTS_PER_ENDPOINT);
     snprintf(service, sizeof(service), "--service-ms=%d",
              site->plan.service_ms);
     const char *const argv[] = {path, count, service, "--slots=10000", NULL};
@@ -89,7 +92,7 @@
     char name[16];
     snprintf(name, sizeof(name), "entry%d", i);
     snprintf(path, sizeof(path), "%s/%s.toml", site->directory, name);
-    program("daemon/amaranthquayd", binary, sizeof(binary));
+    program_path("daemon/amaranthquayd", binary, sizeof(binary));
     FILE *file = fopen(path, "w");
     if (file == NULL) {
         bench_fail(path, "cannot be written");
@@ -113,7 +116,7 @@
 vm_address(const BenchSite *site, int vm)
 {
     char name[24];
-    int port = vm / site->plan.endpoints % BENCH_PORTS;
+    int port = vm / site->plan.endpoints % BENCH_PORTS_PER_ENDPOINT;
     snprintf(name, sizeof(name), "endpoint%d", port);
     return AqProcess_Address(site->endpoints[vm % site->plan.endpoints], name);
 }
@@ -125,15 +128,15 @@
     char rack[24];
     char zone[24];
     snprintf(id, sizeof(id), "vm-%04d", vm);
-    snprintf(rack, sizeof(rack), "rack-%03d", vm / RACK_VMS);
-    snprintf(zone, sizeof(zone), "hal-%c", 'a' + vm / RACK_VMS % ZONES);
+    snprintf(rack, sizeof(rack), "rack-%03d", vm / VMS_PER_RACK);
+    snprintf(zone, sizeof(zone), "hal-%c", 'a' + vm / VMS_PER_RACK % ZONES);
     return json_pack("{s:s,s:s,s:s,s:s,s:i,s:i}", "id", id, "address",
                      vm_address(site, vm), "rack", rack, "zone", zone, "cores",
                      64, "memory_mb", 262144);
 }
 
 static void
-describe_vms(const BenchSite *site)
+register_vms(const BenchSite *site)
 {
     json_t *vms = json_array();
     for (int i = 0; i < site->plan.vms; i++) {
@@ -167,7 +170,8 @@
     json_decref(set);
 }
 
-/* Commits with operation ids as long as a UUID, like those of operators. */
+/* Commits changes with operation ids as long as a UUID, like those of
+ * operators. */
 static void
 change_budgets(AqFleet *fleet, int count)
 {
@@ -184,8 +188,9 @@
     }
 }
 
-/* The document with all pools and VMs.  The VMs serve from the start: 900
- * health checks and commits before each case would only cost time. */
+/* Returns a new fleet document with all pools and VMs.  The VMs serve from the
+ * start: up to 900 health checks and commits before each case would only take
+ * time. */
 static AqFleet *
 create_fleet(const BenchSite *site)
 {
@@ -215,7 +220,7 @@
         json_object_set_new(record, "state", json_string("serving"));
     }
     apply(fleet, "bench-vms", set);
-    change_budgets(fleet, OPS_KEPT);
+    change_budgets(fleet, MAX_KEPT_OPS);
     return fleet;
 }
 
@@ -245,9 +250,11 @@
              (long long)AqFleet_Version(fleet));
     put(site, key, snapshot);
     AqFleet_SnapshotWritten(fleet);
-    /* Each daemon that joins adds one, and a full tail starts anew. */
-    change_budgets(fleet,
-                   (TAIL + TAIL_FULL * 2 - site->plan.daemons) % TAIL_FULL);
+    /* Each daemon that joins adds one change to the tail, and a full tail is
+     * emptied by a new snapshot. */
+    change_budgets(fleet, (JOINED_TAIL_CHANGES + MAX_TAIL_CHANGES * 2 -
+                           site->plan.daemons) %
+                              MAX_TAIL_CHANGES);
     char *head = AqFleet_EncodeHead(fleet);
     put(site, AQ_FLEET_HEAD_KEY, head);
     free(head);
@@ -279,12 +286,12 @@
     }
     start_platform(site);
     start_endpoints(site);
-    describe_vms(site);
+    register_vms(site);
     store_fleet(site);
     for (int i = 0; i < plan->daemons; i++) {
         start_daemon(site, i);
     }
-    AqTime end = AqClock_ReadMonotonic() + START_MS;
+    AqTime end = AqClock_ReadMonotonic() + START_TIMEOUT_MS;
     for (int i = 0; i < plan->daemons; i++) {
         while (!is_up(site, i)) {
             if (AqClock_ReadMonotonic() > end) {
@@ -355,7 +362,7 @@
     char op[32];
     AqError error;
     long status = 0;
-    snprintf(op, sizeof(op), "bench-%d", ++site->ops);
+    snprintf(op, sizeof(op), "bench-%d", ++site->op_count);
     bench_url(site, 0, "operators", "/admin/v1/intents", url, sizeof(url));
     json_t *body = json_pack("{s:s,s:s,s:o}", "op", op, "kind", kind, "args",
                              json_loads(args, 0, NULL));
--- a/packages/daemon/bench/bench_site.h
+++ b/packages/daemon/bench/bench_site.h
@@ -8,23 +8,23 @@
 #include "aq_test_http.h"
 #include "aq_test_process.h"
 
-/* A site of real processes on loopback whose fleet is as large as wanted.
- * VMs share the ports of a few endpoint processes. */
+/* Site of real processes on loopback with a fleet of any size.  The VMs share
+ * the ports of a few endpoint processes. */
 
 enum {
     BENCH_MAX_DAEMONS = 27,
-    BENCH_MAX_ENDPOINTS = 8, /* processes */
-    BENCH_PORTS = 4          /* of one endpoint process */
+    BENCH_MAX_ENDPOINTS = 8,     /* most endpoint processes of a site */
+    BENCH_PORTS_PER_ENDPOINT = 4 /* ports of one endpoint process */
 };
 
 typedef struct {
     int daemons;
     int vms;
     int pools;
-    int slots;      /* of each VM */
-    int endpoints;  /* processes */
-    int service_ms; /* of a request at an endpoint */
-    int jobs;       /* running jobs, for the parts that use them */
+    int slots;      /* request slots of each VM */
+    int endpoints;  /* endpoint processes */
+    int service_ms; /* service time of a request at an endpoint */
+    int jobs;       /* jobs that run during the measurement; 0: none */
 } BenchPlan;
 
 typedef struct {
@@ -33,27 +33,31 @@
     AqProcess *endpoints[BENCH_MAX_ENDPOINTS];
     AqProcess *daemons[BENCH_MAX_DAEMONS];
     char directory[32];
-    int ops; /* intents sent */
+    int op_count; /* intents sent so far; makes operation ids unique */
 } BenchSite;
 
-/* Directory with the built packages, set by main; borrowed. */
+/* Directory with the built packages, "build/packages" by default; main() may
+ * set another string, which is not copied. */
 extern const char *bench_bin;
 
-/* Returns when every daemon is ready and a member.  Ends the program on an
- * error. */
+/* Starts a site with a fleet of the given plan and returns when every daemon
+ * is ready and a member.  Ends the program on an error. */
 void bench_start(BenchSite *site, const BenchPlan *plan);
 void bench_stop(BenchSite *site);
 void bench_fail(const char *what, const char *why);
 void bench_sleep(int ms);
 
-/* URL of "path" at a listener ("callers", "operators") of a daemon. */
+/* Writes the URL of "path" at a listener ("callers" or "operators") of a
+ * daemon to "out", a buffer of "room" bytes. */
 void bench_url(const BenchSite *site, int daemon, const char *listener,
                const char *path, char *out, size_t room);
-/* The status page of a daemon; a new reference. */
+/* Returns the status page of a daemon as a new reference.  Ends the program on
+ * an error. */
 json_t *bench_status(const BenchSite *site, int daemon);
-/* Sends an intent to daemon 0 and returns the status. */
+/* Sends an intent to daemon 0 and returns the HTTP status of the response. */
 long bench_intent(BenchSite *site, const char *kind, const char *args);
-/* GET or POST at the control port of a process; a new reference. */
+/* Sends GET or POST to the control port of a simulated service and returns the
+ * response as a new reference.  Ends the program on an error. */
 json_t *bench_control(const AqProcess *process, const char *method,
                       const char *path, const char *json);
 
--- a/packages/daemon/tests/corpus.c
+++ b/packages/daemon/tests/corpus.c
@@ -10,7 +10,7 @@
 };
 
 static int
-by_name(const struct dirent **a, const struct dirent **b)
+compare_names(const struct dirent **a, const struct dirent **b)
 {
     return strcmp((*a)->d_name, (*b)->d_name);
 }
@@ -26,7 +26,7 @@
         exit(2);
     }
     CorpusInput *input = &corpus->files[corpus->count++];
-    input->size = fread(input->bytes, 1, CORPUS_MAX_SIZE, file);
+    input->size = fread(input->bytes, 1, CORPUS_MAX_BYTES, file);
     fclose(file);
 }
 
@@ -34,8 +34,9 @@
 corpus_load(Corpus *corpus, const char *directory, uint64_t seed)
 {
     struct dirent **entries;
-    /* In the order of names, so that a seed gives the same inputs. */
-    int n = scandir(directory, &entries, NULL, by_name);
+    /* The files are sorted by name, so that a random seed always gives the
+     * same inputs. */
+    int n = scandir(directory, &entries, NULL, compare_names);
     memset(corpus, 0, sizeof(*corpus));
     AqRandom_Seed(&corpus->random, seed);
     for (int i = 0; i < n; i++) {
@@ -52,21 +53,23 @@
 }
 
 static size_t
-below(Corpus *corpus, size_t bound)
+random_below(Corpus *corpus, size_t bound)
 {
     return (size_t)AqRandom_Below(&corpus->random, bound);
 }
 
-/* Copies a piece of another file over a place of the input. */
+/* Overwrites a random place of the input with a piece of a random corpus file;
+ * the input grows when the piece reaches beyond its end. */
 static void
 splice(Corpus *corpus, CorpusInput *input)
 {
-    const CorpusInput *other = &corpus->files[below(corpus, corpus->count)];
-    size_t from = below(corpus, other->size);
-    size_t to = below(corpus, input->size + 1);
-    size_t size = below(corpus, other->size - from) + 1;
-    if (to + size > CORPUS_MAX_SIZE) {
-        size = CORPUS_MAX_SIZE - to;
+    const CorpusInput *other =
+        &corpus->files[random_below(corpus, corpus->count)];
+    size_t from = random_below(corpus, other->size);
+    size_t to = random_below(corpus, input->size + 1);
+    size_t size = random_below(corpus, other->size - from) + 1;
+    if (to + size > CORPUS_MAX_BYTES) {
+        size = CORPUS_MAX_BYTES - to;
     }
     memcpy(input->bytes + to, other->bytes + from, size);
     if (to + size > input->size) {
@@ -77,9 +80,9 @@
 static void
 repeat_byte(Corpus *corpus, CorpusInput *input)
 {
-    size_t at = below(corpus, input->size);
-    size_t room = CORPUS_MAX_SIZE - input->size;
-    size_t count = below(corpus, room < 2000 ? room : 2000);
+    size_t at = random_below(corpus, input->size);
+    size_t room = CORPUS_MAX_BYTES - input->size;
+    size_t count = random_below(corpus, room < 2000 ? room : 2000);
     memmove(input->bytes + at + count, input->bytes + at, input->size - at);
     memset(input->bytes + at, input->bytes[at + count], count);
     input->size += count;
@@ -89,13 +92,13 @@
 mutate(Corpus *corpus, CorpusInput *input)
 {
     static const char special[] = "\0\r\n\"\\{}[]:,%/ \xff\x7f-0";
-    size_t at = below(corpus, input->size);
-    switch (below(corpus, 6)) {
+    size_t at = random_below(corpus, input->size);
+    switch (random_below(corpus, 6)) {
     case 0:
-        input->bytes[at] ^= (char)(1 << below(corpus, 8));
+        input->bytes[at] ^= (char)(1 << random_below(corpus, 8));
         break;
     case 1:
-        input->bytes[at] = special[below(corpus, sizeof(special) - 1)];
+        input->bytes[at] = special[random_below(corpus, sizeof(special) - 1)];
         break;
     case 2:
         input->size = at + 1;
@@ -117,8 +120,8 @@
 void
 corpus_next(Corpus *corpus, CorpusInput *input)
 {
-    *input = corpus->files[below(corpus, corpus->count)];
-    size_t count = 1 + below(corpus, MAX_MUTATIONS);
+    *input = corpus->files[random_below(corpus, corpus->count)];
+    size_t count = 1 + random_below(corpus, MAX_MUTATIONS);
     for (size_t i = 0; i < count; i++) {
         mutate(corpus, input);
     }
--- a/packages/daemon/tests/corpus.h
+++ b/packages/daemon/tests/corpus.h
@@ -5,16 +5,17 @@
 
 #include "aq_random.h"
 
-/* A seed corpus of files and a mutator with a fixed seed. */
+/* Generates fuzz inputs by mutating the files of a seed corpus; equal random
+ * seeds give equal inputs. */
 
 enum {
     CORPUS_MAX_FILES = 64,
-    CORPUS_MAX_SIZE = 8192
+    CORPUS_MAX_BYTES = 8192
 };
 
 typedef struct {
     size_t size;
-    char bytes[CORPUS_MAX_SIZE + 1];
+    char bytes[CORPUS_MAX_BYTES + 1];
 } CorpusInput;
 
 typedef struct {
@@ -23,10 +24,11 @@
     AqRandom random;
 } Corpus;
 
-/* Reads all files of a directory; ends the program when there are none. */
+/* Reads all files of a directory except hidden ones.  Ends the program when a
+ * file cannot be read, or when the directory has no files or too many. */
 void corpus_load(Corpus *corpus, const char *directory, uint64_t seed);
-/* The next input: a file with a few bytes changed, cut, repeated or taken from
- * another file.  NUL-terminated. */
+/* Sets "input" to a random corpus file with a few bytes changed, cut, repeated
+ * or copied from another file.  A NUL follows the last byte. */
 void corpus_next(Corpus *corpus, CorpusInput *input);
 
 #endif
--- a/packages/daemon/tests/fault_site.c
+++ b/packages/daemon/tests/fault_site.c
@@ -20,14 +20,14 @@
 }
 
 void
-fault_expect(const SiteAnswer *answer, long status, const char *outcome,
+fault_expect(const SiteResponse *response, long status, const char *outcome,
              const char *what)
 {
     char seen[4400];
     snprintf(seen, sizeof(seen), "expected %ld %s, got %ld %s: %s", status,
-             outcome, answer->status, answer->outcome, answer->body);
-    fault_check(answer->status == status &&
-                    strcmp(answer->outcome, outcome) == 0,
+             outcome, response->status, response->outcome, response->body);
+    fault_check(response->status == status &&
+                    strcmp(response->outcome, outcome) == 0,
                 what, seen);
 }
 
@@ -59,7 +59,8 @@
 }
 
 static int
-endpoint_figure(Site *site, int endpoint, const char *field, bool largest)
+aggregate_endpoint_field(Site *site, int endpoint, const char *field,
+                         bool largest)
 {
     json_t *runs =
         fault_control(site->endpoints, "GET", "/test/v1/runs", NULL);
@@ -86,19 +87,19 @@
 int
 fault_endpoint_sum(Site *site, const char *field)
 {
-    return endpoint_figure(site, -1, field, false);
+    return aggregate_endpoint_field(site, -1, field, false);
 }
 
 int
 fault_endpoint_max(Site *site, const char *field)
 {
-    return endpoint_figure(site, -1, field, true);
+    return aggregate_endpoint_field(site, -1, field, true);
 }
 
 int
 fault_endpoint_field(Site *site, int endpoint, const char *field)
 {
-    return endpoint_figure(site, endpoint, field, false);
+    return aggregate_endpoint_field(site, endpoint, field, false);
 }
 
 bool
@@ -107,7 +108,7 @@
 {
     AqTime until = AqClock_ReadMonotonic() + ms;
     do {
-        int n = endpoint_figure(site, endpoint, field, false);
+        int n = aggregate_endpoint_field(site, endpoint, field, false);
         if (n >= low && n <= high) {
             return true;
         }
@@ -117,7 +118,7 @@
 }
 
 int
-fault_calls(Site *site, const char *kind)
+fault_count_calls(Site *site, const char *kind)
 {
     json_t *calls =
         fault_control(site->platform, "GET", "/test/v1/calls", NULL);
@@ -131,7 +132,7 @@
 {
     AqTime until = AqClock_ReadMonotonic() + ms;
     do {
-        if (fault_calls(site, kind) > above) {
+        if (fault_count_calls(site, kind) > above) {
             return true;
         }
     } while (AqClock_ReadMonotonic() < until);
@@ -142,18 +143,18 @@
  */
 
 static json_t *
-read_vms(Site *site, int daemon)
+read_vm_records(Site *site, int daemon)
 {
-    SiteAnswer answer;
-    site_get(site, daemon, "operators", "/admin/v1/state?kind=vms", &answer);
-    return answer.status == 200 ? json_loads(answer.body, 0, NULL) : NULL;
+    SiteResponse response;
+    site_get(site, daemon, "operators", "/admin/v1/state?kind=vms", &response);
+    return response.status == 200 ? json_loads(response.body, 0, NULL) : NULL;
 }
 
 void
 fault_vm_state(Site *site, int daemon, int vm, char state[24])
 {
     char name[16];
-    json_t *vms = read_vms(site, daemon);
+    json_t *vms = read_vm_records(site, daemon);
     snprintf(name, sizeof(name), "vm%d", vm);
     const char *text = json_string_value(
         json_object_get(json_object_get(vms, name), "state"));
@@ -164,7 +165,7 @@
 int
 fault_serving(Site *site, int daemon)
 {
-    json_t *vms = read_vms(site, daemon);
+    json_t *vms = read_vm_records(site, daemon);
     const char *name;
     json_t *record;
     int count = vms != NULL ? 0 : -1;
@@ -193,8 +194,9 @@
              options->name);
     snprintf(load->log, sizeof(load->log), "%s/%s.log", site->directory,
              options->name);
-    const int values[] = {options->rate, options->seconds, options->timeout_ms,
-                          options->non_idempotent};
+    const int values[] = {options->rate_per_s, options->duration_s,
+                          options->timeout_ms,
+                          options->non_idempotent_percent};
     static const char *const names[] = {"--rate", "--seconds", "--timeout-ms",
                                         "--non-idempotent"};
     argv[n++] = fault_caller_program;
@@ -204,7 +206,7 @@
         argv[n++] = numbers[i];
     }
     for (int i = 0; i < SITE_DAEMONS; i++) {
-        if (options->daemons & (1U << i)) {
+        if (options->daemon_mask & (1U << i)) {
             argv[n++] = "--daemon";
             argv[n++] = AqProcess_Address(site->daemons[i], "callers");
         }
@@ -225,7 +227,7 @@
 }
 
 int
-fault_load_now(const FaultLoad *load, const char *field)
+fault_load_current(const FaultLoad *load, const char *field)
 {
     json_t *summary =
         fault_control(load->process, "GET", "/test/v1/summary", NULL);
@@ -242,7 +244,7 @@
     fault_check(AqProcess_WaitExit(load->process, 4 * FAULT_WAIT_MS, &status,
                                    &error) &&
                     status == 0,
-                "the load ends", load->output);
+                "the load ends with status 0", load->output);
     load->summary = json_load_file(load->output, 0, NULL);
     fault_check(load->summary != NULL, "the load has a summary", load->output);
 }
@@ -263,7 +265,7 @@
 }
 
 void
-fault_load_all_completed(const FaultLoad *load)
+fault_load_check_completed(const FaultLoad *load)
 {
     char *text = json_dumps(load->summary, JSON_COMPACT);
     int sent = fault_load_count(load, "sent");
@@ -274,14 +276,15 @@
 }
 
 void
-fault_none_twice(Site *site)
+fault_check_at_most_once(Site *site)
 {
     json_t *runs = fault_runs(site);
     const char *id;
     json_t *count;
     json_object_foreach(json_object_get(runs, "more_than_once"), id, count)
     {
-        /* The callers' ids of idempotent requests begin with "i-". */
+        /* Ids that begin with "i-" belong to idempotent requests, which may
+         * run more than once. */
         fault_check(strncmp(id, "i-", 2) == 0, "at most one run", id);
     }
     json_decref(runs);
--- a/packages/daemon/tests/fault_site.h
+++ b/packages/daemon/tests/fault_site.h
@@ -5,7 +5,8 @@
 
 #include "site.h"
 
-/* What the tests of faults share: endpoints' figures, load, checks. */
+/* Helpers shared by the fault tests: counters of the endpoints, load and
+ * checks. */
 
 enum {
     FAULT_WAIT_MS = 30000
@@ -16,7 +17,7 @@
     CU_TestFunc run;
 } FaultTest;
 
-/* Tables of the test files; each ends with a NULL name. */
+/* Tables of tests, one per test file; an entry with a NULL name ends each. */
 extern const FaultTest endpoint_tests[];
 extern const FaultTest limit_tests[];
 extern const FaultTest leaving_tests[];
@@ -27,62 +28,70 @@
 
 extern const char *fault_caller_program;
 
-/* Prints what was seen when it is not so, and fails the test. */
+/* Prints "what" and "seen" and fails the test when "holds" is false; returns
+ * "holds". */
 bool fault_check(bool holds, const char *what, const char *seen);
-void fault_expect(const SiteAnswer *answer, long status, const char *outcome,
-                  const char *what);
+void fault_expect(const SiteResponse *response, long status,
+                  const char *outcome, const char *what);
 
-/* Sums a field over all endpoints (max: the largest). */
+/* Returns the sum of a counter, named by its JSON field, over all endpoints
+ * (fault_endpoint_max(): the largest value of an endpoint). */
 int fault_endpoint_sum(Site *site, const char *field);
 int fault_endpoint_max(Site *site, const char *field);
 int fault_endpoint_field(Site *site, int endpoint, const char *field);
-/* New reference: the answer of /test/v1/runs?ids. */
+/* Returns the endpoints' response to /test/v1/runs?ids as a new reference. */
 json_t *fault_runs(Site *site);
-/* Asks until a field of one endpoint, or of all (-1) added up, is from "low"
- * to "high". */
+/* Polls until a counter of one endpoint, or its sum over all endpoints when
+ * "endpoint" is -1, is from "low" to "high"; returns false after "ms"
+ * milliseconds. */
 bool fault_wait_endpoint(Site *site, int endpoint, const char *field, int low,
                          int high, int ms);
-/* A call of a stand-in's test interface; new reference, never NULL. */
+/* Calls the test interface of a simulated service and returns the response as
+ * a new reference, never NULL.  Ends the test program on failure. */
 json_t *fault_control(const AqProcess *process, const char *method,
                       const char *path, const char *json);
-/* Store calls of a kind that the platform has counted. */
-int fault_calls(Site *site, const char *kind);
+/* Returns the number of store calls of a kind that the simulated platform has
+ * counted so far. */
+int fault_count_calls(Site *site, const char *kind);
 bool fault_wait_calls(Site *site, const char *kind, int above, int ms);
 
-/* State of a VM at a daemon, "" when it does not answer. */
+/* Writes the state of a VM as reported by a daemon to "state"; empty when the
+ * daemon does not respond or does not list the VM. */
 void fault_vm_state(Site *site, int daemon, int vm, char state[24]);
-/* VMs that serve according to a daemon; -1 when it does not answer. */
+/* Returns the number of VMs that serve according to a daemon; -1 when the
+ * daemon does not respond. */
 int fault_serving(Site *site, int daemon);
 
-/* aq-caller against some daemons. */
+/* Running aq-caller process that sends requests to some of the daemons. */
 typedef struct {
     AqProcess *process;
     char output[96];
     char log[96];
-    json_t *summary; /* after fault_load_finish */
+    json_t *summary; /* results of the load; NULL before fault_load_finish() */
 } FaultLoad;
 
 typedef struct {
-    const char *name; /* part of the request ids */
-    unsigned daemons; /* bits */
+    const char *name;     /* part of this load's request ids and file names */
+    unsigned daemon_mask; /* bit i is set: daemon i receives requests */
     const char *path;
-    int rate; /* per second */
-    int seconds;
+    int rate_per_s; /* requests per second */
+    int duration_s;
     int timeout_ms;
-    int non_idempotent; /* per cent */
+    int non_idempotent_percent; /* percentage of requests */
 } FaultLoadOptions;
 
 void fault_load_start(Site *site, const FaultLoadOptions *options,
                       FaultLoad *load);
-/* Field of the summary up to now. */
-int fault_load_now(const FaultLoad *load, const char *field);
-/* Waits for the end and fills in the summary. */
+/* Returns a counter of the running load's summary so far. */
+int fault_load_current(const FaultLoad *load, const char *field);
+/* Waits until the load's process has ended and reads its summary. */
 void fault_load_finish(FaultLoad *load);
 int fault_load_count(const FaultLoad *load, const char *field);
 void fault_load_clear(FaultLoad *load);
-/* Fails when a request ended otherwise than completed. */
-void fault_load_all_completed(const FaultLoad *load);
-/* Fails when a non-idempotent id ran more than once. */
-void fault_none_twice(Site *site);
+/* Fails the test unless requests were sent and all of them completed with the
+ * right response. */
+void fault_load_check_completed(const FaultLoad *load);
+/* Fails the test when a non-idempotent request ran more than once. */
+void fault_check_at_most_once(Site *site);
 
 #endif
--- a/packages/daemon/tests/fuzz_callers.c
+++ b/packages/daemon/tests/fuzz_callers.c
@@ -10,23 +10,24 @@
 #include "caller_request.h"
 #include "corpus.h"
 
-/* Sends mutated bytes of callers to a listener: fuzz_callers CORPUS SEED RUNS.
- * Guards against bytes of a caller that crash the daemon, break the limits of
- * a parsed request or leave an exchange behind. */
+/* Fuzz test of the listener for callers: fuzz_callers CORPUS SEED RUNS sends
+ * mutated requests.  Guards against bytes of a caller that crash the daemon,
+ * give a parsed request that exceeds its limits, or leave an exchange pending.
+ */
 
 enum {
-    ROUNDS = 8,
-    GOOD_EVERY = 100,
-    MAX_TRIES = 100
+    MAX_LOOP_ROUNDS = 8,
+    VALID_REQUEST_INTERVAL = 100,
+    MAX_VALID_TRIES = 100
 };
 
 typedef struct {
     AqLoop *loop;
     AqHttpServer *server;
-    unsigned taken;   /* requests that parsed */
-    unsigned refused; /* with an error message */
+    unsigned parsed_count;  /* requests parsed without an error */
+    unsigned refused_count; /* requests refused with status 400 */
     int fd;
-    bool ended;
+    bool is_closed;
     size_t received;
     char reply[256];
 } Fuzz;
@@ -46,7 +47,7 @@
     if (id < 1 || id > 128 || service < 1 || service > 63 ||
         request->timeout_ms < 10 || request->timeout_ms > 600000 ||
         request->path[0] != '/') {
-        fail("a parsed request is out of its limits");
+        fail("a parsed request exceeds its limits");
     }
 }
 
@@ -62,11 +63,11 @@
     }
     if (request != NULL) {
         check_request(request);
-        fuzz->taken++;
+        fuzz->parsed_count++;
         CallerRequest_Destroy(request);
     }
     else {
-        fuzz->refused++;
+        fuzz->refused_count++;
     }
     AqExchange_Respond(exchange, request != NULL ? 200 : 400, NULL, 0, "x", 1);
 }
@@ -79,7 +80,7 @@
     (void)events;
     ssize_t n = recv(fuzz->fd, bytes, sizeof(bytes), 0);
     if (n == 0 || (n < 0 && errno != EAGAIN)) {
-        fuzz->ended = true;
+        fuzz->is_closed = true;
     }
     else if (n > 0 && fuzz->received < sizeof(fuzz->reply) - 1) {
         size_t room = sizeof(fuzz->reply) - 1 - fuzz->received;
@@ -99,33 +100,35 @@
     fuzz->fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     if (connect(fuzz->fd, (struct sockaddr *)&to, sizeof(to)) != 0 ||
         send(fuzz->fd, input->bytes, input->size, MSG_NOSIGNAL) < 0) {
-        fail("the listener takes no connection");
+        fail("cannot send to the listener");
     }
-    fuzz->ended = false;
+    fuzz->is_closed = false;
     fuzz->received = 0;
     fuzz->reply[0] = '\0';
     AqWatch *watch =
         AqLoop_Watch(fuzz->loop, fuzz->fd, AQ_READABLE, on_reply, fuzz, NULL);
-    /* A request that is not whole gets no answer: the connection is closed
-     * after a few rounds without one. */
-    for (int i = 0; i < ROUNDS && !fuzz->ended && fuzz->received == 0; i++) {
+    /* An incomplete request gets no response; its connection is closed after
+     * MAX_LOOP_ROUNDS rounds of the event loop. */
+    for (int i = 0;
+         i < MAX_LOOP_ROUNDS && !fuzz->is_closed && fuzz->received == 0; i++) {
         AqLoop_RunOnce(fuzz->loop, 0);
     }
     AqLoop_Unwatch(fuzz->loop, watch);
     close(fuzz->fd);
 }
 
-/* Sends a good request until it is answered. */
+/* Sends a valid request until a response has status 200; fails the test after
+ * MAX_VALID_TRIES tries. */
 static void
-send_good(Fuzz *fuzz, const CorpusInput *input)
+send_valid(Fuzz *fuzz, const CorpusInput *input)
 {
-    for (int i = 0; i < MAX_TRIES; i++) {
+    for (int i = 0; i < MAX_VALID_TRIES; i++) {
         send_input(fuzz, input);
         if (strstr(fuzz->reply, " 200 ") != NULL) {
             return;
         }
     }
-    fail("a good request is not answered any more");
+    fail("a valid request gets no response any more");
 }
 
 int
@@ -133,7 +136,7 @@
 {
     static Corpus corpus;
     static CorpusInput input;
-    static CorpusInput good;
+    static CorpusInput valid;
     Fuzz fuzz = {0};
     AqError error;
     AqHttpServerConfig config = {
@@ -147,9 +150,9 @@
     }
     corpus_load(&corpus, argv[1], strtoull(argv[2], NULL, 10));
     int runs = atoi(argv[3]);
-    good.size = (size_t)snprintf(good.bytes, sizeof(good.bytes),
-                                 "GET /v1/services/track/x HTTP/1.1\r\n"
-                                 "Host: x\r\n\r\n");
+    valid.size = (size_t)snprintf(valid.bytes, sizeof(valid.bytes),
+                                  "GET /v1/services/track/x HTTP/1.1\r\n"
+                                  "Host: x\r\n\r\n");
     fuzz.loop = AqLoop_Create(&error);
     fuzz.server =
         AqHttpServer_Create(fuzz.loop, &config, on_request, &fuzz, &error);
@@ -159,15 +162,16 @@
     for (int i = 0; i < runs; i++) {
         corpus_next(&corpus, &input);
         send_input(&fuzz, &input);
-        if (i % GOOD_EVERY == 0) {
-            send_good(&fuzz, &good);
+        if (i % VALID_REQUEST_INTERVAL == 0) {
+            send_valid(&fuzz, &valid);
         }
     }
-    printf("%d runs, %u requests taken, %u refused\n", runs, fuzz.taken,
-           fuzz.refused);
-    if (AqHttpServer_Pending(fuzz.server) != 0 || fuzz.taken < 10 ||
-        fuzz.refused < 10) {
-        fail("exchanges are left, or the inputs reach no code");
+    printf("%d runs, %u requests parsed, %u refused\n", runs,
+           fuzz.parsed_count, fuzz.refused_count);
+    if (AqHttpServer_Pending(fuzz.server) != 0 || fuzz.parsed_count < 10 ||
+        fuzz.refused_count < 10) {
+        fail("exchanges are still pending, or too few requests were parsed or "
+             "refused");
     }
     AqHttpServer_Destroy(fuzz.server);
     AqLoop_Destroy(fuzz.loop);
--- a/packages/daemon/tests/fuzz_intents.c
+++ b/packages/daemon/tests/fuzz_intents.c
@@ -7,9 +7,10 @@
 #include "aq_json.h"
 #include "corpus.h"
 
-/* Evaluates mutated intents of operators: fuzz_intents CORPUS SEED RUNS.
- * Guards against input that crashes the daemon, changes the document although
- * it is refused, or brings it into a state that is not consistent. */
+/* Fuzz test of operators' intents: fuzz_intents CORPUS SEED RUNS evaluates
+ * mutated intents.  Guards against an intent that crashes the daemon, changes
+ * the fleet document although the intent is refused, or makes the document
+ * inconsistent. */
 
 static void
 fail(const char *what, const CorpusInput *input, const AqError *error)
@@ -34,7 +35,8 @@
         snprintf(op, sizeof(op), "fuzz-%d", run);
         if (!AqFleet_Apply(fleet, op, set, &error) ||
             !AqFleet_CheckConsistency(fleet, &error)) {
-            fail("an accepted intent breaks the document", input, &error);
+            fail("an accepted intent makes the document inconsistent", input,
+                 &error);
         }
     }
     json_decref(set);
@@ -67,7 +69,7 @@
         accepted += apply(fleet, intent, &input, i);
         AqJobs_Evaluate(jobs, fleet, intent, i, &error);
         if (!AqJobs_CheckConsistency(jobs, &error)) {
-            fail("jobs", &input, &error);
+            fail("the job documents are inconsistent", &input, &error);
         }
         json_decref(intent);
     }
--- a/packages/daemon/tests/relay.c
+++ b/packages/daemon/tests/relay.c
@@ -17,39 +17,43 @@
 
 enum {
     MAX_CONNECTIONS = 64,
-    CHUNK = 16384,
+    CHUNK_SIZE = 16384,
     NAME_SIZE = 16,
-    TURN_MS = 20 /* longest wait of the thread */
+    POLL_MS = 20 /* longest wait of the relay thread while bytes are queued */
 };
 
-/* Bytes on their way. */
+/* Bytes that the relay has received and not yet sent completely. */
 typedef struct {
     AqLink link;
-    AqTime due;
+    AqTime send_at;
     size_t size;
     size_t sent;
-    char bytes[CHUNK];
+    char bytes[CHUNK_SIZE];
 } Chunk;
 
-/* Peers send in one direction only; the other is just watched for its end. */
+/* Connection from a daemon through the relay to the target.  Peers send in
+ * this direction only; the relay watches the other only for the end of the
+ * connection. */
 typedef struct {
-    int from; /* -1: free */
+    int from; /* socket of the dialling daemon; -1: this entry is free */
     int to;
-    char name[NAME_SIZE]; /* id of the daemon that dialled; "" at first */
-    bool silenced;
+    /* Id of the dialling daemon; empty until the HELLO arrives. */
+    char sender[NAME_SIZE];
+    bool is_discarded;
     AqLink chunks;
 } Connection;
 
 struct Relay {
     int listener;
-    int wake;
+    int wake_fd;
     char address[32];
     pthread_t thread;
-    pthread_mutex_t lock; /* guards what follows */
-    bool stop;
+    pthread_mutex_t lock; /* protects all fields of the relay below this one */
+    bool is_stopping;
     bool has_target;
     struct sockaddr_in target;
-    char held[NAME_SIZE]; /* "": nobody, "*": all */
+    /* Id of the daemon whose bytes are held; "": none, "*": all. */
+    char held_sender[NAME_SIZE];
     int delay_ms;
     Connection connections[MAX_CONNECTIONS];
 };
@@ -101,26 +105,29 @@
     AqList_Init(&c->chunks);
 }
 
-/* The id is the first text of the HELLO frame: "entryN". */
+/* Reads the sender's id, "entryN", which is the first text of the HELLO
+ * frame. */
 static void
-read_name(Connection *c, const Chunk *chunk)
+read_sender(Connection *c, const Chunk *chunk)
 {
     const char *at = memmem(chunk->bytes, chunk->size, "entry", 5);
-    if (c->name[0] == '\0' && at != NULL &&
+    if (c->sender[0] == '\0' && at != NULL &&
         at + 6 <= chunk->bytes + chunk->size) {
-        memcpy(c->name, at, 6);
-        c->name[6] = '\0';
+        memcpy(c->sender, at, 6);
+        c->sender[6] = '\0';
     }
 }
 
 static bool
 is_held(const Relay *relay, const Connection *c)
 {
-    return strcmp(relay->held, "*") == 0 ||
-           (relay->held[0] != '\0' && strcmp(relay->held, c->name) == 0);
+    return strcmp(relay->held_sender, "*") == 0 ||
+           (relay->held_sender[0] != '\0' &&
+            strcmp(relay->held_sender, c->sender) == 0);
 }
 
-/* False when the connection has ended. */
+/* Receives one chunk; returns false when the sender has closed the connection
+ * or receiving failed. */
 static bool
 read_chunk(const Relay *relay, Connection *c)
 {
@@ -131,12 +138,12 @@
         return n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
     }
     chunk->size = (size_t)n;
-    read_name(c, chunk);
-    if (c->silenced) {
+    read_sender(c, chunk);
+    if (c->is_discarded) {
         free(chunk);
         return true;
     }
-    chunk->due = AqClock_ReadMonotonic() + relay->delay_ms;
+    chunk->send_at = AqClock_ReadMonotonic() + relay->delay_ms;
     AqList_Append(&c->chunks, &chunk->link);
     return true;
 }
@@ -148,7 +155,7 @@
     AqLink *at;
     while (!is_held(relay, c) && (at = AqList_PopFirst(&c->chunks)) != NULL) {
         Chunk *chunk = AqList_Entry(at, Chunk, link);
-        ssize_t n = chunk->due > now
+        ssize_t n = chunk->send_at > now
                         ? 0
                         : send(c->to, chunk->bytes + chunk->sent,
                                chunk->size - chunk->sent, MSG_NOSIGNAL);
@@ -188,27 +195,28 @@
 }
 
 static int
-turn_ms(const Relay *relay)
+poll_timeout_ms(const Relay *relay)
 {
-    /* A held or delayed chunk is looked at in every turn. */
+    /* While chunks are held or delayed, the thread checks them every POLL_MS;
+     * otherwise it waits for an event. */
     for (int i = 0; i < MAX_CONNECTIONS; i++) {
         const Connection *c = &relay->connections[i];
         if (c->from >= 0 && !AqList_IsEmpty(&c->chunks)) {
-            return TURN_MS;
+            return POLL_MS;
         }
     }
     return -1;
 }
 
 static void *
-run(void *context)
+run_thread(void *context)
 {
     Relay *relay = context;
     pthread_mutex_lock(&relay->lock);
-    while (!relay->stop) {
+    while (!relay->is_stopping) {
         struct pollfd fds[2 + 2 * MAX_CONNECTIONS];
         nfds_t n = 0;
-        fds[n++] = (struct pollfd){relay->wake, POLLIN, 0};
+        fds[n++] = (struct pollfd){relay->wake_fd, POLLIN, 0};
         if (relay->has_target) {
             fds[n++] = (struct pollfd){relay->listener, POLLIN, 0};
         }
@@ -219,13 +227,13 @@
                 fds[n++] = (struct pollfd){c->to, POLLIN, 0};
             }
         }
-        int wait = turn_ms(relay);
+        int wait = poll_timeout_ms(relay);
         pthread_mutex_unlock(&relay->lock);
         poll(fds, n, wait);
         pthread_mutex_lock(&relay->lock);
         uint64_t count;
         if (fds[0].revents != 0 &&
-            read(relay->wake, &count, sizeof(count)) < 0) {
+            read(relay->wake_fd, &count, sizeof(count)) < 0) {
             break;
         }
         if (n > 1 && fds[1].fd == relay->listener && fds[1].revents != 0) {
@@ -238,11 +246,11 @@
 }
 
 static void
-wake(Relay *relay)
+unlock_and_wake(Relay *relay)
 {
     uint64_t one = 1;
     pthread_mutex_unlock(&relay->lock);
-    if (write(relay->wake, &one, sizeof(one)) < 0) {
+    if (write(relay->wake_fd, &one, sizeof(one)) < 0) {
         perror("relay");
     }
 }
@@ -254,7 +262,7 @@
     socklen_t size = sizeof(at);
     Relay *relay = calloc(1, sizeof(*relay));
     at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    relay->wake = eventfd(0, EFD_CLOEXEC);
+    relay->wake_fd = eventfd(0, EFD_CLOEXEC);
     relay->listener = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     pthread_mutex_init(&relay->lock, NULL);
     for (int i = 0; i < MAX_CONNECTIONS; i++) {
@@ -263,9 +271,9 @@
     if (bind(relay->listener, (struct sockaddr *)&at, sizeof(at)) != 0 ||
         listen(relay->listener, MAX_CONNECTIONS) != 0 ||
         getsockname(relay->listener, (struct sockaddr *)&at, &size) != 0 ||
-        pthread_create(&relay->thread, NULL, run, relay) != 0) {
+        pthread_create(&relay->thread, NULL, run_thread, relay) != 0) {
         close(relay->listener);
-        close(relay->wake);
+        close(relay->wake_fd);
         free(relay);
         return NULL;
     }
@@ -281,8 +289,8 @@
         return;
     }
     pthread_mutex_lock(&relay->lock);
-    relay->stop = true;
-    wake(relay);
+    relay->is_stopping = true;
+    unlock_and_wake(relay);
     pthread_join(relay->thread, NULL);
     for (int i = 0; i < MAX_CONNECTIONS; i++) {
         if (relay->connections[i].from >= 0) {
@@ -290,7 +298,7 @@
         }
     }
     close(relay->listener);
-    close(relay->wake);
+    close(relay->wake_fd);
     pthread_mutex_destroy(&relay->lock);
     free(relay);
 }
@@ -310,16 +318,16 @@
     relay->target.sin_port =
         htons((uint16_t)strtoul(strrchr(address, ':') + 1, NULL, 10));
     relay->has_target = true;
-    wake(relay);
+    unlock_and_wake(relay);
 }
 
 static void
-silence_open(Relay *relay, const char *from)
+discard_open(Relay *relay, const char *from)
 {
     for (int i = 0; i < MAX_CONNECTIONS; i++) {
         Connection *c = &relay->connections[i];
-        if (c->from >= 0 && (from == NULL || strcmp(from, c->name) == 0)) {
-            c->silenced = true;
+        if (c->from >= 0 && (from == NULL || strcmp(from, c->sender) == 0)) {
+            c->is_discarded = true;
         }
     }
 }
@@ -328,15 +336,15 @@
 relay_set(Relay *relay, const char *from, RelayMode mode)
 {
     pthread_mutex_lock(&relay->lock);
-    relay->held[0] = '\0';
+    relay->held_sender[0] = '\0';
     if (mode == RELAY_HOLD) {
-        snprintf(relay->held, sizeof(relay->held), "%s",
+        snprintf(relay->held_sender, sizeof(relay->held_sender), "%s",
                  from != NULL ? from : "*");
     }
-    else if (mode == RELAY_SILENCE_OPEN) {
-        silence_open(relay, from);
+    else if (mode == RELAY_DISCARD_OPEN) {
+        discard_open(relay, from);
     }
-    wake(relay);
+    unlock_and_wake(relay);
 }
 
 void
@@ -344,5 +352,5 @@
 {
     pthread_mutex_lock(&relay->lock);
     relay->delay_ms = ms;
-    wake(relay);
+    unlock_and_wake(relay);
 }
--- a/packages/daemon/tests/relay.h
+++ b/packages/daemon/tests/relay.h
@@ -3,27 +3,33 @@
 
 #include <stdbool.h>
 
-/* A relay on loopback in front of a daemon's listener for peers, with a thread
- * of its own.  Connections are told apart by the id in their HELLO. */
+/* Relay on loopback in front of a daemon's listener for peers, with a thread
+ * of its own.  The daemon id in the HELLO frame identifies the sender of a
+ * connection. */
 typedef struct Relay Relay;
 
 typedef enum {
     RELAY_PASS,
-    RELAY_HOLD,        /* bytes wait until it passes again, as in a cut */
-    RELAY_SILENCE_OPEN /* the connections open now lose all bytes for good;
-                          new ones pass */
+    /* Bytes wait in the relay until RELAY_PASS is set, as on a cut link. */
+    RELAY_HOLD,
+    /* The relay discards all further bytes of connections that are open now;
+     * new connections pass. */
+    RELAY_DISCARD_OPEN
 } RelayMode;
 
-/* Listens on a free port; NULL on failure. */
+/* Returns a new relay that listens on a free port; NULL on failure. */
 Relay *relay_create(void);
 void relay_destroy(Relay *relay);
-/* "127.0.0.1:port" */
+/* Returns the address of the relay's listener, "127.0.0.1:port". */
 const char *relay_address(const Relay *relay);
-/* The listener behind it, "127.0.0.1:port"; connections before that wait. */
+/* Sets the address of the listener that the relay connects to,
+ * "127.0.0.1:port"; connections to the relay wait until then. */
 void relay_set_target(Relay *relay, const char *address);
-/* What happens to the bytes from the daemon "from" (NULL: from all). */
+/* Sets what the relay does with bytes from the daemon with id "from"; NULL:
+ * from all daemons. */
 void relay_set(Relay *relay, const char *from, RelayMode mode);
-/* Delays all bytes; ms. */
+/* Delays all bytes that the relay receives from now on by "ms"
+ * milliseconds. */
 void relay_set_delay(Relay *relay, int ms);
 
 #endif
--- a/packages/daemon/tests/site.c
+++ b/packages/daemon/tests/site.c
@@ -11,7 +11,7 @@
 #define TOKEN "operator-token-of-tests"
 
 enum {
-    START_MS = 20000
+    START_TIMEOUT_MS = 20000
 };
 
 SitePrograms site_programs;
@@ -34,7 +34,8 @@
     AqError error;
     snprintf(log, sizeof(log), "%s/%s.log", site->directory, name);
     AqProcess *process = AqProcess_Spawn(argv, log, &error);
-    if (process == NULL || !AqProcess_WaitReady(process, START_MS, &error)) {
+    if (process == NULL ||
+        !AqProcess_WaitReady(process, START_TIMEOUT_MS, &error)) {
         fail(name, &error);
     }
     return process;
@@ -84,13 +85,13 @@
     AqProcess_Destroy(site->daemons[i]);
     site->daemons[i] = NULL;
     site->daemons[i] = spawn(site, argv, name);
-    if (site->started != NULL) {
-        site->started(site, i);
+    if (site->on_started != NULL) {
+        site->on_started(site, i);
     }
 }
 
 static void
-describe_vms(Site *site)
+register_vms(Site *site)
 {
     char url[128];
     AqError error;
@@ -119,14 +120,14 @@
 }
 
 static void
-configure(Site *site)
+configure_pool(Site *site)
 {
-    SiteAnswer answer;
+    SiteResponse response;
     char args[256];
     snprintf(args, sizeof(args), "{\"name\":\"track\",\"min_serving\":%d}",
              SITE_MIN_SERVING);
-    if (site_intent(site, 0, "pool.set", args, &answer) != 200) {
-        fail(answer.body, NULL);
+    if (site_intent(site, 0, "pool.set", args, &response) != 200) {
+        fail(response.body, NULL);
     }
     for (int i = 0; i < SITE_ENDPOINTS; i++) {
         char endpoint[24];
@@ -135,19 +136,19 @@
                  "{\"id\":\"vm%d\",\"address\":\"%s\",\"rack\":\"r%d\","
                  "\"zone\":\"z0\",\"pool\":\"track\"}",
                  i, AqProcess_Address(site->endpoints, endpoint), i / 2);
-        if (site_intent(site, 0, "vm.set", args, &answer) != 200) {
-            fail(answer.body, NULL);
+        if (site_intent(site, 0, "vm.set", args, &response) != 200) {
+            fail(response.body, NULL);
         }
     }
 }
 
 static bool
-all_serve(Site *site)
+wait_all_serving(Site *site)
 {
     char text[48];
     snprintf(text, sizeof(text), "\"serving\":%d", SITE_ENDPOINTS);
     return site_wait_text(site, 0, "/admin/v1/state?kind=pools", text,
-                          START_MS);
+                          START_TIMEOUT_MS);
 }
 
 void
@@ -180,14 +181,15 @@
         site_start_daemon(site, i, 0);
     }
     for (int i = 0; i < SITE_DAEMONS; i++) {
-        if (!site_wait_status(site, i, "callers", "/readyz", 200, START_MS)) {
-            fail("a daemon is not ready", NULL);
+        if (!site_wait_status(site, i, "callers", "/readyz", 200,
+                              START_TIMEOUT_MS)) {
+            fail("a daemon does not become ready", NULL);
         }
     }
-    describe_vms(site);
-    configure(site);
-    if (!all_serve(site)) {
-        fail("the VMs do not serve", NULL);
+    register_vms(site);
+    configure_pool(site);
+    if (!wait_all_serving(site)) {
+        fail("not all VMs of the pool serve", NULL);
     }
 }
 
@@ -220,20 +222,20 @@
  */
 
 static void
-take_reply(const AqTestHttpReply *reply, SiteAnswer *answer)
+copy_reply(const AqTestHttpReply *reply, SiteResponse *response)
 {
-    answer->status = reply->status;
-    if (!AqTestHttpReply_Header(reply, "Aq-Outcome", answer->outcome,
-                                sizeof(answer->outcome))) {
-        answer->outcome[0] = '\0';
+    response->status = reply->status;
+    if (!AqTestHttpReply_Header(reply, "Aq-Outcome", response->outcome,
+                                sizeof(response->outcome))) {
+        response->outcome[0] = '\0';
     }
-    snprintf(answer->body, sizeof(answer->body), "%s",
+    snprintf(response->body, sizeof(response->body), "%s",
              AqBuffer_Text(&reply->body));
 }
 
 void
 site_get(Site *site, int daemon, const char *listener, const char *path,
-         SiteAnswer *answer)
+         SiteResponse *response)
 {
     static const char *const headers[] = {"Authorization: Bearer " TOKEN,
                                           NULL};
@@ -242,11 +244,11 @@
     AqTestHttpReply reply = {0};
     AqTestHttpCall call = {
         .method = "GET", .url = url, .headers = headers, .timeout_ms = 2000};
-    memset(answer, 0, sizeof(*answer));
+    memset(response, 0, sizeof(*response));
     snprintf(url, sizeof(url), "http://%s%s",
              AqProcess_Address(site->daemons[daemon], listener), path);
     if (AqTestHttp_Call(&call, &reply, &error)) {
-        take_reply(&reply, answer);
+        copy_reply(&reply, response);
     }
     AqTestHttpReply_Clear(&reply);
 }
@@ -276,7 +278,8 @@
                            .size = id != NULL ? 1 : 0,
                            .timeout_ms = timeout_ms + 5000};
     request->client = AqTestHttpClient_Create();
-    request->started = AqTestHttpClient_Start(request->client, &call, &error);
+    request->is_started =
+        AqTestHttpClient_Start(request->client, &call, &error);
 }
 
 void
@@ -287,8 +290,8 @@
 }
 
 void
-site_send_as(Site *site, int daemon, const char *path, const char *id,
-             bool idempotent, int timeout_ms, SiteRequest *request)
+site_send_post(Site *site, int daemon, const char *path, const char *id,
+               bool idempotent, int timeout_ms, SiteRequest *request)
 {
     start_request(site, daemon, path, id,
                   idempotent ? "Aq-Idempotent: true" : "Aq-Idempotent: false",
@@ -296,14 +299,14 @@
 }
 
 void
-site_finish(SiteRequest *request, SiteAnswer *answer)
+site_finish(SiteRequest *request, SiteResponse *response)
 {
     AqError error;
     AqTestHttpReply reply = {0};
-    memset(answer, 0, sizeof(*answer));
-    if (request->started &&
+    memset(response, 0, sizeof(*response));
+    if (request->is_started &&
         AqTestHttpClient_Finish(request->client, &reply, &error)) {
-        take_reply(&reply, answer);
+        copy_reply(&reply, response);
     }
     AqTestHttpReply_Clear(&reply);
     AqTestHttpClient_Destroy(request->client);
@@ -311,11 +314,11 @@
 
 void
 site_call(Site *site, int daemon, const char *path, const char *id,
-          SiteAnswer *answer)
+          SiteResponse *response)
 {
     SiteRequest request;
     site_send(site, daemon, path, id, 5000, &request);
-    site_finish(&request, answer);
+    site_finish(&request, response);
 }
 
 void
@@ -335,38 +338,38 @@
                            .body = intent->body,
                            .size = strlen(intent->body)};
     intent->client = AqTestHttpClient_Create();
-    intent->started = AqTestHttpClient_Start(intent->client, &call, &error);
+    intent->is_started = AqTestHttpClient_Start(intent->client, &call, &error);
 }
 
 long
-site_intent_finish(SiteIntent *intent, SiteAnswer *answer)
+site_intent_finish(SiteIntent *intent, SiteResponse *response)
 {
     AqError error;
     AqTestHttpReply reply = {0};
-    memset(answer, 0, sizeof(*answer));
-    if (intent->started &&
+    memset(response, 0, sizeof(*response));
+    if (intent->is_started &&
         AqTestHttpClient_Finish(intent->client, &reply, &error)) {
-        take_reply(&reply, answer);
+        copy_reply(&reply, response);
     }
     AqTestHttpReply_Clear(&reply);
     AqTestHttpClient_Destroy(intent->client);
-    return answer->status;
+    return response->status;
 }
 
 long
 site_intent(Site *site, int daemon, const char *kind, const char *args,
-            SiteAnswer *answer)
+            SiteResponse *response)
 {
     SiteIntent intent;
     char op[32];
-    snprintf(op, sizeof(op), "test-%d", ++site->ops);
+    snprintf(op, sizeof(op), "test-%d", ++site->op_count);
     site_intent_send(site, daemon, op, kind, args, &intent);
-    return site_intent_finish(&intent, answer);
+    return site_intent_finish(&intent, response);
 }
 
 static json_t *
-control(const AqProcess *process, const char *method, const char *path,
-        const char *json)
+call_control(const AqProcess *process, const char *method, const char *path,
+             const char *json)
 {
     char url[256];
     AqError error;
@@ -384,13 +387,14 @@
 void
 site_platform_faults(Site *site, const char *json)
 {
-    json_decref(control(site->platform, "POST", "/test/v1/faults", json));
+    json_decref(call_control(site->platform, "POST", "/test/v1/faults", json));
 }
 
 void
 site_endpoint_faults(Site *site, const char *json)
 {
-    json_decref(control(site->endpoints, "POST", "/test/v1/faults", json));
+    json_decref(
+        call_control(site->endpoints, "POST", "/test/v1/faults", json));
 }
 
 int
@@ -409,7 +413,8 @@
 int
 site_runs(Site *site, const char *id)
 {
-    json_t *runs = control(site->endpoints, "GET", "/test/v1/runs?ids", NULL);
+    json_t *runs =
+        call_control(site->endpoints, "GET", "/test/v1/runs?ids", NULL);
     const json_t *counts = json_object_get(runs, "counts");
     int count = (int)json_integer_value(json_object_get(counts, id));
     json_decref(runs);
@@ -417,9 +422,9 @@
 }
 
 int
-site_running(Site *site)
+site_running_requests(Site *site)
 {
-    json_t *runs = control(site->endpoints, "GET", "/test/v1/runs", NULL);
+    json_t *runs = call_control(site->endpoints, "GET", "/test/v1/runs", NULL);
     json_t *endpoint;
     size_t i;
     int count = 0;
@@ -443,13 +448,13 @@
     AqError error;
     AqTestHttpReply reply = {0};
     AqTestHttpCall call = {.method = "GET", .url = url, .timeout_ms = 1000};
-    snprintf(url, sizeof(url),
-             "http://%s/v1/kv/aq/fleet/head?index=%lld&wait=50ms",
-             AqProcess_Address(site->platform, "platform"), site->index);
+    snprintf(
+        url, sizeof(url), "http://%s/v1/kv/aq/fleet/head?index=%lld&wait=50ms",
+        AqProcess_Address(site->platform, "platform"), site->head_revision);
     if (AqTestHttp_Call(&call, &reply, &error) &&
         AqTestHttpReply_Header(&reply, "X-Consul-Index", index,
                                sizeof(index))) {
-        site->index = atoll(index);
+        site->head_revision = atoll(index);
     }
     AqTestHttpReply_Clear(&reply);
 }
@@ -459,10 +464,10 @@
                  const char *path, long status, int ms)
 {
     AqTime until = AqClock_ReadMonotonic() + ms;
-    SiteAnswer answer;
+    SiteResponse response;
     do {
-        site_get(site, daemon, listener, path, &answer);
-        if (answer.status == status) {
+        site_get(site, daemon, listener, path, &response);
+        if (response.status == status) {
             return true;
         }
         site_wait_change(site);
@@ -475,10 +480,10 @@
                int ms)
 {
     AqTime until = AqClock_ReadMonotonic() + ms;
-    SiteAnswer answer;
+    SiteResponse response;
     do {
-        site_get(site, daemon, "operators", path, &answer);
-        if (strstr(answer.body, text) != NULL) {
+        site_get(site, daemon, "operators", path, &response);
+        if (strstr(response.body, text) != NULL) {
             return true;
         }
         site_wait_change(site);
@@ -491,7 +496,7 @@
 {
     AqTime until = AqClock_ReadMonotonic() + ms;
     do {
-        if (site_running(site) == count) {
+        if (site_running_requests(site) == count) {
             return true;
         }
         site_wait_change(site);
--- a/packages/daemon/tests/site.h
+++ b/packages/daemon/tests/site.h
@@ -7,8 +7,8 @@
 #include "aq_test_http.h"
 #include "aq_test_process.h"
 
-/* A small site of real processes on loopback: the platform's stand-in,
- * endpoints of one pool and daemons. */
+/* Test site of real processes on loopback: the simulated platform, one process
+ * with the endpoints of pool "track", and daemons. */
 
 enum {
     SITE_DAEMONS = 3,
@@ -22,15 +22,19 @@
     AqProcess *endpoints;
     AqProcess *daemons[SITE_DAEMONS];
     char directory[64];
-    /* Address of a relay that the peers of daemon i dial; "": its own. */
+    /* Address of the relay that the other daemons dial instead of daemon i's
+     * own peer listener; empty: they dial the listener itself. */
     char advertise[SITE_DAEMONS][32];
-    const char *endpoint_slots;              /* of each endpoint; NULL: 8 */
-    void (*started)(Site *site, int daemon); /* when it listens; or NULL */
-    int ops;                                 /* intents sent */
-    long long index; /* of the fleet document when it was last read */
+    const char *endpoint_slots; /* request slots per endpoint; NULL: "8" */
+    /* Called whenever a daemon has started and listens; may be NULL. */
+    void (*on_started)(Site *site, int daemon);
+    int op_count; /* intents sent so far; makes operation ids unique */
+    /* Store revision of the fleet document's head when the site last read the
+     * head. */
+    long long head_revision;
 };
 
-/* Paths of the programs, set by main. */
+/* Paths of the programs that a site starts; main() sets them. */
 typedef struct {
     const char *platform;
     const char *endpoint;
@@ -39,83 +43,96 @@
 
 extern SitePrograms site_programs;
 
-/* Starts everything and returns when all daemons are ready and all VMs of
- * pool "track" serve.  Ends the test program when that does not work. */
+/* Starts all processes and returns when all daemons are ready and all VMs of
+ * pool "track" serve.  Ends the test program on failure. */
 void site_start(Site *site);
-/* The same with "advertise", "endpoint_slots" and "started" set by the caller
- * and the rest zero. */
+/* Like site_start(), but uses the "advertise", "endpoint_slots" and
+ * "on_started" that the caller has set; all other fields must be zero. */
 void site_start_prepared(Site *site);
 void site_stop(Site *site);
-/* Starts daemon "i" again with the same id; "port" of its former listener for
- * peers, or 0. */
+/* Starts daemon "i" after destroying its former process, if any; the daemon's
+ * id stays the same.  "peer_port" is the port of its listener for peers; 0:
+ * any free port. */
 void site_start_daemon(Site *site, int i, int peer_port);
 
-/* A call of a listener ("callers" or "operators") of daemon "i". */
+/* Response of a daemon's listener for callers or operators. */
 typedef struct {
-    long status; /* 0: no answer */
+    long status; /* HTTP status; 0: no response was received */
     char outcome[24];
     char body[4096];
-} SiteAnswer;
+} SiteResponse;
 
 void site_get(Site *site, int daemon, const char *listener, const char *path,
-              SiteAnswer *answer);
+              SiteResponse *response);
 
-/* A request of a caller, started now and finished later. */
+/* Request of a caller: site_send() starts the request, site_finish() waits for
+ * the response. */
 typedef struct {
     AqTestHttpClient *client;
     char url[256];
     char id[96];
     char timeout[40];
     const char *headers[4];
-    bool started;
+    bool is_started;
 } SiteRequest;
 
-/* "id" NULL: an idempotent GET; else a non-idempotent POST. */
+/* Sends an idempotent GET when "id" is NULL, otherwise a non-idempotent POST
+ * with "id" as its request id. */
 void site_send(Site *site, int daemon, const char *path, const char *id,
                int timeout_ms, SiteRequest *request);
-/* A POST with an id. */
-void site_send_as(Site *site, int daemon, const char *path, const char *id,
-                  bool idempotent, int timeout_ms, SiteRequest *request);
-void site_finish(SiteRequest *request, SiteAnswer *answer);
+/* Sends a POST with "id" as its request id; "idempotent" is sent as the
+ * Aq-Idempotent header. */
+void site_send_post(Site *site, int daemon, const char *path, const char *id,
+                    bool idempotent, int timeout_ms, SiteRequest *request);
+void site_finish(SiteRequest *request, SiteResponse *response);
 void site_call(Site *site, int daemon, const char *path, const char *id,
-               SiteAnswer *answer);
+               SiteResponse *response);
 
-/* An intent, started now and finished later. */
+/* Intent of an operator: site_intent_send() starts the call,
+ * site_intent_finish() waits for the response. */
 typedef struct {
     AqTestHttpClient *client;
     char url[128];
     char body[1024];
-    bool started;
+    bool is_started;
 } SiteIntent;
 
 void site_intent_send(Site *site, int daemon, const char *op, const char *kind,
                       const char *args, SiteIntent *intent);
-long site_intent_finish(SiteIntent *intent, SiteAnswer *answer);
-/* Sends an intent to daemon "i"; the HTTP status. */
+long site_intent_finish(SiteIntent *intent, SiteResponse *response);
+/* Sends an intent to daemon "daemon" and waits for the response; returns its
+ * HTTP status, or 0 when no response was received. */
 long site_intent(Site *site, int daemon, const char *kind, const char *args,
-                 SiteAnswer *answer);
+                 SiteResponse *response);
 
-/* Sets faults of the platform or of the endpoints. */
+/* Sets the faults that the simulated platform injects, given as a JSON
+ * object. */
 void site_platform_faults(Site *site, const char *json);
+/* Sets the faults that the endpoints inject, given as a JSON object. */
 void site_endpoint_faults(Site *site, const char *json);
 
-/* Keys in the store that start with a prefix. */
+/* Returns the number of keys in the store that start with "prefix". */
 int site_count_keys(Site *site, const char *prefix);
 
-/* Runs of a request id at the endpoints; -1 on failure. */
+/* Returns how many times the endpoints ran the request with an id.  Ends the
+ * test program when the endpoints' process does not respond. */
 int site_runs(Site *site, const char *id);
-/* Requests that are running at all endpoints now. */
-int site_running(Site *site);
+/* Returns the number of requests that run at all endpoints now. */
+int site_running_requests(Site *site);
 
-/* Waits for the next change of the fleet document, at most 50 ms. */
+/* Waits until the head of the fleet document in the store changes, at most 50
+ * ms. */
 void site_wait_change(Site *site);
-/* Asks until the answer of a path has the status, or gives up. */
+/* Polls a path of a daemon's listener until the response has the status;
+ * returns false after "ms" milliseconds. */
 bool site_wait_status(Site *site, int daemon, const char *listener,
                       const char *path, long status, int ms);
-/* Asks until the status page of a daemon contains a text. */
+/* Polls a path of a daemon's listener for operators until the response body
+ * contains a text; returns false after "ms" milliseconds. */
 bool site_wait_text(Site *site, int daemon, const char *path, const char *text,
                     int ms);
-/* Asks until so many requests run at the endpoints. */
+/* Polls the endpoints until exactly "count" requests run; returns false after
+ * "ms" milliseconds. */
 bool site_wait_running(Site *site, int count, int ms);
 
 #endif
--- a/packages/daemon/tests/test_at_most_once.c
+++ b/packages/daemon/tests/test_at_most_once.c
@@ -5,80 +5,86 @@
 #include "aq_clock.h"
 #include "fault_site.h"
 
-/* Non-idempotent requests while their daemon is killed or frozen, or the
- * store's replies are lost, at each moment between claim and send.  Section
- * 1.2, items 4 and 5. */
+/* Non-idempotent requests whose daemon is killed or frozen, or whose claims'
+ * replies from the store are lost, at each point between claiming a request
+ * and sending the request to an endpoint.  Design page, section 1.2, items 4
+ * and 5. */
 
 enum {
-    AT_ONCE = 4 /* ids of a case; they spread over the claim partitions */
+    /* Requests per case; their ids are spread over the claim partitions. */
+    BATCH_REQUESTS = 4
 };
 
 typedef enum {
-    CLAIM_ASKED,   /* the write is at the store and has no effect yet */
-    CLAIM_WRITTEN, /* it has its effect; the reply is lost */
-    SENT           /* a request runs at an endpoint */
-} Moment;
+    /* The store has received the claim's write and not yet carried it out. */
+    CLAIM_REQUESTED,
+    CLAIM_WRITTEN, /* the claim is stored, but the store's reply is lost */
+    REQUEST_SENT   /* a request of the batch runs at an endpoint */
+} FaultPoint;
 
-static const char *const moment_names[] = {"claim asked", "claim written",
-                                           "sent"};
+static const char *const fault_point_names[] = {"claim requested",
+                                                "claim written", "sent"};
 
 typedef struct {
-    char ids[AT_ONCE][32];
-    SiteRequest requests[AT_ONCE];
-    SiteAnswer first[AT_ONCE];
-    SiteAnswer repeats[AT_ONCE];
+    char ids[BATCH_REQUESTS][32];
+    SiteRequest requests[BATCH_REQUESTS];
+    SiteResponse first[BATCH_REQUESTS];
+    SiteResponse repeats[BATCH_REQUESTS];
 } Batch;
 
 static void
 send_batch(Site *site, const char *name, Batch *batch)
 {
-    for (int i = 0; i < AT_ONCE; i++) {
+    for (int i = 0; i < BATCH_REQUESTS; i++) {
         snprintf(batch->ids[i], sizeof(batch->ids[i]), "n-%s-%d", name, i);
-        site_send_as(site, 0, "/pay?service_ms=1500", batch->ids[i], false,
-                     20000, &batch->requests[i]);
+        site_send_post(site, 0, "/pay?service_ms=1500", batch->ids[i], false,
+                       20000, &batch->requests[i]);
     }
 }
 
-/* A daemon that joined again is ready some seconds before it has slots; until
- * then it tells "not run" at once and no moment is reached. */
+/* Waits until daemon 0 completes a request.  A daemon that has joined again is
+ * ready some seconds before it holds slots; until then it responds "not-run"
+ * at once and no fault point is reached. */
 static void
 wait_for_slots(Site *site)
 {
-    SiteAnswer answer;
+    SiteResponse response;
     AqTime until = AqClock_ReadMonotonic() + FAULT_WAIT_MS;
     do {
-        site_call(site, 0, "/list", NULL, &answer);
-    } while (answer.status != 200 && AqClock_ReadMonotonic() < until);
-    fault_expect(&answer, 200, "completed", "before the fault");
+        site_call(site, 0, "/list", NULL, &response);
+    } while (response.status != 200 && AqClock_ReadMonotonic() < until);
+    fault_expect(&response, 200, "completed", "before the fault");
 }
 
 static void
-reach(Site *site, Moment moment, const char *name, Batch *batch)
+reach_fault_point(Site *site, FaultPoint fault_point, const char *name,
+                  Batch *batch)
 {
-    bool reached = false;
+    bool is_reached = false;
     wait_for_slots(site);
-    int writes = fault_calls(site, "kv_put");
-    int lost = fault_calls(site, "lost");
-    if (moment != SENT) {
+    int writes = fault_count_calls(site, "kv_put");
+    int lost = fault_count_calls(site, "lost");
+    if (fault_point != REQUEST_SENT) {
         site_platform_faults(
-            site, moment == CLAIM_ASKED
+            site, fault_point == CLAIM_REQUESTED
                       ? "{\"slow_ms\":300}"
                       : "{\"lose_replies\":8,\"lose_silently\":true}");
     }
     send_batch(site, name, batch);
-    switch (moment) {
-    case CLAIM_ASKED:
-        reached = fault_wait_calls(site, "kv_put", writes, FAULT_WAIT_MS);
+    switch (fault_point) {
+    case CLAIM_REQUESTED:
+        is_reached = fault_wait_calls(site, "kv_put", writes, FAULT_WAIT_MS);
         break;
     case CLAIM_WRITTEN:
-        reached = fault_wait_calls(site, "lost", lost, FAULT_WAIT_MS);
+        is_reached = fault_wait_calls(site, "lost", lost, FAULT_WAIT_MS);
         break;
-    case SENT:
-        reached = fault_wait_endpoint(site, -1, "slots_in_use", 1, AT_ONCE,
-                                      FAULT_WAIT_MS);
+    case REQUEST_SENT:
+        is_reached = fault_wait_endpoint(site, -1, "slots_in_use", 1,
+                                         BATCH_REQUESTS, FAULT_WAIT_MS);
         break;
     }
-    fault_check(reached, "the moment", moment_names[moment]);
+    fault_check(is_reached, "the fault point is reached",
+                fault_point_names[fault_point]);
 }
 
 static void
@@ -88,11 +94,12 @@
                                "\"lose_silently\":false}");
 }
 
-/* A repeat that was not run may be sent again. */
+/* Repeats the batch at another daemon.  A repeat with status 503 was not run
+ * and may be sent again. */
 static void
 repeat_batch(Site *site, int daemon, Batch *batch)
 {
-    for (int i = 0; i < AT_ONCE; i++) {
+    for (int i = 0; i < BATCH_REQUESTS; i++) {
         AqTime until = AqClock_ReadMonotonic() + FAULT_WAIT_MS;
         do {
             site_call(site, daemon, "/pay?service_ms=1500", batch->ids[i],
@@ -101,64 +108,68 @@
                  AqClock_ReadMonotonic() < until);
         fault_check(batch->repeats[i].status == 200 ||
                         batch->repeats[i].status == 409,
-                    "the repeat is decided", batch->repeats[i].body);
+                    "the repeat gets a final outcome", batch->repeats[i].body);
     }
 }
 
 static void
 finish_batch(Batch *batch)
 {
-    for (int i = 0; i < AT_ONCE; i++) {
+    for (int i = 0; i < BATCH_REQUESTS; i++) {
         site_finish(&batch->requests[i], &batch->first[i]);
     }
 }
 
 static bool
-is(const SiteAnswer *answer, const char *outcome)
+has_outcome(const SiteResponse *response, const char *outcome)
 {
-    return strcmp(answer->outcome, outcome) == 0;
+    return strcmp(response->outcome, outcome) == 0;
 }
 
 static void
 check_batch(Site *site, const Batch *batch, const char *name)
 {
-    for (int i = 0; i < AT_ONCE; i++) {
-        const SiteAnswer *first = &batch->first[i];
-        const SiteAnswer *repeat = &batch->repeats[i];
+    for (int i = 0; i < BATCH_REQUESTS; i++) {
+        const SiteResponse *first = &batch->first[i];
+        const SiteResponse *repeat = &batch->repeats[i];
         int runs = site_runs(site, batch->ids[i]);
         char seen[160];
         snprintf(seen, sizeof(seen),
-                 "%s, %s: told %ld %s, repeat %ld %s, %d runs", name,
+                 "%s, %s: first %ld %s, repeat %ld %s, %d runs", name,
                  batch->ids[i], first->status, first->outcome, repeat->status,
                  repeat->outcome, runs);
         fault_check(runs <= 1, "at most one run", seen);
-        int completed = is(first, "completed") + is(repeat, "completed");
-        fault_check(completed <= runs, "a completed request ran", seen);
-        if (is(first, "not-run") && !is(repeat, "completed")) {
-            fault_check(runs == 0, "not run", seen);
+        int completed =
+            has_outcome(first, "completed") + has_outcome(repeat, "completed");
+        fault_check(completed <= runs, "a completed request has a run", seen);
+        if (has_outcome(first, "not-run") &&
+            !has_outcome(repeat, "completed")) {
+            fault_check(runs == 0, "a request reported as not-run has no run",
+                        seen);
         }
     }
 }
 
-/* Guards against a second run, and a false outcome, of requests whose daemon
- * is killed. */
+/* Guards against a second run, and against a wrong outcome, of requests whose
+ * daemon is killed. */
 static void
 test_kill(void)
 {
     Site site;
     Batch batch;
     site_start(&site);
-    for (Moment moment = CLAIM_ASKED; moment <= SENT; moment++) {
+    for (FaultPoint fault_point = CLAIM_REQUESTED; fault_point <= REQUEST_SENT;
+         fault_point++) {
         char name[16];
         AqError error;
         int status;
-        snprintf(name, sizeof(name), "kill%d", (int)moment);
-        reach(&site, moment, name, &batch);
+        snprintf(name, sizeof(name), "kill%d", (int)fault_point);
+        reach_fault_point(&site, fault_point, name, &batch);
         CU_ASSERT_TRUE(AqProcess_Signal(site.daemons[0], SIGKILL, &error));
         finish_batch(&batch);
         clear_store_faults(&site);
         repeat_batch(&site, 1, &batch);
-        check_batch(&site, &batch, moment_names[moment]);
+        check_batch(&site, &batch, fault_point_names[fault_point]);
         CU_ASSERT_TRUE(AqProcess_WaitExit(site.daemons[0], FAULT_WAIT_MS,
                                           &status, &error));
         site_start_daemon(&site, 0, 0);
@@ -168,19 +179,20 @@
     site_stop(&site);
 }
 
-/* Guards against a daemon that sends, after a pause longer than its lease,
- * what it had claimed before. */
+/* Guards against a daemon that is frozen for longer than its lease and
+ * afterwards sends requests that it had claimed before. */
 static void
 test_freeze(void)
 {
     Site site;
     Batch batch;
     site_start(&site);
-    for (Moment moment = CLAIM_ASKED; moment <= SENT; moment++) {
+    for (FaultPoint fault_point = CLAIM_REQUESTED; fault_point <= REQUEST_SENT;
+         fault_point++) {
         char name[16];
         AqError error;
-        snprintf(name, sizeof(name), "freeze%d", (int)moment);
-        reach(&site, moment, name, &batch);
+        snprintf(name, sizeof(name), "freeze%d", (int)fault_point);
+        reach_fault_point(&site, fault_point, name, &batch);
         CU_ASSERT_TRUE(AqProcess_Signal(site.daemons[0], SIGSTOP, &error));
         clear_store_faults(&site);
         CU_ASSERT_TRUE(site_wait_text(&site, 1, "/admin/v1/status",
@@ -189,7 +201,7 @@
         repeat_batch(&site, 1, &batch);
         CU_ASSERT_TRUE(AqProcess_Signal(site.daemons[0], SIGCONT, &error));
         finish_batch(&batch);
-        check_batch(&site, &batch, moment_names[moment]);
+        check_batch(&site, &batch, fault_point_names[fault_point]);
         CU_ASSERT_TRUE(site_wait_status(&site, 0, "callers", "/readyz", 200,
                                         FAULT_WAIT_MS));
     }
@@ -199,33 +211,35 @@
 static const struct {
     const char *name;
     const char *faults;
-} losses[] = {
+} reply_losses[] = {
     {"one reply", "{\"lose_replies\":1}"},
     {"three replies", "{\"lose_replies\":3}"},
     {"many replies", "{\"lose_replies\":12}"},
     {"one reply, silently", "{\"lose_replies\":1,\"lose_silently\":true}"},
     {"many replies, silently", "{\"lose_replies\":12,\"lose_silently\":true}"},
     {"one reply, slowly", "{\"lose_replies\":1,\"slow_ms\":300}"},
-    {"late replies", "{\"slow_ms\":700}"}, /* over the daemon's 500 ms */
+    /* Longer than the daemons' store timeout of 500 ms. */
+    {"late replies", "{\"slow_ms\":700}"},
 };
 
-/* Guards against a second run and a false outcome when the claim was written
- * and its reply was lost. */
+/* Guards against a second run, and against a wrong outcome, of a request whose
+ * claim was stored while the store's reply was lost. */
 static void
 test_lost_replies(void)
 {
     Site site;
     Batch batch;
     site_start(&site);
-    for (size_t i = 0; i < sizeof(losses) / sizeof(losses[0]); i++) {
+    for (size_t i = 0; i < sizeof(reply_losses) / sizeof(reply_losses[0]);
+         i++) {
         char name[16];
         snprintf(name, sizeof(name), "lost%d", (int)i);
-        site_platform_faults(&site, losses[i].faults);
+        site_platform_faults(&site, reply_losses[i].faults);
         send_batch(&site, name, &batch);
         finish_batch(&batch);
         clear_store_faults(&site);
         repeat_batch(&site, 1, &batch);
-        check_batch(&site, &batch, losses[i].name);
+        check_batch(&site, &batch, reply_losses[i].name);
     }
     site_stop(&site);
 }
--- a/packages/daemon/tests/test_configuration.c
+++ b/packages/daemon/tests/test_configuration.c
@@ -4,26 +4,29 @@
 #include "aq_clock.h"
 #include "fault_site.h"
 
-/* Operators that race each other at several daemons while replies of the
- * store get lost and watches are late.  Section 1.2, items 1 and 8. */
+/* Operators that change the configuration at several daemons at the same time,
+ * while replies of the store are lost and watches are late.  Design page,
+ * section 1.2, items 1 and 8. */
 
 enum {
     IN_FORCE_MS = 4000,
     ROUNDS = 8,
-    RACERS = 4
+    RACING_INTENTS = 4
 };
 
-/* Every change takes the last unit of the budget: 4 VMs, 3 must serve. */
+/* Intent to drain a VM, sent at the same time as others.  Each drain uses up
+ * the disruption budget: 3 of the 4 VMs must serve. */
 typedef struct {
-    const char *op; /* with the round's number */
+    /* Operation name, to which the test adds the round number. */
+    const char *op;
     int daemon;
     int vm;
-} Racer;
+} RacingIntent;
 
-/* "a" and "b" drain the same VM by two operations at one daemon, so that one
- * of them changes nothing when both are evaluated together; "a2" repeats the
- * operation "a". */
-static const Racer racers[RACERS] = {
+/* Operations "a" and "b" drain the same VM at one daemon, so that one of them
+ * changes nothing when the daemon evaluates both together.  The second entry
+ * "a" repeats operation "a". */
+static const RacingIntent racing_intents[RACING_INTENTS] = {
     {"a", 0, 0}, {"b", 0, 0}, {"a", 0, 0}, {"c", 1, 1}};
 
 static const char *const faults[] = {
@@ -36,28 +39,30 @@
 #define NO_FAULTS "{\"slow_ms\":0,\"delay_watches_ms\":0,\"lose_replies\":0}"
 
 static bool
-is_away(Site *site, int daemon, int vm)
+is_leaving_service(Site *site, int daemon, int vm)
 {
     char state[24];
     fault_vm_state(site, daemon, vm, state);
     return strcmp(state, "draining") == 0 || strcmp(state, "drained") == 0;
 }
 
-/* Every daemon shows an accepted drain within 4 s of its acceptance. */
+/* Checks that every daemon shows an accepted drain within 4 s of "accepted",
+ * when the test received the response. */
 static void
-check_in_force(Site *site, const Racer *racer, AqTime accepted)
+check_in_force(Site *site, const RacingIntent *racing_intent, AqTime accepted)
 {
     char seen[64];
     for (int d = 0; d < SITE_DAEMONS; d++) {
         AqTime began;
         bool shown;
         do {
-            /* A read that began in time and shows the old state. */
+            /* The check fails only when a read that began within the limit,
+             * IN_FORCE_MS, shows the old state. */
             began = AqClock_ReadMonotonic();
-            shown = is_away(site, d, racer->vm);
+            shown = is_leaving_service(site, d, racing_intent->vm);
         } while (!shown && began - accepted <= IN_FORCE_MS);
         snprintf(seen, sizeof(seen), "operation %s, vm%d at daemon %d",
-                 racer->op, racer->vm, d);
+                 racing_intent->op, racing_intent->vm, d);
         fault_check(shown, "an accepted change is in force within 4 s", seen);
     }
 }
@@ -69,113 +74,116 @@
     for (int d = 0; d < SITE_DAEMONS; d++) {
         int serving = fault_serving(site, d);
         snprintf(seen, sizeof(seen), "%d serve at daemon %d", serving, d);
-        fault_check(serving >= SITE_ENDPOINTS - 1, "the budget", seen);
+        fault_check(serving >= SITE_ENDPOINTS - 1, "the budget is kept", seen);
     }
 }
 
 static int
-count_accepted(Site *site, const long status[RACERS],
-               const AqTime answered[RACERS])
+count_accepted(Site *site, const long status[RACING_INTENTS],
+               const AqTime responded_at[RACING_INTENTS])
 {
     int accepted = 0;
-    for (int i = 0; i < RACERS; i++) {
-        /* "stored" changes are in the document as well. */
+    for (int i = 0; i < RACING_INTENTS; i++) {
+        /* A change with status 202, "stored", is in the fleet document as
+         * well. */
         if (status[i] == 200 || status[i] == 202) {
             accepted++;
         }
         if (status[i] == 200) {
-            check_in_force(site, &racers[i], answered[i]);
+            check_in_force(site, &racing_intents[i], responded_at[i]);
         }
     }
     return accepted;
 }
 
 static void
-give_back(Site *site, int vm)
+undrain_vm(Site *site, int vm)
 {
     char args[32];
-    SiteAnswer answer;
+    SiteResponse response;
     snprintf(args, sizeof(args), "{\"id\":\"vm%d\"}", vm);
     AqTime until = AqClock_ReadMonotonic() + FAULT_WAIT_MS;
     while (fault_serving(site, 2) < SITE_ENDPOINTS &&
            AqClock_ReadMonotonic() < until) {
-        site_intent(site, 2, "vm.undrain", args, &answer);
+        site_intent(site, 2, "vm.undrain", args, &response);
     }
 }
 
 static void
-race(Site *site, int round)
+run_race(Site *site, int round)
 {
-    SiteIntent intents[RACERS];
-    SiteAnswer answers[RACERS];
-    long status[RACERS];
-    AqTime answered[RACERS];
+    SiteIntent intents[RACING_INTENTS];
+    SiteResponse responses[RACING_INTENTS];
+    long status[RACING_INTENTS];
+    AqTime responded_at[RACING_INTENTS];
     char op[32];
     char args[32];
     site_platform_faults(
         site, faults[(size_t)round % (sizeof(faults) / sizeof(faults[0]))]);
-    for (int k = 0; k < RACERS; k++) {
-        /* Each side begins first in half of the rounds. */
-        int i = round / 4 % 2 == 0 ? k : RACERS - 1 - k;
-        snprintf(op, sizeof(op), "race-%d-%s", round, racers[i].op);
-        snprintf(args, sizeof(args), "{\"id\":\"vm%d\"}", racers[i].vm);
-        site_intent_send(site, racers[i].daemon, op, "vm.drain", args,
+    for (int k = 0; k < RACING_INTENTS; k++) {
+        /* The order of the intents is reversed after every 4 rounds, so that
+         * each daemon is the first in half of the rounds. */
+        int i = round / 4 % 2 == 0 ? k : RACING_INTENTS - 1 - k;
+        snprintf(op, sizeof(op), "race-%d-%s", round, racing_intents[i].op);
+        snprintf(args, sizeof(args), "{\"id\":\"vm%d\"}",
+                 racing_intents[i].vm);
+        site_intent_send(site, racing_intents[i].daemon, op, "vm.drain", args,
                          &intents[i]);
     }
-    for (int i = 0; i < RACERS; i++) {
-        status[i] = site_intent_finish(&intents[i], &answers[i]);
-        answered[i] = AqClock_ReadMonotonic();
+    for (int i = 0; i < RACING_INTENTS; i++) {
+        status[i] = site_intent_finish(&intents[i], &responses[i]);
+        responded_at[i] = AqClock_ReadMonotonic();
         CU_ASSERT_TRUE(status[i] == 200 || status[i] == 202 ||
                        status[i] == 409);
     }
     check_budget(site);
-    int accepted = count_accepted(site, status, answered);
+    int accepted = count_accepted(site, status, responded_at);
     CU_ASSERT_TRUE(accepted >= 1);
     check_budget(site);
-    bool first = is_away(site, 0, 0);
-    bool second = is_away(site, 0, 1);
+    bool first = is_leaving_service(site, 0, 0);
+    bool second = is_leaving_service(site, 0, 1);
     CU_ASSERT_TRUE(first != second);
-    for (int i = 0; i < RACERS; i++) {
+    for (int i = 0; i < RACING_INTENTS; i++) {
         if (status[i] == 200 || status[i] == 202) {
-            /* Guards against "accepted" for a change that never took
-             * effect. */
-            fault_check(racers[i].vm == (first ? 0 : 1), "an accepted change",
-                        answers[i].body);
+            /* Guards against a response that accepts a change which never
+             * takes effect. */
+            fault_check(racing_intents[i].vm == (first ? 0 : 1),
+                        "an accepted change takes effect", responses[i].body);
         }
     }
     site_platform_faults(site, NO_FAULTS);
-    give_back(site, first ? 0 : 1);
+    undrain_vm(site, first ? 0 : 1);
 }
 
-/* Guards against an overspent budget, changes that are accepted and then lost,
- * and daemons that show them late. */
+/* Guards against an exceeded disruption budget, accepted changes that are
+ * lost, and daemons that show accepted changes after more than 4 s. */
 static void
 test_race(void)
 {
     Site site;
-    SiteAnswer answer;
+    SiteResponse response;
     site_start(&site);
     CU_ASSERT_EQUAL(site_intent(&site, 0, "budget.set",
                                 "{\"pool\":\"track\",\"min_serving\":3}",
-                                &answer),
+                                &response),
                     200);
     for (int round = 0; round < ROUNDS; round++) {
-        race(&site, round);
+        run_race(&site, round);
     }
     site_stop(&site);
 }
 
 static long long
-version_of(const SiteAnswer *answer)
+response_version(const SiteResponse *response)
 {
-    json_t *body = json_loads(answer->body, 0, NULL);
+    json_t *body = json_loads(response->body, 0, NULL);
     long long version = json_integer_value(json_object_get(body, "version"));
     json_decref(body);
     return version;
 }
 
-/* Guards against a drain that spends a unit which another operator has taken
- * away by a higher promise. */
+/* Guards against a drain that is accepted after another operator has raised
+ * "min_serving" so that the budget no longer allows the drain. */
 static void
 test_budget_race(void)
 {
@@ -184,7 +192,7 @@
     site_start(&site);
     for (int round = 0; round < ROUNDS; round++) {
         SiteIntent intents[2];
-        SiteAnswer answers[2];
+        SiteResponse responses[2];
         char op[32];
         site_platform_faults(
             &site,
@@ -199,37 +207,40 @@
                              &intents[i]);
         }
         for (int i = 0; i < 2; i++) {
-            site_intent_finish(&intents[i], &answers[i]);
+            site_intent_finish(&intents[i], &responses[i]);
         }
-        bool drained = answers[1].status == 200 || answers[1].status == 202;
+        bool drained =
+            responses[1].status == 200 || responses[1].status == 202;
         snprintf(seen, sizeof(seen), "budget %ld at %lld, drain %ld at %lld",
-                 answers[0].status, version_of(&answers[0]), answers[1].status,
-                 version_of(&answers[1]));
-        fault_check(answers[0].status == 200 || answers[0].status == 202,
+                 responses[0].status, response_version(&responses[0]),
+                 responses[1].status, response_version(&responses[1]));
+        fault_check(responses[0].status == 200 || responses[0].status == 202,
                     "the budget can be set", seen);
-        fault_check(!drained ||
-                        version_of(&answers[1]) < version_of(&answers[0]),
-                    "no drain after a promise that forbids it", seen);
-        fault_check(drained == is_away(&site, 1, 2), "the drain's answer",
+        fault_check(!drained || response_version(&responses[1]) <
+                                    response_version(&responses[0]),
+                    "no drain is accepted after a budget that forbids it",
                     seen);
+        fault_check(drained == is_leaving_service(&site, 1, 2),
+                    "the drain's response matches the state of the VM", seen);
         site_platform_faults(&site, NO_FAULTS);
-        give_back(&site, 2);
-        SiteAnswer answer;
+        undrain_vm(&site, 2);
+        SiteResponse response;
         CU_ASSERT_EQUAL(site_intent(&site, 0, "budget.set",
                                     "{\"pool\":\"track\",\"min_serving\":3}",
-                                    &answer),
+                                    &response),
                         200);
     }
     site_stop(&site);
 }
 
-/* Pool of a VM at a daemon; "" when it does not answer. */
+/* Writes the pool of a VM as reported by a daemon to "pool"; empty when the
+ * daemon does not respond. */
 static void
-pool_of(Site *site, int daemon, const char *vm, char pool[24])
+read_vm_pool(Site *site, int daemon, const char *vm, char pool[24])
 {
-    SiteAnswer answer;
-    site_get(site, daemon, "operators", "/admin/v1/state?kind=vms", &answer);
-    json_t *vms = json_loads(answer.body, 0, NULL);
+    SiteResponse response;
+    site_get(site, daemon, "operators", "/admin/v1/state?kind=vms", &response);
+    json_t *vms = json_loads(response.body, 0, NULL);
     const char *name =
         json_string_value(json_object_get(json_object_get(vms, vm), "pool"));
     snprintf(pool, 24, "%s", name != NULL ? name : "");
@@ -237,11 +248,11 @@
 }
 
 static bool
-is_in(Site *site, const char *vm, const char *pool)
+is_in_pool_everywhere(Site *site, const char *vm, const char *pool)
 {
     char seen[24];
     for (int d = 0; d < SITE_DAEMONS; d++) {
-        pool_of(site, d, vm, seen);
+        read_vm_pool(site, d, vm, seen);
         if (strcmp(seen, pool) != 0) {
             return false;
         }
@@ -249,22 +260,23 @@
     return true;
 }
 
-/* Waits until all daemons show a VM in one of two pools; NULL when they do
- * not.  At every read the VM must be in exactly one known pool. */
+/* Waits until all daemons show a VM in pool "a", or all in pool "b", and
+ * returns that pool; NULL after FAULT_WAIT_MS.  Every read must show the VM in
+ * exactly one known pool: "track", "a" or "b". */
 static const char *
 wait_for_pool(Site *site, const char *vm, const char *a, const char *b)
 {
     AqTime until = AqClock_ReadMonotonic() + FAULT_WAIT_MS;
     do {
         char seen[24];
-        pool_of(site, 0, vm, seen);
+        read_vm_pool(site, 0, vm, seen);
         fault_check(strcmp(seen, "track") == 0 || strcmp(seen, a) == 0 ||
                         strcmp(seen, b) == 0,
                     "the VM is in one pool", seen);
-        if (is_in(site, vm, a)) {
+        if (is_in_pool_everywhere(site, vm, a)) {
             return a;
         }
-        if (is_in(site, vm, b)) {
+        if (is_in_pool_everywhere(site, vm, b)) {
             return b;
         }
         site_wait_change(site);
@@ -273,25 +285,26 @@
 }
 
 /* Guards against a VM that is in two pools, or in none, when two operators
- * move it at once at two daemons, and against a move that never ends. */
+ * move the VM at two daemons, one right after the other, and against a move
+ * that never ends. */
 static void
 test_move(void)
 {
     Site site;
-    SiteAnswer answer;
+    SiteResponse response;
     site_start(&site);
     CU_ASSERT_EQUAL(
-        site_intent(&site, 0, "pool.set", "{\"name\":\"road\"}", &answer),
+        site_intent(&site, 0, "pool.set", "{\"name\":\"road\"}", &response),
         200);
     site_platform_faults(&site, "{\"slow_ms\":60,\"lose_replies\":1}");
     long first = site_intent(&site, 0, "vm.move",
-                             "{\"id\":\"vm3\",\"pool\":\"road\"}", &answer);
-    long second = site_intent(&site, 1, "vm.move",
-                              "{\"id\":\"vm3\",\"pool\":\"spare\"}", &answer);
+                             "{\"id\":\"vm3\",\"pool\":\"road\"}", &response);
+    long second = site_intent(
+        &site, 1, "vm.move", "{\"id\":\"vm3\",\"pool\":\"spare\"}", &response);
     site_platform_faults(&site, NO_FAULTS);
-    fault_check(first == 200, "the first move is accepted", answer.body);
-    fault_check(second == 200 || second == 409, "the second is answered",
-                answer.body);
+    fault_check(first == 200, "the first move is accepted", response.body);
+    fault_check(second == 200 || second == 409,
+                "the second move is accepted or refused", response.body);
     const char *pool = wait_for_pool(&site, "vm3", "road", "spare");
     fault_check(pool != NULL, "the move ends", "still in track");
     CU_ASSERT_TRUE(site_wait_text(&site, 2, "/admin/v1/state?kind=pools",
--- a/packages/daemon/tests/test_endpoint_faults.c
+++ b/packages/daemon/tests/test_endpoint_faults.c
@@ -5,14 +5,15 @@
 #include "aq_clock.h"
 #include "fault_site.h"
 
-/* Faults of endpoints: what the caller is told must agree with the runs that
- * the endpoints counted. */
+/* Faults of endpoints: the outcome that the caller receives must agree with
+ * the runs that the endpoints counted. */
 
 enum {
     CASE_TIMEOUT_MS = 3000,
-    /* Longest time from a deadline to the answer, also on a busy machine. */
-    LATE_MS = 2000,
-    ATTEMPTS = 3 /* most attempts of a request; section 5.3 */
+    /* Longest time from a request's deadline to the response, also on a busy
+     * machine. */
+    DEADLINE_SLACK_MS = 2000,
+    MAX_ATTEMPTS = 3 /* most attempts per request; design page, section 5.3 */
 };
 
 #define NO_FAULTS                                                             \
@@ -21,13 +22,13 @@
 
 typedef struct {
     const char *name;
-    const char *faults; /* of all endpoints */
+    const char *faults; /* JSON of the faults set at all endpoints */
     int timeout_ms;
     bool idempotent;
     long status;
     const char *outcome;
-    int low; /* runs at the endpoints */
-    int high;
+    int min_runs; /* fewest runs of the request at the endpoints */
+    int max_runs;
 } Case;
 
 static const Case cases[] = {
@@ -39,70 +40,71 @@
      "unknown", 0, 0},
     {"in the body, idempotent", "{\"close\":\"in-body\"}", CASE_TIMEOUT_MS,
      true, 502, "unknown", 0, 0},
-    {"before the answer", "{\"close\":\"before-answer\"}", CASE_TIMEOUT_MS,
+    {"before the response", "{\"close\":\"before-answer\"}", CASE_TIMEOUT_MS,
      false, 502, "unknown", 1, 1},
-    {"before the answer, idempotent", "{\"close\":\"before-answer\"}",
-     CASE_TIMEOUT_MS, true, 502, "unknown", 1, ATTEMPTS},
-    {"inside the answer", "{\"close\":\"inside-answer\"}", CASE_TIMEOUT_MS,
+    {"before the response, idempotent", "{\"close\":\"before-answer\"}",
+     CASE_TIMEOUT_MS, true, 502, "unknown", 1, MAX_ATTEMPTS},
+    {"inside the response", "{\"close\":\"inside-answer\"}", CASE_TIMEOUT_MS,
      false, 502, "unknown", 1, 1},
-    {"inside the answer, idempotent", "{\"close\":\"inside-answer\"}",
-     CASE_TIMEOUT_MS, true, 502, "unknown", 1, ATTEMPTS},
+    {"inside the response, idempotent", "{\"close\":\"inside-answer\"}",
+     CASE_TIMEOUT_MS, true, 502, "unknown", 1, MAX_ATTEMPTS},
     {"crossed", "{\"crossed\":1000}", CASE_TIMEOUT_MS, false, 502, "unknown",
      1, 1},
     {"crossed, idempotent", "{\"crossed\":1000}", CASE_TIMEOUT_MS, true, 502,
-     "unknown", 1, ATTEMPTS},
+     "unknown", 1, MAX_ATTEMPTS},
     {"failing", "{\"fail_all\":true}", CASE_TIMEOUT_MS, false, 500,
      "completed", 1, 1},
     {"failing, idempotent", "{\"fail_all\":true}", CASE_TIMEOUT_MS, true, 500,
-     "completed", 1, ATTEMPTS},
-    /* 5 ms of service become 5 s. */
+     "completed", 1, MAX_ATTEMPTS},
+    /* The service time of 5 ms becomes 5 s, longer than the request's
+     * timeout. */
     {"slow", "{\"slow_permille\":1000000}", 500, false, 504, "unknown", 1, 1},
     {"slow, idempotent", "{\"slow_permille\":1000000}", 500, true, 504,
-     "unknown", 1, ATTEMPTS},
+     "unknown", 1, MAX_ATTEMPTS},
 };
 
 static void
 run_case(Site *site, const Case *c, int i)
 {
     SiteRequest request;
-    SiteAnswer answer;
+    SiteResponse response;
     char id[32];
     char seen[96];
     int daemon = i % SITE_DAEMONS;
     snprintf(id, sizeof(id), "%s-%d", c->idempotent ? "i" : "n", i);
     site_endpoint_faults(site, c->faults);
     AqTime began = AqClock_ReadMonotonic();
-    site_send_as(site, daemon, "/work", id, c->idempotent, c->timeout_ms,
-                 &request);
-    site_finish(&request, &answer);
-    AqTime took = AqClock_ReadMonotonic() - began;
+    site_send_post(site, daemon, "/work", id, c->idempotent, c->timeout_ms,
+                   &request);
+    site_finish(&request, &response);
+    AqTime elapsed = AqClock_ReadMonotonic() - began;
     site_endpoint_faults(site, NO_FAULTS);
-    fault_expect(&answer, c->status, c->outcome, c->name);
+    fault_expect(&response, c->status, c->outcome, c->name);
     int runs = site_runs(site, id);
-    snprintf(seen, sizeof(seen), "%d runs, %lld ms", runs, (long long)took);
-    fault_check(runs >= c->low && runs <= c->high, c->name, seen);
-    fault_check(took <= c->timeout_ms + LATE_MS, c->name, seen);
+    snprintf(seen, sizeof(seen), "%d runs, %lld ms", runs, (long long)elapsed);
+    fault_check(runs >= c->min_runs && runs <= c->max_runs, c->name, seen);
+    fault_check(elapsed <= c->timeout_ms + DEADLINE_SLACK_MS, c->name, seen);
     if (!c->idempotent) {
-        site_call(site, (daemon + 1) % SITE_DAEMONS, "/work", id, &answer);
-        fault_expect(&answer, 409, "unknown", c->name);
+        site_call(site, (daemon + 1) % SITE_DAEMONS, "/work", id, &response);
+        fault_expect(&response, 409, "unknown", c->name);
         fault_check(site_runs(site, id) == runs, "the repeat does not run",
                     c->name);
     }
 }
 
-/* Guards against a false outcome and a second run after each way in which an
- * endpoint may fail. */
+/* Guards against a wrong outcome, and against a second run of a non-idempotent
+ * request, after each kind of endpoint fault. */
 static void
 test_outcomes(void)
 {
     Site site;
-    SiteAnswer answer;
+    SiteResponse response;
     site_start(&site);
     for (size_t i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
         run_case(&site, &cases[i], (int)i);
     }
-    site_call(&site, 0, "/list", NULL, &answer);
-    fault_expect(&answer, 200, "completed", "after the faults");
+    site_call(&site, 0, "/list", NULL, &response);
+    fault_expect(&response, 200, "completed", "after the faults");
     site_stop(&site);
 }
 
@@ -128,17 +130,18 @@
                            .headers = filler->headers,
                            .timeout_ms = FAULT_WAIT_MS};
     filler->client = AqTestHttpClient_Create();
-    filler->started = AqTestHttpClient_Start(filler->client, &call, &error);
+    filler->is_started = AqTestHttpClient_Start(filler->client, &call, &error);
 }
 
-/* Guards against a "not run" that did run, and a claim that stays after every
- * endpoint refused by Aq-Not-Run. */
+/* Guards against a request that is reported as not run but did run, and
+ * against a claim that remains after every endpoint refused the request with
+ * Aq-Not-Run. */
 static void
 test_not_run(void)
 {
     Site site;
     SiteRequest fillers[FILLERS];
-    SiteAnswer answer;
+    SiteResponse response;
     site_start(&site);
     for (int i = 0; i < FILLERS; i++) {
         fill_endpoint(&site, i / SLOTS, i, &fillers[i]);
@@ -147,27 +150,29 @@
     for (int i = 0; i < 2; i++) {
         SiteRequest request;
         const char *id = i == 0 ? "n-refused" : "i-refused";
-        site_send_as(&site, i, "/work", id, i == 1, CASE_TIMEOUT_MS, &request);
-        site_finish(&request, &answer);
-        fault_expect(&answer, 503, "not-run", id);
+        site_send_post(&site, i, "/work", id, i == 1, CASE_TIMEOUT_MS,
+                       &request);
+        site_finish(&request, &response);
+        fault_expect(&response, 503, "not-run", id);
         CU_ASSERT_EQUAL(site_runs(&site, id), 0);
     }
     for (int i = 0; i < FILLERS; i++) {
-        site_finish(&fillers[i], &answer);
-        CU_ASSERT_EQUAL(answer.status, 200);
+        site_finish(&fillers[i], &response);
+        CU_ASSERT_EQUAL(response.status, 200);
     }
-    /* 409 until the release of the claim is written. */
+    /* The daemon responds with status 409 until the release of the claim is
+     * stored. */
     AqTime until = AqClock_ReadMonotonic() + FAULT_WAIT_MS;
     do {
-        site_call(&site, 2, "/work", "n-refused", &answer);
-    } while (answer.status != 200 && AqClock_ReadMonotonic() < until);
-    fault_expect(&answer, 200, "completed", "after the refusal");
+        site_call(&site, 2, "/work", "n-refused", &response);
+    } while (response.status != 200 && AqClock_ReadMonotonic() < until);
+    fault_expect(&response, 200, "completed", "after the refusal");
     CU_ASSERT_EQUAL(site_runs(&site, "n-refused"), 1);
     site_stop(&site);
 }
 
-/* Guards against an answer whose status contradicts its outcome, after an
- * attempt that ran and failed and others that every endpoint refused. */
+/* Guards against a response whose status contradicts its outcome, when one
+ * attempt ran and failed and the endpoints refused all other attempts. */
 static void
 test_failed_then_refused(void)
 {
@@ -176,7 +181,7 @@
     };
     Site site;
     SiteRequest fillers[FILLERS];
-    SiteAnswer answer;
+    SiteResponse response;
     char seen[64];
     site_start(&site);
     site_endpoint_faults(&site, "{\"endpoint\":0,\"fail_all\":true}");
@@ -188,29 +193,29 @@
         SiteRequest request;
         char id[16];
         snprintf(id, sizeof(id), "i-mixed-%d", i);
-        site_send_as(&site, i % SITE_DAEMONS, "/work", id, true,
-                     CASE_TIMEOUT_MS, &request);
-        site_finish(&request, &answer);
+        site_send_post(&site, i % SITE_DAEMONS, "/work", id, true,
+                       CASE_TIMEOUT_MS, &request);
+        site_finish(&request, &response);
         int runs = site_runs(&site, id);
-        snprintf(seen, sizeof(seen), "%ld %s, %d runs", answer.status,
-                 answer.outcome, runs);
-        bool ran = runs > 0;
-        fault_check((ran && answer.status == 500 &&
-                     strcmp(answer.outcome, "completed") == 0) ||
-                        (ran && answer.status == 502 &&
-                         strcmp(answer.outcome, "unknown") == 0) ||
-                        (!ran && answer.status == 503 &&
-                         strcmp(answer.outcome, "not-run") == 0),
+        snprintf(seen, sizeof(seen), "%ld %s, %d runs", response.status,
+                 response.outcome, runs);
+        bool has_run = runs > 0;
+        fault_check((has_run && response.status == 500 &&
+                     strcmp(response.outcome, "completed") == 0) ||
+                        (has_run && response.status == 502 &&
+                         strcmp(response.outcome, "unknown") == 0) ||
+                        (!has_run && response.status == 503 &&
+                         strcmp(response.outcome, "not-run") == 0),
                     id, seen);
     }
     for (int i = SLOTS; i < FILLERS; i++) {
-        site_finish(&fillers[i], &answer);
+        site_finish(&fillers[i], &response);
     }
     site_stop(&site);
 }
 
-/* Guards against an endpoint that fails everything quickly and so draws the
- * load. */
+/* Guards against an endpoint that fails all requests quickly and therefore
+ * attracts the load. */
 static void
 test_fail_fast(void)
 {
@@ -220,21 +225,22 @@
     site_start(&site);
     site_endpoint_faults(&site, "{\"endpoint\":0,\"fail_all\":true}");
     const FaultLoadOptions options = {.name = "failfast",
-                                      .daemons = 7,
+                                      .daemon_mask = 7,
                                       .path = "/work",
-                                      .rate = 100,
-                                      .seconds = 4,
+                                      .rate_per_s = 100,
+                                      .duration_s = 4,
                                       .timeout_ms = 5000};
     fault_load_start(&site, &options, &load);
     fault_load_finish(&load);
-    fault_load_all_completed(&load);
+    fault_load_check_completed(&load);
     const json_t *statuses = json_object_get(load.summary, "statuses");
     int failed = (int)json_integer_value(json_object_get(statuses, "500"));
     int runs = fault_endpoint_field(&site, 0, "runs");
-    snprintf(seen, sizeof(seen), "%d runs, %d answers of status 500", runs,
+    snprintf(seen, sizeof(seen), "%d runs, %d responses of status 500", runs,
              failed);
-    /* 5 failures eject it at each of the three daemons. */
-    fault_check(runs <= 40 && failed <= 4, "a failing endpoint", seen);
+    /* Each of the three daemons ejects the endpoint after 5 failures. */
+    fault_check(runs <= 40 && failed <= 4, "a failing endpoint is ejected",
+                seen);
     fault_load_clear(&load);
     site_stop(&site);
 }
@@ -242,115 +248,121 @@
 enum {
     SILENT_ROUNDS = 4,
     SILENT_CALLS = 24,
-    AT_ONCE = 16,
-    CLOSE_MS = 5000
+    PARALLEL_CALLS = 16,
+    CLOSE_TIMEOUT_MS = 5000
 };
 
 static int
-silent_attempts(Site *site)
+read_silent_attempts(Site *site)
 {
-    SiteAnswer answer;
-    site_get(site, 0, "operators", "/admin/v1/status", &answer);
-    json_t *status = json_loads(answer.body, 0, NULL);
+    SiteResponse response;
+    site_get(site, 0, "operators", "/admin/v1/status", &response);
+    json_t *status = json_loads(response.body, 0, NULL);
     int n = (int)json_integer_value(
         json_object_get(json_object_get(status, "requests"), "silent"));
     json_decref(status);
     return n;
 }
 
-/* One request after another: after the first silent one all idle connections
- * to its endpoint are given up, so at most one request per endpoint is hurt.
- */
+/* Sends requests one after another.  After the first silent attempt the daemon
+ * drops all idle connections to that endpoint, so at most one request per
+ * endpoint is affected. */
 static void
-call_many(Site *site, int round)
+check_silent_round(Site *site, int round)
 {
     char id[32];
     char seen[64];
-    SiteAnswer answer;
-    int before = silent_attempts(site);
+    SiteResponse response;
+    int before = read_silent_attempts(site);
     for (int i = 0; i < SILENT_CALLS; i++) {
-        site_call(site, 0, "/list", NULL, &answer);
-        fault_expect(&answer, 200, "completed", "on silent connections");
+        site_call(site, 0, "/list", NULL, &response);
+        fault_expect(&response, 200, "completed",
+                     "request on a silent connection");
     }
-    int silent = silent_attempts(site) - before;
+    int silent = read_silent_attempts(site) - before;
     snprintf(seen, sizeof(seen), "%d silent attempts", silent);
-    fault_check(silent <= SITE_ENDPOINTS, "hurt requests", seen);
+    fault_check(silent <= SITE_ENDPOINTS,
+                "at most one request per endpoint is affected", seen);
     fault_check(round == 0 || silent > 0, "the fault took effect", seen);
     snprintf(id, sizeof(id), "n-silent-%d", round);
-    site_call(site, 0, "/pay", id, &answer);
-    fault_expect(&answer, 200, "completed", "on a fresh connection");
+    site_call(site, 0, "/pay", id, &response);
+    fault_expect(&response, 200, "completed", "request on a new connection");
     CU_ASSERT_EQUAL(site_runs(site, id), 1);
 }
 
-/* Opens several connections of daemon 0 to each endpoint. */
+/* Sends requests in parallel, so that daemon 0 opens several connections to
+ * each endpoint. */
 static void
-call_at_once(Site *site)
+call_in_parallel(Site *site)
 {
-    SiteRequest requests[AT_ONCE];
-    SiteAnswer answer;
-    for (int i = 0; i < AT_ONCE; i++) {
+    SiteRequest requests[PARALLEL_CALLS];
+    SiteResponse response;
+    for (int i = 0; i < PARALLEL_CALLS; i++) {
         site_send(site, 0, "/list?service_ms=150", NULL, FAULT_WAIT_MS,
                   &requests[i]);
     }
-    for (int i = 0; i < AT_ONCE; i++) {
-        site_finish(&requests[i], &answer);
-        fault_expect(&answer, 200, "completed", "many at once");
+    for (int i = 0; i < PARALLEL_CALLS; i++) {
+        site_finish(&requests[i], &response);
+        fault_expect(&response, 200, "completed", "parallel requests");
     }
 }
 
-/* Guards against requests that keep using silent connections, and against
- * silent connections that stay open and use up the endpoint's 64. */
+/* Guards against requests that continue to use silent connections, and against
+ * silent connections that stay open and use up an endpoint's limit of 64
+ * connections. */
 static void
 test_silent_connections(void)
 {
     Site site;
     char seen[64];
     site_start(&site);
-    call_many(&site, 0);
-    call_at_once(&site);
+    check_silent_round(&site, 0);
+    call_in_parallel(&site);
     for (int i = 1; i <= SILENT_ROUNDS; i++) {
         site_endpoint_faults(&site, "{\"silence_open\":true}");
-        call_many(&site, i);
+        check_silent_round(&site, i);
     }
-    /* One idle connection to each endpoint; those of the earlier rounds are
-     * closed at once and not only at libcurl's limit of age.  Health checks
-     * come and go. */
+    /* At most one idle connection to each endpoint remains.  The silent
+     * connections of earlier rounds are closed at once and not only at
+     * libcurl's maximum connection age.  Health checks open short connections
+     * of their own. */
     bool closed = fault_wait_endpoint(&site, -1, "connections", 0,
-                                      SITE_ENDPOINTS, CLOSE_MS);
+                                      SITE_ENDPOINTS, CLOSE_TIMEOUT_MS);
     snprintf(seen, sizeof(seen), "%d connections",
              fault_endpoint_sum(&site, "connections"));
     fault_check(closed, "silent connections are closed", seen);
     site_stop(&site);
 }
 
-/* Guards against a false outcome when the endpoints' process is killed with
- * requests in flight, and afterwards. */
+/* Guards against a wrong outcome of requests that are in flight when the
+ * endpoints' process is killed, and of requests sent afterwards. */
 static void
 test_killed(void)
 {
     Site site;
     SiteRequest requests[2];
-    SiteAnswer answer;
+    SiteResponse response;
     AqError error;
     site_start(&site);
-    site_send_as(&site, 0, "/work?service_ms=20000", "n-killed", false, 30000,
-                 &requests[0]);
+    site_send_post(&site, 0, "/work?service_ms=20000", "n-killed", false,
+                   30000, &requests[0]);
     CU_ASSERT_TRUE(site_wait_running(&site, 1, FAULT_WAIT_MS));
-    site_send_as(&site, 1, "/work?service_ms=20000", "i-killed", true, 30000,
-                 &requests[1]);
+    site_send_post(&site, 1, "/work?service_ms=20000", "i-killed", true, 30000,
+                   &requests[1]);
     CU_ASSERT_TRUE(site_wait_running(&site, 2, FAULT_WAIT_MS));
     CU_ASSERT_TRUE(AqProcess_Signal(site.endpoints, SIGKILL, &error));
-    site_finish(&requests[0], &answer);
-    fault_expect(&answer, 502, "unknown", "in flight");
-    site_finish(&requests[1], &answer);
-    /* It may have run once, whatever the later attempts met. */
-    CU_ASSERT_STRING_EQUAL(answer.outcome, "unknown");
-    site_call(&site, 2, "/work", "n-killed", &answer);
-    fault_expect(&answer, 409, "unknown", "the repeat");
-    site_call(&site, 0, "/work", "n-after", &answer);
-    fault_expect(&answer, 503, "not-run", "nothing listens");
-    site_call(&site, 1, "/list", NULL, &answer);
-    fault_expect(&answer, 503, "not-run", "nothing listens, idempotent");
+    site_finish(&requests[0], &response);
+    fault_expect(&response, 502, "unknown", "request in flight");
+    site_finish(&requests[1], &response);
+    /* The idempotent request may have run once, whatever the result of its
+     * later attempts. */
+    CU_ASSERT_STRING_EQUAL(response.outcome, "unknown");
+    site_call(&site, 2, "/work", "n-killed", &response);
+    fault_expect(&response, 409, "unknown", "repeat of the request in flight");
+    site_call(&site, 0, "/work", "n-after", &response);
+    fault_expect(&response, 503, "not-run", "nothing listens");
+    site_call(&site, 1, "/list", NULL, &response);
+    fault_expect(&response, 503, "not-run", "nothing listens, idempotent");
     site_stop(&site);
 }
 
--- a/packages/daemon/tests/test_leaving.c
+++ b/packages/daemon/tests/test_leaving.c
@@ -4,21 +4,23 @@
 #include "aq_clock.h"
 #include "fault_site.h"
 
-/* An endpoint that leaves, known in three ways.  Section 1.2, item 6. */
+/* An endpoint that leaves service, announced in one of three ways: a drain
+ * intent, the platform's VM list or a response of the endpoint.  Design page,
+ * section 1.2, item 6. */
 
 enum {
-    NO_NEW_WORK_MS = 3000,
-    MAX_LONG = 40
+    MAX_NEW_WORK_DELAY_MS = 3000,
+    MAX_LONG_REQUESTS = 40
 };
 
 typedef enum {
-    BY_DRAIN,
-    BY_LIST,
-    BY_ANSWER
-} Way;
+    LEAVE_BY_DRAIN,
+    LEAVE_BY_VM_LIST,
+    LEAVE_BY_RESPONSE
+} LeaveMethod;
 
 static void
-mark_left(Site *site, const char *announce)
+set_endpoint_leaving(Site *site, const char *announce)
 {
     char body[96];
     snprintf(body, sizeof(body), "{\"endpoint\":0,\"announce\":%s}", announce);
@@ -49,7 +51,7 @@
 }
 
 static void
-leave_by_list(Site *site)
+leave_by_vm_list(Site *site)
 {
     char body[256];
     AqTime until = AqClock_ReadMonotonic() + FAULT_WAIT_MS;
@@ -64,24 +66,25 @@
     CU_ASSERT_TRUE(is_listed_leaving(site));
 }
 
-/* Makes endpoint 0 leave; from then on it records its new requests. */
+/* Makes endpoint 0 leave service; from then on the endpoint records its new
+ * requests. */
 static void
-leave(Site *site, Way way)
+leave(Site *site, LeaveMethod method)
 {
-    SiteAnswer answer;
-    if (way == BY_DRAIN) {
+    SiteResponse response;
+    if (method == LEAVE_BY_DRAIN) {
         CU_ASSERT_EQUAL(
-            site_intent(site, 1, "vm.drain", "{\"id\":\"vm0\"}", &answer),
+            site_intent(site, 1, "vm.drain", "{\"id\":\"vm0\"}", &response),
             200);
     }
-    if (way == BY_LIST) {
-        leave_by_list(site);
+    if (method == LEAVE_BY_VM_LIST) {
+        leave_by_vm_list(site);
     }
-    mark_left(site, way == BY_ANSWER ? "true" : "false");
+    set_endpoint_leaving(site, method == LEAVE_BY_RESPONSE ? "true" : "false");
 }
 
 static void
-check_after_leave(Site *site)
+check_new_work_delay(Site *site)
 {
     json_t *runs = fault_runs(site);
     const json_t *endpoint =
@@ -92,61 +95,64 @@
     {
         char *text = json_dumps(late, JSON_COMPACT);
         fault_check(json_integer_value(json_object_get(late, "delay_ms")) <=
-                        NO_NEW_WORK_MS,
+                        MAX_NEW_WORK_DELAY_MS,
                     "no new work on a leaving endpoint", text);
         free(text);
     }
     json_decref(runs);
 }
 
-/* Starts long requests until one of them runs at endpoint 0. */
+/* Starts long requests until one of them runs at endpoint 0; returns the
+ * number of requests started, at most MAX_LONG_REQUESTS. */
 static int
-start_long(Site *site, SiteRequest *requests)
+start_long_requests(Site *site, SiteRequest *requests)
 {
     char id[32];
     int n = 0;
-    while (n < MAX_LONG && fault_endpoint_field(site, 0, "slots_in_use") < 1) {
+    while (n < MAX_LONG_REQUESTS &&
+           fault_endpoint_field(site, 0, "slots_in_use") < 1) {
         snprintf(id, sizeof(id), "n-long-%d", n);
-        site_send_as(site, n % SITE_DAEMONS, "/work?service_ms=6000", id,
-                     false, FAULT_WAIT_MS, &requests[n]);
+        site_send_post(site, n % SITE_DAEMONS, "/work?service_ms=6000", id,
+                       false, FAULT_WAIT_MS, &requests[n]);
         n++;
         CU_ASSERT_TRUE(site_wait_running(site, n, FAULT_WAIT_MS));
     }
     return n;
 }
 
-/* Guards against new work on a leaving endpoint later than 3 s, cut requests
- * and queued work that is lost with the endpoint. */
+/* Guards against requests that start on an endpoint more than 3 s after it
+ * began to leave, requests that are cut off, and queued requests that are lost
+ * with the endpoint. */
 static void
-run(Way way)
+run_method(LeaveMethod method)
 {
     Site site;
     FaultLoad load;
-    SiteRequest requests[MAX_LONG];
-    SiteAnswer answer;
+    SiteRequest requests[MAX_LONG_REQUESTS];
+    SiteResponse response;
     site_start(&site);
-    int count = start_long(&site, requests);
+    int count = start_long_requests(&site, requests);
     CU_ASSERT_TRUE(fault_endpoint_field(&site, 0, "slots_in_use") >= 1);
     const FaultLoadOptions options = {.name = "leaving",
-                                      .daemons = 7,
+                                      .daemon_mask = 7,
                                       .path = "/work?service_ms=20",
-                                      .rate = 80,
-                                      .seconds = 7,
+                                      .rate_per_s = 80,
+                                      .duration_s = 7,
                                       .timeout_ms = 20000,
-                                      .non_idempotent = 50};
+                                      .non_idempotent_percent = 50};
     fault_load_start(&site, &options, &load);
     int before = fault_endpoint_field(&site, 0, "runs");
     CU_ASSERT_TRUE(fault_wait_endpoint(&site, 0, "runs", before + 5, 1000000,
                                        FAULT_WAIT_MS));
-    leave(&site, way);
+    leave(&site, method);
     for (int i = 0; i < count; i++) {
-        site_finish(&requests[i], &answer);
-        fault_expect(&answer, 200, "completed", "a request in flight");
+        site_finish(&requests[i], &response);
+        fault_expect(&response, 200, "completed", "request in flight");
     }
     fault_load_finish(&load);
-    fault_load_all_completed(&load);
-    check_after_leave(&site);
-    fault_none_twice(&site);
+    fault_load_check_completed(&load);
+    check_new_work_delay(&site);
+    fault_check_at_most_once(&site);
     fault_load_clear(&load);
     site_stop(&site);
 }
@@ -154,24 +160,24 @@
 static void
 test_drain(void)
 {
-    run(BY_DRAIN);
+    run_method(LEAVE_BY_DRAIN);
 }
 
 static void
-test_list(void)
+test_vm_list(void)
 {
-    run(BY_LIST);
+    run_method(LEAVE_BY_VM_LIST);
 }
 
 static void
-test_answer(void)
+test_response(void)
 {
-    run(BY_ANSWER);
+    run_method(LEAVE_BY_RESPONSE);
 }
 
 const FaultTest leaving_tests[] = {
     {"leaving_drain", test_drain},
-    {"leaving_list", test_list},
-    {"leaving_answer", test_answer},
+    {"leaving_list", test_vm_list},
+    {"leaving_answer", test_response},
     {NULL, NULL},
 };
--- a/packages/daemon/tests/test_limits.c
+++ b/packages/daemon/tests/test_limits.c
@@ -4,12 +4,12 @@
 
 #include "fault_site.h"
 
-/* The limits of an endpoint over all daemons, at endpoints that would take
- * more. */
+/* Limits of requests and connections at an endpoint over all daemons together;
+ * the endpoints themselves would accept more. */
 
 enum {
-    SLOTS = 8,
-    CONNECTIONS = 64
+    MAX_SLOTS = 8,
+    MAX_CONNECTIONS = 64
 };
 
 static void
@@ -20,16 +20,18 @@
     int connections = fault_endpoint_max(site, "max_connections");
     snprintf(seen, sizeof(seen), "%s: %d requests, %d connections", when,
              slots, connections);
-    fault_check(slots <= SLOTS, "requests at once", seen);
-    fault_check(connections <= CONNECTIONS, "connections at once", seen);
+    fault_check(slots <= MAX_SLOTS, "the limit of concurrent requests is kept",
+                seen);
+    fault_check(connections <= MAX_CONNECTIONS,
+                "the limit of concurrent connections is kept", seen);
 }
 
 static void
-check_load(FaultLoad *load, bool killed)
+check_load(FaultLoad *load, bool is_killed)
 {
     fault_load_finish(load);
     CU_ASSERT_EQUAL(fault_load_count(load, "wrong"), 0);
-    if (!killed) {
+    if (!is_killed) {
         CU_ASSERT_EQUAL(fault_load_count(load, "cut"), 0);
         CU_ASSERT_EQUAL(fault_load_count(load, "closed"), 0);
         CU_ASSERT_EQUAL(fault_load_count(load, "unknown"), 0);
@@ -38,21 +40,22 @@
     fault_load_clear(load);
 }
 
-/* More is offered than 4 endpoints with 8 slots serve in 600 ms each.  The
- * long service time and timeout keep attempts from being given up: of those
- * the endpoint goes on with the work, which the daemon cannot see. */
+/* More load than 4 endpoints with 8 slots serve at 600 ms per request. The
+ * long service time and timeout avoid abandoned attempts: an endpoint
+ * continues with the work of such an attempt, which the daemon cannot see. */
 static const FaultLoadOptions overload = {.name = "l1",
-                                          .daemons = 7,
+                                          .daemon_mask = 7,
                                           .path = "/work?service_ms=600",
-                                          .rate = 90,
-                                          .seconds = 10,
+                                          .rate_per_s = 90,
+                                          .duration_s = 10,
                                           .timeout_ms = 60000,
-                                          .non_idempotent = 50};
+                                          .non_idempotent_percent = 50};
 
-/* Guards against more requests or connections at an endpoint than its pool
- * allows, while a daemon is killed, comes back and stops gracefully. */
+/* Guards against more concurrent requests or connections at an endpoint than
+ * its pool allows, while a daemon is killed or stops gracefully and is started
+ * again. */
 static void
-run(int number)
+run_signal(int signal_number)
 {
     Site site;
     FaultLoad loads[2];
@@ -63,36 +66,36 @@
     site_start_prepared(&site);
     fault_load_start(&site, &overload, &loads[0]);
     CU_ASSERT_TRUE(fault_wait_endpoint(&site, -1, "slots_in_use",
-                                       SITE_ENDPOINTS * SLOTS / 2, 1000,
+                                       SITE_ENDPOINTS * MAX_SLOTS / 2, 1000,
                                        FAULT_WAIT_MS));
-    CU_ASSERT_TRUE(AqProcess_Signal(site.daemons[2], number, &error));
+    CU_ASSERT_TRUE(AqProcess_Signal(site.daemons[2], signal_number, &error));
     CU_ASSERT_TRUE(AqProcess_WaitExit(site.daemons[2], 4 * FAULT_WAIT_MS,
                                       &status, &error));
     check_limits(&site, "after the end of one daemon");
     site_start_daemon(&site, 2, 0);
     CU_ASSERT_TRUE(
         site_wait_status(&site, 2, "callers", "/readyz", 200, FAULT_WAIT_MS));
-    FaultLoadOptions again = overload;
-    again.name = "l2";
-    again.seconds = 6;
-    fault_load_start(&site, &again, &loads[1]);
-    check_load(&loads[0], number == SIGKILL);
+    FaultLoadOptions second_load = overload;
+    second_load.name = "l2";
+    second_load.duration_s = 6;
+    fault_load_start(&site, &second_load, &loads[1]);
+    check_load(&loads[0], signal_number == SIGKILL);
     check_load(&loads[1], false);
     check_limits(&site, "at the end");
-    fault_none_twice(&site);
+    fault_check_at_most_once(&site);
     site_stop(&site);
 }
 
 static void
 test_kill(void)
 {
-    run(SIGKILL);
+    run_signal(SIGKILL);
 }
 
 static void
 test_stop(void)
 {
-    run(SIGTERM);
+    run_signal(SIGTERM);
 }
 
 const FaultTest limit_tests[] = {
--- a/packages/daemon/tests/test_links.c
+++ b/packages/daemon/tests/test_links.c
@@ -5,45 +5,47 @@
 #include "fault_site.h"
 #include "relay.h"
 
-/* Faults of the links between daemons 0 and 1; daemon 2 hears both.  Section
- * 10, "peer link cut". */
+/* Faults of the links between daemons 0 and 1; the links of daemon 2 work.
+ * Design page, section 10, "peer link cut". */
 
 enum {
-    CALLS = 6,
-    IDS = 8,
-    /* Claims go round a link that is cut. */
-    CLAIM_MS = 5000
+    IDEMPOTENT_CALLS = 6,
+    COMPLETED_IDS = 8,
+    /* Timeout of a request; its claim may have to be routed around a cut
+     * link. */
+    CLAIM_TIMEOUT_MS = 5000
 };
 
 typedef enum {
-    CUT,
-    DELAY,
-    SILENCE
-} Fault;
+    LINK_CUT,
+    LINK_DELAY,
+    LINK_SILENT
+} LinkFault;
 
 typedef struct {
     const char *name;
-    Fault fault;
-    bool forth; /* bytes from daemon 0 to daemon 1 */
-    bool back;
+    LinkFault fault;
+    bool to_daemon1; /* the fault affects bytes from daemon 0 to daemon 1 */
+    bool to_daemon0;
 } Case;
 
 static const Case cases[] = {
-    {"cut forth", CUT, true, false},
-    {"cut back", CUT, false, true},
-    {"cut both ways", CUT, true, true},
-    {"delay", DELAY, true, true},
-    {"silent forth", SILENCE, true, false},
-    {"silent both ways", SILENCE, true, true},
+    {"cut towards daemon 1", LINK_CUT, true, false},
+    {"cut towards daemon 0", LINK_CUT, false, true},
+    {"cut both ways", LINK_CUT, true, true},
+    {"delay", LINK_DELAY, true, true},
+    {"silent towards daemon 1", LINK_SILENT, true, false},
+    {"silent both ways", LINK_SILENT, true, true},
 };
 
 typedef struct {
-    Site site;        /* first, so that on_started can find the rest */
-    Relay *relays[2]; /* in front of daemons 0 and 1 */
+    /* First field, so that set_relay_target() can cast Site to LinkSite. */
+    Site site;
+    Relay *relays[2]; /* relays in front of daemons 0 and 1 */
 } LinkSite;
 
 static void
-on_started(Site *site, int daemon)
+set_relay_target(Site *site, int daemon)
 {
     const LinkSite *links = (const LinkSite *)site;
     if (daemon < 2) {
@@ -62,7 +64,7 @@
         snprintf(links->site.advertise[i], sizeof(links->site.advertise[i]),
                  "%s", relay_address(links->relays[i]));
     }
-    links->site.started = on_started;
+    links->site.on_started = set_relay_target;
     site_start_prepared(&links->site);
 }
 
@@ -78,20 +80,20 @@
 set_fault(LinkSite *links, const Case *c)
 {
     static const char *const senders[] = {"entry1", "entry0"};
-    const bool on[] = {c->back, c->forth};
+    const bool is_affected[] = {c->to_daemon0, c->to_daemon1};
     for (int i = 0; i < 2; i++) {
-        if (c->fault == DELAY) {
+        if (c->fault == LINK_DELAY) {
             relay_set_delay(links->relays[i], 400);
         }
-        else if (on[i]) {
+        else if (is_affected[i]) {
             relay_set(links->relays[i], senders[i],
-                      c->fault == CUT ? RELAY_HOLD : RELAY_SILENCE_OPEN);
+                      c->fault == LINK_CUT ? RELAY_HOLD : RELAY_DISCARD_OPEN);
         }
     }
 }
 
 static void
-heal(LinkSite *links)
+clear_faults(LinkSite *links)
 {
     for (int i = 0; i < 2; i++) {
         relay_set(links->relays[i], NULL, RELAY_PASS);
@@ -100,7 +102,7 @@
 }
 
 static void
-live_text(int other, bool live, char text[64])
+format_live_text(int other, bool live, char text[64])
 {
     snprintf(text, 64, "{\"id\":\"entry%d\",\"live\":%s}", other,
              live ? "true" : "false");
@@ -110,69 +112,74 @@
 wait_live(LinkSite *links, int daemon, int other, bool live)
 {
     char text[64];
-    live_text(other, live, text);
+    format_live_text(other, live, text);
     return site_wait_text(&links->site, daemon, "/admin/v1/status", text,
                           FAULT_WAIT_MS);
 }
 
 static bool
-is_true(const SiteAnswer *answer)
+is_valid_response(const SiteResponse *response)
 {
-    return answer->status == 200 ||
-           (answer->status == 409 &&
-            strcmp(answer->outcome, "unknown") == 0) ||
-           strcmp(answer->outcome, "not-run") == 0;
+    return response->status == 200 ||
+           (response->status == 409 &&
+            strcmp(response->outcome, "unknown") == 0) ||
+           strcmp(response->outcome, "not-run") == 0;
 }
 
-/* Sends an id to both ends of the link; whether it completed.  Not-run and the
- * 409 of an uncertain claim (section 12) are true answers when it did not
- * run. */
+/* Sends a request with the same id to daemons 0 and 1; returns whether the
+ * request completed.  Not-run, and status 409 for an uncertain claim (design
+ * page, section 12), are valid responses when the request did not run. */
 static bool
 claim_at_both(Site *site, const char *id, const char *what)
 {
     SiteRequest requests[2];
-    SiteAnswer answers[2];
+    SiteResponse responses[2];
     char seen[160];
     for (int k = 0; k < 2; k++) {
-        site_send_as(site, k, "/pay", id, false, CLAIM_MS, &requests[k]);
+        site_send_post(site, k, "/pay", id, false, CLAIM_TIMEOUT_MS,
+                       &requests[k]);
     }
     for (int k = 0; k < 2; k++) {
-        site_finish(&requests[k], &answers[k]);
+        site_finish(&requests[k], &responses[k]);
     }
-    int completed = (answers[0].status == 200) + (answers[1].status == 200);
+    int completed =
+        (responses[0].status == 200) + (responses[1].status == 200);
     int runs = site_runs(site, id);
     snprintf(seen, sizeof(seen), "%s, %s: %ld %s, %ld %s, %d runs", what, id,
-             answers[0].status, answers[0].outcome, answers[1].status,
-             answers[1].outcome, runs);
-    fault_check(runs <= 1 && completed == runs && is_true(&answers[0]) &&
-                    is_true(&answers[1]),
-                "one run and true answers", seen);
+             responses[0].status, responses[0].outcome, responses[1].status,
+             responses[1].outcome, runs);
+    fault_check(runs <= 1 && completed == runs &&
+                    is_valid_response(&responses[0]) &&
+                    is_valid_response(&responses[1]),
+                "at most one run and valid responses", seen);
     return completed == 1;
 }
 
-/* Idempotent requests and claims go on at every daemon, and an id that is
- * sent to both ends of the link runs at most once. */
+/* Checks that every daemon still completes idempotent requests, that claims
+ * still succeed, and that a request id sent to daemons 0 and 1 runs at most
+ * once. */
 static void
 check_service(LinkSite *links, const char *what, int round)
 {
     Site *site = &links->site;
-    SiteAnswer answer;
+    SiteResponse response;
     char id[40];
     int tries = 0;
     AqTime until = AqClock_ReadMonotonic() + FAULT_WAIT_MS;
     for (int d = 0; d < SITE_DAEMONS; d++) {
-        site_get(site, d, "callers", "/readyz", &answer);
-        fault_check(answer.status == 200, "every daemon is fresh", what);
+        site_get(site, d, "callers", "/readyz", &response);
+        fault_check(response.status == 200, "every daemon is ready", what);
     }
-    for (int i = 0; i < CALLS; i++) {
-        site_call(site, i % SITE_DAEMONS, "/list", NULL, &answer);
-        fault_expect(&answer, 200, "completed", what);
+    for (int i = 0; i < IDEMPOTENT_CALLS; i++) {
+        site_call(site, i % SITE_DAEMONS, "/list", NULL, &response);
+        fault_expect(&response, 200, "completed", what);
     }
-    for (int done = 0; done < IDS;) {
+    for (int completed = 0; completed < COMPLETED_IDS;) {
         snprintf(id, sizeof(id), "n-link-%d-%d", round, tries++);
-        done += claim_at_both(site, id, what);
+        completed += claim_at_both(site, id, what);
         if (AqClock_ReadMonotonic() >= until) {
-            fault_check(done == IDS, "claims go on", what);
+            fault_check(completed == COMPLETED_IDS, "claims still succeed",
+                        what);
             break;
         }
     }
@@ -182,63 +189,64 @@
 run_case(LinkSite *links, const Case *c, int round)
 {
     set_fault(links, c);
-    if (c->fault != DELAY) {
-        /* The receiving end notices first. */
-        fault_check(
-            wait_live(links, c->forth ? 1 : 0, c->forth ? 0 : 1, false),
-            "the fault is noticed", c->name);
+    if (c->fault != LINK_DELAY) {
+        /* The daemon that receives nothing detects the fault first. */
+        fault_check(wait_live(links, c->to_daemon1 ? 1 : 0,
+                              c->to_daemon1 ? 0 : 1, false),
+                    "the fault is detected", c->name);
     }
     check_service(links, c->name, round);
-    if (c->fault != SILENCE) {
-        heal(links);
+    if (c->fault != LINK_SILENT) {
+        clear_faults(links);
     }
-    /* New connections pass, so a silent one must be replaced. */
+    /* The relays pass the bytes of new connections, so the daemons must
+     * replace a silent connection. */
     fault_check(wait_live(links, 0, 1, true) && wait_live(links, 1, 0, true),
-                "the link is back", c->name);
-    heal(links);
+                "the link is restored", c->name);
+    clear_faults(links);
     check_service(links, c->name, 100 + round);
 }
 
-/* Guards against a cut, slow or silent link that stops service, runs a request
- * twice or stays dead. */
+/* Guards against a cut, slow or silent link that stops service, makes a
+ * request run twice or is never restored. */
 static void
-run(size_t first, size_t count)
+run_cases(size_t first, size_t count)
 {
     LinkSite links;
-    SiteAnswer answer;
+    SiteResponse response;
     start(&links);
     for (int i = 0; i < 2; i++) {
         CU_ASSERT_TRUE(wait_live(&links, i, 1 - i, true));
     }
     site_get(&links.site, 2, "operators", "/admin/v1/state?kind=members",
-             &answer);
+             &response);
     char members[4096];
-    memcpy(members, answer.body, sizeof(members));
+    memcpy(members, response.body, sizeof(members));
     for (size_t i = first; i < first + count; i++) {
         run_case(&links, &cases[i], (int)i);
     }
     site_get(&links.site, 2, "operators", "/admin/v1/state?kind=members",
-             &answer);
-    CU_ASSERT_STRING_EQUAL(members, answer.body);
+             &response);
+    CU_ASSERT_STRING_EQUAL(members, response.body);
     stop(&links);
 }
 
 static void
 test_cut(void)
 {
-    run(0, 3);
+    run_cases(0, 3);
 }
 
 static void
 test_delay(void)
 {
-    run(3, 1);
+    run_cases(3, 1);
 }
 
 static void
 test_silent(void)
 {
-    run(4, 2);
+    run_cases(4, 2);
 }
 
 const FaultTest link_tests[] = {
--- a/packages/daemon/tests/test_process.c
+++ b/packages/daemon/tests/test_process.c
@@ -15,14 +15,15 @@
 };
 
 static void
-expect(const SiteAnswer *answer, long status, const char *outcome)
+expect(const SiteResponse *response, long status, const char *outcome)
 {
-    if (answer->status != status || strcmp(answer->outcome, outcome) != 0) {
+    if (response->status != status ||
+        strcmp(response->outcome, outcome) != 0) {
         printf("expected %ld %s, got %ld %s: %s\n", status, outcome,
-               answer->status, answer->outcome, answer->body);
+               response->status, response->outcome, response->body);
     }
-    CU_ASSERT_EQUAL(answer->status, status);
-    CU_ASSERT_STRING_EQUAL(answer->outcome, outcome);
+    CU_ASSERT_EQUAL(response->status, status);
+    CU_ASSERT_STRING_EQUAL(response->outcome, outcome);
 }
 
 static void
@@ -32,8 +33,8 @@
     CU_ASSERT_TRUE(AqProcess_Signal(site->daemons[daemon], number, &error));
 }
 
-/* Guards against a second run when the same id reaches two daemons at once,
- * and against a repeat that runs later. */
+/* Guards against a second run when requests with the same id reach two daemons
+ * at once, and against a run of a later repeat. */
 static void
 test_same_id_at_two_daemons(void)
 {
@@ -42,122 +43,123 @@
     for (int i = 0; i < 20; i++) {
         char id[16];
         SiteRequest requests[2];
-        SiteAnswer answers[2];
+        SiteResponse responses[2];
         snprintf(id, sizeof(id), "pay-%d", i);
         site_send(&site, 0, "/pay", id, 5000, &requests[0]);
         site_send(&site, 1, "/pay", id, 5000, &requests[1]);
-        site_finish(&requests[0], &answers[0]);
-        site_finish(&requests[1], &answers[1]);
+        site_finish(&requests[0], &responses[0]);
+        site_finish(&requests[1], &responses[1]);
         CU_ASSERT_EQUAL(
-            (answers[0].status == 200) + (answers[1].status == 200), 1);
-        expect(&answers[answers[0].status == 200], 409, "unknown");
+            (responses[0].status == 200) + (responses[1].status == 200), 1);
+        expect(&responses[responses[0].status == 200], 409, "unknown");
         CU_ASSERT_EQUAL(site_runs(&site, id), 1);
-        site_call(&site, 2, "/pay", id, &answers[0]);
-        expect(&answers[0], 409, "unknown");
+        site_call(&site, 2, "/pay", id, &responses[0]);
+        expect(&responses[0], 409, "unknown");
         CU_ASSERT_EQUAL(site_runs(&site, id), 1);
     }
     site_stop(&site);
 }
 
-/* Guards against a second run after the first daemon was killed, and slots
- * that never come back. */
+/* Guards against a second run of a request whose daemon was killed, and
+ * against slots of that daemon that never become available again. */
 static void
 test_kill(void)
 {
     Site site;
     SiteRequest request;
-    SiteAnswer answer;
+    SiteResponse response;
     site_start(&site);
     site_send(&site, 0, "/pay?service_ms=3000", "kill-1", 10000, &request);
     CU_ASSERT_TRUE(site_wait_running(&site, 1, WAIT_MS));
     signal_daemon(&site, 0, SIGKILL);
-    site_finish(&request, &answer);
-    CU_ASSERT_EQUAL(answer.status, 0);
-    site_call(&site, 1, "/pay", "kill-1", &answer);
-    expect(&answer, 409, "unknown");
-    site_call(&site, 1, "/list", NULL, &answer);
-    expect(&answer, 200, "completed");
+    site_finish(&request, &response);
+    CU_ASSERT_EQUAL(response.status, 0);
+    site_call(&site, 1, "/pay", "kill-1", &response);
+    expect(&response, 409, "unknown");
+    site_call(&site, 1, "/list", NULL, &response);
+    expect(&response, 200, "completed");
     CU_ASSERT_EQUAL(site_runs(&site, "kill-1"), 1);
-    /* The others remove it from the epoch. */
+    /* The other daemons remove the killed daemon from the membership epoch. */
     CU_ASSERT_TRUE(site_wait_text(&site, 1, "/admin/v1/status",
                                   "\"members\":[{\"id\":\"entry1\"", WAIT_MS));
-    site_call(&site, 1, "/pay", "kill-2", &answer);
-    expect(&answer, 200, "completed");
+    site_call(&site, 1, "/pay", "kill-2", &response);
+    expect(&response, 200, "completed");
     site_stop(&site);
 }
 
-/* Guards against a daemon that acts on what it knew before a pause, and
- * against a second run of what it held. */
+/* Guards against a daemon that acts on outdated state after a pause, and
+ * against a second run of a request that the daemon held meanwhile. */
 static void
 test_freeze(void)
 {
     Site site;
     SiteRequest request;
-    SiteAnswer answer;
+    SiteResponse response;
     site_start(&site);
     site_send(&site, 0, "/pay?service_ms=1000", "freeze-1", 20000, &request);
     CU_ASSERT_TRUE(site_wait_running(&site, 1, WAIT_MS));
     signal_daemon(&site, 0, SIGSTOP);
-    site_call(&site, 1, "/pay", "freeze-1", &answer);
-    expect(&answer, 409, "unknown");
-    /* A change is accepted without the paused daemon, which is removed. */
+    site_call(&site, 1, "/pay", "freeze-1", &response);
+    expect(&response, 409, "unknown");
+    /* A change is accepted without the paused daemon, which the other daemons
+     * remove from the membership. */
     CU_ASSERT_EQUAL(
-        site_intent(&site, 1, "vm.drain", "{\"id\":\"vm0\"}", &answer), 200);
+        site_intent(&site, 1, "vm.drain", "{\"id\":\"vm0\"}", &response), 200);
     CU_ASSERT_TRUE(site_wait_text(&site, 1, "/admin/v1/status",
                                   "\"members\":[{\"id\":\"entry1\"", WAIT_MS));
     signal_daemon(&site, 0, SIGCONT);
-    site_finish(&request, &answer);
+    site_finish(&request, &response);
     CU_ASSERT_EQUAL(site_runs(&site, "freeze-1"), 1);
-    /* It joins again with the document of now. */
+    /* The daemon joins again with the current fleet document. */
     CU_ASSERT_TRUE(
         site_wait_status(&site, 0, "callers", "/readyz", 200, WAIT_MS));
-    site_get(&site, 0, "operators", "/admin/v1/state?kind=vms", &answer);
-    CU_ASSERT_PTR_NOT_NULL(strstr(answer.body, "\"drain"));
+    site_get(&site, 0, "operators", "/admin/v1/state?kind=vms", &response);
+    CU_ASSERT_PTR_NOT_NULL(strstr(response.body, "\"drain"));
     site_stop(&site);
 }
 
-/* Guards against a false "not run" or a second run when the store's reply is
- * lost after the write. */
+/* Guards against a wrong "not-run" outcome, and against a second run, when the
+ * store's reply is lost after the write. */
 static void
 test_lost_reply(void)
 {
     Site site;
-    SiteAnswer answer;
+    SiteResponse response;
     site_start(&site);
     for (int i = 0; i < 5; i++) {
         char id[16];
         snprintf(id, sizeof(id), "lost-%d", i);
         site_platform_faults(&site, "{\"lose_replies\":1}");
-        site_call(&site, i % SITE_DAEMONS, "/pay", id, &answer);
-        if (answer.status == 200) {
+        site_call(&site, i % SITE_DAEMONS, "/pay", id, &response);
+        if (response.status == 200) {
             CU_ASSERT_EQUAL(site_runs(&site, id), 1);
         }
         else {
-            expect(&answer, 503, "not-run");
+            expect(&response, 503, "not-run");
             CU_ASSERT_EQUAL(site_runs(&site, id), 0);
         }
-        site_call(&site, 1, "/pay", id, &answer);
+        site_call(&site, 1, "/pay", id, &response);
         CU_ASSERT_TRUE(site_runs(&site, id) <= 1);
     }
     site_platform_faults(&site, "{\"lose_replies\":1}");
     CU_ASSERT_EQUAL(
-        site_intent(&site, 0, "vm.drain", "{\"id\":\"vm1\"}", &answer), 200);
+        site_intent(&site, 0, "vm.drain", "{\"id\":\"vm1\"}", &response), 200);
     site_stop(&site);
 }
 
-/* Store reads that a daemon has counted. */
+/* Returns the number of store reads that a daemon has counted. */
 static long long
 store_reads(Site *site, int daemon)
 {
-    SiteAnswer answer;
-    site_get(site, daemon, "operators", "/admin/v1/status", &answer);
-    const char *at = strstr(answer.body, "\"reads\":");
+    SiteResponse response;
+    site_get(site, daemon, "operators", "/admin/v1/status", &response);
+    const char *at = strstr(response.body, "\"reads\":");
     CU_ASSERT_PTR_NOT_NULL(at);
     return at != NULL ? atoll(at + strlen("\"reads\":")) : 0;
 }
 
-/* Guards against store reads without a pause in an outage: each daemon has a
- * few readers, none of which may ask more often than every 100 ms. */
+/* Guards against store reads without a pause during an outage: each daemon has
+ * a few readers, each of which may read once per 100 ms at most. */
 static void
 check_reads_while_down(Site *site)
 {
@@ -173,48 +175,48 @@
     }
 }
 
-/* Guards against non-idempotent requests that run unclaimed, idempotent ones
- * that wait for the store, false answers to operators, and a store that is
- * asked without a pause. */
+/* Guards, while the store is down, against non-idempotent requests that run
+ * without a claim, idempotent requests that wait for the store, wrong
+ * responses to operators, and store reads without a pause. */
 static void
 test_store_down(void)
 {
     Site site;
-    SiteAnswer answer;
+    SiteResponse response;
     site_start(&site);
     site_platform_faults(&site, "{\"down\":\"refused\"}");
-    site_call(&site, 0, "/list", NULL, &answer);
-    expect(&answer, 200, "completed");
-    site_call(&site, 0, "/pay", "down-1", &answer);
-    expect(&answer, 503, "not-run");
+    site_call(&site, 0, "/list", NULL, &response);
+    expect(&response, 200, "completed");
+    site_call(&site, 0, "/pay", "down-1", &response);
+    expect(&response, 503, "not-run");
     CU_ASSERT_EQUAL(site_runs(&site, "down-1"), 0);
     long status =
-        site_intent(&site, 0, "vm.drain", "{\"id\":\"vm0\"}", &answer);
+        site_intent(&site, 0, "vm.drain", "{\"id\":\"vm0\"}", &response);
     CU_ASSERT_EQUAL(status, 503);
     check_reads_while_down(&site);
-    /* All daemons stay fresh through each other. */
-    site_call(&site, 2, "/list", NULL, &answer);
-    expect(&answer, 200, "completed");
+    /* All daemons stay fresh through messages of their peers. */
+    site_call(&site, 2, "/list", NULL, &response);
+    expect(&response, 200, "completed");
     site_platform_faults(&site, "{\"down\":\"none\"}");
     CU_ASSERT_TRUE(site_wait_text(&site, 0, "/admin/v1/status",
                                   "\"fresh\":true", WAIT_MS));
     AqTime until = AqClock_ReadMonotonic() + WAIT_MS;
     do {
-        site_call(&site, 0, "/pay", "down-1", &answer);
-    } while (answer.status == 503 && AqClock_ReadMonotonic() < until);
-    expect(&answer, 200, "completed");
+        site_call(&site, 0, "/pay", "down-1", &response);
+    } while (response.status == 503 && AqClock_ReadMonotonic() < until);
+    expect(&response, 200, "completed");
     CU_ASSERT_EQUAL(site_runs(&site, "down-1"), 1);
     site_stop(&site);
 }
 
-/* Guards against a stop that cuts requests, and a daemon that stays ready
- * while it stops. */
+/* Guards against a stop that cuts off requests, and against a daemon that
+ * reports itself as ready while it stops. */
 static void
 test_graceful_stop(void)
 {
     Site site;
     SiteRequest request;
-    SiteAnswer answer;
+    SiteResponse response;
     AqError error;
     int status = -1;
     site_start(&site);
@@ -223,46 +225,48 @@
     signal_daemon(&site, 0, SIGTERM);
     CU_ASSERT_TRUE(
         site_wait_status(&site, 0, "callers", "/readyz", 503, WAIT_MS));
-    site_finish(&request, &answer);
-    expect(&answer, 200, "completed");
+    site_finish(&request, &response);
+    expect(&response, 200, "completed");
     CU_ASSERT_TRUE(
         AqProcess_WaitExit(site.daemons[0], WAIT_MS, &status, &error));
     CU_ASSERT_EQUAL(status, 0);
-    site_get(&site, 1, "operators", "/admin/v1/status", &answer);
-    CU_ASSERT_PTR_NULL(strstr(answer.body, "entry0"));
+    site_get(&site, 1, "operators", "/admin/v1/status", &response);
+    CU_ASSERT_PTR_NULL(strstr(response.body, "entry0"));
     site_stop(&site);
 }
 
-/* Guards against an answer that is passed on although it belongs to another
- * attempt: a payment is unknown then, and a reading is tried again. */
+/* Guards against a response that is passed on although it belongs to another
+ * attempt: a payment must end as unknown, and an idempotent request must be
+ * attempted again. */
 static void
 test_crossed_answer(void)
 {
     Site site;
-    SiteAnswer answer;
+    SiteResponse response;
     site_start(&site);
     site_endpoint_faults(&site, "{\"crossed\":1}");
-    site_call(&site, 0, "/pay", "crossed-1", &answer);
-    expect(&answer, 502, "unknown");
+    site_call(&site, 0, "/pay", "crossed-1", &response);
+    expect(&response, 502, "unknown");
     CU_ASSERT_EQUAL(site_runs(&site, "crossed-1"), 1);
-    /* One endpoint only, so that a second attempt finds a good one. */
+    /* Only endpoint 0 has the fault, so that a second attempt succeeds at
+     * another endpoint. */
     site_endpoint_faults(&site, "{\"crossed\":0}");
     site_endpoint_faults(&site, "{\"endpoint\":0,\"crossed\":1}");
     for (int i = 0; i < 8; i++) {
-        site_call(&site, 0, "/list", NULL, &answer);
-        expect(&answer, 200, "completed");
+        site_call(&site, 0, "/list", NULL, &response);
+        expect(&response, 200, "completed");
     }
     site_stop(&site);
 }
 
-/* Guards against a new daemon that is ready before it holds slots, and
- * refuses the requests that the balancer then sends to it. */
+/* Guards against a new daemon that is ready before it holds slots and refuses
+ * the requests that the load balancer then sends to it. */
 static void
 test_ready_with_slots(void)
 {
     Site site;
     SiteRequest requests[12];
-    SiteAnswer answer;
+    SiteResponse response;
     AqError error;
     int status = -1;
     site_start(&site);
@@ -276,27 +280,27 @@
         site_send(&site, 0, "/list?service_ms=50", NULL, 5000, &requests[i]);
     }
     for (int i = 0; i < 12; i++) {
-        site_finish(&requests[i], &answer);
-        expect(&answer, 200, "completed");
+        site_finish(&requests[i], &response);
+        expect(&response, 200, "completed");
     }
     site_stop(&site);
 }
 
-/* Guards against a daemon that goes on with an old document when it is cut
- * off from the store and from the majority. */
+/* Guards against a daemon that continues with an outdated fleet document when
+ * it is cut off from the store and from the majority of the daemons. */
 static void
 test_cut_off_daemon_refuses(void)
 {
     Site site;
-    SiteAnswer answer;
+    SiteResponse response;
     site_start(&site);
     site_platform_faults(&site, "{\"down\":\"refused\"}");
     signal_daemon(&site, 1, SIGSTOP);
     signal_daemon(&site, 2, SIGSTOP);
     CU_ASSERT_TRUE(
         site_wait_status(&site, 0, "callers", "/readyz", 503, 4000));
-    site_call(&site, 0, "/list", NULL, &answer);
-    expect(&answer, 503, "not-run");
+    site_call(&site, 0, "/list", NULL, &response);
+    expect(&response, 503, "not-run");
     signal_daemon(&site, 1, SIGCONT);
     CU_ASSERT_TRUE(
         site_wait_status(&site, 0, "callers", "/readyz", 200, WAIT_MS));
@@ -304,12 +308,13 @@
     site_stop(&site);
 }
 
-/* Guards against a daemon that cannot come back while the store is down. */
+/* Guards against a daemon that cannot rejoin after a restart while the store
+ * is down. */
 static void
 test_restart_without_store(void)
 {
     Site site;
-    SiteAnswer answer;
+    SiteResponse response;
     AqError error;
     int status;
     site_start(&site);
@@ -324,9 +329,9 @@
         site_wait_status(&site, 0, "callers", "/readyz", 200, WAIT_MS));
     AqTime until = AqClock_ReadMonotonic() + WAIT_MS;
     do {
-        site_call(&site, 0, "/list", NULL, &answer);
-    } while (answer.status != 200 && AqClock_ReadMonotonic() < until);
-    expect(&answer, 200, "completed");
+        site_call(&site, 0, "/list", NULL, &response);
+    } while (response.status != 200 && AqClock_ReadMonotonic() < until);
+    expect(&response, 200, "completed");
     site_stop(&site);
 }
 
@@ -344,7 +349,8 @@
     return fd;
 }
 
-/* Guards against bytes of strangers that crash, block or grow a daemon. */
+/* Guards against bytes of unknown clients that crash a daemon, block it or
+ * increase its memory without a limit. */
 static void
 test_bad_bytes(void)
 {
@@ -357,7 +363,7 @@
         {"\0\0\0\1\1", 5},
     };
     Site site;
-    SiteAnswer answer;
+    SiteResponse response;
     site_start(&site);
     for (size_t i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
         char byte;
@@ -378,24 +384,25 @@
     CU_ASSERT_TRUE(recv(fd, reply, sizeof(reply) - 1, 0) > 0);
     CU_ASSERT_PTR_NOT_NULL(strstr(reply, " 4"));
     close(fd);
-    site_call(&site, 0, "/list", NULL, &answer);
-    expect(&answer, 200, "completed");
-    site_get(&site, 0, "callers", "/admin/v1/status", &answer);
-    CU_ASSERT_EQUAL(answer.status, 404);
+    site_call(&site, 0, "/list", NULL, &response);
+    expect(&response, 200, "completed");
+    site_get(&site, 0, "callers", "/admin/v1/status", &response);
+    CU_ASSERT_EQUAL(response.status, 404);
     site_stop(&site);
 }
 
-/* Guards against heartbeats from which a daemon with a queue cannot tell that
- * its peers have idle slots, and against slot leases that do not come back. */
+/* Guards against heartbeats that do not show a daemon with a queue the idle
+ * slots of its peers, and against slot leases that are not returned. */
 static void
-test_lending(void)
+test_slot_leasing(void)
 {
     enum {
-        REQUESTS = 20 /* of 32 slots, of which one daemon has about 11 */
+        /* More requests than the about 11 of 32 slots that one daemon has. */
+        REQUESTS = 20
     };
     Site site;
     SiteRequest requests[REQUESTS];
-    SiteAnswer answer;
+    SiteResponse response;
     site_start(&site);
     for (int round = 0; round < 2; round++) {
         for (int i = 0; i < REQUESTS; i++) {
@@ -404,40 +411,40 @@
         }
         CU_ASSERT_TRUE(site_wait_running(&site, REQUESTS, 2500));
         for (int i = 0; i < REQUESTS; i++) {
-            site_finish(&requests[i], &answer);
-            expect(&answer, 200, "completed");
+            site_finish(&requests[i], &response);
+            expect(&response, 200, "completed");
         }
     }
     site_stop(&site);
 }
 
 /* Guards against a job that is lost between operator and worker, and against
- * urgent work that starts late. */
+ * an urgent job that starts late. */
 static void
 test_jobs(void)
 {
     Site site;
-    SiteAnswer answer;
+    SiteResponse response;
     site_start(&site);
     CU_ASSERT_EQUAL(site_intent(&site, 0, "vm.set",
                                 "{\"id\":\"vm0\",\"cores\":8,\"memory_mb\":"
                                 "8192}",
-                                &answer),
+                                &response),
                     200);
     CU_ASSERT_EQUAL(site_intent(&site, 0, "team.set",
                                 "{\"name\":\"t\",\"cores\":4,\"memory_mb\":"
                                 "4096}",
-                                &answer),
+                                &response),
                     200);
     CU_ASSERT_EQUAL(site_intent(&site, 1, "job.submit",
                                 "{\"id\":\"big\",\"team\":\"t\",\"cores\":9}",
-                                &answer),
+                                &response),
                     409);
     AqTime began = AqClock_ReadMonotonic();
     CU_ASSERT_EQUAL(site_intent(&site, 1, "job.submit",
                                 "{\"id\":\"now\",\"team\":\"t\",\"urgent\":"
                                 "true,\"run_ms\":1000}",
-                                &answer),
+                                &response),
                     200);
     CU_ASSERT_TRUE(site_wait_text(&site, 2, "/admin/v1/state?kind=jobs",
                                   "\"running\"", WAIT_MS));
@@ -447,24 +454,25 @@
     site_stop(&site);
 }
 
-/* Guards against snapshots of the document that pile up in the store, and
- * against the deletion of the one that head names. */
+/* Guards against snapshots of the fleet document that accumulate in the store,
+ * and against the deletion of the snapshot that the document's head refers
+ * to. */
 static void
 test_snapshots(void)
 {
     Site site;
-    SiteAnswer answer;
+    SiteResponse response;
     site_start(&site);
     for (int i = 0; i < 60; i++) {
         char args[64];
         snprintf(args, sizeof(args), "{\"pool\":\"track\",\"min_serving\":%d}",
                  i % 2);
-        CU_ASSERT_EQUAL(
-            site_intent(&site, i % SITE_DAEMONS, "budget.set", args, &answer),
-            200);
+        CU_ASSERT_EQUAL(site_intent(&site, i % SITE_DAEMONS, "budget.set",
+                                    args, &response),
+                        200);
     }
     CU_ASSERT_TRUE(site_count_keys(&site, "aq/fleet/snapshot/") <= 3);
-    /* A daemon that starts now needs the snapshot. */
+    /* A daemon that starts now needs the snapshot that the head refers to. */
     site_start_daemon(&site, 0, 0);
     CU_ASSERT_TRUE(
         site_wait_status(&site, 0, "callers", "/readyz", 200, WAIT_MS));
@@ -490,11 +498,11 @@
     {"bad_bytes", test_bad_bytes},
     {"jobs", test_jobs},
     {"snapshots", test_snapshots},
-    {"lending", test_lending},
+    {"lending", test_slot_leasing},
 };
 
-/* Runs the test that the last argument names: each has a site of its own, and
- * CTest runs several at once. */
+/* Runs only the test that the last argument names, because every test starts a
+ * site of its own and CTest runs several tests in parallel. */
 int
 main(int argc, char **argv)
 {
--- a/packages/daemon/tests/test_waves.c
+++ b/packages/daemon/tests/test_waves.c
@@ -7,31 +7,32 @@
 #include "aq_clock.h"
 #include "fault_site.h"
 
-/* Waves over all VMs of a pool, with real reboots at the platform's stand-in.
- * Sections 1.2 and 7.1. */
+/* Maintenance waves over all VMs of a pool, with reboots by the simulated
+ * platform.  Design page, sections 1.2 and 7.1. */
 
 enum {
     MIN_SERVING = SITE_ENDPOINTS - 1,
-    WAVE_MS = 150000, /* 4 VMs, about 8 s each on an idle machine */
-    CHUNK_S = 4,
-    TAIL_ROOM = 16
+    /* A wave over 4 VMs takes about 8 s per VM on an idle machine. */
+    WAVE_TIMEOUT_MS = 150000,
+    LOAD_S = 4,
+    MAX_TAIL_CHANGES = 16
 };
 
 static json_t *
 read_state(Site *site, int daemon, const char *kind, const char *name)
 {
     char path[64];
-    SiteAnswer answer;
+    SiteResponse response;
     snprintf(path, sizeof(path), "/admin/v1/state?kind=%s", kind);
-    site_get(site, daemon, "operators", path, &answer);
-    json_t *all = json_loads(answer.body, 0, NULL);
+    site_get(site, daemon, "operators", path, &response);
+    json_t *all = json_loads(response.body, 0, NULL);
     json_t *record = json_incref(json_object_get(all, name));
     json_decref(all);
     return record;
 }
 
 static bool
-wave_is(Site *site, int daemon, const char *state)
+is_wave_state(Site *site, int daemon, const char *state)
 {
     json_t *wave = read_state(site, daemon, "waves", "w");
     const char *text = json_string_value(json_object_get(wave, "state"));
@@ -41,7 +42,7 @@
 }
 
 static int
-wave_count(Site *site, int daemon, const char *field)
+read_wave_count(Site *site, int daemon, const char *field)
 {
     json_t *wave = read_state(site, daemon, "waves", "w");
     int n = (int)json_integer_value(json_object_get(wave, field));
@@ -54,10 +55,11 @@
 {
     char seen[32];
     int serving = fault_serving(site, daemon);
-    /* -1: no answer within the call's own limit. */
+    /* The result -1, no response within the call's timeout, says nothing about
+     * the budget. */
     if (serving >= 0) {
         snprintf(seen, sizeof(seen), "%d serve", serving);
-        fault_check(serving >= min_serving, "the budget", seen);
+        fault_check(serving >= min_serving, "the budget is kept", seen);
     }
 }
 
@@ -65,78 +67,81 @@
 start_wave(Site *site, int min_serving)
 {
     char args[64];
-    SiteAnswer answer;
+    SiteResponse response;
     snprintf(args, sizeof(args), "{\"pool\":\"track\",\"min_serving\":%d}",
              min_serving);
-    CU_ASSERT_EQUAL(site_intent(site, 0, "budget.set", args, &answer), 200);
-    long status = site_intent(site, 1, "wave.start",
-                              "{\"name\":\"w\",\"max_parallel\":2}", &answer);
-    fault_check(status == 200, "the wave starts", answer.body);
+    CU_ASSERT_EQUAL(site_intent(site, 0, "budget.set", args, &response), 200);
+    long status =
+        site_intent(site, 1, "wave.start",
+                    "{\"name\":\"w\",\"max_parallel\":2}", &response);
+    fault_check(status == 200, "the wave starts", response.body);
 }
 
 static void
-intent(Site *site, const char *kind)
+send_wave_intent(Site *site, const char *kind)
 {
-    SiteAnswer answer;
-    long status = site_intent(site, 2, kind, "{\"name\":\"w\"}", &answer);
-    fault_check(status == 200, kind, answer.body);
+    SiteResponse response;
+    long status = site_intent(site, 2, kind, "{\"name\":\"w\"}", &response);
+    fault_check(status == 200, kind, response.body);
 }
 
-/* Sends load for some seconds and checks the budget all the time. */
+/* Sends load for LOAD_S seconds and checks the budget meanwhile; all requests
+ * must complete. */
 static void
-load_and_check(Site *site, unsigned daemons, int reader)
+run_load(Site *site, unsigned daemons, int reader)
 {
     static int number;
     FaultLoad load;
     AqError error;
     int status;
     char name[16];
-    snprintf(name, sizeof(name), "wave%d", ++number); /* new request ids */
+    /* Each load needs new request ids. */
+    snprintf(name, sizeof(name), "wave%d", ++number);
     const FaultLoadOptions options = {.name = name,
-                                      .daemons = daemons,
+                                      .daemon_mask = daemons,
                                       .path = "/work?service_ms=40",
-                                      .rate = 50,
-                                      .seconds = CHUNK_S,
+                                      .rate_per_s = 50,
+                                      .duration_s = LOAD_S,
                                       .timeout_ms = 20000,
-                                      .non_idempotent = 50};
+                                      .non_idempotent_percent = 50};
     fault_load_start(site, &options, &load);
     while (!AqProcess_WaitExit(load.process, 0, &status, &error)) {
         check_budget(site, reader, MIN_SERVING);
         site_wait_change(site);
     }
     load.summary = json_load_file(load.output, 0, NULL);
-    fault_load_all_completed(&load);
+    fault_load_check_completed(&load);
     fault_load_clear(&load);
 }
 
 static void
-run_to_the_end(Site *site, unsigned daemons, int reader)
+run_until_done(Site *site, unsigned daemons, int reader)
 {
-    AqTime until = AqClock_ReadMonotonic() + WAVE_MS;
+    AqTime until = AqClock_ReadMonotonic() + WAVE_TIMEOUT_MS;
     do {
-        load_and_check(site, daemons, reader);
-    } while (!wave_is(site, reader, "done") &&
+        run_load(site, daemons, reader);
+    } while (!is_wave_state(site, reader, "done") &&
              AqClock_ReadMonotonic() < until);
-    CU_ASSERT_TRUE(wave_is(site, reader, "done"));
-    CU_ASSERT_EQUAL(wave_count(site, reader, "done"), SITE_ENDPOINTS);
-    CU_ASSERT_EQUAL(wave_count(site, reader, "failed"), 0);
+    CU_ASSERT_TRUE(is_wave_state(site, reader, "done"));
+    CU_ASSERT_EQUAL(read_wave_count(site, reader, "done"), SITE_ENDPOINTS);
+    CU_ASSERT_EQUAL(read_wave_count(site, reader, "failed"), 0);
     CU_ASSERT_EQUAL(fault_serving(site, reader), SITE_ENDPOINTS);
 }
 
-/* Guards against requests that a wave cuts off, and a budget that it does not
- * keep. */
+/* Guards against requests that a wave cuts off, and against a wave that
+ * exceeds the disruption budget. */
 static void
 test_load(void)
 {
     Site site;
     site_start(&site);
     start_wave(&site, MIN_SERVING);
-    run_to_the_end(&site, 7, 0);
+    run_until_done(&site, 7, 0);
     site_stop(&site);
 }
 
 static bool
-wait_away(Site *site, int daemon)
+wait_vm_out_of_service(Site *site, int daemon)
 {
     AqTime until = AqClock_ReadMonotonic() + FAULT_WAIT_MS;
     do {
@@ -148,17 +153,17 @@
     return false;
 }
 
-/* Asks until all VMs serve; no VM may leave service that served at the
- * first look. */
+/* Polls until all VMs serve; fails the test when a VM leaves service that
+ * served at the first read. */
 static void
-check_nothing_new(Site *site, int daemon, const char *what)
+check_no_new_drain(Site *site, int daemon, const char *what)
 {
-    bool away[SITE_ENDPOINTS];
+    bool is_out_of_service[SITE_ENDPOINTS];
     char state[24];
-    AqTime until = AqClock_ReadMonotonic() + WAVE_MS;
+    AqTime until = AqClock_ReadMonotonic() + WAVE_TIMEOUT_MS;
     for (int i = 0; i < SITE_ENDPOINTS; i++) {
         fault_vm_state(site, daemon, i, state);
-        away[i] = strcmp(state, "serving") != 0;
+        is_out_of_service[i] = strcmp(state, "serving") != 0;
     }
     int serving;
     do {
@@ -166,7 +171,7 @@
         for (int i = 0; i < SITE_ENDPOINTS; i++) {
             fault_vm_state(site, daemon, i, state);
             bool serves = strcmp(state, "serving") == 0;
-            fault_check(serves || away[i], what, state);
+            fault_check(serves || is_out_of_service[i], what, state);
             serving += serves;
         }
         site_wait_change(site);
@@ -174,23 +179,23 @@
     CU_ASSERT_EQUAL(serving, SITE_ENDPOINTS);
 }
 
-/* Guards against VMs that a wave still takes after it was paused or
- * aborted. */
+/* Guards against a wave that takes further VMs out of service after the wave
+ * was paused or aborted. */
 static void
 test_pause_abort(void)
 {
     Site site;
     site_start(&site);
     start_wave(&site, MIN_SERVING);
-    CU_ASSERT_TRUE(wait_away(&site, 2));
-    intent(&site, "wave.pause");
-    check_nothing_new(&site, 2, "after the pause");
-    CU_ASSERT_TRUE(wave_is(&site, 2, "paused"));
-    intent(&site, "wave.resume");
-    CU_ASSERT_TRUE(wait_away(&site, 2));
-    intent(&site, "wave.abort");
-    check_nothing_new(&site, 2, "after the abort");
-    CU_ASSERT_TRUE(wave_is(&site, 2, "aborted"));
+    CU_ASSERT_TRUE(wait_vm_out_of_service(&site, 2));
+    send_wave_intent(&site, "wave.pause");
+    check_no_new_drain(&site, 2, "after the pause");
+    CU_ASSERT_TRUE(is_wave_state(&site, 2, "paused"));
+    send_wave_intent(&site, "wave.resume");
+    CU_ASSERT_TRUE(wait_vm_out_of_service(&site, 2));
+    send_wave_intent(&site, "wave.abort");
+    check_no_new_drain(&site, 2, "after the abort");
+    CU_ASSERT_TRUE(is_wave_state(&site, 2, "aborted"));
     site_stop(&site);
 }
 
@@ -198,7 +203,7 @@
  */
 
 static json_t *
-next_head(const json_t *head, const char *vm, const json_t *record)
+make_next_head(const json_t *head, const char *vm, const json_t *record)
 {
     static int number;
     char op[32];
@@ -216,20 +221,22 @@
     return next;
 }
 
-/* A write that loses a race is tried again by the caller's next round. */
+/* Writes the fleet document's head with one more change.  The write has no
+ * effect when another writer was faster; the caller's next round repeats
+ * it. */
 static void
-write_head(Site *site, const json_t *head, long long index, const char *vm,
+write_head(Site *site, const json_t *head, long long revision, const char *vm,
            const json_t *record)
 {
     char url[160];
     AqError error;
     AqTestHttpReply reply = {0};
-    json_t *next = next_head(head, vm, record);
+    json_t *next = make_next_head(head, vm, record);
     char *text = json_dumps(next, JSON_COMPACT);
     AqTestHttpCall put = {
         .method = "PUT", .url = url, .body = text, .size = strlen(text)};
     snprintf(url, sizeof(url), "http://%s/v1/kv/aq/fleet/head?cas=%lld",
-             AqProcess_Address(site->platform, "platform"), index);
+             AqProcess_Address(site->platform, "platform"), revision);
     if (!AqTestHttp_Call(&put, &reply, &error)) {
         printf("%s\n", error.message);
     }
@@ -238,8 +245,8 @@
     json_decref(next);
 }
 
-/* Commits that the time of a rebooting VM is over, as if its 10 minutes had
- * passed. */
+/* Moves the due time of a rebooting VM into the past, as if the VM's 10
+ * minutes for a reboot had passed. */
 static void
 expire_reboot(Site *site, const char *vm)
 {
@@ -260,31 +267,34 @@
     }
     guchar *bytes = g_base64_decode(value, &size);
     json_t *head = json_loadb((const char *)bytes, size, 0, NULL);
-    long long index = json_integer_value(json_object_get(item, "ModifyIndex"));
+    long long revision =
+        json_integer_value(json_object_get(item, "ModifyIndex"));
     g_free(bytes);
     json_decref(items);
     json_object_set_new(record, "due", json_integer(1));
-    /* A full tail is left to the daemons, which write a snapshot. */
-    if (json_array_size(json_object_get(head, "tail")) < TAIL_ROOM) {
-        write_head(site, head, index, vm, record);
+    /* When the head's list of changes, the tail, is full, nothing is written:
+     * the daemons empty the tail by writing a snapshot. */
+    if (json_array_size(json_object_get(head, "tail")) < MAX_TAIL_CHANGES) {
+        write_head(site, head, revision, vm, record);
     }
     json_decref(head);
     json_decref(record);
 }
 
-/* Guards against a wave that goes on while the VMs it reboots do not come
- * back. */
+/* Guards against a wave that continues while the VMs that it reboots do not
+ * return to service. */
 static void
 test_failing_reboots(void)
 {
     Site site;
     char name[8];
     char state[24];
-    AqTime until = AqClock_ReadMonotonic() + WAVE_MS;
+    AqTime until = AqClock_ReadMonotonic() + WAVE_TIMEOUT_MS;
     site_start(&site);
     site_platform_faults(&site, "{\"failing_reboots\":1000}");
     start_wave(&site, SITE_MIN_SERVING);
-    while (!wave_is(&site, 0, "stopped") && AqClock_ReadMonotonic() < until) {
+    while (!is_wave_state(&site, 0, "stopped") &&
+           AqClock_ReadMonotonic() < until) {
         check_budget(&site, 0, SITE_MIN_SERVING);
         for (int i = 0; i < SITE_ENDPOINTS; i++) {
             snprintf(name, sizeof(name), "vm%d", i);
@@ -292,8 +302,8 @@
         }
         site_wait_change(&site);
     }
-    CU_ASSERT_TRUE(wave_is(&site, 0, "stopped"));
-    CU_ASSERT_EQUAL(wave_count(&site, 0, "failed"), 2);
+    CU_ASSERT_TRUE(is_wave_state(&site, 0, "stopped"));
+    CU_ASSERT_EQUAL(read_wave_count(&site, 0, "failed"), 2);
     CU_ASSERT_EQUAL(fault_serving(&site, 0), SITE_ENDPOINTS - 2);
     int failed = 0;
     for (int i = 0; i < SITE_ENDPOINTS; i++) {
@@ -311,11 +321,11 @@
 find_planner(Site *site)
 {
     AqTime until = AqClock_ReadMonotonic() + FAULT_WAIT_MS;
-    SiteAnswer answer;
+    SiteResponse response;
     do {
         for (int i = 0; i < SITE_DAEMONS; i++) {
-            site_get(site, i, "operators", "/admin/v1/status", &answer);
-            if (strstr(answer.body, "\"planner\":true") != NULL) {
+            site_get(site, i, "operators", "/admin/v1/status", &response);
+            if (strstr(response.body, "\"planner\":true") != NULL) {
                 return i;
             }
         }
@@ -323,8 +333,9 @@
     return -1;
 }
 
-/* Guards against a wave that ends with its planner, and VMs that are rebooted
- * twice or forgotten by the next one. */
+/* Guards against a wave that ends when the daemon with the planner is killed,
+ * and against VMs that the next planner reboots twice or leaves out of
+ * service. */
 static void
 test_planner_killed(void)
 {
@@ -336,10 +347,10 @@
     CU_ASSERT_TRUE(planner >= 0);
     if (planner >= 0) {
         int reader = planner == 0 ? 1 : 0;
-        CU_ASSERT_TRUE(wait_away(&site, reader));
+        CU_ASSERT_TRUE(wait_vm_out_of_service(&site, reader));
         CU_ASSERT_TRUE(
             AqProcess_Signal(site.daemons[planner], SIGKILL, &error));
-        run_to_the_end(&site, 7U & ~(1U << planner), reader);
+        run_until_done(&site, 7U & ~(1U << planner), reader);
     }
     site_stop(&site);
 }
