--- a/packages/daemon/bench/bench_daemon.h
+++ b/packages/daemon/bench/bench_daemon.h
@@ -5,14 +5,14 @@
 
 /* Parts of bench_daemon; each prints a table of its measurements. */
 
-/* Measures requests per second and latency, both directly at the endpoints and
- * through "daemons" daemons. */
+/* Measures requests per second and latency of calls that go directly to the
+ * endpoints, and of calls through "daemons" daemons. */
 void bench_requests(int daemons);
 /* Measures how many requests are affected when open connections of endpoints
- * go silent, that is, stay open but carry no more bytes. */
+ * become silent, that is, stay open but carry no more bytes. */
 void bench_silent(void);
-/* Prints the header of the table that bench_idle() fills: the cost of daemons
- * without requests. */
+/* Prints the header of the table to which bench_idle() adds rows: the cost of
+ * daemons without requests. */
 void bench_idle_header(void);
 void bench_idle(const BenchPlan *plan);
 /* Measures the time from an operator's change until the change is in force at
@@ -21,7 +21,8 @@
 
 /* Returns the monotonic time in microseconds. */
 double bench_now_us(void);
-/* Sorts "values" and returns their percentile; 0 when "count" is 0. */
+/* Sorts "values" and returns their percentile "percent", from 0 to 100;
+ * returns 0 when "count" is 0. */
 double bench_percentile(double *values, size_t count, double percent);
 
 #endif
--- a/packages/daemon/bench/bench_idle.c
+++ b/packages/daemon/bench/bench_idle.c
@@ -6,8 +6,8 @@
 #include "bench_daemon.h"
 
 enum {
-    /* Covers the daemons' guard time of 4 s after the start and their first
-     * reads. */
+    /* Covers the guard time of 4 s (AQ_GUARD_MS) after the start of the
+     * daemons, and the daemons' first reads. */
     SETTLE_MS = 8000,
     MEASURE_MS = 10000,
     TEAMS = 10
@@ -17,7 +17,8 @@
     double cpu_ns;
     double rss_mb;
     double peer_bytes;
-    /* Bytes of calls for store, VM list, tasks and health checks. */
+    /* Bytes sent and received in store calls, reads of the VM list, task calls
+     * and health checks. */
     double http_bytes;
     double checks;
     double check_bytes;
--- a/packages/daemon/bench/bench_requests.c
+++ b/packages/daemon/bench/bench_requests.c
@@ -7,7 +7,7 @@
 
 enum {
     MAX_WORKERS = 32,
-    /* Most latencies that one worker records; further requests are not
+    /* Most latencies that one worker records; later completed requests are not
      * counted. */
     MAX_REQUESTS = 200000,
     SECONDS = 5,
@@ -34,7 +34,8 @@
     double *latency_us; /* latencies of completed requests */
     size_t completed;
     size_t not_run;
-    /* Requests that were neither completed nor not run, or had no response. */
+    /* Requests without a response, or with one that says neither completed nor
+     * not-run. */
     size_t unknown;
     size_t late; /* requests completed after more than 1 s */
 } Worker;
@@ -44,7 +45,8 @@
 static void
 count_reply(Worker *worker, const AqTestHttpReply *reply, double us)
 {
-    /* An endpoint's direct response has no Aq-Outcome header. */
+    /* Default for the response of an endpoint that is called directly, which
+     * has no Aq-Outcome header. */
     char outcome[24] = "completed";
     AqTestHttpReply_Header(reply, "Aq-Outcome", outcome, sizeof(outcome));
     if (reply->status == 200 && strcmp(outcome, "completed") == 0) {
@@ -191,7 +193,8 @@
                       .endpoints = 4,
                       .service_ms = 1};
     bench_start(&site, &plan);
-    /* Covers the daemons' guard time of 4 s after the start. */
+    /* Covers the guard time of 4 s (AQ_GUARD_MS) after the start of the
+     * daemons. */
     bench_sleep(6000);
     for (size_t i = 0; i < sizeof(callers) / sizeof(callers[0]); i++) {
         measure(&site, callers[i], true, KIND_IDEMPOTENT);
--- a/packages/daemon/tests/fault_site.h
+++ b/packages/daemon/tests/fault_site.h
@@ -77,7 +77,7 @@
     int rate_per_s; /* requests per second */
     int duration_s;
     int timeout_ms;
-    int non_idempotent_percent; /* percentage of requests */
+    int non_idempotent_percent; /* percentage of the load's requests */
 } FaultLoadOptions;
 
 void fault_load_start(Site *site, const FaultLoadOptions *options,
--- a/packages/daemon/tests/fuzz_callers.c
+++ b/packages/daemon/tests/fuzz_callers.c
@@ -12,8 +12,8 @@
 
 /* Fuzz test of the listener for callers: fuzz_callers CORPUS SEED RUNS sends
  * mutated requests.  Guards against bytes of a caller that crash the daemon,
- * give a parsed request that exceeds its limits, or leave an exchange pending.
- */
+ * give a parsed request that exceeds its limits or leave an HTTP exchange
+ * pending. */
 
 enum {
     MAX_LOOP_ROUNDS = 8,
--- a/packages/daemon/tests/test_configuration.c
+++ b/packages/daemon/tests/test_configuration.c
@@ -47,7 +47,7 @@
 }
 
 /* Checks that every daemon shows an accepted drain within 4 s of "accepted",
- * when the test received the response. */
+ * the time at which the test received the response. */
 static void
 check_in_force(Site *site, const RacingIntent *racing_intent, AqTime accepted)
 {
@@ -56,8 +56,8 @@
         AqTime began;
         bool shown;
         do {
-            /* The check fails only when a read that began within the limit,
-             * IN_FORCE_MS, shows the old state. */
+            /* The check fails only when the first read that began after
+             * IN_FORCE_MS still shows the old state. */
             began = AqClock_ReadMonotonic();
             shown = is_leaving_service(site, d, racing_intent->vm);
         } while (!shown && began - accepted <= IN_FORCE_MS);
@@ -122,7 +122,8 @@
         site, faults[(size_t)round % (sizeof(faults) / sizeof(faults[0]))]);
     for (int k = 0; k < RACING_INTENTS; k++) {
         /* The order of the intents is reversed after every 4 rounds, so that
-         * each daemon is the first in half of the rounds. */
+         * daemons 0 and 1 each receive the first intent in half of the
+         * rounds. */
         int i = round / 4 % 2 == 0 ? k : RACING_INTENTS - 1 - k;
         snprintf(op, sizeof(op), "race-%d-%s", round, racing_intents[i].op);
         snprintf(args, sizeof(args), "{\"id\":\"vm%d\"}",
--- a/packages/daemon/tests/test_endpoint_faults.c
+++ b/packages/daemon/tests/test_endpoint_faults.c
@@ -134,8 +134,8 @@
 }
 
 /* Guards against a request that is reported as not run but did run, and
- * against a claim that remains after every endpoint refused the request with
- * Aq-Not-Run. */
+ * against a claim that remains after every endpoint has refused the claimed
+ * request with the header Aq-Not-Run. */
 static void
 test_not_run(void)
 {
@@ -264,9 +264,10 @@
     return n;
 }
 
-/* Sends requests one after another.  After the first silent attempt the daemon
- * drops all idle connections to that endpoint, so at most one request per
- * endpoint is affected. */
+/* Sends requests one after another, after round 0 with silent connections,
+ * which stay open but carry no more bytes.  After the first attempt on a
+ * silent connection the daemon drops all idle connections to that endpoint, so
+ * at most one request per endpoint is affected. */
 static void
 check_silent_round(Site *site, int round)
 {
@@ -307,9 +308,9 @@
     }
 }
 
-/* Guards against requests that continue to use silent connections, and against
- * silent connections that stay open and use up an endpoint's limit of 64
- * connections. */
+/* Guards against requests that continue to use silent connections, which carry
+ * no more bytes, and against silent connections that stay open and use up an
+ * endpoint's limit of 64 connections. */
 static void
 test_silent_connections(void)
 {
--- a/packages/daemon/tests/test_limits.c
+++ b/packages/daemon/tests/test_limits.c
@@ -40,7 +40,7 @@
     fault_load_clear(load);
 }
 
-/* More load than 4 endpoints with 8 slots serve at 600 ms per request. The
+/* More load than 4 endpoints with 8 slots serve at 600 ms per request.  The
  * long service time and timeout avoid abandoned attempts: an endpoint
  * continues with the work of such an attempt, which the daemon cannot see. */
 static const FaultLoadOptions overload = {.name = "l1",
--- a/packages/daemon/tests/test_links.c
+++ b/packages/daemon/tests/test_links.c
@@ -39,7 +39,8 @@
 };
 
 typedef struct {
-    /* First field, so that set_relay_target() can cast Site to LinkSite. */
+    /* First field, so that set_relay_target() can cast a pointer to Site to
+     * one to LinkSite. */
     Site site;
     Relay *relays[2]; /* relays in front of daemons 0 and 1 */
 } LinkSite;
--- a/packages/daemon/tests/test_process.c
+++ b/packages/daemon/tests/test_process.c
@@ -119,7 +119,7 @@
 }
 
 /* Guards against a wrong "not-run" outcome, and against a second run, when the
- * store's reply is lost after the write. */
+ * store has carried out a write and its reply is lost. */
 static void
 test_lost_reply(void)
 {
@@ -194,7 +194,8 @@
         site_intent(&site, 0, "vm.drain", "{\"id\":\"vm0\"}", &response);
     CU_ASSERT_EQUAL(status, 503);
     check_reads_while_down(&site);
-    /* All daemons stay fresh through messages of their peers. */
+    /* Messages of the peers show each daemon that its fleet document is up to
+     * date, so that the daemon still serves requests. */
     site_call(&site, 2, "/list", NULL, &response);
     expect(&response, 200, "completed");
     site_platform_faults(&site, "{\"down\":\"none\"}");
@@ -239,7 +240,7 @@
  * attempt: a payment must end as unknown, and an idempotent request must be
  * attempted again. */
 static void
-test_crossed_answer(void)
+test_crossed_response(void)
 {
     Site site;
     SiteResponse response;
@@ -248,8 +249,8 @@
     site_call(&site, 0, "/pay", "crossed-1", &response);
     expect(&response, 502, "unknown");
     CU_ASSERT_EQUAL(site_runs(&site, "crossed-1"), 1);
-    /* Only endpoint 0 has the fault, so that a second attempt succeeds at
-     * another endpoint. */
+    /* Only endpoint 0 has the fault from here on, so that a second attempt
+     * succeeds at another endpoint. */
     site_endpoint_faults(&site, "{\"crossed\":0}");
     site_endpoint_faults(&site, "{\"endpoint\":0,\"crossed\":1}");
     for (int i = 0; i < 8; i++) {
@@ -491,7 +492,7 @@
     {"lost_reply", test_lost_reply},
     {"store_down", test_store_down},
     {"graceful_stop", test_graceful_stop},
-    {"crossed_answer", test_crossed_answer},
+    {"crossed_answer", test_crossed_response},
     {"ready_with_slots", test_ready_with_slots},
     {"cut_off_daemon_refuses", test_cut_off_daemon_refuses},
     {"restart_without_store", test_restart_without_store},
--- a/packages/daemon/tests/test_waves.c
+++ b/packages/daemon/tests/test_waves.c
@@ -55,8 +55,8 @@
 {
     char seen[32];
     int serving = fault_serving(site, daemon);
-    /* The result -1, no response within the call's timeout, says nothing about
-     * the budget. */
+    /* -1 means that the daemon did not respond within the call's timeout,
+     * which says nothing about the budget. */
     if (serving >= 0) {
         snprintf(seen, sizeof(seen), "%d serve", serving);
         fault_check(serving >= min_serving, "the budget is kept", seen);
@@ -95,7 +95,7 @@
     AqError error;
     int status;
     char name[16];
-    /* Each load needs new request ids. */
+    /* A new name gives each load new request ids. */
     snprintf(name, sizeof(name), "wave%d", ++number);
     const FaultLoadOptions options = {.name = name,
                                       .daemon_mask = daemons,
@@ -272,8 +272,8 @@
     g_free(bytes);
     json_decref(items);
     json_object_set_new(record, "due", json_integer(1));
-    /* When the head's list of changes, the tail, is full, nothing is written:
-     * the daemons empty the tail by writing a snapshot. */
+    /* Nothing is written when the head's list of changes since the snapshot,
+     * the tail, is full: the daemons empty the tail by writing a snapshot. */
     if (json_array_size(json_object_get(head, "tail")) < MAX_TAIL_CHANGES) {
         write_head(site, head, revision, vm, record);
     }
