--- a/packages/daemon/attempts.c
+++ b/packages/daemon/attempts.c
@@ -13,9 +13,9 @@
 enum {
     CONNECT_TIMEOUT_MS = 1000,
     MAX_SENT_HEADERS = 80,
-    /* libcurl ends an attempt this much later than the deadline of the
-     * request, at which the router ends it; libcurl's timeout applies only if
-     * the router fails to do so. */
+    /* Time in ms from the deadline of a request until libcurl's timeout ends
+     * an attempt of the request.  The router ends the request at the deadline;
+     * libcurl's timeout applies only if the router fails to do so. */
     TIMEOUT_MARGIN_MS = 2000
 };
 
--- a/packages/daemon/bench/bench_changes.c
+++ b/packages/daemon/bench/bench_changes.c
@@ -31,10 +31,11 @@
     AqTestHttpClient *clients[BENCH_MAX_DAEMONS];
     char urls[BENCH_MAX_DAEMONS][128];
     double reply_ms[CHANGES];
-    /* From the operator's response until the change is in force at all
-     * daemons. */
+    /* Time in ms of each change from the response to its intent until the
+     * change is in force at all daemons. */
     double reply_to_in_force_ms[CHANGES];
-    /* From sending the intent until the change is in force at all daemons. */
+    /* Time in ms of each change from the sending of its intent until the
+     * change is in force at all daemons. */
     double sent_to_in_force_ms[CHANGES];
     size_t count;
     size_t refused_count;
--- a/packages/daemon/bench/bench_daemon.c
+++ b/packages/daemon/bench/bench_daemon.c
@@ -8,14 +8,15 @@
 /* Measures the cost of the daemon with real processes on loopback.  Usage:
  *   bench_daemon [--bin DIRECTORY] requests|silent|changes|idle|jobs
  *   bench_daemon [--bin DIRECTORY] case DAEMONS VMS POOLS SLOTS JOBS
- * "case" measures one idle site.  The current directory must be
- * writable. */
+ * "case" measures one site (platform, endpoints and daemons) without requests
+ * of callers.  The current directory must be writable. */
 
 enum {
     ENDPOINTS = 8,
     SLOTS = 8
 };
 
+/* Columns: number of VMs, number of pools. */
 static const int fleet_sizes[][2] = {{50, 5}, {200, 12}, {450, 27}, {900, 53}};
 
 double
@@ -66,7 +67,8 @@
         run_idle(3, fleet_sizes[i][0], fleet_sizes[i][1], SLOTS, 0);
         run_idle(9, fleet_sizes[i][0], fleet_sizes[i][1], SLOTS, 0);
         /* With one slot per VM, fewer daemons check the health of each VM; the
-         * difference is the cost of the health checks. */
+         * difference from the previous row of the table is the cost of the
+         * health checks. */
         run_idle(9, fleet_sizes[i][0], fleet_sizes[i][1], 1, 0);
     }
     for (size_t i = 0; i < sizeof(daemons) / sizeof(daemons[0]); i++) {
@@ -89,8 +91,12 @@
 static void
 run_changes(void)
 {
+    /* Columns: numbers of daemons, VMs and pools. */
     static const int cases[][3] = {{1, 200, 12}, {3, 200, 12}, {9, 50, 5},
                                    {9, 200, 12}, {9, 450, 27}, {9, 900, 53}};
+    /* "reply": time in ms from sending an intent to its response; "reply to in
+     * force" and "sent to in force": time in ms from the response, or from
+     * sending, until the change is in force at all daemons. */
     printf("| daemons | VMs | reply p50 ms | p99 | reply to in force p50 "
            "| p99 | max | sent to in force p50 | p99 | max | not accepted "
            "|\n");
@@ -108,6 +114,9 @@
 run_requests(void)
 {
     static const int daemons[] = {1, 3, 9};
+    /* "way": calls sent directly to the endpoints or through the daemons;
+     * p50 and p99: latency of completed requests; "not completed": number of
+     * requests that were not run or whose outcome is unknown. */
     printf("| daemons | callers at once | way | kind | requests/s | p50 ms "
            "| p99 ms | not completed |\n");
     for (size_t i = 0; i < sizeof(daemons) / sizeof(daemons[0]); i++) {
--- a/packages/daemon/bench/bench_idle.c
+++ b/packages/daemon/bench/bench_idle.c
@@ -6,8 +6,9 @@
 #include "bench_daemon.h"
 
 enum {
-    /* Covers the guard time of 4 s (AQ_GUARD_MS) after the start of the
-     * daemons, and the daemons' first reads. */
+    /* Wait in ms from the time when all daemons are ready, and the jobs
+     * submitted, until the measurement.  It covers the guard time of 4 s
+     * (AQ_GUARD_MS) after the start of the daemons, and their first reads. */
     SETTLE_MS = 8000,
     MEASURE_MS = 10000,
     TEAMS = 10
@@ -17,8 +18,8 @@
     double cpu_ns;
     double rss_mb;
     double peer_bytes;
-    /* Bytes sent and received in store calls, reads of the VM list, task calls
-     * and health checks. */
+    /* Bytes that the daemon has sent and received since its start in store
+     * calls, reads of the VM list, task calls and health checks. */
     double http_bytes;
     double checks;
     double check_bytes;
@@ -106,6 +107,12 @@
     STORE_CALL_KINDS = sizeof(store_call_kinds) / sizeof(store_call_kinds[0])
 };
 
+/* Columns after the numbers of the plan: processor use of a daemon without the
+ * planner and of the one with it, in percent of a core; largest resident
+ * memory of a daemon; bytes a second per daemon to and from peers; HTTP bytes
+ * a second without health checks of a daemon without the planner and of the
+ * one with it; health checks a second and their bytes per daemon; store calls
+ * of each kind a second by all daemons; size of one VM list. */
 void
 bench_idle_header(void)
 {
--- a/packages/daemon/bench/bench_requests.c
+++ b/packages/daemon/bench/bench_requests.c
@@ -34,10 +34,10 @@
     double *latency_us; /* latencies of completed requests */
     size_t completed;
     size_t not_run;
-    /* Requests without a response, or with one that says neither completed nor
-     * not-run. */
+    /* Number of requests without a response, or with a response whose outcome
+     * is neither completed nor not-run. */
     size_t unknown;
-    size_t late; /* requests completed after more than 1 s */
+    size_t late; /* requests completed more than 1 s after they began */
 } Worker;
 
 static int run_count;
@@ -193,8 +193,8 @@
                       .endpoints = 4,
                       .service_ms = 1};
     bench_start(&site, &plan);
-    /* Covers the guard time of 4 s (AQ_GUARD_MS) after the start of the
-     * daemons. */
+    /* The wait covers the guard time of 4 s (AQ_GUARD_MS) after the start of
+     * the daemons. */
     bench_sleep(6000);
     for (size_t i = 0; i < sizeof(callers) / sizeof(callers[0]); i++) {
         measure(&site, callers[i], true, KIND_IDEMPOTENT);
@@ -216,7 +216,8 @@
         start_workers(workers[kind], 8, (Kind)kind, 10000);
     }
     bench_sleep(SILENCE_DELAY_MS);
-    /* Silences all open connections of one of the four endpoint processes. */
+    /* All open connections of one of the four endpoint processes become
+     * silent: they stay open but carry no more bytes. */
     json_decref(bench_control(site->endpoints[round % site->plan.endpoints],
                               "POST", "/test/v1/faults",
                               "{\"silence_open\":true}"));
@@ -242,6 +243,8 @@
                       .slots = 8,
                       .endpoints = 4,
                       .service_ms = 20};
+    /* Columns: numbers of requests in one round; "after 1 s" counts the
+     * completed requests that took more than 1 s. */
     printf("| round | idempotent: completed | after 1 s | not run | unknown "
            "| non-idempotent: completed | after 1 s | not run | unknown |\n");
     bench_start(&site, &plan);
--- a/packages/daemon/bench/bench_site.h
+++ b/packages/daemon/bench/bench_site.h
@@ -8,13 +8,14 @@
 #include "aq_test_http.h"
 #include "aq_test_process.h"
 
-/* Site of real processes on loopback with a fleet of any size.  The VMs share
- * the ports of a few endpoint processes. */
+/* A site is the set of processes of one measurement, on loopback: the
+ * simulated platform, endpoint processes and daemons.  The fleet may have any
+ * size; its VMs share the ports of a few endpoint processes. */
 
 enum {
     BENCH_MAX_DAEMONS = 27,
     BENCH_MAX_ENDPOINTS = 8,     /* most endpoint processes of a site */
-    BENCH_PORTS_PER_ENDPOINT = 4 /* ports of one endpoint process */
+    BENCH_PORTS_PER_ENDPOINT = 4 /* listening ports of each process */
 };
 
 typedef struct {
@@ -23,7 +24,7 @@
     int pools;
     int slots;      /* request slots of each VM */
     int endpoints;  /* endpoint processes */
-    int service_ms; /* service time of a request at an endpoint */
+    int service_ms; /* time in ms for which an endpoint runs a request */
     int jobs;       /* jobs that run during the measurement; 0: none */
 } BenchPlan;
 
@@ -40,8 +41,9 @@
  * set another string, which is not copied. */
 extern const char *bench_bin;
 
-/* Starts a site with a fleet of the given plan and returns when every daemon
- * is ready and a member.  Ends the program on an error. */
+/* Starts the processes of a site with the numbers of daemons, VMs and pools in
+ * "plan" and returns when every daemon is ready and a member.  Ends the
+ * program on an error. */
 void bench_start(BenchSite *site, const BenchPlan *plan);
 void bench_stop(BenchSite *site);
 void bench_fail(const char *what, const char *why);
--- a/packages/daemon/claim_client.c
+++ b/packages/daemon/claim_client.c
@@ -53,7 +53,7 @@
     GHashTable *own;
     /* Claim number with PEER_BIT -> PeerClaim, owned by the table. */
     GHashTable *peers;
-    uint64_t last_peer_number; /* last number assigned to a claim of a peer */
+    uint64_t last_peer_number; /* last number assigned to a peer's claim */
     /* OwnClaims sent to the daemon that owns their partition, oldest first. */
     AqLink sent_to_owner;
     AqRandom random;
@@ -380,9 +380,9 @@
     {
         OwnClaim *own = AqList_Entry(at, OwnClaim, link);
         if (own->requested_until <= now) {
-            /* The claim keeps its nonce, so that a claim that the owner of the
-             * partition has already written to the store is recognised as the
-             * same claim. */
+            /* The claim keeps its nonce (random number), so that a claim that
+             * the owner of the partition has already written to the store is
+             * recognised as the same claim. */
             submit_locally(client, own);
         }
     }
--- a/packages/daemon/commits.c
+++ b/packages/daemon/commits.c
@@ -44,25 +44,29 @@
 
 struct Commits {
     Daemon *daemon;
-    AqLink waiting; /* Commits neither stored nor in "batch" */
-    /* Commits in the current write of the store entry "head". */
+    AqLink waiting; /* Commits (changes) not stored and not in "batch" */
+    /* Commits (submitted changes) that the current batch evaluates and stores
+     * with one write of the store entry "head". */
     AqLink batch;
-    /* Stored Commits that a majority of members has not reported in force. */
+    /* Commits (submitted changes) that are stored and that a majority of the
+     * epoch's members has not yet reported in force. */
     AqLink confirming;
     /* A batch is in progress: the store entry "head" is being read, changes
      * are being evaluated, or "head" is being written. */
     bool is_batch_running;
-    /* Store revision at which the entry "head" was last written, as read for
-     * the batch. */
+    /* Store revision at which the entry "head" was last written, as returned
+     * by the read of "head" with which the current batch (the changes that one
+     * commit stores together) began. */
     uint64_t head_index;
     /* Fleet document version of the snapshot being written to the store. */
     int64_t snapshot_version;
     /* Fleet document version of the snapshot to remove after the next write of
      * the store entry "head"; 0: none. */
     int64_t old_snapshot_version;
-    AqFleet *next; /* fleet document with the batch applied, or NULL */
+    AqFleet *next; /* fleet document with the changes in "batch", or NULL */
     AqTimer timer;
-    /* Write conflicts since the last write that succeeded. */
+    /* Conflicts with writes by other daemons since this daemon's last write of
+     * the store entry "head" that succeeded. */
     int conflicts_in_row;
     AqRandom random;
     AqMetric *writes;
@@ -180,8 +184,8 @@
     }
 }
 
-/* Ends the batch of changes without a result and puts the changes at the front
- * of the list of waiting changes. */
+/* Ends the current batch, the changes that one commit stores together, without
+ * a result and puts these changes at the front of the list "waiting". */
 static void
 requeue_batch(Commits *commits)
 {
@@ -290,8 +294,9 @@
 }
 
 /* Evaluates one change on the fleet document with the earlier changes of the
- * batch applied.  The write of the earlier changes may still fail, so a result
- * that depends on them is not reported before the store confirms the write. */
+ * batch (the changes that one commit stores together) applied.  The write of
+ * the earlier changes may still fail, so a result that depends on them is not
+ * reported before the store confirms the write. */
 static void
 evaluate(Commits *commits, Commit *commit)
 {
@@ -365,8 +370,9 @@
     }
     AqFleet *fleet = Daemon_Fleet(commits->daemon);
     if (AqFleet_Version(fleet) != commits->snapshot_version) {
-        /* The watch of the store entry "head" has installed a newer fleet
-         * document while the snapshot was written. */
+        /* FleetSync, which watches the store entry "head", has installed a
+         * newer fleet document while the snapshot was written, so the changes
+         * of the batch must be evaluated again. */
         requeue_batch(commits);
         return;
     }
--- a/packages/daemon/endpoints.c
+++ b/packages/daemon/endpoints.c
@@ -30,15 +30,16 @@
     char *address;
     AqVmState state;
     int slots;
-    /* The fleet document being applied lists the endpoint. */
+    /* Whether the fleet document that Endpoints_Refresh applies at present
+     * lists the endpoint. */
     bool is_in_document;
     bool reported_leaving; /* the endpoint itself reports that it is leaving */
-    /* End of the validity of the last report by a peer that the endpoint is
-     * leaving. */
+    /* A peer's last report that the endpoint is leaving is valid until this
+     * time on the loop's clock. */
     AqTime peer_leaving_until;
-    bool leaving; /* the router treats the endpoint as leaving */
-    /* Number of slots of the endpoint that this daemon's router may use now.
-     */
+    bool leaving; /* this daemon's router starts no new requests on it */
+    /* Number of the endpoint's request slots that this daemon's router may
+     * use, as last computed by Endpoints_RefreshSlots. */
     int usable;
     /* Number that changes when idle connections to the endpoint must not be
      * used again. */
@@ -60,8 +61,10 @@
      * fleet document. */
     bool has_slots;
     EndpointsCounts counts;
-    bool was_steady; /* AqSlices_IsSteady before the last refresh of slots */
-    bool was_fresh;  /* AqMembership_IsFresh at the last refresh of slots */
+    /* Value of AqSlices_IsSteady when Endpoints_RefreshSlots last began. */
+    bool was_steady;
+    /* Value of AqMembership_IsFresh when Endpoints_RefreshSlots last began. */
+    bool was_fresh;
 };
 
 static Endpoint *
--- a/packages/daemon/fleet_sync.c
+++ b/packages/daemon/fleet_sync.c
@@ -48,8 +48,9 @@
     Daemon *daemon;
     AqFleet *fleet;
     AqLink reads; /* HeadReads in progress; FleetSync_Destroy frees them */
-    /* Store revision of the last watched version of the entry "head"; the next
-     * watch waits for a later one. */
+    /* Store revision of the entry "head" that the last watch returned; the
+     * next watch waits for a later one.  0 before the first watch and after a
+     * failed watch. */
     uint64_t watch_index;
     AqTimer retry;
     /* Time at which the last successful HeadRead (read from the store)
--- a/packages/daemon/peers.c
+++ b/packages/daemon/peers.c
@@ -217,8 +217,9 @@
     if (out != NULL) {
         return send_on(out, msg);
     }
-    /* While this daemon has no fleet document, the ids of the seeds are
-     * unknown and the message goes to all seeds. */
+    /* While this daemon has no fleet document, it does not know the ids of the
+     * seeds (addresses in the setting peers.seeds), and the message goes to
+     * all seeds. */
     bool sent = false;
     AqList_ForEach(at, &peers->outgoing)
     {
--- a/packages/daemon/slot_leasing.c
+++ b/packages/daemon/slot_leasing.c
@@ -7,8 +7,8 @@
 #include "peers.h"
 
 enum {
-    /* Time during which a peer may start new requests on the slots of a lease.
-     */
+    /* Term of a lease in ms: from its start, the peer may start new requests
+     * on the leased slots for this long. */
     LEASE_TERM_MS = 2000,
     RETURN_CHECK_PERIOD_MS = 100,
     /* Greatest number of slots of one service that one message requests from a
--- a/packages/daemon/slot_leasing.h
+++ b/packages/daemon/slot_leasing.h
@@ -17,10 +17,14 @@
  * the peer. */
 void SlotLeasing_OnHeartbeat(Daemon *daemon, const char *from,
                              const AqMsgHeartbeat *beat);
-/* Handles the request of a peer for slot leases of one service. */
+/* Handles the request of the peer "from" for leases of slots of one service:
+ * leases at most half of this daemon's idle slots of that service to the peer,
+ * unless requests of the service are queued at this daemon. */
 void SlotLeasing_OnRequest(Daemon *daemon, const char *from,
                            const AqMsgSlots *msg);
-/* Handles a slot lease that a peer has granted to this daemon. */
+/* Adds the slots of an endpoint that the peer "from" has leased to this daemon
+ * in "msg" to the slots that this daemon's router may use, for the term of the
+ * lease. */
 void SlotLeasing_OnGrant(Daemon *daemon, const char *from,
                          const AqMsgSlots *msg);
 
--- a/packages/daemon/stopping.c
+++ b/packages/daemon/stopping.c
@@ -18,9 +18,10 @@
     Daemon *daemon;
     AqTimer timer;
     AqTime phase_since;
-    /* End of the wait for callers' requests in flight. */
+    /* Time until which a stop waits for the end of callers' requests in
+     * flight. */
     AqTime drain_deadline;
-    AqTime leave_deadline; /* end of the attempts to leave the epoch */
+    AqTime leave_deadline; /* until then a refused removal is retried */
     int leave_attempts;
 };
 
@@ -43,8 +44,9 @@
     (void)version;
     if (status == COMMIT_REFUSED && error->kind == AQ_ERR_CONFLICT &&
         now < stopping->leave_deadline) {
-        /* The epoch (set of members) is changing because of another member;
-         * retry. */
+        /* This daemon's removal from the epoch (set of members) was refused
+         * because the epoch is changing for another member.  The timer submits
+         * the removal again after CHECK_PERIOD_MS. */
         AqTimer_Start(stopping->daemon->loop, &stopping->timer,
                       now + CHECK_PERIOD_MS);
         return;
--- a/packages/daemon/task_client.c
+++ b/packages/daemon/task_client.c
@@ -9,7 +9,8 @@
 #include "planner_runner.h"
 
 enum {
-    /* Term of a task's lease, requested when the task starts. */
+    /* Term of a task's lease in ms, which an order to start the task requests
+     * from the platform. */
     LEASE_MS = 10000,
     LIST_WAIT_S = 5,
     LIST_TIMEOUT_MARGIN_MS = 2000,
@@ -23,7 +24,9 @@
     AqJobs *jobs;
     json_t *tasks; /* latest JSON list of tasks from the platform, or NULL */
     int64_t index; /* platform's change counter at the latest list of tasks */
-    /* HTTP request for the list of tasks, or NULL if none is in progress. */
+    /* Long poll for the platform's list of tasks: an HTTP call to which the
+     * platform replies after a change of a task, at the latest after
+     * LIST_WAIT_S.  NULL if no call is in progress. */
     AqHttpCall *watch;
     AqTimer retry;
     AqLink orders; /* Orders to which the platform has not replied */
--- a/packages/daemon/tests/fault_site.h
+++ b/packages/daemon/tests/fault_site.h
@@ -17,7 +17,8 @@
     CU_TestFunc run;
 } FaultTest;
 
-/* Tables of tests, one per test file; an entry with a NULL name ends each. */
+/* Tables of fault tests, one for each test file; the last entry of each table
+ * has a NULL name. */
 extern const FaultTest endpoint_tests[];
 extern const FaultTest limit_tests[];
 extern const FaultTest leaving_tests[];
@@ -39,11 +40,12 @@
 int fault_endpoint_sum(Site *site, const char *field);
 int fault_endpoint_max(Site *site, const char *field);
 int fault_endpoint_field(Site *site, int endpoint, const char *field);
-/* Returns the endpoints' response to /test/v1/runs?ids as a new reference. */
+/* Returns the endpoints' response to /test/v1/runs?ids, with the number of
+ * runs of each request id, as a new reference. */
 json_t *fault_runs(Site *site);
 /* Polls until a counter of one endpoint, or its sum over all endpoints when
- * "endpoint" is -1, is from "low" to "high"; returns false after "ms"
- * milliseconds. */
+ * "endpoint" is -1, is from "low" to "high"; returns false if that does not
+ * happen within "ms" milliseconds of the call. */
 bool fault_wait_endpoint(Site *site, int endpoint, const char *field, int low,
                          int high, int ms);
 /* Calls the test interface of a simulated service and returns the response as
@@ -67,17 +69,17 @@
     AqProcess *process;
     char output[96];
     char log[96];
-    json_t *summary; /* results of the load; NULL before fault_load_finish() */
+    json_t *summary; /* aq-caller's results; NULL before fault_load_finish() */
 } FaultLoad;
 
 typedef struct {
     const char *name;     /* part of this load's request ids and file names */
     unsigned daemon_mask; /* bit i is set: daemon i receives requests */
     const char *path;
-    int rate_per_s; /* requests per second */
+    int rate_per_s; /* requests that aq-caller sends per second */
     int duration_s;
     int timeout_ms;
-    int non_idempotent_percent; /* percentage of the load's requests */
+    int non_idempotent_percent; /* share of all requests, in percent */
 } FaultLoadOptions;
 
 void fault_load_start(Site *site, const FaultLoadOptions *options,
--- a/packages/daemon/tests/relay.c
+++ b/packages/daemon/tests/relay.c
@@ -19,7 +19,7 @@
     MAX_CONNECTIONS = 64,
     CHUNK_SIZE = 16384,
     NAME_SIZE = 16,
-    POLL_MS = 20 /* longest wait of the relay thread while bytes are queued */
+    POLL_MS = 20 /* most ms between two checks of queued bytes */
 };
 
 /* Bytes that the relay has received and not yet sent completely. */
--- a/packages/daemon/tests/site.h
+++ b/packages/daemon/tests/site.h
@@ -7,8 +7,9 @@
 #include "aq_test_http.h"
 #include "aq_test_process.h"
 
-/* Test site of real processes on loopback: the simulated platform, one process
- * with the endpoints of pool "track", and daemons. */
+/* A site is the set of processes of one test, on loopback: the simulated
+ * platform, one process with all endpoints of pool "track", and the daemons.
+ */
 
 enum {
     SITE_DAEMONS = 3,
@@ -29,12 +30,13 @@
     /* Called whenever a daemon has started and listens; may be NULL. */
     void (*on_started)(Site *site, int daemon);
     int op_count; /* intents sent so far; makes operation ids unique */
-    /* Store revision of the fleet document's head when the site last read the
-     * head. */
+    /* Store revision of the fleet document's head when the test last read the
+     * head from the store. */
     long long head_revision;
 };
 
-/* Paths of the programs that a site starts; main() sets them. */
+/* Paths of the programs that a site (the processes of one test) starts; main()
+ * sets them. */
 typedef struct {
     const char *platform;
     const char *endpoint;
@@ -43,8 +45,9 @@
 
 extern SitePrograms site_programs;
 
-/* Starts all processes and returns when all daemons are ready and all VMs of
- * pool "track" serve.  Ends the test program on failure. */
+/* Starts the platform, the endpoints and the daemons and returns when all
+ * daemons are ready and all VMs of pool "track" serve.  Ends the test program
+ * on failure. */
 void site_start(Site *site);
 /* Like site_start(), but uses the "advertise", "endpoint_slots" and
  * "on_started" that the caller has set; all other fields must be zero. */
@@ -120,19 +123,21 @@
 /* Returns the number of requests that run at all endpoints now. */
 int site_running_requests(Site *site);
 
-/* Waits until the head of the fleet document in the store changes, at most 50
- * ms. */
+/* Waits until the head of the fleet document in the store changes, at most
+ * 50 ms from the call. */
 void site_wait_change(Site *site);
 /* Polls a path of a daemon's listener until the response has the status;
- * returns false after "ms" milliseconds. */
+ * returns false if that does not happen within "ms" milliseconds of the call.
+ */
 bool site_wait_status(Site *site, int daemon, const char *listener,
                       const char *path, long status, int ms);
 /* Polls a path of a daemon's listener for operators until the response body
- * contains a text; returns false after "ms" milliseconds. */
+ * contains a text; returns false if that does not happen within "ms"
+ * milliseconds of the call. */
 bool site_wait_text(Site *site, int daemon, const char *path, const char *text,
                     int ms);
-/* Polls the endpoints until exactly "count" requests run; returns false after
- * "ms" milliseconds. */
+/* Polls the endpoints until exactly "count" requests run; returns false if
+ * that does not happen within "ms" milliseconds of the call. */
 bool site_wait_running(Site *site, int count, int ms);
 
 #endif
--- a/packages/daemon/tests/test_at_most_once.c
+++ b/packages/daemon/tests/test_at_most_once.c
@@ -16,7 +16,8 @@
 };
 
 typedef enum {
-    /* The store has received the claim's write and not yet carried it out. */
+    /* The store has received the write of a request's claim and has not yet
+     * carried out the write. */
     CLAIM_REQUESTED,
     CLAIM_WRITTEN, /* the claim is stored, but the store's reply is lost */
     REQUEST_SENT   /* a request of the batch runs at an endpoint */
@@ -94,8 +95,8 @@
                                "\"lose_silently\":false}");
 }
 
-/* Repeats the batch at another daemon.  A repeat with status 503 was not run
- * and may be sent again. */
+/* Sends the requests of a batch again, with the same ids, to daemon "daemon".
+ * A repeat that receives status 503 was not run and may be sent again. */
 static void
 repeat_batch(Site *site, int daemon, Batch *batch)
 {
@@ -179,8 +180,9 @@
     site_stop(&site);
 }
 
-/* Guards against a daemon that is frozen for longer than its lease and
- * afterwards sends requests that it had claimed before. */
+/* Guards against a daemon that is frozen until the other daemons have removed
+ * it from the members, and afterwards sends requests that it had claimed
+ * before. */
 static void
 test_freeze(void)
 {
@@ -208,6 +210,8 @@
     site_stop(&site);
 }
 
+/* Columns: name in failure messages, faults of the simulated platform, which
+ * contains the store. */
 static const struct {
     const char *name;
     const char *faults;
@@ -218,7 +222,8 @@
     {"one reply, silently", "{\"lose_replies\":1,\"lose_silently\":true}"},
     {"many replies, silently", "{\"lose_replies\":12,\"lose_silently\":true}"},
     {"one reply, slowly", "{\"lose_replies\":1,\"slow_ms\":300}"},
-    /* Longer than the daemons' store timeout of 500 ms. */
+    /* The store replies after 700 ms, later than the daemons' store timeout of
+     * 500 ms. */
     {"late replies", "{\"slow_ms\":700}"},
 };
 
--- a/packages/daemon/tests/test_configuration.c
+++ b/packages/daemon/tests/test_configuration.c
@@ -17,18 +17,21 @@
 /* Intent to drain a VM, sent at the same time as others.  Each drain uses up
  * the disruption budget: 3 of the 4 VMs must serve. */
 typedef struct {
-    /* Operation name, to which the test adds the round number. */
+    /* Operation id of the intent, to which the test adds the round number. */
     const char *op;
     int daemon;
     int vm;
 } RacingIntent;
 
-/* Operations "a" and "b" drain the same VM at one daemon, so that one of them
+/* Columns: operation id, daemon that receives the intent, VM to drain.
+ * Operations "a" and "b" drain the same VM at one daemon, so that one of them
  * changes nothing when the daemon evaluates both together.  The second entry
  * "a" repeats operation "a". */
 static const RacingIntent racing_intents[RACING_INTENTS] = {
     {"a", 0, 0}, {"b", 0, 0}, {"a", 0, 0}, {"c", 1, 1}};
 
+/* Faults of the simulated platform, which contains the store; round after
+ * round uses the next entry. */
 static const char *const faults[] = {
     "{\"slow_ms\":60}",
     "{\"slow_ms\":60,\"delay_watches_ms\":700}",
@@ -56,8 +59,8 @@
         AqTime began;
         bool shown;
         do {
-            /* The check fails only when the first read that began after
-             * IN_FORCE_MS still shows the old state. */
+            /* The check fails only when the first read that began more than
+             * IN_FORCE_MS after "accepted" still shows the old state. */
             began = AqClock_ReadMonotonic();
             shown = is_leaving_service(site, d, racing_intent->vm);
         } while (!shown && began - accepted <= IN_FORCE_MS);
--- a/packages/daemon/tests/test_endpoint_faults.c
+++ b/packages/daemon/tests/test_endpoint_faults.c
@@ -10,8 +10,8 @@
 
 enum {
     CASE_TIMEOUT_MS = 3000,
-    /* Longest time from a request's deadline to the response, also on a busy
-     * machine. */
+    /* Longest time in ms from a request's deadline until the test has the
+     * response, also on a busy machine. */
     DEADLINE_SLACK_MS = 2000,
     MAX_ATTEMPTS = 3 /* most attempts per request; design page, section 5.3 */
 };
@@ -27,10 +27,13 @@
     bool idempotent;
     long status;
     const char *outcome;
-    int min_runs; /* fewest runs of the request at the endpoints */
+    int min_runs; /* fewest runs allowed, summed over the endpoints */
     int max_runs;
 } Case;
 
+/* Columns: name in failure messages, faults, timeout of the request in ms,
+ * whether the request is idempotent; then what the caller must receive (HTTP
+ * status and header Aq-Outcome) and the fewest and the most runs allowed. */
 static const Case cases[] = {
     {"before reading", "{\"close\":\"before-reading\"}", CASE_TIMEOUT_MS,
      false, 502, "unknown", 0, 0},
@@ -56,8 +59,8 @@
      "completed", 1, 1},
     {"failing, idempotent", "{\"fail_all\":true}", CASE_TIMEOUT_MS, true, 500,
      "completed", 1, MAX_ATTEMPTS},
-    /* The service time of 5 ms becomes 5 s, longer than the request's
-     * timeout. */
+    /* The fault multiplies the service time of 5 ms by 1000; the resulting 5 s
+     * are longer than the request's timeout of 500 ms. */
     {"slow", "{\"slow_permille\":1000000}", 500, false, 504, "unknown", 1, 1},
     {"slow, idempotent", "{\"slow_permille\":1000000}", 500, true, 504,
      "unknown", 1, MAX_ATTEMPTS},
@@ -264,10 +267,11 @@
     return n;
 }
 
-/* Sends requests one after another, after round 0 with silent connections,
- * which stay open but carry no more bytes.  After the first attempt on a
- * silent connection the daemon drops all idle connections to that endpoint, so
- * at most one request per endpoint is affected. */
+/* Sends requests one after another.  In each round after round 0 the
+ * connections that are open at its start are silent: they stay open but carry
+ * no more bytes.  After the first attempt on a silent connection the daemon
+ * drops all idle connections to that endpoint, so at most one request per
+ * endpoint is affected. */
 static void
 check_silent_round(Site *site, int round)
 {
--- a/packages/daemon/tests/test_faults.c
+++ b/packages/daemon/tests/test_faults.c
@@ -8,8 +8,9 @@
     endpoint_tests, limit_tests, leaving_tests, configuration_tests,
     wave_tests,     link_tests,  once_tests};
 
-/* Runs only the test that the last argument names, because every test starts a
- * site of its own and CTest runs several tests in parallel. */
+/* Runs only the test that the last argument names, because every test starts
+ * its own site (platform, endpoints and daemons) and CTest runs several tests
+ * in parallel. */
 int
 main(int argc, char **argv)
 {
--- a/packages/daemon/tests/test_links.c
+++ b/packages/daemon/tests/test_links.c
@@ -11,8 +11,9 @@
 enum {
     IDEMPOTENT_CALLS = 6,
     COMPLETED_IDS = 8,
-    /* Timeout of a request; its claim may have to be routed around a cut
-     * link. */
+    /* Timeout in ms of a request with a claim.  The claim takes longer while a
+     * link is cut: the daemon writes the claim to the store itself when the
+     * owner of the claim's partition does not reply. */
     CLAIM_TIMEOUT_MS = 5000
 };
 
@@ -29,6 +30,8 @@
     bool to_daemon0;
 } Case;
 
+/* Columns: name in failure messages, kind of fault, whether the fault affects
+ * bytes from daemon 0 to daemon 1, and those from daemon 1 to daemon 0. */
 static const Case cases[] = {
     {"cut towards daemon 1", LINK_CUT, true, false},
     {"cut towards daemon 0", LINK_CUT, false, true},
@@ -42,7 +45,7 @@
     /* First field, so that set_relay_target() can cast a pointer to Site to
      * one to LinkSite. */
     Site site;
-    Relay *relays[2]; /* relays in front of daemons 0 and 1 */
+    Relay *relays[2]; /* relays to the peer listeners of daemons 0 and 1 */
 } LinkSite;
 
 static void
--- a/packages/daemon/tests/test_process.c
+++ b/packages/daemon/tests/test_process.c
@@ -371,7 +371,8 @@
         int fd = connect_to(AqProcess_Address(site.daemons[0], "peers"));
         ssize_t n = send(fd, cases[i].bytes, cases[i].size, MSG_NOSIGNAL);
         CU_ASSERT_EQUAL(n, (ssize_t)cases[i].size);
-        /* The daemon closes the connection. */
+        /* The daemon must close the connection on which it received the bad
+         * bytes. */
         CU_ASSERT_TRUE(recv(fd, &byte, 1, 0) <= 0);
         close(fd);
     }
@@ -502,8 +503,9 @@
     {"lending", test_slot_leasing},
 };
 
-/* Runs only the test that the last argument names, because every test starts a
- * site of its own and CTest runs several tests in parallel. */
+/* Runs only the test that the last argument names, because every test starts
+ * its own site (platform, endpoints and daemons) and CTest runs several tests
+ * in parallel. */
 int
 main(int argc, char **argv)
 {
--- a/packages/daemon/tests/test_waves.c
+++ b/packages/daemon/tests/test_waves.c
@@ -12,7 +12,9 @@
 
 enum {
     MIN_SERVING = SITE_ENDPOINTS - 1,
-    /* A wave over 4 VMs takes about 8 s per VM on an idle machine. */
+    /* Longest wait in ms, from the start of the wait, for a wave over 4 VMs to
+     * end or for all VMs to serve again.  A wave takes about 8 s per VM on an
+     * idle machine. */
     WAVE_TIMEOUT_MS = 150000,
     LOAD_S = 4,
     MAX_TAIL_CHANGES = 16
@@ -85,8 +87,9 @@
     fault_check(status == 200, kind, response.body);
 }
 
-/* Sends load for LOAD_S seconds and checks the budget meanwhile; all requests
- * must complete. */
+/* Sends load to daemons for LOAD_S seconds and meanwhile checks the disruption
+ * budget, that is, that at least MIN_SERVING VMs serve according to daemon
+ * "reader"; all requests must complete. */
 static void
 run_load(Site *site, unsigned daemons, int reader)
 {
--- a/packages/daemon/vm_list.c
+++ b/packages/daemon/vm_list.c
@@ -20,7 +20,9 @@
     GHashTable *states; /* VM id -> state; the table owns both strings */
     int64_t index;      /* platform's change counter at the latest VM list */
     bool is_known;      /* at least one VM list has arrived */
-    /* HTTP request for the VM list, or NULL if none is in progress. */
+    /* Long poll for the platform's VM list: an HTTP call to which the platform
+     * replies after a change of the list, at the latest after LIST_WAIT_S.
+     * NULL if no call is in progress. */
     AqHttpCall *call;
     AqTimer retry;
 };
