--- a/packages/daemon/attempts.c
+++ b/packages/daemon/attempts.c
@@ -13,24 +13,24 @@
 enum {
     CONNECT_TIMEOUT_MS = 1000,
     MAX_SENT_HEADERS = 80,
-    /* libcurl ends an attempt this much later than the deadline of the
-     * request, at which the router ends it; libcurl's timeout applies only if
-     * the router fails to do so. */
+    /* Time in ms from the deadline of a request until libcurl's timeout ends
+     * an attempt of the request.  The router ends the request at the deadline;
+     * libcurl's timeout applies only if the router fails to do so. */
     TIMEOUT_MARGIN_MS = 2000
 };
 
 typedef struct {
     uint64_t id;
-    uint64_t request; /* number of the request at the router */
+    uint64_t request; /* number that the router assigned to the request */
     char *endpoint;
     char name[96];    /* value of the header Aq-Attempt-Id */
-    AqHttpCall *call; /* HTTP call in progress; NULL after the reply */
+    AqHttpCall *call; /* HTTP call in progress; NULL after its reply */
     Attempts *owner;
 } Attempt;
 
 struct Attempts {
     Daemon *daemon;
-    GHashTable *by_id; /* attempt number -> Attempt, owned by the table */
+    GHashTable *by_id; /* attempt id -> Attempt, owned by the table */
 };
 
 void
@@ -183,8 +183,9 @@
     }
     headers[n] = NULL;
 
-    /* libcurl reuses idle connections by host name.  The endpoint's generation
-     * in the name prevents reuse of connections from an earlier generation. */
+    /* libcurl reuses idle connections by host name.  The host name contains
+     * the generation of the endpoint, a number that changes when idle
+     * connections to the endpoint must not be used again. */
     char *url = g_strdup_printf("http://g%llu.endpoint.invalid%s",
                                 (unsigned long long)Endpoints_Generation(
                                     daemon->endpoints, attempt->endpoint),
--- a/packages/daemon/vm_list.c
+++ b/packages/daemon/vm_list.c
@@ -18,9 +18,12 @@
 struct VmList {
     Daemon *daemon;
     GHashTable *states; /* VM id -> state; the table owns both strings */
-    int64_t index;      /* platform's change index of the latest VM list */
+    int64_t index;      /* platform's change counter at the latest VM list */
     bool is_known;      /* at least one VM list has arrived */
-    AqHttpCall *call;   /* request for the VM list in progress, or NULL */
+    /* Long poll for the platform's VM list: an HTTP call to which the platform
+     * replies after a change of the list, at the latest after LIST_WAIT_S.
+     * NULL if no call is in progress. */
+    AqHttpCall *call;
     AqTimer retry;
 };
 
