--- a/packages/testkit/Include/aq_test_http.h
+++ b/packages/testkit/Include/aq_test_http.h
@@ -8,52 +8,63 @@
 #include "aq_buffer.h"
 #include "aq_error.h"
 
-/* HTTP calls of tests and of the demo driver (libcurl). */
+/* HTTP client of tests and of the demo driver, based on libcurl. */
 
+/* HTTP request to send; the caller owns the strings. */
 typedef struct {
     const char *method;
     const char *url;
-    const char *const *headers; /* "Name: value", NULL-terminated, or NULL */
-    const char *body;           /* NULL: none */
-    size_t size;
-    long timeout_ms; /* 0: 10 s */
+    /* Request headers as "Name: value", ended by a NULL entry; NULL for no
+     * headers. */
+    const char *const *headers;
+    const char *body; /* NULL for a request without a body */
+    size_t size;      /* size of the body in bytes */
+    long timeout_ms;  /* limit on the whole call; 0 selects 10 s */
 } AqTestHttpCall;
 
+/* HTTP response that was received. */
 typedef struct {
     long status;
-    AqBuffer headers;
+    AqBuffer headers; /* status line and header lines as received */
     AqBuffer body;
 } AqTestHttpReply;
 
 void AqTestHttpReply_Clear(AqTestHttpReply *reply);
-/* Copies a header's value into out; false when it is absent. */
+/* Copies the value of a response header into out, truncated to room bytes
+ * with the final NUL.  Returns false when the response lacks the header. */
 bool AqTestHttpReply_Header(const AqTestHttpReply *reply, const char *name,
                             char *out, size_t room);
 
-/* A client keeps its connection and reuses it for the next call. */
+/* HTTP client that keeps its connection open and reuses it for the next
+ * call. */
 typedef struct AqTestHttpClient AqTestHttpClient;
 
 AqTestHttpClient *AqTestHttpClient_Create(void);
 void AqTestHttpClient_Destroy(AqTestHttpClient *client);
-/* Sends a call and returns when it is sent.  One call at a time; the bytes
- * of the call are borrowed until it is finished. */
+/* Sends the request of a call and returns once it is sent or the call has
+ * failed.  A client supports one call at a time.  The strings of the call are
+ * borrowed until AqTestHttpClient_Finish returns. */
 bool AqTestHttpClient_Start(AqTestHttpClient *client,
                             const AqTestHttpCall *call, AqError *error);
-/* Waits for the reply.  AQ_ERR_UNAVAILABLE: the connection was refused;
- * AQ_ERR_TIMEOUT: no whole reply in time; AQ_ERR_PROTOCOL: the connection
- * was closed before or inside the reply. */
+/* Waits for the response to the started call and moves it to *reply.  Fails
+ * with AQ_ERR_UNAVAILABLE when the connection was refused, with AQ_ERR_TIMEOUT
+ * when no complete response arrived in time, and with AQ_ERR_PROTOCOL when the
+ * connection was closed before the response was complete. */
 bool AqTestHttpClient_Finish(AqTestHttpClient *client, AqTestHttpReply *reply,
                              AqError *error);
+/* Sends a call and waits for the response; fails as AqTestHttpClient_Finish
+ * does. */
 bool AqTestHttpClient_Call(AqTestHttpClient *client,
                            const AqTestHttpCall *call, AqTestHttpReply *reply,
                            AqError *error);
 
-/* One call on a connection of its own. */
+/* Performs one call on a new connection, which is closed afterwards. */
 bool AqTestHttp_Call(const AqTestHttpCall *call, AqTestHttpReply *reply,
                      AqError *error);
-/* A call with a JSON body (borrowed, may be NULL) and a JSON reply.  A new
- * reference, or NULL with an error also for a status other than 2xx; *status
- * may be NULL and is 0 without a reply. */
+/* Sends a JSON body (borrowed; NULL for none) and returns the JSON body of
+ * the response as a new reference.  Returns NULL with an error when the call
+ * fails, the status is not 2xx or the response is not JSON.  Unless status is
+ * NULL, *status is set to the HTTP status, or to 0 without a response. */
 json_t *AqTestHttp_Json(const char *method, const char *url,
                         const char *const *headers, const json_t *body,
                         long *status, AqError *error);
--- a/packages/testkit/Include/aq_test_loop.h
+++ b/packages/testkit/Include/aq_test_loop.h
@@ -7,51 +7,64 @@
 #include "aq_clock.h"
 #include "aq_list.h"
 
-/* Event loop of the stand-ins: one thread, descriptors and timers. */
+/* Single-threaded event loop of the stand-ins for file descriptors and
+ * timers. */
 typedef struct AqTestLoop AqTestLoop;
 
-/* A source is embedded in its owner and linked to the loop. */
+/* Event source of a loop; the structure is embedded in its owner and linked
+ * to the loop. */
 typedef struct AqLoopSource {
     AqLink link;
-    int fd; /* polled for input; -1: none */
-    /* Called in every turn of the loop, ready or not. */
+    int fd; /* descriptor polled for input; -1 when the source has none */
+    /* Called in every iteration of the loop, whether or not fd is
+     * readable. */
     void (*run)(struct AqLoopSource *source);
-    /* ms until run must be called; -1: only when fd is readable.  May be
-     * NULL, which means -1. */
+    /* Returns the time in ms after which run must be called, or -1 when run
+     * is needed only after fd becomes readable.  A NULL pointer means -1. */
     int (*timeout)(struct AqLoopSource *source);
 } AqLoopSource;
 
+/* One-shot timer; the structure is embedded in its owner. */
 typedef struct {
     AqLink link;
-    AqTime due;
+    AqTime due; /* monotonic time at which fire is called */
     void (*fire)(void *context);
-    void *context; /* borrowed */
+    void *context; /* argument of fire; borrowed */
 } AqLoopTimer;
 
-/* Replaces poll(): waits for any descriptor or for timeout ms (-1: no limit).
- * Used to join libcurl's descriptors to the loop. */
+/* Function that replaces poll(): waits until a descriptor in fds is readable
+ * or timeout ms have passed (-1: no limit).  A program that uses libcurl waits
+ * for libcurl's descriptors in the same call. */
 typedef void (*AqLoopWait)(void *context, struct pollfd *fds, unsigned count,
                            int timeout);
 
-/* SIGTERM and SIGINT end AqTestLoop_Run; SIGPIPE is ignored.  Raises
- * the soft limit of descriptors to the hard limit. */
+/* Creates a loop that SIGTERM and SIGINT stop.  For the whole process,
+ * SIGPIPE is ignored and the soft limit of open descriptors is raised to the
+ * hard limit. */
 AqTestLoop *AqTestLoop_Create(void);
 void AqTestLoop_Destroy(AqTestLoop *loop);
 
+/* Returns the monotonic time at which the current iteration of the loop
+ * began. */
 AqTime AqTestLoop_Now(const AqTestLoop *loop);
 void AqTestLoop_AddSource(AqTestLoop *loop, AqLoopSource *source);
 void AqTestLoop_RemoveSource(AqLoopSource *source);
+/* Makes the loop call wait, with context as its first argument, in place of
+ * poll().  context is borrowed. */
 void AqTestLoop_SetWait(AqTestLoop *loop, AqLoopWait wait, void *context);
 
 void AqLoopTimer_Init(AqLoopTimer *timer, void (*fire)(void *context),
                       void *context);
-/* Starts the timer, or moves it when it is running. */
+/* Starts the timer to fire after ms milliseconds; a timer that is already
+ * running is rescheduled. */
 void AqTestLoop_StartTimer(AqTestLoop *loop, AqLoopTimer *timer, AqTime ms);
 void AqLoopTimer_Stop(AqLoopTimer *timer);
 
-/* Runs until AqTestLoop_Stop or a signal. */
+/* Runs the loop until AqTestLoop_Stop is called or SIGTERM or SIGINT
+ * arrives. */
 void AqTestLoop_Run(AqTestLoop *loop);
-/* Runs until *done is true, at most for ms; returns *done. */
+/* Runs the loop until *done is true or ms milliseconds have passed, and
+ * returns *done.  A stopped loop returns at once. */
 bool AqTestLoop_RunUntil(AqTestLoop *loop, const bool *done, AqTime ms);
 void AqTestLoop_Stop(AqTestLoop *loop);
 
--- a/packages/testkit/Include/aq_test_process.h
+++ b/packages/testkit/Include/aq_test_process.h
@@ -6,29 +6,37 @@
 
 #include "aq_error.h"
 
-/* A child process of a test or of the demo.  It is killed when its parent
- * ends. */
+/* Child process of a test or of the demo.  The kernel kills the child when
+ * its parent ends. */
 typedef struct AqProcess AqProcess;
 
-/* Starts argv[0] (a path).  Standard error goes to the file "log", or stays
- * the parent's when NULL.  NULL on error. */
+/* Starts the program at the path argv[0].  The child's standard error is
+ * appended to the file "log"; with a NULL log the child inherits the parent's
+ * standard error.  Returns NULL on error. */
 AqProcess *AqProcess_Spawn(const char *const *argv, const char *log,
                            AqError *error);
-/* Kills the process when it is still running, and collects it. */
+/* Kills the process when it is still running, reaps it and frees its
+ * data.  Ignores NULL. */
 void AqProcess_Destroy(AqProcess *process);
 
 pid_t AqProcess_Pid(const AqProcess *process);
-/* A descriptor that becomes readable when the process ends; borrowed. */
+/* Returns a descriptor that becomes readable when the process ends; the
+ * descriptor is owned by the AqProcess. */
 int AqProcess_EndDescriptor(const AqProcess *process);
-/* Waits up to ms for the line "ready NAME=ADDRESS:PORT ...". */
+/* Waits up to ms milliseconds until the process prints the line
+ * "ready NAME=ADDRESS:PORT ..." to its standard output. */
 bool AqProcess_WaitReady(AqProcess *process, int ms, AqError *error);
-/* "ADDRESS:PORT" of a name in the ready line, NULL when it is not there;
- * borrowed. */
+/* Returns the "ADDRESS:PORT" that the ready line gives for a name, or NULL
+ * when the ready line lacks the name.  The string is owned by the
+ * AqProcess. */
 const char *AqProcess_Address(const AqProcess *process, const char *name);
+/* Sends a signal.  Fails with AQ_ERR_NOT_FOUND when the process has
+ * ended. */
 bool AqProcess_Signal(AqProcess *process, int signal, AqError *error);
-/* Waits up to ms (0: only looks) for the end.  *status is the exit status,
- * or 128 + the signal that ended the process.  AQ_ERR_TIMEOUT when it still
- * runs. */
+/* Waits up to ms milliseconds for the process to end; with 0 the function
+ * only checks whether the process has ended.  Sets *status to the exit
+ * status, or to 128 + the number of the signal that ended the process.  Fails
+ * with AQ_ERR_TIMEOUT when the process is still running. */
 bool AqProcess_WaitExit(AqProcess *process, int ms, int *status,
                         AqError *error);
 
--- a/packages/testkit/Include/aq_test_server.h
+++ b/packages/testkit/Include/aq_test_server.h
@@ -10,76 +10,93 @@
 #include "aq_error.h"
 #include "aq_test_loop.h"
 
-/* HTTP server of the stand-ins (libmicrohttpd) on 127.0.0.1.  A request is
- * handed over when its body is complete, and is answered at once or later. */
+/* HTTP server of the stand-ins on 127.0.0.1, based on libmicrohttpd.  The
+ * server passes a request to its handler once the request body is complete;
+ * the handler responds at once or later. */
 typedef struct AqTestServer AqTestServer;
+/* HTTP request that a test server received; owned by the server. */
 typedef struct AqTestRequest AqTestRequest;
 
+/* Functions of a stand-in that the server calls. */
 typedef struct {
-    /* Answers the request now or later, exactly once. */
+    /* Handles a complete request.  The handler must respond exactly once, in
+     * this call or later. */
     void (*request)(void *context, AqTestRequest *request);
-    /* The headers are there, the body is not.  False closes the connection.
-     * May be NULL. */
+    /* Called when the headers of a request have arrived, before its body.
+     * Returns false to close the connection.  May be NULL. */
     bool (*headers)(void *context, AqTestRequest *request);
-    /* A connection was accepted.  May be NULL. */
+    /* Called after the server has accepted a connection.  May be NULL. */
     void (*connected)(void *context);
-    /* A request that was handed over is gone before its answer, because the
-     * server was closed.  It must not be used any more.  May be NULL. */
+    /* Called when the server is closed before the handler has responded to a
+     * request.  The request must not be used after this call.  May be
+     * NULL. */
     void (*dropped)(void *context, AqTestRequest *request);
 } AqTestServerOps;
 
-/* Listens on 127.0.0.1:port (0: any free port).  NULL on error. */
+/* Creates a server that listens on 127.0.0.1:port; port 0 selects a free
+ * port.  loop, ops and context are borrowed.  Returns NULL on error. */
 AqTestServer *AqTestServer_Create(AqTestLoop *loop, int port,
                                   const AqTestServerOps *ops, void *context,
                                   AqError *error);
-/* Closes all connections; requests without an answer are dropped. */
+/* Closes all connections of the server and frees it.  Requests without a
+ * response are reported to the "dropped" function.  Ignores NULL. */
 void AqTestServer_Destroy(AqTestServer *server);
 
 int AqTestServer_Port(const AqTestServer *server);
-/* Closes the listening socket and all connections; the port stays reserved
- * and connections are refused until AqTestServer_Open.  Must not be called
- * from this server's own handlers. */
+/* Closes the listening socket and all connections.  The port stays reserved
+ * and refuses connections until AqTestServer_Open is called.  Must not be
+ * called from this server's own handlers. */
 void AqTestServer_Close(AqTestServer *server);
+/* Listens again after AqTestServer_Close; does nothing on an open server. */
 bool AqTestServer_Open(AqTestServer *server, AqError *error);
-/* From now on no byte is sent or handled on the connections open now. */
+/* Silences all connections that are open at this moment: no byte is sent and
+ * no request is handled on them any more, but they stay open. */
 void AqTestServer_SilenceOpen(AqTestServer *server);
-/* Connections that neither side has closed. */
+/* Returns the number of connections that neither side has closed. */
 unsigned AqTestServer_CountConnections(const AqTestServer *server);
 
-/* Request data is borrowed, until the answer. */
+/* Pointers to the data of a request, as the following functions return them,
+ * are valid until the handler responds to the request. */
 const char *AqTestRequest_Method(const AqTestRequest *request);
 const char *AqTestRequest_Path(const AqTestRequest *request);
 const AqBuffer *AqTestRequest_Body(const AqTestRequest *request);
-/* NULL when absent. */
+/* Returns the value of a request header, or NULL when the request lacks the
+ * header. */
 const char *AqTestRequest_Header(const AqTestRequest *request,
                                  const char *name);
-/* NULL when absent, "" when without a value. */
+/* Returns the value of a query parameter: NULL when the parameter is absent,
+ * "" when it has no value. */
 const char *AqTestRequest_Query(const AqTestRequest *request,
                                 const char *name);
 
-/* A pointer for the handler's own use; borrowed, NULL at first. */
+/* Stores a pointer for the handler's own use with the request.  The pointer
+ * is borrowed; it is NULL until it is set. */
 void AqTestRequest_SetUser(AqTestRequest *request, void *user);
 void *AqTestRequest_User(const AqTestRequest *request);
 
-/* Adds a header to the answer. */
+/* Adds a header to the response; name and value are copied. */
 void AqTestRequest_AddHeader(AqTestRequest *request, const char *name,
                              const char *value);
+/* Responds with an HTTP status and a body of size bytes; the body is
+ * copied. */
 void AqTestRequest_Reply(AqTestRequest *request, unsigned status,
                          const char *body, size_t size);
-/* Takes the reference to value. */
+/* Responds with a JSON body; takes over the caller's reference to value. */
 void AqTestRequest_ReplyJson(AqTestRequest *request, unsigned status,
                              json_t *value);
-/* Answers {"reason": message} with 400 for AQ_ERR_INVALID, 404 for
- * AQ_ERR_NOT_FOUND and 409 otherwise. */
+/* Responds with the JSON body {"reason": message} and status 400 for
+ * AQ_ERR_INVALID, 404 for AQ_ERR_NOT_FOUND and 409 for any other error. */
 void AqTestRequest_ReplyError(AqTestRequest *request, const AqError *error);
-/* Announces size bytes, sends the first half and closes the connection. */
+/* Responds with a truncated body: announces size bytes, sends the first half
+ * of the body and closes the connection. */
 void AqTestRequest_ReplyCut(AqTestRequest *request, unsigned status,
                             const char *body, size_t size);
-/* Closes the connection without an answer. */
+/* Closes the connection of the request without a response. */
 void AqTestRequest_Close(AqTestRequest *request);
-/* Never answers; the connection stays open. */
+/* Leaves the request without a response; its connection stays open. */
 void AqTestRequest_Silence(AqTestRequest *request);
-/* Closes the connection as soon as a byte of the body arrives. */
+/* Makes the server close the connection as soon as a byte of the request body
+ * arrives. */
 void AqTestRequest_CloseInBody(AqTestRequest *request);
 
 #endif
--- a/packages/testkit/caller.c
+++ b/packages/testkit/caller.c
@@ -6,59 +6,65 @@
 #include <string.h>
 
 #include "aq_buffer.h"
-#include "aq_test_answer.h"
+#include "aq_test_response.h"
 #include "aq_test_http.h"
 
-/* A daemon answers at the deadline; later than this it has lost the
- * request. */
-#define ANSWER_MARGIN_MS 3000
+/* Time after a request's own limit for which the caller still waits for the
+ * response.  A daemon responds when the limit expires; one that has not
+ * responded within this margin has lost the request. */
+#define RESPONSE_MARGIN_MS 3000
+/* Time limit of a readiness check. */
 #define CHECK_TIMEOUT_MS 1000L
 #define MAX_WAIT_FDS 64
 
-/* One request id, sent in one or two copies. */
+/* Request with its own id, sent in one or two copies. */
 typedef struct {
     char id[96];
-    int copies; /* without a result */
-    int ran;    /* copies with another result than not-run */
-    int not_run;
+    int open_copies;     /* copies without a result */
+    int other_results;   /* copies with a result other than not-run */
+    int not_run_results; /* copies with the result not-run */
     bool idempotent;
     AqBuffer body;
-} Group;
+} RequestGroup;
 
-/* A transfer: a copy of a request, or a readiness check. */
+/* libcurl transfer of one copy of a request, or of a readiness check. */
 typedef struct {
     AqLink link;
     Caller *caller;
     CURL *easy;
     struct curl_slist *headers;
-    Group *group; /* NULL: a readiness check */
-    int service;
-    int daemon;
-    int tries;
+    RequestGroup *group; /* NULL for a readiness check */
+    int service;         /* position in the options' services */
+    int daemon;          /* position in the options' daemons */
+    int tries;           /* daemons tried with this copy, this one included */
     AqTestHttpReply reply;
 } Transfer;
 
 struct Caller {
-    AqLoopSource source; /* first */
+    AqLoopSource source; /* must be the first member, for casts */
     AqTestLoop *loop;
     const CallerOptions *options;
     CURLM *multi;
     AqLink transfers;
-    int in_flight; /* requests, without readiness checks */
-    AqLoopTimer send;
-    AqLoopTimer check;
-    double next_at; /* ms */
-    AqTime end;
-    uint64_t sequence;
-    int next_daemon;
+    int in_flight; /* copies of requests without a result */
+    AqLoopTimer send_timer;
+    AqLoopTimer check_timer;
+    double next_send_ms; /* monotonic time of the next request */
+    AqTime send_end;     /* monotonic time after which none is sent */
+    uint64_t sequence;   /* number for the id of the next request */
+    int next_daemon;     /* daemon to consider first for the next copy */
+    /* Whether each daemon was ready at its last check or connection. */
     bool ready[MAX_DAEMONS];
+    /* Whether a readiness check of each daemon is running. */
     bool checking[MAX_DAEMONS];
     AqRandom random;
     Summary summary;
 };
 
+/* libcurl callback that appends received bytes to an AqBuffer; returns the
+ * number of bytes accepted, which is all of them. */
 static size_t
-append(char *bytes, size_t size, size_t count, void *buffer)
+append_received(char *bytes, size_t size, size_t count, void *buffer)
 {
     AqBuffer_Append(buffer, bytes, size * count);
     return size * count;
@@ -89,13 +95,13 @@
     curl_easy_setopt(easy, CURLOPT_PROXY, "");
     curl_easy_setopt(easy, CURLOPT_HTTP_VERSION, (long)CURL_HTTP_VERSION_1_1);
     curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, timeout_ms);
-    curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, append);
+    curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, append_received);
     curl_easy_setopt(easy, CURLOPT_WRITEDATA, &transfer->reply.body);
-    curl_easy_setopt(easy, CURLOPT_HEADERFUNCTION, append);
+    curl_easy_setopt(easy, CURLOPT_HEADERFUNCTION, append_received);
     curl_easy_setopt(easy, CURLOPT_HEADERDATA, &transfer->reply.headers);
-    if (!caller->options->reuse) {
-        /* On a reused connection libcurl sends a request again by itself
-         * when the connection is closed before the first byte. */
+    if (!caller->options->reuse_connections) {
+        /* libcurl resends a request on its own when a reused connection is
+         * closed before the first byte of the response. */
         curl_easy_setopt(easy, CURLOPT_FRESH_CONNECT, 1L);
         curl_easy_setopt(easy, CURLOPT_FORBID_REUSE, 1L);
     }
@@ -115,7 +121,7 @@
 }
 
 static void
-destroy_group(Group *group)
+destroy_request_group(RequestGroup *group)
 {
     AqBuffer_Clear(&group->body);
     free(group);
@@ -123,9 +129,10 @@
 
 /* ---- Sending ----------------------------------------------------------- */
 
-/* The next daemon in turn that is ready and not "other"; else "other" itself
- * when it is ready; else any other one.  A daemon that is not ready gets
- * nothing while one is, as behind a balancer. */
+/* Returns the next daemon in round-robin order that is ready and differs from
+ * "other"; failing that, "other" when it is ready, and otherwise any different
+ * daemon.  As behind a load balancer, a daemon that is not ready receives no
+ * request while another daemon is ready.  An "other" of -1 excludes none. */
 static int
 choose_daemon(Caller *caller, int other)
 {
@@ -152,7 +159,8 @@
 }
 
 static void
-send_copy(Caller *caller, Group *group, int service, int daemon, int tries)
+send_copy(Caller *caller, RequestGroup *group, int service, int daemon,
+          int tries)
 {
     char path[256];
     char timeout[24];
@@ -160,8 +168,9 @@
     snprintf(path, sizeof(path), "/v1/services/%s%s",
              options->services[service], options->path);
     snprintf(timeout, sizeof(timeout), "%lld", (long long)options->timeout_ms);
-    Transfer *transfer = create_transfer(
-        caller, daemon, path, (long)(options->timeout_ms + ANSWER_MARGIN_MS));
+    Transfer *transfer =
+        create_transfer(caller, daemon, path,
+                        (long)(options->timeout_ms + RESPONSE_MARGIN_MS));
     transfer->group = group;
     transfer->service = service;
     transfer->tries = tries;
@@ -179,8 +188,9 @@
     caller->in_flight++;
 }
 
+/* Returns true with a probability of "share" percent. */
 static bool
-percent(Caller *caller, int share)
+draw_percent(Caller *caller, int share)
 {
     return (int)AqRandom_Below(&caller->random, 100) < share;
 }
@@ -189,12 +199,13 @@
 send_request(Caller *caller)
 {
     const CallerOptions *options = caller->options;
-    Group *group = calloc(1, sizeof(*group));
+    RequestGroup *group = calloc(1, sizeof(*group));
     int service =
         (int)AqRandom_Below(&caller->random, (uint64_t)options->service_count);
     int daemon = choose_daemon(caller, -1);
-    bool twice = options->daemon_count > 1 && percent(caller, options->repeat);
-    group->idempotent = !percent(caller, options->non_idempotent);
+    bool twice = options->daemon_count > 1 &&
+                 draw_percent(caller, options->repeat_percent);
+    group->idempotent = !draw_percent(caller, options->non_idempotent_percent);
     snprintf(group->id, sizeof(group->id), "%s-%s-%llu",
              group->idempotent ? "i" : "n", options->name,
              (unsigned long long)caller->sequence++);
@@ -202,8 +213,8 @@
     while (group->body.size < options->body_bytes) {
         AqBuffer_AppendText(&group->body, "b");
     }
-    group->copies = twice ? 2 : 1;
-    caller->summary.sent += (uint64_t)group->copies;
+    group->open_copies = twice ? 2 : 1;
+    caller->summary.sent += (uint64_t)group->open_copies;
     send_copy(caller, group, service, daemon, 1);
     if (twice) {
         send_copy(caller, group, service, choose_daemon(caller, daemon), 1);
@@ -215,14 +226,15 @@
 {
     Caller *caller = context;
     AqTime now = AqTestLoop_Now(caller->loop);
-    while (caller->next_at <= (double)now && now < caller->end) {
+    while (caller->next_send_ms <= (double)now && now < caller->send_end) {
         send_request(caller);
-        caller->next_at += AqRandom_Exponential(&caller->random,
-                                                1000 / caller->options->rate);
+        caller->next_send_ms += AqRandom_Exponential(
+            &caller->random, 1000 / caller->options->rate);
     }
-    if (now < caller->end) {
-        AqTestLoop_StartTimer(caller->loop, &caller->send,
-                              (AqTime)(caller->next_at - (double)now) + 1);
+    if (now < caller->send_end) {
+        AqTestLoop_StartTimer(caller->loop, &caller->send_timer,
+                              (AqTime)(caller->next_send_ms - (double)now) +
+                                  1);
     }
 }
 
@@ -238,23 +250,23 @@
             curl_multi_add_handle(caller->multi, transfer->easy);
         }
     }
-    AqTestLoop_StartTimer(caller->loop, &caller->check,
+    AqTestLoop_StartTimer(caller->loop, &caller->check_timer,
                           caller->options->check_ms);
 }
 
 /* ---- Results ----------------------------------------------------------- */
 
 static void
-classify_answer(Transfer *transfer, CallResult *result)
+classify_response(Transfer *transfer, CallResult *result)
 {
     char outcome[32] = "";
     char id[160] = "";
     char text[32];
     const AqTestHttpReply *reply = &transfer->reply;
-    const Group *group = transfer->group;
+    const RequestGroup *group = transfer->group;
     AqTestHttpReply_Header(reply, "Aq-Outcome", outcome, sizeof(outcome));
     AqTestHttpReply_Header(reply, "Aq-Request-Id", id, sizeof(id));
-    result->retry_after =
+    result->has_retry_after =
         AqTestHttpReply_Header(reply, "Retry-After", text, sizeof(text)) &&
         AqTestHttpReply_Header(reply, "Aq-Retry-After-Ms", text, sizeof(text));
     result->kind = RESULT_WRONG;
@@ -271,13 +283,13 @@
         result->detail = "wrong or no Aq-Outcome";
     }
     else {
-        AqAnswerCheck check =
-            AqAnswer_Check(AqBuffer_Text(&reply->body), reply->body.size,
-                           group->id, group->body.bytes, group->body.size);
-        result->kind = check == AQ_ANSWER_OWN       ? RESULT_COMPLETED
-                       : check == AQ_ANSWER_FOREIGN ? RESULT_WRONG
-                                                    : RESULT_CUT;
-        result->detail = "body of the answer";
+        AqTestResponseCheck check = AqTestResponse_Check(
+            AqBuffer_Text(&reply->body), reply->body.size, group->id,
+            group->body.bytes, group->body.size);
+        result->kind = check == AQ_RESPONSE_OWN       ? RESULT_COMPLETED
+                       : check == AQ_RESPONSE_FOREIGN ? RESULT_WRONG
+                                                      : RESULT_CUT;
+        result->detail = "body of the response";
     }
 }
 
@@ -290,14 +302,14 @@
     curl_off_t us = 0;
     curl_easy_getinfo(transfer->easy, CURLINFO_RESPONSE_CODE, &result.status);
     curl_easy_getinfo(transfer->easy, CURLINFO_TOTAL_TIME_T, &us);
-    result.ms = (double)us / 1000;
+    result.latency_ms = (double)us / 1000;
     if (code == CURLE_OK) {
-        classify_answer(transfer, &result);
+        classify_response(transfer, &result);
         return result;
     }
     result.detail = curl_easy_strerror(code);
     if (code == CURLE_OPERATION_TIMEDOUT) {
-        result.kind = RESULT_NO_ANSWER;
+        result.kind = RESULT_NO_RESPONSE;
     }
     else {
         result.kind =
@@ -307,25 +319,27 @@
 }
 
 static void
-finish_copy(Caller *caller, Group *group)
+finish_copy(Caller *caller, RequestGroup *group)
 {
-    if (--group->copies > 0) {
+    if (--group->open_copies > 0) {
         return;
     }
-    /* A repeat that was not run says nothing about the other copy. */
-    if (group->ran == 0 && group->not_run > 0) {
+    /* One copy that was not run does not show that the request was not run:
+     * the other copy may have run. */
+    if (group->other_results == 0 && group->not_run_results > 0) {
         Summary_AddNotRun(&caller->summary, group->id);
     }
-    destroy_group(group);
+    destroy_request_group(group);
 }
 
-/* A refused connection carried nothing, so the request goes to another
- * daemon, as the balancer does. */
+/* Sends a copy to another daemon after a refused connection, as a load
+ * balancer does.  This is safe because nothing was transmitted.  Once every
+ * daemon has been tried, the copy counts as unsent. */
 static void
 finish_refused(Transfer *transfer)
 {
     Caller *caller = transfer->caller;
-    Group *group = transfer->group;
+    RequestGroup *group = transfer->group;
     caller->ready[transfer->daemon] = false;
     if (transfer->tries < caller->options->daemon_count) {
         caller->summary.reconnected++;
@@ -356,8 +370,8 @@
     }
     else {
         CallResult result = classify(transfer, code);
-        transfer->group->ran += result.kind != RESULT_NOT_RUN;
-        transfer->group->not_run += result.kind == RESULT_NOT_RUN;
+        transfer->group->other_results += result.kind != RESULT_NOT_RUN;
+        transfer->group->not_run_results += result.kind == RESULT_NOT_RUN;
         Summary_Add(&caller->summary, &result);
         finish_copy(caller, transfer->group);
     }
@@ -365,7 +379,7 @@
 }
 
 static void
-perform(AqLoopSource *source)
+run_transfers(AqLoopSource *source)
 {
     Caller *caller = (Caller *)source;
     int running;
@@ -382,11 +396,12 @@
         }
     }
     if (caller->in_flight == 0 &&
-        AqTestLoop_Now(caller->loop) >= caller->end) {
+        AqTestLoop_Now(caller->loop) >= caller->send_end) {
         AqTestLoop_Stop(caller->loop);
     }
 }
 
+/* Waits for libcurl's descriptors and those of the loop, at most 1 s. */
 static void
 wait_with_curl(void *context, struct pollfd *fds, unsigned count, int timeout)
 {
@@ -408,7 +423,7 @@
     caller->loop = loop;
     caller->options = options;
     caller->multi = curl_multi_init();
-    caller->source = (AqLoopSource){.fd = -1, .run = perform};
+    caller->source = (AqLoopSource){.fd = -1, .run = run_transfers};
     AqList_Init(&caller->source.link);
     AqList_Init(&caller->transfers);
     AqRandom_Seed(&caller->random, options->seed);
@@ -416,15 +431,15 @@
     for (int i = 0; i < options->daemon_count; i++) {
         caller->ready[i] = true;
     }
-    caller->next_at = (double)AqTestLoop_Now(loop);
-    caller->end = AqTestLoop_Now(loop) + options->run_ms;
-    AqLoopTimer_Init(&caller->send, send_due, caller);
-    AqLoopTimer_Init(&caller->check, check_daemons, caller);
+    caller->next_send_ms = (double)AqTestLoop_Now(loop);
+    caller->send_end = AqTestLoop_Now(loop) + options->run_ms;
+    AqLoopTimer_Init(&caller->send_timer, send_due, caller);
+    AqLoopTimer_Init(&caller->check_timer, check_daemons, caller);
     AqTestLoop_AddSource(loop, &caller->source);
     AqTestLoop_SetWait(loop, wait_with_curl, caller);
-    AqTestLoop_StartTimer(loop, &caller->send, 0);
+    AqTestLoop_StartTimer(loop, &caller->send_timer, 0);
     if (options->check_ms > 0) {
-        AqTestLoop_StartTimer(loop, &caller->check, 0);
+        AqTestLoop_StartTimer(loop, &caller->check_timer, 0);
     }
     return caller;
 }
@@ -432,15 +447,15 @@
 void
 Caller_Destroy(Caller *caller)
 {
-    AqLoopTimer_Stop(&caller->send);
-    AqLoopTimer_Stop(&caller->check);
+    AqLoopTimer_Stop(&caller->send_timer);
+    AqLoopTimer_Stop(&caller->check_timer);
     AqList_ForEachSafe(at, after, &caller->transfers)
     {
         Transfer *transfer = AqList_Entry(at, Transfer, link);
-        Group *group = transfer->group;
+        RequestGroup *group = transfer->group;
         destroy_transfer(transfer);
-        if (group != NULL && --group->copies == 0) {
-            destroy_group(group);
+        if (group != NULL && --group->open_copies == 0) {
+            destroy_request_group(group);
         }
     }
     curl_multi_cleanup(caller->multi);
--- a/packages/testkit/caller.h
+++ b/packages/testkit/caller.h
@@ -12,73 +12,96 @@
 #define MAX_DAEMONS 16
 #define MAX_SERVICES 16
 
+/* Options of the load generator. */
 typedef struct {
-    const char *daemons[MAX_DAEMONS]; /* "ADDRESS:PORT"; borrowed */
+    /* "ADDRESS:PORT" of each daemon's listener for callers; borrowed. */
+    const char *daemons[MAX_DAEMONS];
     int daemon_count;
-    const char *services[MAX_SERVICES]; /* borrowed */
+    const char *services[MAX_SERVICES]; /* services to call; borrowed */
     int service_count;
-    const char *path;
-    const char *name; /* part of each request id */
-    double rate;      /* requests per second */
-    int64_t run_ms;
-    int64_t timeout_ms;
-    int64_t check_ms;   /* between readiness checks; 0: none */
-    int non_idempotent; /* percent */
-    int repeat;         /* percent sent to two daemons at once */
-    size_t body_bytes;
-    bool reuse; /* connections */
-    uint64_t seed;
+    const char *path;   /* path after the service's name; borrowed */
+    const char *name;   /* part of every request id; borrowed */
+    double rate;        /* mean number of requests per second */
+    int64_t run_ms;     /* time during which requests are sent */
+    int64_t timeout_ms; /* time limit that each request announces */
+    int64_t check_ms;   /* interval of the readiness checks; 0 disables them */
+    int non_idempotent_percent; /* share of non-idempotent requests */
+    int repeat_percent;     /* share of requests sent to two daemons at once */
+    size_t body_bytes;      /* minimum size of a request body */
+    bool reuse_connections; /* keep connections open for later requests */
+    uint64_t seed;          /* seed of the random request mix */
 } CallerOptions;
 
+/* Result of one copy of a request, as the caller observes it. */
 typedef enum {
     RESULT_COMPLETED,
     RESULT_NOT_RUN,
     RESULT_UNKNOWN,
-    RESULT_WRONG,     /* another request's answer, or no outcome */
-    RESULT_CUT,       /* an answer that is not whole */
-    RESULT_CLOSED,    /* connection closed without an answer */
-    RESULT_NO_ANSWER, /* nothing until 3 s after the request's timeout */
-    RESULT_KINDS
+    /* The response belongs to another request or has no valid outcome. */
+    RESULT_WRONG,
+    /* The response is truncated or damaged. */
+    RESULT_CUT,
+    /* The connection was closed before any byte of a response. */
+    RESULT_CLOSED,
+    /* No complete response within 3 s after the request's time limit. */
+    RESULT_NO_RESPONSE,
+    RESULT_KIND_COUNT
 } ResultKind;
 
-/* What was received for one request. */
+/* Response to one copy of a request, or the failure to receive one. */
 typedef struct {
-    const char *id;
-    int daemon;
+    const char *id; /* request id; borrowed */
+    int daemon;     /* number of the daemon that received the copy */
     bool idempotent;
     ResultKind kind;
-    long status;
-    bool retry_after; /* both headers are there */
-    double ms;
-    const char *detail; /* of an unexpected result; may be NULL */
+    long status; /* HTTP status; 0 without a response */
+    /* The response has both Retry-After and Aq-Retry-After-Ms. */
+    bool has_retry_after;
+    double latency_ms;
+    const char *detail; /* reason for an unexpected result; may be NULL */
 } CallResult;
 
-/* Counts of a run. */
+/* Counts of one run of the load generator. */
 typedef struct {
     const CallerOptions *options; /* borrowed */
+    /* Copies of requests, including those that no daemon accepted. */
     uint64_t sent;
-    uint64_t reconnected; /* sent again, because the connection was refused */
-    uint64_t unsent;      /* refused by every daemon tried */
-    uint64_t counts[MAX_DAEMONS][RESULT_KINDS];
+    /* Copies sent to another daemon after a refused connection. */
+    uint64_t reconnected;
+    /* Copies whose connection was refused on every attempt. */
+    uint64_t unsent;
+    /* Number of results by daemon and kind of result. */
+    uint64_t counts[MAX_DAEMONS][RESULT_KIND_COUNT];
+    /* Idempotent requests whose outcome is unknown. */
     uint64_t unknown_idempotent;
-    uint64_t no_retry_after; /* not-run answers without a time */
-    GArray *latencies;       /* double, ms; of completed requests */
-    GHashTable *statuses;    /* status -> count */
-    json_t *not_run_ids;     /* ids of which every copy was not run */
-    json_t *problems;        /* the first unexpected results */
+    uint64_t no_retry_after; /* not-run responses without a retry time */
+    GArray *latencies; /* latency of each completed request, double in ms */
+    /* HTTP status (0 without a response) -> number of results. */
+    GHashTable *statuses;
+    json_t *not_run_ids; /* ids of the requests no copy of which has run */
+    json_t *problems;    /* descriptions of the first 20 unexpected results */
 } Summary;
 
+/* Initializes an empty summary; options is borrowed. */
 void Summary_Init(Summary *summary, const CallerOptions *options);
 void Summary_Clear(Summary *summary);
 void Summary_Add(Summary *summary, const CallResult *result);
+/* Adds the id of a request that was answered not-run and no copy of which has
+ * run. */
 void Summary_AddNotRun(Summary *summary, const char *id);
+/* Returns the counts as a new JSON object.  in_flight is the number of copies
+ * without a result. */
 json_t *Summary_Describe(const Summary *summary, int in_flight);
 
+/* Load generator that sends requests at random times without waiting for
+ * earlier responses. */
 typedef struct Caller Caller;
 
-/* Starts to send at once.  options and loop are borrowed. */
+/* Creates a load generator that starts to send at once and stops the loop
+ * after the last result.  options and loop are borrowed. */
 Caller *Caller_Create(AqTestLoop *loop, const CallerOptions *options);
 void Caller_Destroy(Caller *caller);
+/* Returns the summary of the run so far as a new JSON object. */
 json_t *Caller_Describe(const Caller *caller);
 
 #endif
--- a/packages/testkit/caller_main.c
+++ b/packages/testkit/caller_main.c
@@ -9,27 +9,30 @@
 
 typedef struct {
     CallerOptions options;
-    const char *output; /* NULL: standard output */
-    int port;           /* of the test interface */
+    const char *output; /* file for the summary; NULL: standard output */
+    int port;           /* port of the test interface; 0 for any */
 } CallerArguments;
 
 static const struct argp_option option_table[] = {
     {"port", 'p', "PORT", 0, "port of the test interface (0: any)", 0},
-    {"daemon", 'd', "ADDRESS:PORT", 0, "callers' listener; repeat for more",
+    {"daemon", 'd', "ADDRESS:PORT", 0, "listener for callers; repeat for more",
      0},
     {"service", 's', "NAME", 0, "service to call; repeat for more", 0},
     {"path", 'P', "PATH", 0, "path after the service (default /work)", 0},
     {"name", 'n', "NAME", 0, "part of each request id (default c)", 0},
     {"rate", 'r', "N", 0, "requests per second (default 100)", 0},
-    {"seconds", 't', "S", 0, "time to send (default 5)", 0},
+    {"seconds", 't', "S", 0, "time during which to send (default 5)", 0},
     {"timeout-ms", 'T', "MS", 0, "Aq-Timeout-Ms (default 5000)", 0},
-    {"check-ms", 'c', "MS", 0, "between /readyz checks (100; 0: none)", 0},
-    {"non-idempotent", 'N', "PERCENT", 0, "share (default 30)", 0},
-    {"repeat", 'R', "PERCENT", 0, "sent to two daemons at once (default 2)",
+    {"check-ms", 'c', "MS", 0,
+     "interval of /readyz checks (default 100; 0: none)", 0},
+    {"non-idempotent", 'N', "PERCENT", 0,
+     "share of non-idempotent requests (default 30)", 0},
+    {"repeat", 'R', "PERCENT", 0,
+     "share sent to two daemons at once (default 2)", 0},
+    {"body-bytes", 'b', "N", 0, "minimum size of a request body (default 64)",
      0},
-    {"body-bytes", 'b', "N", 0, "least size of a request body (64)", 0},
     {"reuse", 'u', NULL, 0, "keep and reuse connections", 0},
-    {"seed", 'S', "N", 0, "seed of the mix (default 1)", 0},
+    {"seed", 'S', "N", 0, "seed of the random request mix (default 1)", 0},
     {"output", 'o', "FILE", 0, "file for the summary", 0},
     {0}};
 
@@ -65,10 +68,10 @@
         options->check_ms = number;
         return 0;
     case 'N':
-        options->non_idempotent = (int)number;
+        options->non_idempotent_percent = (int)number;
         return 0;
     case 'R':
-        options->repeat = (int)number;
+        options->repeat_percent = (int)number;
         return 0;
     case 'b':
         options->body_bytes = (size_t)number;
@@ -87,11 +90,12 @@
     CallerArguments *arguments = state->input;
     CallerOptions *options = &arguments->options;
     if (key == 'u') {
-        options->reuse = true;
+        options->reuse_connections = true;
         return 0;
     }
     if (arg == NULL) {
-        return ARGP_ERR_UNKNOWN; /* one of argp's own keys */
+        /* The key is one of those that argp itself defines. */
+        return ARGP_ERR_UNKNOWN;
     }
     switch (key) {
     case 'd':
@@ -179,7 +183,7 @@
 {
     static const struct argp argp = {
         option_table, parse_option,
-        NULL,         "Open-loop load generator that verifies each answer.",
+        NULL,         "Open-loop load generator that verifies each response.",
         NULL,         NULL,
         NULL};
     CallerArguments arguments = {.options = {.path = "/work",
@@ -188,14 +192,14 @@
                                              .run_ms = 5000,
                                              .timeout_ms = 5000,
                                              .check_ms = 100,
-                                             .non_idempotent = 30,
-                                             .repeat = 2,
+                                             .non_idempotent_percent = 30,
+                                             .repeat_percent = 2,
                                              .body_bytes = 64,
                                              .seed = 1}};
     argp_parse(&argp, argc, argv, 0, NULL, &arguments);
     if (arguments.options.daemon_count == 0 ||
         arguments.options.service_count == 0) {
-        fprintf(stderr, "aq-caller: give --daemon and --service\n");
+        fprintf(stderr, "aq-caller: --daemon and --service are required\n");
         return 2;
     }
     return run(&arguments) ? 0 : 1;
--- a/packages/testkit/caller_summary.c
+++ b/packages/testkit/caller_summary.c
@@ -3,9 +3,11 @@
 
 #include "caller.h"
 
-#define MAX_PROBLEMS 20
+/* Limit on the unexpected results that the summary lists; later ones are only
+ * counted. */
+#define MAX_PROBLEM_COUNT 20
 
-static const char *const result_names[RESULT_KINDS] = {
+static const char *const result_names[RESULT_KIND_COUNT] = {
     "completed", "not_run", "unknown", "wrong", "cut", "closed", "no_answer"};
 
 void
@@ -30,7 +32,7 @@
 static void
 add_problem(Summary *summary, const CallResult *result)
 {
-    if (json_array_size(summary->problems) >= MAX_PROBLEMS) {
+    if (json_array_size(summary->problems) >= MAX_PROBLEM_COUNT) {
         return;
     }
     json_array_append_new(
@@ -51,12 +53,12 @@
     g_hash_table_insert(summary->statuses, status,
                         GINT_TO_POINTER(GPOINTER_TO_INT(seen) + 1));
     if (result->kind == RESULT_COMPLETED) {
-        g_array_append_val(summary->latencies, result->ms);
+        g_array_append_val(summary->latencies, result->latency_ms);
     }
     if (result->kind == RESULT_UNKNOWN && result->idempotent) {
         summary->unknown_idempotent++;
     }
-    if (result->kind == RESULT_NOT_RUN && !result->retry_after) {
+    if (result->kind == RESULT_NOT_RUN && !result->has_retry_after) {
         summary->no_retry_after++;
     }
     if (result->kind >= RESULT_WRONG) {
@@ -118,7 +120,7 @@
     json_t *result = json_object();
     json_object_set_new(result, "address",
                         json_string(summary->options->daemons[daemon]));
-    for (int kind = 0; kind < RESULT_KINDS; kind++) {
+    for (int kind = 0; kind < RESULT_KIND_COUNT; kind++) {
         json_object_set_new(
             result, result_names[kind],
             json_integer((json_int_t)summary->counts[daemon][kind]));
@@ -137,7 +139,7 @@
         "unknown_idempotent", (json_int_t)summary->unknown_idempotent,
         "no_retry_after", (json_int_t)summary->no_retry_after, "not_run_ids",
         summary->not_run_ids, "problems", summary->problems);
-    for (int kind = 0; kind < RESULT_KINDS; kind++) {
+    for (int kind = 0; kind < RESULT_KIND_COUNT; kind++) {
         uint64_t sum = 0;
         for (int daemon = 0; daemon < summary->options->daemon_count;
              daemon++) {
--- a/packages/testkit/endpoint.c
+++ b/packages/testkit/endpoint.c
@@ -5,39 +5,42 @@
 #include <string.h>
 
 #include "aq_json.h"
-#include "aq_test_answer.h"
+#include "aq_test_response.h"
 
+/* Limit on a single service time; longer ones are shortened to it. */
 #define MAX_SERVICE_MS 600000
 
 struct Endpoint {
-    EndpointShared *shared;
+    EndpointCommon *common;
     AqTestServer *server;
     EndpointFaults faults;
-    AqLink jobs; /* running */
-    int in_use;
-    int max_slots;
-    unsigned max_connections;
-    uint64_t runs;
-    uint64_t not_run; /* refused for want of a slot */
+    AqLink slot_requests; /* requests that occupy a slot */
+    int slots_in_use;
+    int max_slots;            /* maximum number of slots in use so far */
+    unsigned max_connections; /* maximum number of connections so far */
+    uint64_t runs;            /* requests that were run */
+    uint64_t not_run;         /* requests rejected for lack of a free slot */
     bool leaving;
-    bool announce;
-    AqTime left_at;
-    json_t *after_leave; /* [{id, delay_ms}] */
+    bool announce;        /* responses announce that the endpoint leaves */
+    AqTime leaving_since; /* monotonic time of the last change of "leaving" */
+    /* Requests received since then, as [{id, delay_ms}]. */
+    json_t *after_leave;
 };
 
-/* A request that occupies a slot. */
+/* Request that occupies a slot until its service time has passed. */
 typedef struct {
     AqLink link;
     Endpoint *endpoint;
-    AqTestRequest *request; /* NULL when dropped */
-    AqLoopTimer timer;
-} Job;
+    AqTestRequest *request; /* NULL when its connection is gone */
+    AqLoopTimer timer;      /* fires at the end of the service time */
+} SlotRequest;
 
+/* Names of the values of CloseMode in the test interface. */
 static const char *const close_names[] = {"none", "before-reading", "in-body",
                                           "before-answer", "inside-answer"};
 
 static const char *
-id_of(const AqTestRequest *request)
+request_id_of(const AqTestRequest *request)
 {
     const char *id = AqTestRequest_Header(request, "Aq-Request-Id");
     return id != NULL ? id : "";
@@ -50,9 +53,10 @@
            strcmp(AqTestRequest_Method(request), "GET") == 0;
 }
 
-/* Whether this request is to be closed in the given way; counts it. */
+/* Returns whether the connection of the current request is to be closed in the
+ * given mode, and if so counts the request against close_count. */
 static bool
-take_close(Endpoint *endpoint, CloseMode mode)
+consume_close(Endpoint *endpoint, CloseMode mode)
 {
     EndpointFaults *faults = &endpoint->faults;
     if (faults->close != mode || faults->close_count == 0) {
@@ -79,12 +83,13 @@
     if (is_health(request)) {
         return true;
     }
-    if (has_body(request) && take_close(endpoint, CLOSE_IN_BODY)) {
+    if (has_body(request) && consume_close(endpoint, CLOSE_IN_BODY)) {
         AqTestRequest_CloseInBody(request);
     }
-    return !take_close(endpoint, CLOSE_BEFORE_READING);
+    return !consume_close(endpoint, CLOSE_BEFORE_READING);
 }
 
+/* Adds the headers that every response of an endpoint carries. */
 static void
 add_headers(Endpoint *endpoint, AqTestRequest *request)
 {
@@ -107,90 +112,94 @@
     AqTestRequest_Reply(request, 503, text, strlen(text));
 }
 
+/* Responds to a request that was run, as the injected faults demand. */
 static void
-reply_run(Endpoint *endpoint, AqTestRequest *request, unsigned status)
+reply_after_run(Endpoint *endpoint, AqTestRequest *request, unsigned status)
 {
     const AqBuffer *body = AqTestRequest_Body(request);
-    const char *id = id_of(request);
-    AqBuffer answer;
+    const char *id = request_id_of(request);
+    AqBuffer response;
     add_headers(endpoint, request);
     if (endpoint->faults.crossed > 0) {
         endpoint->faults.crossed--;
         id = "another-request";
         AqTestRequest_AddHeader(request, "Aq-Attempt-Id", "another-attempt");
     }
-    AqBuffer_Init(&answer);
-    AqAnswer_Build(&answer, id, body->bytes, body->size,
-                   endpoint->shared->answer_bytes);
-    if (take_close(endpoint, CLOSE_BEFORE_ANSWER)) {
+    AqBuffer_Init(&response);
+    AqTestResponse_Build(&response, id, body->bytes, body->size,
+                         endpoint->common->response_bytes);
+    if (consume_close(endpoint, CLOSE_BEFORE_RESPONSE)) {
         AqTestRequest_Close(request);
     }
-    else if (take_close(endpoint, CLOSE_INSIDE_ANSWER)) {
-        AqTestRequest_ReplyCut(request, status, answer.bytes, answer.size);
+    else if (consume_close(endpoint, CLOSE_INSIDE_RESPONSE)) {
+        AqTestRequest_ReplyCut(request, status, response.bytes, response.size);
     }
     else {
-        AqTestRequest_Reply(request, status, answer.bytes, answer.size);
+        AqTestRequest_Reply(request, status, response.bytes, response.size);
     }
-    AqBuffer_Clear(&answer);
+    AqBuffer_Clear(&response);
 }
 
 static void
-finish_job(void *context)
+finish_slot_request(void *context)
 {
-    Job *job = context;
-    Endpoint *endpoint = job->endpoint;
-    AqTestRequest *request = job->request;
-    endpoint->in_use--;
-    AqList_Remove(&job->link);
-    free(job);
+    SlotRequest *slot_request = context;
+    Endpoint *endpoint = slot_request->endpoint;
+    AqTestRequest *request = slot_request->request;
+    endpoint->slots_in_use--;
+    AqList_Remove(&slot_request->link);
+    free(slot_request);
     if (request != NULL) {
         AqTestRequest_SetUser(request, NULL);
-        reply_run(endpoint, request, 200);
+        reply_after_run(endpoint, request, 200);
     }
 }
 
+/* Returns the service time of a request in ms: the query parameter service_ms
+ * or a random time, multiplied by the factor slow_permille. */
 static int64_t
-service_time(Endpoint *endpoint, const AqTestRequest *request)
+draw_service_ms(Endpoint *endpoint, const AqTestRequest *request)
 {
-    EndpointShared *shared = endpoint->shared;
+    EndpointCommon *common = endpoint->common;
     const char *given = AqTestRequest_Query(request, "service_ms");
-    double ms = shared->service_ms;
+    double ms = common->service_ms;
     if (given != NULL) {
         ms = strtod(given, NULL);
     }
-    else if (shared->distribution == DISTRIBUTION_UNIFORM) {
-        ms = 2 * ms * AqRandom_Unit(&shared->random);
+    else if (common->distribution == DISTRIBUTION_UNIFORM) {
+        ms = 2 * ms * AqRandom_Unit(&common->random);
     }
-    else if (shared->distribution == DISTRIBUTION_EXPONENTIAL) {
-        ms = AqRandom_Exponential(&shared->random, ms);
+    else if (common->distribution == DISTRIBUTION_EXPONENTIAL) {
+        ms = AqRandom_Exponential(&common->random, ms);
     }
     ms = ms * (double)endpoint->faults.slow_permille / 1000;
     return ms < MAX_SERVICE_MS ? (int64_t)(ms + 0.5) : MAX_SERVICE_MS;
 }
 
 static void
-start_job(Endpoint *endpoint, AqTestRequest *request)
+start_slot_request(Endpoint *endpoint, AqTestRequest *request)
 {
-    Job *job = calloc(1, sizeof(*job));
-    job->endpoint = endpoint;
-    job->request = request;
-    AqTestRequest_SetUser(request, job);
-    AqList_Append(&endpoint->jobs, &job->link);
-    AqLoopTimer_Init(&job->timer, finish_job, job);
-    endpoint->in_use++;
-    if (endpoint->in_use > endpoint->max_slots) {
-        endpoint->max_slots = endpoint->in_use;
+    SlotRequest *slot_request = calloc(1, sizeof(*slot_request));
+    slot_request->endpoint = endpoint;
+    slot_request->request = request;
+    AqTestRequest_SetUser(request, slot_request);
+    AqList_Append(&endpoint->slot_requests, &slot_request->link);
+    AqLoopTimer_Init(&slot_request->timer, finish_slot_request, slot_request);
+    endpoint->slots_in_use++;
+    if (endpoint->slots_in_use > endpoint->max_slots) {
+        endpoint->max_slots = endpoint->slots_in_use;
     }
-    AqTestLoop_StartTimer(endpoint->shared->loop, &job->timer,
-                          service_time(endpoint, request));
+    AqTestLoop_StartTimer(endpoint->common->loop, &slot_request->timer,
+                          draw_service_ms(endpoint, request));
 }
 
 static void
 record_after_leave(Endpoint *endpoint, const AqTestRequest *request)
 {
-    AqTime delay = AqTestLoop_Now(endpoint->shared->loop) - endpoint->left_at;
+    AqTime delay =
+        AqTestLoop_Now(endpoint->common->loop) - endpoint->leaving_since;
     json_array_append_new(endpoint->after_leave,
-                          json_pack("{s:s s:I}", "id", id_of(request),
+                          json_pack("{s:s s:I}", "id", request_id_of(request),
                                     "delay_ms", (json_int_t)delay));
 }
 
@@ -207,17 +216,17 @@
     if (endpoint->leaving) {
         record_after_leave(endpoint, request);
     }
-    if (endpoint->in_use >= endpoint->shared->slots) {
+    if (endpoint->slots_in_use >= endpoint->common->slots) {
         reply_not_run(endpoint, request);
         return;
     }
     endpoint->runs++;
-    RunRecord_Add(&endpoint->shared->runs, id_of(request));
+    RunRecord_Add(&endpoint->common->runs, request_id_of(request));
     if (endpoint->faults.fail_all) {
-        reply_run(endpoint, request, 500);
+        reply_after_run(endpoint, request, 500);
         return;
     }
-    start_job(endpoint, request);
+    start_slot_request(endpoint, request);
 }
 
 static void
@@ -233,10 +242,10 @@
 static void
 on_dropped(void *context, AqTestRequest *request)
 {
-    Job *job = AqTestRequest_User(request);
+    SlotRequest *slot_request = AqTestRequest_User(request);
     (void)context;
-    if (job != NULL) {
-        job->request = NULL;
+    if (slot_request != NULL) {
+        slot_request->request = NULL;
     }
 }
 
@@ -246,15 +255,15 @@
                                            .dropped = on_dropped};
 
 Endpoint *
-Endpoint_Create(EndpointShared *shared, int port, AqError *error)
+Endpoint_Create(EndpointCommon *common, int port, AqError *error)
 {
     Endpoint *endpoint = calloc(1, sizeof(*endpoint));
-    endpoint->shared = shared;
+    endpoint->common = common;
     endpoint->faults.slow_permille = 1000;
     endpoint->after_leave = json_array();
-    AqList_Init(&endpoint->jobs);
+    AqList_Init(&endpoint->slot_requests);
     endpoint->server =
-        AqTestServer_Create(shared->loop, port, &server_ops, endpoint, error);
+        AqTestServer_Create(common->loop, port, &server_ops, endpoint, error);
     if (endpoint->server == NULL) {
         Endpoint_Destroy(endpoint);
         return NULL;
@@ -270,10 +279,10 @@
         return;
     }
     AqTestServer_Destroy(endpoint->server);
-    while ((at = AqList_PopFirst(&endpoint->jobs)) != NULL) {
-        Job *job = AqList_Entry(at, Job, link);
-        AqLoopTimer_Stop(&job->timer);
-        free(job);
+    while ((at = AqList_PopFirst(&endpoint->slot_requests)) != NULL) {
+        SlotRequest *slot_request = AqList_Entry(at, SlotRequest, link);
+        AqLoopTimer_Stop(&slot_request->timer);
+        free(slot_request);
     }
     json_decref(endpoint->after_leave);
     free(endpoint);
@@ -286,11 +295,11 @@
 }
 
 void
-Endpoint_Leave(Endpoint *endpoint, bool leaving, bool announce)
+Endpoint_SetLeaving(Endpoint *endpoint, bool leaving, bool announce)
 {
     endpoint->leaving = leaving;
     endpoint->announce = announce;
-    endpoint->left_at = AqTestLoop_Now(endpoint->shared->loop);
+    endpoint->leaving_since = AqTestLoop_Now(endpoint->common->loop);
     json_array_clear(endpoint->after_leave);
 }
 
@@ -301,7 +310,7 @@
     if (!AqJson_OptString(body, "close", close_names[*mode], &text, error)) {
         return false;
     }
-    for (int i = 0; i <= CLOSE_INSIDE_ANSWER; i++) {
+    for (int i = 0; i <= CLOSE_INSIDE_RESPONSE; i++) {
         if (strcmp(text, close_names[i]) == 0) {
             *mode = (CloseMode)i;
             return true;
@@ -347,7 +356,7 @@
     return json_pack(
         "{s:i s:I s:I s:i s:i s:i s:i s:b s:O}", "port",
         Endpoint_Port(endpoint), "runs", (json_int_t)endpoint->runs, "not_run",
-        (json_int_t)endpoint->not_run, "slots_in_use", endpoint->in_use,
+        (json_int_t)endpoint->not_run, "slots_in_use", endpoint->slots_in_use,
         "max_slots", endpoint->max_slots, "max_connections",
         (int)endpoint->max_connections, "connections",
         (int)AqTestServer_CountConnections(endpoint->server), "leaving",
--- a/packages/testkit/endpoint.h
+++ b/packages/testkit/endpoint.h
@@ -10,63 +10,85 @@
 #include "aq_test_loop.h"
 #include "aq_test_server.h"
 
+/* Distribution of the random service times. */
 typedef enum {
     DISTRIBUTION_FIXED,
-    DISTRIBUTION_UNIFORM, /* 0 .. twice the mean */
+    DISTRIBUTION_UNIFORM, /* between 0 and twice the mean */
     DISTRIBUTION_EXPONENTIAL
 } Distribution;
 
+/* Moment at which the endpoint closes the connection of a request. */
 typedef enum {
     CLOSE_NONE,
-    CLOSE_BEFORE_READING, /* headers arrived, nothing run */
-    CLOSE_IN_BODY,        /* at the first byte of the body, nothing run */
-    CLOSE_BEFORE_ANSWER,  /* after the run */
-    CLOSE_INSIDE_ANSWER   /* after the run and half of the answer */
+    /* After the headers have arrived; the request does not run. */
+    CLOSE_BEFORE_READING,
+    /* At the first byte of the request body; the request does not run. */
+    CLOSE_IN_BODY,
+    /* After the request has run, before its response. */
+    CLOSE_BEFORE_RESPONSE,
+    /* After the request has run and half of its response was sent. */
+    CLOSE_INSIDE_RESPONSE
 } CloseMode;
 
+/* Faults that the test interface injects into an endpoint. */
 typedef struct {
     CloseMode close;
-    int64_t close_count; /* requests left; -1: all */
-    bool fail_all;       /* every request is run and answered 500 at once */
-    bool fail_health;
-    int64_t slow_permille; /* of the service time */
-    int64_t crossed;       /* answers left with another request's content */
+    /* Number of further requests that the close mode affects; -1 for all. */
+    int64_t close_count;
+    /* Every request is counted as run and answered with status 500 at
+     * once. */
+    bool fail_all;
+    bool fail_health; /* health checks are answered with status 500 */
+    /* Factor applied to every service time, in permille. */
+    int64_t slow_permille;
+    /* Number of further responses that carry another request's content. */
+    int64_t crossed;
 } EndpointFaults;
 
-/* Runs of a process over all its endpoints. */
+/* Runs of requests on all endpoints of a process. */
 typedef struct {
-    GHashTable *counts; /* request id -> runs */
-    uint64_t total;
+    GHashTable *counts; /* request id -> number of runs */
+    uint64_t total;     /* number of runs of all requests */
 } RunRecord;
 
 void RunRecord_Init(RunRecord *record);
 void RunRecord_Clear(RunRecord *record);
+/* Counts one run of the request with this id. */
 void RunRecord_Add(RunRecord *record, const char *id);
-/* {total, ids, more_than_once: {id: runs}} and, when "all", counts. */
+/* Returns {total, ids, more_than_once: {id: runs}} as a new JSON object. "ids"
+ * is the number of distinct request ids.  With "all" the object also has
+ * "counts", the number of runs by request id. */
 json_t *RunRecord_Describe(const RunRecord *record, bool all);
 
+/* Data and options that all endpoints of a process have in common. */
 typedef struct {
     AqTestLoop *loop;
     RunRecord runs;
     AqRandom random;
-    int slots;
-    double service_ms; /* mean */
-    Distribution distribution;
-    size_t answer_bytes;
-} EndpointShared;
+    int slots;         /* requests that one endpoint runs at the same time */
+    double service_ms; /* mean service time */
+    Distribution distribution; /* distribution of the service times */
+    size_t response_bytes;     /* minimum size of a response body */
+} EndpointCommon;
 
+/* Simulated endpoint that runs requests in a limited number of slots. */
 typedef struct Endpoint Endpoint;
 
-/* shared is borrowed.  NULL on error. */
-Endpoint *Endpoint_Create(EndpointShared *shared, int port, AqError *error);
+/* Creates an endpoint that listens on a port of 127.0.0.1; port 0 selects a
+ * free one.  common is borrowed.  Returns NULL on error. */
+Endpoint *Endpoint_Create(EndpointCommon *common, int port, AqError *error);
 void Endpoint_Destroy(Endpoint *endpoint);
+/* Returns the port on which the endpoint listens. */
 int Endpoint_Port(const Endpoint *endpoint);
-/* From now on requests are recorded as "after_leave"; "announce" adds
- * Aq-Leaving to the answers. */
-void Endpoint_Leave(Endpoint *endpoint, bool leaving, bool announce);
-/* Fields that are absent keep their value. */
+/* Starts or ends leaving, according to "leaving".  While an endpoint leaves,
+ * it records each request in "after_leave" and still runs the request; with
+ * "announce" it also adds the header Aq-Leaving to its responses.  Both calls
+ * clear the record. */
+void Endpoint_SetLeaving(Endpoint *endpoint, bool leaving, bool announce);
+/* Sets the faults that a JSON object names; all others keep their values. */
 bool Endpoint_SetFaults(Endpoint *endpoint, const json_t *body,
                         AqError *error);
+/* Returns the counts of the endpoint as a new JSON object. */
 json_t *Endpoint_Describe(const Endpoint *endpoint);
 
 #endif
--- a/packages/testkit/endpoint_main.c
+++ b/packages/testkit/endpoint_main.c
@@ -7,15 +7,19 @@
 #include "endpoint.h"
 
 #define MAX_ENDPOINTS 128
+/* Endpoint number that selects all endpoints. */
 #define ALL_ENDPOINTS (-1)
 
+/* State of an aq-endpoint process. */
 typedef struct {
-    EndpointShared shared;
-    AqTestServer *control;
+    EndpointCommon common;
+    AqTestServer *control; /* server of the test interface */
     Endpoint *endpoints[MAX_ENDPOINTS];
     int count;
-    int port; /* of the first endpoint; the next ones follow, 0: any */
-    int64_t seed;
+    /* Port of the first endpoint; the others use the ports after it.  0
+     * selects free ports. */
+    int first_port;
+    int64_t seed; /* seed of the random service times */
 } EndpointProcess;
 
 /* ---- Test interface ---------------------------------------------------- */
@@ -24,7 +28,7 @@
 reply_runs(EndpointProcess *process, AqTestRequest *request)
 {
     json_t *result = RunRecord_Describe(
-        &process->shared.runs, AqTestRequest_Query(request, "ids") != NULL);
+        &process->common.runs, AqTestRequest_Query(request, "ids") != NULL);
     json_t *endpoints = json_array();
     for (int i = 0; i < process->count; i++) {
         json_array_append_new(endpoints,
@@ -56,15 +60,18 @@
         !AqJson_OptBool(body, "announce", true, &announce, error)) {
         return false;
     }
-    Endpoint_Leave(endpoint, leaving, announce);
+    Endpoint_SetLeaving(endpoint, leaving, announce);
     return true;
 }
 
-/* Applies a change to the endpoint named by number, or to all. */
+/* Applies a change to the endpoint whose number is the field "endpoint" of
+ * body, or to all endpoints without that field.  Returns false with an error
+ * when the change is invalid. */
 static bool
-apply(EndpointProcess *process, const json_t *body,
-      bool (*change)(Endpoint *endpoint, const json_t *body, AqError *error),
-      AqError *error)
+apply_change(EndpointProcess *process, const json_t *body,
+             bool (*change)(Endpoint *endpoint, const json_t *body,
+                            AqError *error),
+             AqError *error)
 {
     int64_t number;
     if (!AqJson_OptInt(body, "endpoint", 0, process->count - 1, ALL_ENDPOINTS,
@@ -99,7 +106,8 @@
     }
     json_t *body = AqJson_Parse(AqBuffer_Text(text), text->size, &error);
     if (body == NULL ||
-        !apply(process, body, faults ? set_faults : set_leaving, &error)) {
+        !apply_change(process, body, faults ? set_faults : set_leaving,
+                      &error)) {
         AqTestRequest_ReplyError(request, &error);
     }
     else {
@@ -114,12 +122,14 @@
 
 static const struct argp_option option_table[] = {
     {"port", 'p', "PORT", 0, "port of the first endpoint (0: any)", 0},
-    {"count", 'c', "N", 0, "endpoints (default 1)", 0},
+    {"count", 'c', "N", 0, "number of endpoints (default 1)", 0},
     {"slots", 's', "N", 0, "slots of each endpoint (default 8)", 0},
     {"service-ms", 'm', "MS", 0, "mean service time (default 20)", 0},
-    {"distribution", 'd', "KIND", 0, "fixed, uniform or exponential", 0},
-    {"answer-bytes", 'a', "N", 0, "least size of an answer (default 256)", 0},
-    {"seed", 'S', "N", 0, "seed of the service times (default 1)", 0},
+    {"distribution", 'd', "KIND", 0, "fixed (default), uniform or exponential",
+     0},
+    {"answer-bytes", 'a', "N", 0, "minimum size of a response (default 256)",
+     0},
+    {"seed", 'S', "N", 0, "seed of the random service times (default 1)", 0},
     {0}};
 
 static bool
@@ -140,12 +150,13 @@
 {
     EndpointProcess *process = state->input;
     if (arg == NULL) {
-        return ARGP_ERR_UNKNOWN; /* one of argp's own keys */
+        /* The key is one of those that argp itself defines. */
+        return ARGP_ERR_UNKNOWN;
     }
     int64_t number = strtoll(arg, NULL, 10);
     switch (key) {
     case 'p':
-        process->port = (int)number;
+        process->first_port = (int)number;
         return 0;
     case 'c':
         if (number < 1 || number > MAX_ENDPOINTS) {
@@ -154,19 +165,19 @@
         process->count = (int)number;
         return 0;
     case 's':
-        process->shared.slots = (int)number;
+        process->common.slots = (int)number;
         return 0;
     case 'm':
-        process->shared.service_ms = (double)number;
+        process->common.service_ms = (double)number;
         return 0;
     case 'a':
-        process->shared.answer_bytes = (size_t)number;
+        process->common.response_bytes = (size_t)number;
         return 0;
     case 'S':
         process->seed = number;
         return 0;
     case 'd':
-        if (!parse_distribution(arg, &process->shared.distribution)) {
+        if (!parse_distribution(arg, &process->common.distribution)) {
             argp_error(state, "unknown distribution \"%s\"", arg);
         }
         return 0;
@@ -178,17 +189,17 @@
 static bool
 open_process(EndpointProcess *process, AqError *error)
 {
-    process->shared.loop = AqTestLoop_Create();
-    RunRecord_Init(&process->shared.runs);
-    AqRandom_Seed(&process->shared.random, (uint64_t)process->seed);
+    process->common.loop = AqTestLoop_Create();
+    RunRecord_Init(&process->common.runs);
+    AqRandom_Seed(&process->common.random, (uint64_t)process->seed);
     for (int i = 0; i < process->count; i++) {
-        int port = process->port > 0 ? process->port + i : 0;
-        process->endpoints[i] = Endpoint_Create(&process->shared, port, error);
+        int port = process->first_port > 0 ? process->first_port + i : 0;
+        process->endpoints[i] = Endpoint_Create(&process->common, port, error);
         if (process->endpoints[i] == NULL) {
             return false;
         }
     }
-    process->control = AqTestServer_Create(process->shared.loop, 0,
+    process->control = AqTestServer_Create(process->common.loop, 0,
                                            &control_ops, process, error);
     return process->control != NULL;
 }
@@ -200,8 +211,8 @@
         Endpoint_Destroy(process->endpoints[i]);
     }
     AqTestServer_Destroy(process->control);
-    RunRecord_Clear(&process->shared.runs);
-    AqTestLoop_Destroy(process->shared.loop);
+    RunRecord_Clear(&process->common.runs);
+    AqTestLoop_Destroy(process->common.loop);
 }
 
 static void
@@ -220,10 +231,12 @@
 main(int argc, char **argv)
 {
     static const struct argp argp = {
-        option_table, parse_option, NULL, "Stand-in of endpoints (back ends).",
-        NULL,         NULL,         NULL};
+        option_table, parse_option,
+        NULL,         "Stand-in for endpoints (back ends).",
+        NULL,         NULL,
+        NULL};
     EndpointProcess process = {
-        .shared = {.slots = 8, .service_ms = 20, .answer_bytes = 256},
+        .common = {.slots = 8, .service_ms = 20, .response_bytes = 256},
         .count = 1,
         .seed = 1};
     AqError error;
@@ -231,7 +244,7 @@
     bool ok = open_process(&process, &error);
     if (ok) {
         print_ready(&process);
-        AqTestLoop_Run(process.shared.loop);
+        AqTestLoop_Run(process.common.loop);
     }
     else {
         fprintf(stderr, "aq-endpoint: %s\n", error.message);
--- a/packages/testkit/endpoint_runs.c
+++ b/packages/testkit/endpoint_runs.c
@@ -28,7 +28,7 @@
 json_t *
 RunRecord_Describe(const RunRecord *record, bool all)
 {
-    json_t *more = json_object();
+    json_t *more_than_once = json_object();
     json_t *counts = json_object();
     GHashTableIter at;
     gpointer id;
@@ -37,15 +37,16 @@
     while (g_hash_table_iter_next(&at, &id, &runs)) {
         int n = GPOINTER_TO_INT(runs);
         if (n > 1) {
-            json_object_set_new(more, id, json_integer(n));
+            json_object_set_new(more_than_once, id, json_integer(n));
         }
         if (all) {
             json_object_set_new(counts, id, json_integer(n));
         }
     }
-    json_t *result = json_pack(
-        "{s:I s:I s:o}", "total", (json_int_t)record->total, "ids",
-        (json_int_t)g_hash_table_size(record->counts), "more_than_once", more);
+    json_t *result =
+        json_pack("{s:I s:I s:o}", "total", (json_int_t)record->total, "ids",
+                  (json_int_t)g_hash_table_size(record->counts),
+                  "more_than_once", more_than_once);
     if (all) {
         json_object_set(result, "counts", counts);
     }
--- a/packages/testkit/http.c
+++ b/packages/testkit/http.c
@@ -13,8 +13,8 @@
     CURLM *multi;
     CURL *easy;
     struct curl_slist *headers;
-    AqTestHttpReply reply; /* being received */
-    bool added;
+    AqTestHttpReply reply; /* response that is being received */
+    bool is_attached;      /* whether multi contains easy */
 };
 
 void
@@ -47,8 +47,10 @@
     return false;
 }
 
+/* libcurl callback that appends received bytes to an AqBuffer; returns the
+ * number of bytes accepted, which is all of them. */
 static size_t
-append(char *bytes, size_t size, size_t count, void *buffer)
+append_received(char *bytes, size_t size, size_t count, void *buffer)
 {
     AqBuffer_Append(buffer, bytes, size * count);
     return size * count;
@@ -65,12 +67,13 @@
     return client;
 }
 
+/* Ends the current transfer of the client and frees its request headers. */
 static void
-detach(AqTestHttpClient *client)
+detach_transfer(AqTestHttpClient *client)
 {
-    if (client->added) {
+    if (client->is_attached) {
         curl_multi_remove_handle(client->multi, client->easy);
-        client->added = false;
+        client->is_attached = false;
     }
     curl_slist_free_all(client->headers);
     client->headers = NULL;
@@ -82,7 +85,7 @@
     if (client == NULL) {
         return;
     }
-    detach(client);
+    detach_transfer(client);
     curl_easy_cleanup(client->easy);
     curl_multi_cleanup(client->multi);
     AqTestHttpReply_Clear(&client->reply);
@@ -94,7 +97,8 @@
 {
     CURL *easy = client->easy;
     curl_easy_reset(easy);
-    /* Without it libcurl asks for "100 Continue" before bodies over 1 MiB. */
+    /* Without the empty "Expect" header libcurl waits for "100 Continue"
+     * before it sends a body over 1 MiB. */
     client->headers = curl_slist_append(NULL, "Expect:");
     for (size_t i = 0; call->headers != NULL && call->headers[i] != NULL;
          i++) {
@@ -113,15 +117,17 @@
     curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS,
                      call->timeout_ms > 0 ? call->timeout_ms
                                           : DEFAULT_TIMEOUT_MS);
-    curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, append);
+    curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, append_received);
     curl_easy_setopt(easy, CURLOPT_WRITEDATA, &client->reply.body);
-    curl_easy_setopt(easy, CURLOPT_HEADERFUNCTION, append);
+    curl_easy_setopt(easy, CURLOPT_HEADERFUNCTION, append_received);
     curl_easy_setopt(easy, CURLOPT_HEADERDATA, &client->reply.headers);
 }
 
-/* Whether the request has left, or the call has ended. */
+/* Performs pending transfer work.  Returns true when the call has ended or,
+ * with until_sent, when the request has been sent; otherwise waits for the
+ * next event, at most 1 s, and returns false. */
 static bool
-step(AqTestHttpClient *client, bool until_sent)
+drive_transfer(AqTestHttpClient *client, bool until_sent)
 {
     int running = 0;
     long sent = 0;
@@ -141,17 +147,19 @@
     AqTestHttpReply_Clear(&client->reply);
     set_options(client, call);
     if (curl_multi_add_handle(client->multi, client->easy) != CURLM_OK) {
-        return AqError_Set(error, AQ_ERR_SYSTEM,
-                           "libcurl took no call; finish the call before");
+        return AqError_Set(
+            error, AQ_ERR_SYSTEM,
+            "libcurl rejected the call; finish the previous call first");
     }
-    client->added = true;
-    while (!step(client, true)) {
+    client->is_attached = true;
+    while (!drive_transfer(client, true)) {
     }
     return true;
 }
 
+/* Sets the error for a libcurl result code; returns false. */
 static bool
-fill_error(CURLcode code, AqError *error)
+set_curl_error(CURLcode code, AqError *error)
 {
     AqErrorKind kind = code == CURLE_COULDNT_CONNECT      ? AQ_ERR_UNAVAILABLE
                        : code == CURLE_OPERATION_TIMEDOUT ? AQ_ERR_TIMEOUT
@@ -167,7 +175,7 @@
     int left;
     CURLcode code = CURLE_FAILED_INIT;
     CURLMsg *message;
-    while (!step(client, false)) {
+    while (!drive_transfer(client, false)) {
     }
     while ((message = curl_multi_info_read(client->multi, &left)) != NULL) {
         if (message->msg == CURLMSG_DONE) {
@@ -176,9 +184,9 @@
     }
     curl_easy_getinfo(client->easy, CURLINFO_RESPONSE_CODE,
                       &client->reply.status);
-    detach(client);
+    detach_transfer(client);
     if (code != CURLE_OK) {
-        return fill_error(code, error);
+        return set_curl_error(code, error);
     }
     *reply = client->reply;
     AqBuffer_Init(&client->reply.headers);
--- a/packages/testkit/loop.c
+++ b/packages/testkit/loop.c
@@ -6,14 +6,15 @@
 #include <sys/signalfd.h>
 #include <unistd.h>
 
+/* Limit on the sources with a descriptor; further ones are not polled. */
 #define MAX_SOURCES 256
 
 struct AqTestLoop {
     AqLink sources;
-    AqLink timers; /* in order of due time */
-    AqTime now;
+    AqLink timers; /* running timers, ordered by due time */
+    AqTime now;    /* monotonic time at which this iteration began */
     bool stopped;
-    int signal_fd;
+    int signal_fd; /* signalfd for SIGTERM and SIGINT */
     AqLoopWait wait;
     void *wait_context;
 };
@@ -25,7 +26,8 @@
     poll(fds, count, timeout);
 }
 
-/* The usual soft limit of 1024 is too low for many connections at once. */
+/* Raises the soft limit of open descriptors to the hard limit.  The usual soft
+ * limit of 1024 is too low for many simultaneous connections. */
 static void
 raise_descriptor_limit(void)
 {
@@ -106,13 +108,14 @@
 {
     AqList_Remove(&timer->link);
     AqLink *at = loop->timers.prev;
-    /* The caller may have spent time since the turn began. */
+    /* loop->now may be outdated: the caller may have taken some time since the
+     * iteration began. */
     timer->due = AqClock_ReadMonotonic() + ms;
     while (at != &loop->timers &&
            AqList_Entry(at, AqLoopTimer, link)->due > timer->due) {
         at = at->prev;
     }
-    /* Prepending to a link inserts after it. */
+    /* AqList_Prepend with a list element inserts after that element. */
     AqList_Prepend(at, &timer->link);
 }
 
@@ -128,8 +131,9 @@
     loop->stopped = true;
 }
 
-/* Fires what was due when the turn began, so that a timer that is started
- * again by its own handler cannot keep the sources waiting. */
+/* Fires the timers that were due when the iteration began.  The fixed time
+ * prevents a timer that its own handler restarts from starving the
+ * sources. */
 static void
 fire_timers(AqTestLoop *loop)
 {
@@ -145,8 +149,10 @@
     }
 }
 
+/* Returns the shorter of two timeouts in ms.  A negative "a" means no limit, a
+ * negative "b" a time that has passed already. */
 static int
-shorter(int a, AqTime b)
+shorter_timeout(int a, AqTime b)
 {
     if (b < 0) {
         b = 0;
@@ -154,6 +160,8 @@
     return a < 0 || b < a ? (int)b : a;
 }
 
+/* Returns the time in ms until the next timer, source or "end" is due, or -1
+ * for no limit. */
 static int
 wait_limit(AqTestLoop *loop, AqTime end)
 {
@@ -161,17 +169,17 @@
     if (!AqList_IsEmpty(&loop->timers)) {
         AqLoopTimer *first =
             AqList_Entry(loop->timers.next, AqLoopTimer, link);
-        limit = shorter(limit, first->due - loop->now);
+        limit = shorter_timeout(limit, first->due - loop->now);
     }
     if (end != AQ_TIME_NEVER) {
-        limit = shorter(limit, end - loop->now);
+        limit = shorter_timeout(limit, end - loop->now);
     }
     AqList_ForEach(at, &loop->sources)
     {
         AqLoopSource *source = AqList_Entry(at, AqLoopSource, link);
         int ms = source->timeout != NULL ? source->timeout(source) : -1;
         if (ms >= 0) {
-            limit = shorter(limit, ms);
+            limit = shorter_timeout(limit, ms);
         }
     }
     return limit;
@@ -199,7 +207,7 @@
 }
 
 static void
-run_turn(AqTestLoop *loop, AqTime end)
+run_iteration(AqTestLoop *loop, AqTime end)
 {
     wait_for_events(loop, end);
     fire_timers(loop);
@@ -214,7 +222,7 @@
 AqTestLoop_Run(AqTestLoop *loop)
 {
     while (!loop->stopped) {
-        run_turn(loop, AQ_TIME_NEVER);
+        run_iteration(loop, AQ_TIME_NEVER);
     }
 }
 
@@ -224,7 +232,7 @@
     loop->now = AqClock_ReadMonotonic();
     AqTime end = loop->now + ms;
     while (!*done && !loop->stopped && loop->now < end) {
-        run_turn(loop, end);
+        run_iteration(loop, end);
     }
     return *done;
 }
--- a/packages/testkit/platform.h
+++ b/packages/testkit/platform.h
@@ -8,8 +8,10 @@
 #include "aq_test_server.h"
 #include "platform_kv.h"
 
-/* Parts of aq-platform that share one state. */
+/* Interfaces between the source files of aq-platform, which share the
+ * structure Platform. */
 
+/* Kinds of calls that are counted separately. */
 typedef enum {
     CALL_KV_GET,
     CALL_KV_LIST,
@@ -24,116 +26,160 @@
     CALL_TASKS,
     CALL_TASKS_WATCH,
     CALL_OTHER,
-    CALL_KINDS
+    CALL_KIND_COUNT
 } CallKind;
 
+/* Injected outage of the store. */
 typedef enum {
     STORE_UP,
-    STORE_REFUSED, /* the port refuses connections */
-    STORE_503      /* store calls are answered 503 */
-} StoreDown;
+    STORE_REFUSED, /* the port of the platform refuses connections */
+    STORE_503      /* store calls are answered with status 503 */
+} StoreOutage;
 
+/* Faults that the test interface injects into the platform. */
 typedef struct {
-    StoreDown down;
-    int64_t slow_ms;           /* before a store call is handled */
-    int64_t lose_replies;      /* store writes left to lose */
-    int64_t lose_task_replies; /* task and reboot calls left to lose */
-    bool lose_silently;        /* keep the connection open */
-    bool silence_open;         /* once: connections open now go silent */
+    StoreOutage down;
+    int64_t slow_ms; /* delay before each store call is handled */
+    /* Number of further store writes that are performed but whose responses
+     * are lost. */
+    int64_t lose_replies;
+    /* Number of further task and reboot calls that are performed but whose
+     * responses are lost. */
+    int64_t lose_task_replies;
+    /* A lost response leaves its connection open instead of closing it. */
+    bool lose_silently;
+    /* Silences the connections that are open when the faults are set; later
+     * connections work. */
+    bool silence_open;
+    /* Delay between a change and the response to a watch for it. */
     int64_t delay_watches_ms;
-    int64_t failing_reboots; /* reboots left that never come back */
-    int64_t run_permille;    /* true run time by declared run time */
-    int64_t usage_permille;  /* true usage by declared size */
+    /* Number of further reboots after which the VM stays down. */
+    int64_t failing_reboots;
+    /* Actual run time of a task, in permille of its declared run time. */
+    int64_t run_permille;
+    /* Actual CPU and memory usage of a task, in permille of its declared
+     * size. */
+    int64_t usage_permille;
 } Faults;
 
+/* Options of aq-platform. */
 typedef struct {
-    int64_t lag_ms;
-    int64_t reboot_ms;
+    int64_t lag_ms;    /* delay until the VM list shows a change of a VM */
+    int64_t reboot_ms; /* time that a VM is down for a reboot */
+    /* Delay until the task list shows the usage after a change of state. */
     int64_t usage_lag_ms;
-    int port;
+    int port; /* port of the platform; 0 for any */
 } PlatformOptions;
 
 typedef struct Platform Platform;
 
-/* A request that waits: for a change, for its time, or for both. */
+/* Request whose response waits for a change, for a timer, or for both. */
 typedef struct {
     AqLink link;
     Platform *platform;
     AqTestRequest *request;
-    AqLoopTimer timer;
-    uint64_t index; /* watches: answered above it */
-    bool store;     /* a call to the store */
-    bool woken;
-    uint64_t (*current)(Platform *platform, const AqTestRequest *request);
-    void (*go)(Platform *platform, AqTestRequest *request);
-} Pending;
+    AqLoopTimer timer; /* calls "handle" when it fires */
+    /* Index that a watch passed; the watch is due once the current index is
+     * higher. */
+    uint64_t index;
+    bool is_store_call; /* whether the request is a call to the store */
+    /* The change that the watch waits for has occurred, and the timer delays
+     * the response. */
+    bool is_due;
+    /* Returns the current index of the watched data; NULL unless the request
+     * is a watch. */
+    uint64_t (*current_index)(Platform *platform,
+                              const AqTestRequest *request);
+    /* Handles the request, which is no longer pending. */
+    void (*handle)(Platform *platform, AqTestRequest *request);
+} PendingRequest;
 
 struct Platform {
     AqTestLoop *loop;
-    AqTestServer *server;
-    AqTestServer *control;
+    AqTestServer *server;  /* server of the store, VM and task calls */
+    AqTestServer *control; /* server of the test interface */
     PlatformOptions options;
     Faults faults;
-    uint64_t calls[CALL_KINDS];
-    uint64_t rejected;
-    uint64_t lost;
-    AqKv *kv;
-    AqLink pending;
+    uint64_t calls[CALL_KIND_COUNT]; /* number of calls by CallKind */
+    uint64_t rejected; /* store calls answered with an injected 503 */
+    uint64_t lost;     /* responses that an injected fault lost */
+    AqKv *kv;          /* data of the store */
+    AqLink pending;    /* requests that wait for their response */
     AqLink vms;
-    uint64_t vms_index;
+    uint64_t vms_index; /* grows with each change of the VM list */
     AqLink tasks;
-    uint64_t tasks_index;
+    uint64_t tasks_index; /* grows with each change of the task list */
 };
 
-/* Runs "go" after ms. */
+/* Calls handle for the request after ms milliseconds. */
 void Platform_Delay(Platform *platform, AqTestRequest *request, int64_t ms,
-                    bool store,
-                    void (*go)(Platform *platform, AqTestRequest *request));
-/* Answers a read by "go": at once without an index, else when "current" is
- * above the index or the wait is over. */
-void Platform_Watch(Platform *platform, AqTestRequest *request, bool store,
-                    uint64_t (*current)(Platform *platform,
-                                        const AqTestRequest *request),
-                    void (*go)(Platform *platform, AqTestRequest *request));
-/* Answers the watches whose index was passed. */
-void Platform_Wake(Platform *platform);
-/* Answers all waiting store calls with 503. */
+                    bool is_store_call,
+                    void (*handle)(Platform *platform,
+                                   AqTestRequest *request));
+/* Answers a read by calling handle: at once when the request has no index
+ * parameter, otherwise (a watch) when current_index returns more than that
+ * index or the time in the wait parameter is over. */
+void Platform_AnswerRead(
+    Platform *platform, AqTestRequest *request, bool is_store_call,
+    uint64_t (*current_index)(Platform *platform,
+                              const AqTestRequest *request),
+    void (*handle)(Platform *platform, AqTestRequest *request));
+/* Answers the watches whose data now has a higher index than they passed,
+ * after the delay that the fault delay_watches_ms sets. */
+void Platform_NotifyWatches(Platform *platform);
+/* Answers all pending store calls with status 503. */
 void Platform_RejectStoreCalls(Platform *platform);
+/* Returns whether a request is a blocking query: one with an index above 0. */
 bool Platform_IsWatch(const AqTestRequest *request);
-/* Answers a write, or loses the answer when a fault says so. */
+/* Responds to a write with a JSON value, whose reference it takes over.  When
+ * *losses_left is above 0, the function decrements it and loses the response
+ * instead. */
 void Platform_ReplyWrite(Platform *platform, AqTestRequest *request,
-                         int64_t *losses, unsigned status, json_t *value);
-/* X-Consul-Index. */
+                         int64_t *losses_left, unsigned status, json_t *value);
+/* Adds the response header X-Consul-Index. */
 void Platform_AddIndex(AqTestRequest *request, uint64_t index);
 
-/* platform_store.c: /v1/kv/... */
+/* The functions of platform_store.c implement the calls to /v1/kv/. */
+
+/* Returns the kind of a call to the store. */
 CallKind Store_Kind(const AqTestRequest *request);
 void Store_Handle(Platform *platform, AqTestRequest *request);
 
-/* platform_vms.c */
+/* The functions of platform_vms.c implement the calls to /v1/vms. */
+
+/* Answers GET /v1/vms, which is also a watch. */
 void Vms_List(Platform *platform, AqTestRequest *request);
+/* Answers PUT /v1/vms/ID/reboot.  A repeated call with the same "op" does not
+ * start a second reboot. */
 void Vms_Reboot(Platform *platform, AqTestRequest *request);
-/* POST /test/v1/vms */
+/* Answers POST /test/v1/vms: creates or changes VMs. */
 void Vms_Set(Platform *platform, AqTestRequest *request);
 void Vms_Destroy(Platform *platform);
 
+/* VM as a worker that runs tasks. */
 typedef struct {
-    bool known;
-    bool live;
-    bool fails; /* fails every task */
+    bool known; /* whether a VM with this id exists */
+    bool live;  /* whether the actual state of the VM is "live" */
+    bool fails; /* every task fails on the worker at its start */
     int64_t cores;
     int64_t memory_mb;
     int64_t accelerators;
 } WorkerInfo;
 
-/* True state of a VM as a worker. */
+/* Returns the actual state of a VM as a worker, regardless of the lag of the
+ * VM list; all fields are zero for an unknown id. */
 WorkerInfo Vms_Worker(Platform *platform, const char *id);
 
-/* platform_tasks.c */
+/* The functions of platform_tasks.c implement the calls to /v1/tasks. */
+
+/* Answers PUT /v1/tasks/ID: starts a task or resumes it from its checkpoint.
+ */
 void Tasks_Put(Platform *platform, AqTestRequest *request);
+/* Answers POST /v1/tasks/ID/ACTION: checkpoint, throttle, stop or renew. */
 void Tasks_Act(Platform *platform, AqTestRequest *request);
+/* Answers GET /v1/tasks, which is also a watch. */
 void Tasks_List(Platform *platform, AqTestRequest *request);
-/* Fails the tasks of a worker that went down. */
+/* Sets the active tasks of a worker that went down to the state "failed". */
 void Tasks_WorkerDown(Platform *platform, const char *worker);
 void Tasks_Destroy(Platform *platform);
 
--- a/packages/testkit/platform_kv.c
+++ b/packages/testkit/platform_kv.c
@@ -5,8 +5,8 @@
 #include <string.h>
 
 struct AqKv {
-    GTree *items;   /* key -> AqKvItem, deleted keys included */
-    uint64_t index; /* of the last write; starts at 1 */
+    GTree *items;   /* key -> AqKvItem, including deleted keys */
+    uint64_t index; /* index of the last write; 1 in an unwritten table */
 };
 
 static int
@@ -78,8 +78,9 @@
     return true;
 }
 
+/* Marks an item as deleted by the write with this table index. */
 static void
-bury(AqKvItem *item, uint64_t index)
+mark_deleted(AqKvItem *item, uint64_t index)
 {
     free(item->value);
     item->value = NULL;
@@ -98,19 +99,21 @@
     if (cas != AQ_KV_NO_CAS && cas != item->modify_index) {
         return false;
     }
-    bury(item, ++kv->index);
+    mark_deleted(item, ++kv->index);
     return true;
 }
 
-/* First node whose key starts with prefix or comes later. */
+/* Returns the first node whose key starts with prefix or sorts after it, or
+ * NULL. */
 static GTreeNode *
 first_node(AqKv *kv, const char *prefix)
 {
     return g_tree_lower_bound(kv->items, prefix);
 }
 
+/* Returns the item of a node when its key starts with prefix, else NULL. */
 static AqKvItem *
-item_under(GTreeNode *node, const char *prefix)
+item_with_prefix(GTreeNode *node, const char *prefix)
 {
     if (node == NULL) {
         return NULL;
@@ -125,9 +128,10 @@
     AqKvItem *item;
     uint64_t index = kv->index + 1;
     for (GTreeNode *at = first_node(kv, prefix);
-         (item = item_under(at, prefix)) != NULL; at = g_tree_node_next(at)) {
+         (item = item_with_prefix(at, prefix)) != NULL;
+         at = g_tree_node_next(at)) {
         if (item->present) {
-            bury(item, index);
+            mark_deleted(item, index);
             kv->index = index;
         }
     }
@@ -139,7 +143,8 @@
 {
     const AqKvItem *item;
     for (GTreeNode *at = first_node(kv, prefix);
-         (item = item_under(at, prefix)) != NULL; at = g_tree_node_next(at)) {
+         (item = item_with_prefix(at, prefix)) != NULL;
+         at = g_tree_node_next(at)) {
         if (item->present) {
             visit(context, item);
         }
@@ -159,7 +164,8 @@
     const AqKvItem *item;
     uint64_t index = 0;
     for (GTreeNode *at = first_node(kv, prefix);
-         (item = item_under(at, prefix)) != NULL; at = g_tree_node_next(at)) {
+         (item = item_with_prefix(at, prefix)) != NULL;
+         at = g_tree_node_next(at)) {
         if (item->modify_index > index) {
             index = item->modify_index;
         }
--- a/packages/testkit/platform_kv.h
+++ b/packages/testkit/platform_kv.h
@@ -5,38 +5,50 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* Key-value table with the indexes of the Consul KV format: one counter for
- * the whole table, which grows with each write. */
+/* Key-value table with the modification indexes of the Consul KV API.  One
+ * index counter serves the whole table and grows with each write. */
 typedef struct AqKv AqKv;
 
+/* Key of a table, kept after the key is deleted. */
 typedef struct {
     char *key;
     char *value;
-    size_t size;
+    size_t size; /* size of the value in bytes */
+    /* Table index of the write that created the key. */
     uint64_t create_index;
-    uint64_t modify_index; /* of the deletion when not present */
-    bool present;
+    /* Table index of the last write to the key or, when the key is not
+     * present, of its deletion. */
+    uint64_t modify_index;
+    bool present; /* false when the key was deleted */
 } AqKvItem;
 
+/* Value of a cas parameter that makes the write unconditional. */
 #define AQ_KV_NO_CAS UINT64_MAX
 
 AqKv *AqKv_Create(void);
 void AqKv_Destroy(AqKv *kv);
 
-/* The item, or NULL; borrowed until the next write. */
+/* Returns the item of a key, or NULL when the key is absent.  The item is
+ * valid until the next write to the table. */
 const AqKvItem *AqKv_Get(AqKv *kv, const char *key);
-/* False when cas is not the key's modify index (0: the key is absent). */
+/* Sets the value of a key to a copy of size bytes.  Returns false without a
+ * change when cas is not the key's modify index; an absent key counts as 0. */
 bool AqKv_Put(AqKv *kv, const char *key, const void *value, size_t size,
               uint64_t cas);
-/* False when the key exists with another modify index. */
+/* Deletes a key.  Returns false without a change when the key exists with a
+ * modify index other than cas. */
 bool AqKv_Delete(AqKv *kv, const char *key, uint64_t cas);
+/* Deletes all keys that start with prefix. */
 void AqKv_DeletePrefix(AqKv *kv, const char *prefix);
-/* Visits the items under a prefix in order of key. */
+/* Calls visit for each item whose key starts with prefix, in key order. */
 void AqKv_Each(AqKv *kv, const char *prefix,
                void (*visit)(void *context, const AqKvItem *item),
                void *context);
-/* Index for blocking queries on a key or a prefix; never 0. */
+/* Returns the index for blocking queries on a key: the key's modify index, or
+ * the table's index for a key that was never written.  Never 0. */
 uint64_t AqKv_KeyIndex(AqKv *kv, const char *key);
+/* Returns the index for blocking queries on a prefix: the highest modify index
+ * of its keys, or the table's index without such keys.  Never 0. */
 uint64_t AqKv_PrefixIndex(AqKv *kv, const char *prefix);
 
 #endif
--- a/packages/testkit/platform_main.c
+++ b/packages/testkit/platform_main.c
@@ -6,20 +6,23 @@
 #include "aq_json.h"
 #include "platform.h"
 
-static const char *const call_names[CALL_KINDS] = {
+/* Names of the values of CallKind in the test interface. */
+static const char *const call_names[CALL_KIND_COUNT] = {
     "kv_get", "kv_list",     "kv_watch", "kv_put",   "kv_delete",
     "vms",    "vms_watch",   "reboot",   "task_put", "task_action",
     "tasks",  "tasks_watch", "other"};
 
 /* ---- The platform's own port ------------------------------------------ */
 
+/* Call of the VM or task interface and its handler. */
 typedef struct {
     const char *method;
-    const char *prefix;
+    const char *prefix; /* start of the path */
+    /* End of the path after the id; NULL when prefix is the whole path. */
     const char *suffix;
-    CallKind kind;
-    CallKind watch_kind;
-    void (*go)(Platform *platform, AqTestRequest *request);
+    CallKind kind;       /* kind under which the call is counted */
+    CallKind watch_kind; /* kind of the call when it is a watch */
+    void (*handle)(Platform *platform, AqTestRequest *request);
 } Route;
 
 static const Route routes[] = {
@@ -30,7 +33,8 @@
     {"POST", "/v1/tasks/", "", CALL_TASK_ACTION, CALL_TASK_ACTION, Tasks_Act},
 };
 
-/* A route without a suffix names the whole path. */
+/* Returns whether a request has the method and path of a route.  A route with
+ * a NULL suffix matches only the whole path. */
 static bool
 matches(const Route *route, const AqTestRequest *request)
 {
@@ -78,7 +82,7 @@
         if (matches(&routes[i], request)) {
             platform->calls[Platform_IsWatch(request) ? routes[i].watch_kind
                                                       : routes[i].kind]++;
-            routes[i].go(platform, request);
+            routes[i].handle(platform, request);
             return;
         }
     }
@@ -89,7 +93,7 @@
 static void
 on_dropped(void *context, AqTestRequest *request)
 {
-    Pending *pending = AqTestRequest_User(request);
+    PendingRequest *pending = AqTestRequest_User(request);
     (void)context;
     if (pending != NULL) {
         AqLoopTimer_Stop(&pending->timer);
@@ -104,7 +108,7 @@
 /* ---- Test interface ---------------------------------------------------- */
 
 static bool
-parse_down(const json_t *body, StoreDown *down, AqError *error)
+parse_down(const json_t *body, StoreOutage *down, AqError *error)
 {
     static const char *const names[] = {"none", "refused", "503"};
     const char *text;
@@ -113,7 +117,7 @@
     }
     for (int i = 0; i < 3; i++) {
         if (strcmp(text, names[i]) == 0) {
-            *down = (StoreDown)i;
+            *down = (StoreOutage)i;
             return true;
         }
     }
@@ -121,7 +125,8 @@
                        "down is \"%s\"; use none, refused or 503", text);
 }
 
-/* A field that is absent keeps its value. */
+/* Reads the faults from a JSON object; a fault that is absent keeps its value,
+ * except that silence_open is reset to false. */
 static bool
 parse_faults(const json_t *body, Faults *faults, AqError *error)
 {
@@ -200,13 +205,14 @@
 {
     json_t *calls = json_object();
     unsigned waiting = 0;
-    for (int i = 0; i < CALL_KINDS; i++) {
+    for (int i = 0; i < CALL_KIND_COUNT; i++) {
         json_object_set_new(calls, call_names[i],
                             json_integer((json_int_t)platform->calls[i]));
     }
     AqList_ForEach(at, &platform->pending)
     {
-        waiting += AqList_Entry(at, Pending, link)->current != NULL;
+        waiting +=
+            AqList_Entry(at, PendingRequest, link)->current_index != NULL;
     }
     json_object_set_new(calls, "rejected",
                         json_integer((json_int_t)platform->rejected));
@@ -243,7 +249,7 @@
 static const struct argp_option option_table[] = {
     {"port", 'p', "PORT", 0, "port of the platform (0: any)", 0},
     {"lag-ms", 'l', "MS", 0, "lag of the VM list (default 500)", 0},
-    {"reboot-ms", 'r', "MS", 0, "time of a reboot (default 1000)", 0},
+    {"reboot-ms", 'r', "MS", 0, "duration of a reboot (default 1000)", 0},
     {"usage-lag-ms", 'u', "MS", 0, "lag of task usage (default 500)", 0},
     {0}};
 
@@ -308,7 +314,7 @@
 {
     static const struct argp argp = {
         option_table, parse_option,
-        NULL,         "Stand-in of the platform: store, VM list and tasks.",
+        NULL,         "Stand-in for the platform: store, VM list and tasks.",
         NULL,         NULL,
         NULL};
     Platform platform = {
--- a/packages/testkit/platform_store.c
+++ b/packages/testkit/platform_store.c
@@ -6,7 +6,9 @@
 #include <string.h>
 
 #define KV_PATH "/v1/kv/"
-#define MAX_VALUE_SIZE (1024 * 1024)
+/* Limit in bytes on a stored value; larger ones are answered with status
+ * 413. */
+#define MAX_VALUE_BYTES (1024 * 1024)
 
 static const char *
 key_of(const AqTestRequest *request)
@@ -39,6 +41,7 @@
                                                            : CALL_KV_GET;
 }
 
+/* Appends an item in the format of the Consul KV API to a JSON array. */
 static void
 append_item(void *context, const AqKvItem *item)
 {
@@ -55,6 +58,7 @@
                            "ModifyIndex", (json_int_t)item->modify_index));
 }
 
+/* Returns the index for blocking queries on the key or prefix of a request. */
 static uint64_t
 current_index(Platform *platform, const AqTestRequest *request)
 {
@@ -85,7 +89,8 @@
     AqTestRequest_ReplyJson(request, 200, items);
 }
 
-/* Reads ?cas=N; false when it is not a number. */
+/* Reads the query parameter cas, or sets *cas to AQ_KV_NO_CAS without it.
+ * Returns false when the parameter is not a number. */
 static bool
 parse_cas(const AqTestRequest *request, uint64_t *cas)
 {
@@ -113,7 +118,7 @@
         AqTestRequest_ReplyError(request, &error);
         return;
     }
-    if (body->size > MAX_VALUE_SIZE) {
+    if (body->size > MAX_VALUE_BYTES) {
         AqTestRequest_Reply(request, 413, "", 0);
         return;
     }
@@ -128,14 +133,15 @@
     }
     Platform_ReplyWrite(platform, request, &platform->faults.lose_replies, 200,
                         json_boolean(done));
-    Platform_Wake(platform);
+    Platform_NotifyWatches(platform);
 }
 
 void
 Store_Handle(Platform *platform, AqTestRequest *request)
 {
     if (is_method(request, "GET")) {
-        Platform_Watch(platform, request, true, current_index, reply_items);
+        Platform_AnswerRead(platform, request, true, current_index,
+                            reply_items);
     }
     else if (is_method(request, "PUT") || is_method(request, "DELETE")) {
         handle_write(platform, request);
--- a/packages/testkit/platform_tasks.c
+++ b/packages/testkit/platform_tasks.c
@@ -7,16 +7,18 @@
 #include "aq_json.h"
 
 #define TASKS_PATH "/v1/tasks/"
-#define MAX_MS 86400000
+/* Limit on a lease and on a declared run time: 24 h. */
+#define MAX_DURATION_MS 86400000
 
+/* State of a task; only running and throttled tasks use their worker. */
 typedef enum {
     TASK_RUNNING,
     TASK_CHECKPOINTED,
-    TASK_THROTTLED, /* at half speed */
+    TASK_THROTTLED, /* the task runs at half speed */
     TASK_STOPPED,
     TASK_FINISHED,
     TASK_FAILED,
-    TASK_LAPSED
+    TASK_LAPSED /* the task ended because its lease expired */
 } TaskState;
 
 static const char *const state_names[] = {
@@ -27,19 +29,21 @@
     AqLink link;
     Platform *platform;
     char *id;
-    json_t *request; /* body of the start call */
+    json_t *request; /* body of the call that started the task */
     TaskState state;
-    bool started;
+    bool started; /* whether the task was started */
     int64_t cores;
     int64_t memory_mb;
     int64_t accelerators;
-    int64_t lease_ms;
-    int64_t left_ms; /* true work left at "since", at full speed */
-    AqTime since;
-    json_t *usage; /* as reported; NULL: not yet */
-    AqLoopTimer finish;
-    AqLoopTimer lease;
-    AqLoopTimer report; /* of usage */
+    int64_t lease_ms; /* duration of the lease, counted from each renewal */
+    /* Actual run time that the task needed at progress_at to finish, at full
+     * speed. */
+    int64_t remaining_work_ms;
+    AqTime progress_at; /* monotonic time of the last progress update */
+    json_t *usage;      /* usage in the task list; NULL until first reported */
+    AqLoopTimer finish; /* fires when the work of the task is done */
+    AqLoopTimer lease;  /* fires when the lease expires */
+    AqLoopTimer report; /* fires when the usage is reported */
 } Task;
 
 static bool
@@ -67,11 +71,12 @@
     return NULL;
 }
 
+/* Increments the index of the task list and answers watches of the list. */
 static void
-changed(Platform *platform)
+tasks_changed(Platform *platform)
 {
     platform->tasks_index++;
-    Platform_Wake(platform);
+    Platform_NotifyWatches(platform);
 }
 
 static void
@@ -86,32 +91,34 @@
         active ? (double)task->cores * (double)share / 1000 : 0.0, "memory_mb",
         (json_int_t)(active ? task->memory_mb * share / 1000 : 0),
         "accelerators", (json_int_t)(active ? task->accelerators : 0));
-    changed(task->platform);
+    tasks_changed(task->platform);
 }
 
-/* Books the work done since the last change of speed. */
+/* Subtracts the work done since the last progress update from the remaining
+ * work. */
 static void
-book_progress(Task *task)
+update_progress(Task *task)
 {
     AqTime now = AqTestLoop_Now(task->platform->loop);
     if (task->state == TASK_RUNNING) {
-        task->left_ms -= now - task->since;
+        task->remaining_work_ms -= now - task->progress_at;
     }
     else if (task->state == TASK_THROTTLED) {
-        task->left_ms -= (now - task->since) / 2;
+        task->remaining_work_ms -= (now - task->progress_at) / 2;
     }
-    task->since = now;
+    task->progress_at = now;
 }
 
 static void
 set_state(Task *task, TaskState state)
 {
     AqTestLoop *loop = task->platform->loop;
-    book_progress(task);
+    update_progress(task);
     task->state = state;
     AqLoopTimer_Stop(&task->finish);
     if (is_active(task)) {
-        int64_t left = task->left_ms > 0 ? task->left_ms : 0;
+        int64_t left =
+            task->remaining_work_ms > 0 ? task->remaining_work_ms : 0;
         AqTestLoop_StartTimer(loop, &task->finish,
                               state == TASK_THROTTLED ? 2 * left : left);
     }
@@ -120,7 +127,7 @@
     }
     AqTestLoop_StartTimer(loop, &task->report,
                           task->platform->options.usage_lag_ms);
-    changed(task->platform);
+    tasks_changed(task->platform);
 }
 
 static void
@@ -129,6 +136,7 @@
     set_state(context, TASK_FINISHED);
 }
 
+/* Ends a task whose lease has expired. */
 static void
 lapse_task(void *context)
 {
@@ -136,7 +144,7 @@
 }
 
 static json_t *
-describe(const Task *task)
+describe_task(const Task *task)
 {
     json_t *object = json_deep_copy(task->request);
     json_object_set_new(object, "id", json_string(task->id));
@@ -149,10 +157,11 @@
     return object;
 }
 
-/* Checks that the worker is live and has room. */
+/* Checks that a worker is live and has enough free capacity for a task;
+ * returns false with an error otherwise. */
 static bool
-check_room(Platform *platform, const char *worker, const Task *task,
-           AqError *error)
+check_capacity(Platform *platform, const char *worker, const Task *task,
+               AqError *error)
 {
     WorkerInfo info = Vms_Worker(platform, worker);
     if (!info.known || !info.live) {
@@ -219,17 +228,19 @@
     int64_t run_ms;
     if (!AqJson_CheckFields(body, allowed, error) ||
         !AqJson_GetString(body, "worker", &worker, error) ||
-        !AqJson_GetInt(body, "lease_ms", 1, MAX_MS, &task->lease_ms, error) ||
+        !AqJson_GetInt(body, "lease_ms", 1, MAX_DURATION_MS, &task->lease_ms,
+                       error) ||
         !AqJson_GetInt(body, "cores", 0, 1 << 20, &task->cores, error) ||
         !AqJson_GetInt(body, "memory_mb", 0, 1 << 30, &task->memory_mb,
                        error) ||
         !AqJson_OptInt(body, "accelerators", 0, 1 << 20, 0,
                        &task->accelerators, error) ||
-        !AqJson_GetInt(body, "run_ms", 0, MAX_MS, &run_ms, error)) {
+        !AqJson_GetInt(body, "run_ms", 0, MAX_DURATION_MS, &run_ms, error)) {
         return false;
     }
-    task->left_ms = run_ms * task->platform->faults.run_permille / 1000;
-    return check_room(task->platform, worker, task, error);
+    task->remaining_work_ms =
+        run_ms * task->platform->faults.run_permille / 1000;
+    return check_capacity(task->platform, worker, task, error);
 }
 
 static void
@@ -237,12 +248,14 @@
 {
     Platform *platform = task->platform;
     bool fails = Vms_Worker(platform, worker_of(task)).fails;
-    task->since = AqTestLoop_Now(platform->loop);
+    task->progress_at = AqTestLoop_Now(platform->loop);
     task->started = true;
     AqTestLoop_StartTimer(platform->loop, &task->lease, task->lease_ms);
     set_state(task, fails ? TASK_FAILED : TASK_RUNNING);
 }
 
+/* Starts or resumes a task.  Returns the HTTP status and sets *result to a new
+ * description of the task, or returns 0 with an error. */
 static unsigned
 put_task(Platform *platform, const char *id, json_t *body, json_t **result,
          AqError *error)
@@ -250,7 +263,7 @@
     Task *found = find_task(platform, id);
     if (found != NULL && json_equal(found->request, body) &&
         found->state != TASK_CHECKPOINTED) {
-        *result = describe(found);
+        *result = describe_task(found);
         return 200;
     }
     if (found != NULL && found->state != TASK_CHECKPOINTED) {
@@ -264,15 +277,15 @@
         return 0;
     }
     if (found != NULL) {
-        /* Resumes from the checkpoint. */
-        task->left_ms = found->left_ms;
+        /* The task resumes from its checkpoint: the remaining work stays. */
+        task->remaining_work_ms = found->remaining_work_ms;
         AqList_Remove(&found->link);
         destroy_task(found);
     }
     task->request = json_deep_copy(body);
     AqList_Append(&platform->tasks, &task->link);
     start_task(task);
-    *result = describe(task);
+    *result = describe_task(task);
     return 201;
 }
 
@@ -298,15 +311,15 @@
 }
 
 static bool
-renew(Task *task, const AqTestRequest *request, AqError *error)
+renew_lease(Task *task, const AqTestRequest *request, AqError *error)
 {
     const AqBuffer *text = AqTestRequest_Body(request);
     bool ok = true;
     if (text->size > 0) {
         json_t *body = AqJson_Parse(AqBuffer_Text(text), text->size, error);
         ok = body != NULL &&
-             AqJson_OptInt(body, "lease_ms", 1, MAX_MS, task->lease_ms,
-                           &task->lease_ms, error);
+             AqJson_OptInt(body, "lease_ms", 1, MAX_DURATION_MS,
+                           task->lease_ms, &task->lease_ms, error);
         json_decref(body);
     }
     if (ok) {
@@ -316,18 +329,21 @@
     return ok;
 }
 
+/* Performs the action that a POST names on a task; returns false with an error
+ * when the action is unknown or the task's state does not allow it. */
 static bool
-act(Task *task, const char *verb, const AqTestRequest *request, AqError *error)
+apply_action(Task *task, const char *verb, const AqTestRequest *request,
+             AqError *error)
 {
     bool stop = strcmp(verb, "stop") == 0;
-    bool idle = task->state == TASK_CHECKPOINTED;
-    if (!is_active(task) && !(stop && idle)) {
+    bool is_checkpointed = task->state == TASK_CHECKPOINTED;
+    if (!is_active(task) && !(stop && is_checkpointed)) {
         return AqError_Set(error, AQ_ERR_REFUSED,
                            "task \"%s\" is %s; start it first", task->id,
                            state_names[task->state]);
     }
     if (strcmp(verb, "renew") == 0) {
-        return renew(task, request, error);
+        return renew_lease(task, request, error);
     }
     if (strcmp(verb, "checkpoint") == 0) {
         set_state(task, TASK_CHECKPOINTED);
@@ -366,12 +382,12 @@
         AqTestRequest_ReplyError(request, &error);
         return;
     }
-    if (!act(task, verb, request, &error)) {
+    if (!apply_action(task, verb, request, &error)) {
         AqTestRequest_ReplyError(request, &error);
         return;
     }
     Platform_ReplyWrite(platform, request, &platform->faults.lose_task_replies,
-                        200, describe(task));
+                        200, describe_task(task));
 }
 
 static uint64_t
@@ -387,7 +403,8 @@
     json_t *list = json_array();
     AqList_ForEach(at, &platform->tasks)
     {
-        json_array_append_new(list, describe(AqList_Entry(at, Task, link)));
+        json_array_append_new(list,
+                              describe_task(AqList_Entry(at, Task, link)));
     }
     Platform_AddIndex(request, platform->tasks_index);
     AqTestRequest_ReplyJson(request, 200,
@@ -399,7 +416,7 @@
 void
 Tasks_List(Platform *platform, AqTestRequest *request)
 {
-    Platform_Watch(platform, request, false, current_index, reply_list);
+    Platform_AnswerRead(platform, request, false, current_index, reply_list);
 }
 
 void
--- a/packages/testkit/platform_vms.c
+++ b/packages/testkit/platform_vms.c
@@ -8,7 +8,7 @@
 
 #define VMS_PATH "/v1/vms/"
 
-/* Defaults of a worker: those of the larger site (64 cores, 256 GB). */
+/* Default size of a worker, that of the larger site: 64 cores and 256 GB. */
 #define DEFAULT_CORES 64
 #define DEFAULT_MEMORY_MB (256 * 1024)
 
@@ -16,20 +16,20 @@
     AqLink link;
     Platform *platform;
     char *id;
-    json_t *truth;  /* {id, address, rack, zone, state} */
-    json_t *listed; /* what the list shows; NULL: not yet listed */
+    json_t *actual; /* actual state: {id, address, rack, zone, state} */
+    json_t *listed; /* state in the VM list; NULL until first listed */
     WorkerInfo worker;
-    AqLink publications; /* not yet in the list */
-    AqLoopTimer reboot;
-    char op[128]; /* of the last reboot */
+    AqLink publications;      /* changes that the VM list does not show yet */
+    AqLoopTimer reboot;       /* fires when the reboot is complete */
+    char last_reboot_op[128]; /* operation id of the last reboot */
 } Vm;
 
-/* A true state on its way to the list. */
+/* Actual state of a VM that the VM list shows after a lag. */
 typedef struct {
-    AqLoopTimer timer;
-    AqLink link; /* in vm->publications */
+    AqLoopTimer timer; /* fires when the list shows the state */
+    AqLink link;       /* in the VM's list of publications */
     Vm *vm;
-    json_t *record;
+    json_t *record; /* the VM's state, as the list will show it */
 } Publication;
 
 static Vm *
@@ -48,7 +48,7 @@
 static const char *
 state_of(const Vm *vm)
 {
-    return json_string_value(json_object_get(vm->truth, "state"));
+    return json_string_value(json_object_get(vm->actual, "state"));
 }
 
 WorkerInfo
@@ -71,18 +71,19 @@
     json_decref(vm->listed);
     vm->listed = publication->record;
     vm->platform->vms_index++;
-    Platform_Wake(vm->platform);
+    Platform_NotifyWatches(vm->platform);
     AqList_Remove(&publication->link);
     free(publication);
 }
 
-/* Changes of one VM reach the list in order, since all have the same lag. */
+/* Schedules the current actual state of a VM for the VM list.  States appear
+ * in the list in their order, since all have the same lag. */
 static void
 schedule_publication(Vm *vm)
 {
     Publication *publication = calloc(1, sizeof(*publication));
     publication->vm = vm;
-    publication->record = json_deep_copy(vm->truth);
+    publication->record = json_deep_copy(vm->actual);
     AqList_Append(&vm->publications, &publication->link);
     AqLoopTimer_Init(&publication->timer, publish, publication);
     AqTestLoop_StartTimer(vm->platform->loop, &publication->timer,
@@ -93,7 +94,7 @@
 set_state(Vm *vm, const char *state)
 {
     bool down = strcmp(state, "down") == 0;
-    json_object_set_new(vm->truth, "state", json_string(state));
+    json_object_set_new(vm->actual, "state", json_string(state));
     if (down) {
         Tasks_WorkerDown(vm->platform, vm->id);
     }
@@ -131,14 +132,15 @@
 void
 Vms_List(Platform *platform, AqTestRequest *request)
 {
-    Platform_Watch(platform, request, false, current_index, reply_list);
+    Platform_AnswerRead(platform, request, false, current_index, reply_list);
 }
 
 static void
 start_reboot(Vm *vm, const char *op)
 {
     Platform *platform = vm->platform;
-    snprintf(vm->op, sizeof(vm->op), "%s", op != NULL ? op : "");
+    snprintf(vm->last_reboot_op, sizeof(vm->last_reboot_op), "%s",
+             op != NULL ? op : "");
     set_state(vm, "down");
     if (platform->faults.failing_reboots > 0) {
         platform->faults.failing_reboots--;
@@ -164,11 +166,11 @@
         AqTestRequest_ReplyError(request, &error);
         return;
     }
-    if (op == NULL || strcmp(op, vm->op) != 0) {
+    if (op == NULL || strcmp(op, vm->last_reboot_op) != 0) {
         start_reboot(vm, op);
     }
     Platform_ReplyWrite(platform, request, &platform->faults.lose_task_replies,
-                        200, json_deep_copy(vm->truth));
+                        200, json_deep_copy(vm->actual));
 }
 
 static Vm *
@@ -177,8 +179,8 @@
     Vm *vm = calloc(1, sizeof(*vm));
     vm->platform = platform;
     vm->id = strdup(id);
-    vm->truth = json_pack("{s:s s:s s:s s:s s:s}", "id", id, "address", "",
-                          "rack", "", "zone", "", "state", "live");
+    vm->actual = json_pack("{s:s s:s s:s s:s s:s}", "id", id, "address", "",
+                           "rack", "", "zone", "", "state", "live");
     vm->worker.known = true;
     vm->worker.cores = DEFAULT_CORES;
     vm->worker.memory_mb = DEFAULT_MEMORY_MB;
@@ -239,7 +241,7 @@
     for (const char *const *field = fields; *field != NULL; field++) {
         json_t *value = json_object_get(object, *field);
         if (json_is_string(value)) {
-            json_object_set(vm->truth, *field, value);
+            json_object_set(vm->actual, *field, value);
         }
     }
     if (state != NULL) {
@@ -290,7 +292,7 @@
             json_decref(publication->record);
             free(publication);
         }
-        json_decref(vm->truth);
+        json_decref(vm->actual);
         json_decref(vm->listed);
         free(vm->id);
         free(vm);
--- a/packages/testkit/platform_wait.c
+++ b/packages/testkit/platform_wait.c
@@ -7,12 +7,13 @@
 
 #include "aq_json.h"
 
-/* Consul's default and limit of ?wait. */
+/* Consul's default for the query parameter wait. */
 #define DEFAULT_WAIT_MS 300000
+/* Consul's limit on the query parameter wait; longer waits are shortened. */
 #define MAX_WAIT_MS 600000
 
 static void
-destroy_pending(Pending *pending)
+destroy_pending(PendingRequest *pending)
 {
     AqTestRequest_SetUser(pending->request, NULL);
     AqLoopTimer_Stop(&pending->timer);
@@ -23,23 +24,24 @@
 static void
 finish_pending(void *context)
 {
-    Pending *pending = context;
+    PendingRequest *pending = context;
     Platform *platform = pending->platform;
     AqTestRequest *request = pending->request;
-    void (*go)(Platform *, AqTestRequest *) = pending->go;
+    void (*handle)(Platform *, AqTestRequest *) = pending->handle;
     destroy_pending(pending);
-    go(platform, request);
+    handle(platform, request);
 }
 
-static Pending *
-add_pending(Platform *platform, AqTestRequest *request, int64_t ms, bool store,
-            void (*go)(Platform *platform, AqTestRequest *request))
+static PendingRequest *
+add_pending(Platform *platform, AqTestRequest *request, int64_t ms,
+            bool is_store_call,
+            void (*handle)(Platform *platform, AqTestRequest *request))
 {
-    Pending *pending = calloc(1, sizeof(*pending));
+    PendingRequest *pending = calloc(1, sizeof(*pending));
     pending->platform = platform;
     pending->request = request;
-    pending->store = store;
-    pending->go = go;
+    pending->is_store_call = is_store_call;
+    pending->handle = handle;
     AqTestRequest_SetUser(request, pending);
     AqList_Append(&platform->pending, &pending->link);
     AqLoopTimer_Init(&pending->timer, finish_pending, pending);
@@ -49,10 +51,10 @@
 
 void
 Platform_Delay(Platform *platform, AqTestRequest *request, int64_t ms,
-               bool store,
-               void (*go)(Platform *platform, AqTestRequest *request))
+               bool is_store_call,
+               void (*handle)(Platform *platform, AqTestRequest *request))
 {
-    add_pending(platform, request, ms, store, go);
+    add_pending(platform, request, ms, is_store_call, handle);
 }
 
 bool
@@ -62,7 +64,8 @@
     return index != NULL && strtoull(index, NULL, 10) > 0;
 }
 
-/* ?wait=30s, 500ms or 2m. */
+/* Returns the time in ms that the query parameter wait gives, such as 30s,
+ * 500ms or 2m; the default without a valid time. */
 static int64_t
 parse_wait(const char *text)
 {
@@ -84,35 +87,37 @@
 }
 
 void
-Platform_Watch(Platform *platform, AqTestRequest *request, bool store,
-               uint64_t (*current)(Platform *platform,
-                                   const AqTestRequest *request),
-               void (*go)(Platform *platform, AqTestRequest *request))
+Platform_AnswerRead(Platform *platform, AqTestRequest *request,
+                    bool is_store_call,
+                    uint64_t (*current_index)(Platform *platform,
+                                              const AqTestRequest *request),
+                    void (*handle)(Platform *platform, AqTestRequest *request))
 {
     const char *text = AqTestRequest_Query(request, "index");
     uint64_t index = text != NULL ? strtoull(text, NULL, 10) : 0;
-    if (index == 0 || current(platform, request) > index) {
-        go(platform, request);
+    if (index == 0 || current_index(platform, request) > index) {
+        handle(platform, request);
         return;
     }
-    Pending *pending = add_pending(
+    PendingRequest *pending = add_pending(
         platform, request, parse_wait(AqTestRequest_Query(request, "wait")),
-        store, go);
+        is_store_call, handle);
     pending->index = index;
-    pending->current = current;
+    pending->current_index = current_index;
 }
 
 void
-Platform_Wake(Platform *platform)
+Platform_NotifyWatches(Platform *platform)
 {
     AqList_ForEachSafe(at, after, &platform->pending)
     {
-        Pending *pending = AqList_Entry(at, Pending, link);
-        if (pending->current == NULL || pending->woken ||
-            pending->current(platform, pending->request) <= pending->index) {
+        PendingRequest *pending = AqList_Entry(at, PendingRequest, link);
+        if (pending->current_index == NULL || pending->is_due ||
+            pending->current_index(platform, pending->request) <=
+                pending->index) {
             continue;
         }
-        pending->woken = true;
+        pending->is_due = true;
         if (platform->faults.delay_watches_ms > 0) {
             AqTestLoop_StartTimer(platform->loop, &pending->timer,
                                   platform->faults.delay_watches_ms);
@@ -128,9 +133,9 @@
 {
     AqList_ForEachSafe(at, after, &platform->pending)
     {
-        Pending *pending = AqList_Entry(at, Pending, link);
+        PendingRequest *pending = AqList_Entry(at, PendingRequest, link);
         AqTestRequest *request = pending->request;
-        if (pending->store) {
+        if (pending->is_store_call) {
             destroy_pending(pending);
             platform->rejected++;
             AqTestRequest_Reply(request, 503, "", 0);
@@ -140,13 +145,13 @@
 
 void
 Platform_ReplyWrite(Platform *platform, AqTestRequest *request,
-                    int64_t *losses, unsigned status, json_t *value)
+                    int64_t *losses_left, unsigned status, json_t *value)
 {
-    if (*losses == 0) {
+    if (*losses_left == 0) {
         AqTestRequest_ReplyJson(request, status, value);
         return;
     }
-    (*losses)--;
+    (*losses_left)--;
     platform->lost++;
     json_decref(value);
     if (platform->faults.lose_silently) {
--- a/packages/testkit/process.c
+++ b/packages/testkit/process.c
@@ -15,26 +15,31 @@
 #include "aq_buffer.h"
 #include "aq_clock.h"
 
-/* More than the endpoints of one process. */
-#define ADDRESS_LIMIT 256
+/* Limit on the addresses in a ready line; exceeds the number of endpoints that
+ * one aq-endpoint process provides. */
+#define MAX_READY_ADDRESSES 256
+/* Exit status of a child that did not start its program. */
 #define EXIT_NOT_STARTED 127
 
+/* One "NAME=ADDRESS:PORT" of a ready line. */
 typedef struct {
     char name[32];
-    char address[64];
+    char address[64]; /* ADDRESS:PORT */
 } ReadyAddress;
 
 struct AqProcess {
     pid_t pid;
-    int pid_fd;
-    int output;    /* read end of its standard output */
-    bool ended;    /* collected */
-    int status;    /* valid when ended */
-    AqBuffer line; /* output so far */
-    ReadyAddress addresses[ADDRESS_LIMIT];
-    int count;
+    int pid_fd; /* becomes readable when the process ends */
+    int output; /* read end of the process's standard output */
+    bool ended; /* the process has ended and was reaped */
+    int status; /* exit status, or 128 + signal; valid when ended is true */
+    AqBuffer pending_output; /* standard output that is not parsed yet */
+    ReadyAddress addresses[MAX_READY_ADDRESSES];
+    int address_count;
 };
 
+/* Runs in the child after fork(): replaces the child by the program, or exits
+ * with EXIT_NOT_STARTED. */
 static void
 run_child(const char *const *argv, const char *log, int output, pid_t parent)
 {
@@ -74,7 +79,7 @@
         return NULL;
     }
     AqProcess *process = calloc(1, sizeof(*process));
-    AqBuffer_Init(&process->line);
+    AqBuffer_Init(&process->pending_output);
     process->output = pipe_fds[0];
     process->pid = fork();
     if (process->pid == 0) {
@@ -92,8 +97,10 @@
     return process;
 }
 
+/* Reaps the process when it has ended and records its exit status.  flags are
+ * those of waitpid(). */
 static void
-collect(AqProcess *process, int flags)
+reap_process(AqProcess *process, int flags)
 {
     int status;
     if (!process->ended &&
@@ -112,13 +119,13 @@
     }
     if (!process->ended) {
         kill(process->pid, SIGKILL);
-        collect(process, 0);
+        reap_process(process, 0);
     }
     if (process->pid_fd >= 0) {
         close(process->pid_fd);
     }
     close(process->output);
-    AqBuffer_Clear(&process->line);
+    AqBuffer_Clear(&process->pending_output);
     free(process);
 }
 
@@ -134,16 +141,17 @@
     return process->pid_fd;
 }
 
+/* Records the addresses in a ready line; modifies the line. */
 static void
 parse_ready(AqProcess *process, char *line)
 {
     char *state = NULL;
     char *word;
-    strtok_r(line, " \n", &state); /* "ready" */
+    strtok_r(line, " \n", &state); /* skips the word "ready" */
     while ((word = strtok_r(NULL, " \n", &state)) != NULL) {
         char *equals = strchr(word, '=');
-        if (equals != NULL && process->count < ADDRESS_LIMIT) {
-            ReadyAddress *at = &process->addresses[process->count++];
+        if (equals != NULL && process->address_count < MAX_READY_ADDRESSES) {
+            ReadyAddress *at = &process->addresses[process->address_count++];
             *equals = '\0';
             snprintf(at->name, sizeof(at->name), "%s", word);
             snprintf(at->address, sizeof(at->address), "%s", equals + 1);
@@ -151,20 +159,21 @@
     }
 }
 
-/* Takes one line off the buffer; true when it is the ready line. */
+/* Removes complete lines from the pending output up to and including the ready
+ * line.  Returns whether the ready line was found and parsed. */
 static bool
-take_ready_line(AqProcess *process)
+parse_output_lines(AqProcess *process)
 {
     char *end;
-    while (process->line.size > 0 &&
-           (end = strchr(process->line.bytes, '\n')) != NULL) {
-        size_t size = (size_t)(end - process->line.bytes) + 1;
-        bool ready = strncmp(process->line.bytes, "ready ", 6) == 0;
+    while (process->pending_output.size > 0 &&
+           (end = strchr(process->pending_output.bytes, '\n')) != NULL) {
+        size_t size = (size_t)(end - process->pending_output.bytes) + 1;
+        bool ready = strncmp(process->pending_output.bytes, "ready ", 6) == 0;
         *end = '\0';
         if (ready) {
-            parse_ready(process, process->line.bytes);
+            parse_ready(process, process->pending_output.bytes);
         }
-        AqBuffer_Consume(&process->line, size);
+        AqBuffer_Consume(&process->pending_output, size);
         if (ready) {
             return true;
         }
@@ -180,7 +189,7 @@
         char part[512];
         AqTime left = end - AqClock_ReadMonotonic();
         struct pollfd fd = {.fd = process->output, .events = POLLIN};
-        if (take_ready_line(process)) {
+        if (parse_output_lines(process)) {
             return true;
         }
         if (left <= 0 || poll(&fd, 1, (int)left) == 0) {
@@ -197,7 +206,7 @@
                                (int)process->pid);
         }
         if (n > 0) {
-            AqBuffer_Append(&process->line, part, (size_t)n);
+            AqBuffer_Append(&process->pending_output, part, (size_t)n);
         }
     }
 }
@@ -205,7 +214,7 @@
 const char *
 AqProcess_Address(const AqProcess *process, const char *name)
 {
-    for (int i = 0; i < process->count; i++) {
+    for (int i = 0; i < process->address_count; i++) {
         if (strcmp(process->addresses[i].name, name) == 0) {
             return process->addresses[i].address;
         }
@@ -216,7 +225,7 @@
 bool
 AqProcess_Signal(AqProcess *process, int signal, AqError *error)
 {
-    collect(process, WNOHANG);
+    reap_process(process, WNOHANG);
     if (process->ended || kill(process->pid, signal) != 0) {
         return AqError_Set(error, AQ_ERR_NOT_FOUND,
                            "process %d has ended; no signal was sent",
@@ -229,7 +238,7 @@
 AqProcess_WaitExit(AqProcess *process, int ms, int *status, AqError *error)
 {
     AqTime end = AqClock_ReadMonotonic() + ms;
-    collect(process, WNOHANG);
+    reap_process(process, WNOHANG);
     while (!process->ended) {
         AqTime left = end - AqClock_ReadMonotonic();
         struct pollfd fd = {.fd = process->pid_fd, .events = POLLIN};
@@ -238,7 +247,7 @@
                                "process %d still runs after %d ms",
                                (int)process->pid, ms);
         }
-        collect(process, WNOHANG);
+        reap_process(process, WNOHANG);
     }
     *status = process->status;
     return true;
--- a/packages/testkit/request.c
+++ b/packages/testkit/request.c
@@ -5,9 +5,10 @@
 
 #include "aq_json.h"
 
+/* Response body of which only the first half is sent. */
 typedef struct {
     char *bytes;
-    size_t size; /* announced */
+    size_t size; /* announced size of the body in bytes */
 } CutBody;
 
 void
@@ -47,6 +48,7 @@
                                        name);
 }
 
+/* Search for a query parameter by name; value is NULL until it is found. */
 typedef struct {
     const char *name;
     const char *value;
@@ -80,14 +82,17 @@
     json_object_set_new(request->headers, name, json_string(value));
 }
 
+/* Records the handler's response and new state of a request and resumes a
+ * suspended connection.  response may be NULL; it is owned by the request.  On
+ * a silent connection the response is never sent. */
 static void
-answer(AqTestRequest *request, unsigned status, struct MHD_Response *response,
-       RequestState state)
+respond(AqTestRequest *request, unsigned status, struct MHD_Response *response,
+        RequestState state)
 {
-    request->held = false;
+    request->awaits_response = false;
     request->status = status;
     request->response = response;
-    request->state = request->owner->silent ? REQUEST_SILENT : state;
+    request->state = request->client->silent ? REQUEST_SILENT : state;
     if (request->suspended && request->state != REQUEST_SILENT) {
         request->suspended = false;
         MHD_resume_connection(request->connection);
@@ -98,10 +103,10 @@
 AqTestRequest_Reply(AqTestRequest *request, unsigned status, const char *body,
                     size_t size)
 {
-    answer(request, status,
-           MHD_create_response_from_buffer(size, (void *)body,
-                                           MHD_RESPMEM_MUST_COPY),
-           REQUEST_ANSWERED);
+    respond(request, status,
+            MHD_create_response_from_buffer(size, (void *)body,
+                                            MHD_RESPMEM_MUST_COPY),
+            REQUEST_RESPONDED);
 }
 
 void
@@ -124,6 +129,8 @@
                             json_pack("{s:s}", "reason", error->message));
 }
 
+/* libmicrohttpd callback that provides the first half of a truncated body and
+ * then fails, which closes the connection. */
 static ssize_t
 read_cut_body(void *context, uint64_t at, char *out, size_t room)
 {
@@ -153,22 +160,22 @@
     cut->bytes = malloc(size + 1);
     memcpy(cut->bytes, body, size);
     cut->size = size;
-    answer(request, status,
-           MHD_create_response_from_callback(size, 4096, read_cut_body, cut,
-                                             free_cut_body),
-           REQUEST_ANSWERED);
+    respond(request, status,
+            MHD_create_response_from_callback(size, 4096, read_cut_body, cut,
+                                              free_cut_body),
+            REQUEST_RESPONDED);
 }
 
 void
 AqTestRequest_Close(AqTestRequest *request)
 {
-    answer(request, 0, NULL, REQUEST_CLOSING);
+    respond(request, 0, NULL, REQUEST_CLOSING);
 }
 
 void
 AqTestRequest_Silence(AqTestRequest *request)
 {
-    answer(request, 0, NULL, REQUEST_SILENT);
+    respond(request, 0, NULL, REQUEST_SILENT);
 }
 
 void
--- a/packages/testkit/server.c
+++ b/packages/testkit/server.c
@@ -8,9 +8,10 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* Per connection: headers of up to 16 KiB and a part of the body. */
-#define CONNECTION_MEMORY (64 * 1024)
-#define CONNECTION_LIMIT 1000
+/* Memory of a connection: holds up to 16 KiB of headers and a part of the
+ * body. */
+#define CONNECTION_MEMORY_BYTES (64 * 1024)
+#define MAX_CONNECTIONS 1000
 #define LISTEN_BACKLOG 512
 
 static int
@@ -24,7 +25,8 @@
     if (fd < 0) {
         return -1;
     }
-    /* Two sockets may be bound to one port while neither listens. */
+    /* With SO_REUSEADDR a second socket can bind the reserved port, as long as
+     * no other socket listens on it. */
     setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof(one));
     if (bind(fd, (struct sockaddr *)&at, sizeof(at)) != 0) {
         close(fd);
@@ -33,6 +35,7 @@
     return fd;
 }
 
+/* Returns the port to which a socket is bound. */
 static int
 bound_port(int fd)
 {
@@ -115,6 +118,8 @@
     return server->port;
 }
 
+/* Queues the response to a request.  Returns MHD_NO, which closes the
+ * connection, for a request in the state REQUEST_CLOSING. */
 static enum MHD_Result
 queue_response(AqTestRequest *request)
 {
@@ -146,7 +151,7 @@
 {
     AqTestRequest *request = calloc(1, sizeof(*request));
     request->server = server;
-    request->owner = connection_of(connection);
+    request->client = connection_of(connection);
     request->connection = connection;
     request->method = strdup(method);
     request->path = strdup(path);
@@ -154,17 +159,19 @@
     AqBuffer_Init(&request->body);
     AqList_Append(&server->requests, &request->link);
     *state = request;
-    if (!request->owner->silent && server->ops->headers != NULL &&
+    if (!request->client->silent && server->ops->headers != NULL &&
         !server->ops->headers(server->context, request)) {
         return MHD_NO;
     }
     return MHD_YES;
 }
 
+/* libmicrohttpd callback, called first when the headers of a request have
+ * arrived, then for each part of the body and after the body's end. */
 static enum MHD_Result
-handle(void *context, struct MHD_Connection *connection, const char *path,
-       const char *method, const char *version, const char *upload,
-       size_t *upload_size, void **state)
+handle_request_data(void *context, struct MHD_Connection *connection,
+                    const char *path, const char *method, const char *version,
+                    const char *upload, size_t *upload_size, void **state)
 {
     AqTestServer *server = context;
     AqTestRequest *request = *state;
@@ -179,13 +186,14 @@
     }
     if (request->state == REQUEST_READING) {
         request->state =
-            request->owner->silent ? REQUEST_SILENT : REQUEST_HANDED;
-        if (request->state == REQUEST_HANDED) {
-            request->held = true;
+            request->client->silent ? REQUEST_SILENT : REQUEST_DISPATCHED;
+        if (request->state == REQUEST_DISPATCHED) {
+            request->awaits_response = true;
             server->ops->request(server->context, request);
         }
     }
-    if (request->state == REQUEST_HANDED || request->state == REQUEST_SILENT) {
+    if (request->state == REQUEST_DISPATCHED ||
+        request->state == REQUEST_SILENT) {
         request->suspended = true;
         MHD_suspend_connection(connection);
         return MHD_YES;
@@ -205,7 +213,7 @@
         return;
     }
     AqList_Remove(&request->link);
-    if (request->held && request->server->ops->dropped != NULL) {
+    if (request->awaits_response && request->server->ops->dropped != NULL) {
         request->server->ops->dropped(request->server->context, request);
     }
     if (request->response != NULL) {
@@ -255,12 +263,13 @@
         goto error;
     }
     server->daemon = MHD_start_daemon(
-        MHD_USE_EPOLL | MHD_ALLOW_SUSPEND_RESUME, 0, NULL, NULL, handle,
-        server, MHD_OPTION_LISTEN_SOCKET, fd, MHD_OPTION_NOTIFY_COMPLETED,
-        finish_request, server, MHD_OPTION_NOTIFY_CONNECTION,
-        notify_connection, server, MHD_OPTION_CONNECTION_MEMORY_LIMIT,
-        (size_t)CONNECTION_MEMORY, MHD_OPTION_CONNECTION_LIMIT,
-        (unsigned)CONNECTION_LIMIT, MHD_OPTION_END);
+        MHD_USE_EPOLL | MHD_ALLOW_SUSPEND_RESUME, 0, NULL, NULL,
+        handle_request_data, server, MHD_OPTION_LISTEN_SOCKET, fd,
+        MHD_OPTION_NOTIFY_COMPLETED, finish_request, server,
+        MHD_OPTION_NOTIFY_CONNECTION, notify_connection, server,
+        MHD_OPTION_CONNECTION_MEMORY_LIMIT, (size_t)CONNECTION_MEMORY_BYTES,
+        MHD_OPTION_CONNECTION_LIMIT, (unsigned)MAX_CONNECTIONS,
+        MHD_OPTION_END);
     if (server->daemon == NULL) {
         goto error;
     }
@@ -278,7 +287,8 @@
                        server->port, strerror(errno));
 }
 
-/* Whether any connection was suspended. */
+/* Marks all requests as closing and resumes their connections.  Returns
+ * whether any connection was suspended. */
 static bool
 resume_all(AqTestServer *server)
 {
@@ -302,8 +312,9 @@
     if (server->daemon == NULL) {
         return;
     }
-    /* MHD_stop_daemon ends the process while a connection is suspended, and
-     * the run that resumes them may take in requests that suspend others. */
+    /* MHD_stop_daemon aborts the process when a connection is suspended.  The
+     * MHD_run that resumes the connections may accept requests that suspend
+     * others, hence the loop. */
     while (resume_all(server)) {
         MHD_run(server->daemon);
     }
@@ -327,8 +338,8 @@
     unsigned count = 0;
     AqList_ForEach(at, &server->connections)
     {
-        /* A suspended connection that the peer has closed is not noticed by
-         * libmicrohttpd, but reads as ended here. */
+        /* libmicrohttpd does not detect that the peer has closed a suspended
+         * connection, but recv() reports the end of the stream. */
         char byte;
         ssize_t n = recv(AqList_Entry(at, Connection, link)->fd, &byte, 1,
                          MSG_PEEK | MSG_DONTWAIT);
--- a/packages/testkit/server_private.h
+++ b/packages/testkit/server_private.h
@@ -5,47 +5,58 @@
 
 #include "aq_test_server.h"
 
+/* Progress of a request on the test server. */
 typedef enum {
-    REQUEST_READING,  /* the body is not complete */
-    REQUEST_HANDED,   /* with the handler, no answer yet */
-    REQUEST_ANSWERED, /* "response" waits to be queued */
-    REQUEST_CLOSING,  /* the connection is to be closed */
-    REQUEST_SILENT    /* never answered */
+    /* The body of the request is not complete yet. */
+    REQUEST_READING,
+    /* The request handler has the request and has not responded yet. */
+    REQUEST_DISPATCHED,
+    /* The handler has responded; the field "response" is to be queued. */
+    REQUEST_RESPONDED,
+    /* The connection of the request is to be closed. */
+    REQUEST_CLOSING,
+    /* The request is never answered, and its connection stays open. */
+    REQUEST_SILENT
 } RequestState;
 
+/* Open connection of a client to the test server. */
 typedef struct {
-    AqLink link;
+    AqLink link; /* in the server's list of connections */
     AqTestServer *server;
-    int fd;
+    int fd; /* connected socket; owned by libmicrohttpd */
+    /* No byte is sent and no request is handled on this connection. */
     bool silent;
 } Connection;
 
 struct AqTestRequest {
-    AqLink link; /* in server->requests */
+    AqLink link; /* in the server's list of requests */
     AqTestServer *server;
-    Connection *owner;
-    struct MHD_Connection *connection;
+    Connection *client; /* connection on which the request arrived */
+    struct MHD_Connection *connection; /* libmicrohttpd's own handle */
     RequestState state;
+    /* libmicrohttpd does not process the connection until it is resumed. */
     bool suspended;
-    bool close_in_body;
-    bool held; /* the handler has it and has not answered */
+    bool close_in_body;   /* close at the first byte of the request body */
+    bool awaits_response; /* the handler has not responded to the request */
     char *method;
     char *path;
     AqBuffer body;
-    struct MHD_Response *response;
-    unsigned status;
-    json_t *headers; /* of the answer; new */
-    void *user;      /* borrowed; of the handler */
+    struct MHD_Response *response; /* NULL until the handler responds */
+    unsigned status;               /* HTTP status of the response */
+    json_t *headers;               /* response headers, name -> value; owned */
+    void *user;                    /* data of the request handler; borrowed */
 };
 
 struct AqTestServer {
-    AqLoopSource source; /* first */
+    AqLoopSource source; /* must be the first member, for casts */
     AqTestLoop *loop;
     const AqTestServerOps *ops;
-    void *context;
+    void *context; /* first argument of the functions in ops; borrowed */
     int port;
-    int reserved_fd; /* bound, never listening: keeps the port */
-    struct MHD_Daemon *daemon;
+    /* Socket that is bound but never listens, so that the port stays
+     * reserved while the server is closed. */
+    int reserved_fd;
+    struct MHD_Daemon *daemon; /* NULL while the server is closed */
     AqLink connections;
     AqLink requests;
 };
--- a/packages/testkit/tests/test_caller.c
+++ b/packages/testkit/tests/test_caller.c
@@ -4,7 +4,7 @@
 #include <string.h>
 #include <unistd.h>
 
-#include "aq_test_answer.h"
+#include "aq_test_response.h"
 #include "aq_test_server.h"
 #include "testkit_cases.h"
 
@@ -82,7 +82,7 @@
         AqProcess_Signal(daemon->caller, SIGTERM, &error);
     }
     AqBuffer_Init(&answer);
-    AqAnswer_Build(&answer, kind == ANSWER_OTHER_BODY ? "x" : id, body->bytes,
+    AqTestResponse_Build(&answer, kind == ANSWER_OTHER_BODY ? "x" : id, body->bytes,
                    body->size, 200);
     if (kind == ANSWER_DAMAGED) {
         answer.bytes[answer.size / 2] ^= 1;
--- a/packages/testkit/tests/test_endpoint.c
+++ b/packages/testkit/tests/test_endpoint.c
@@ -1,7 +1,7 @@
 #include <stdio.h>
 #include <string.h>
 
-#include "aq_test_answer.h"
+#include "aq_test_response.h"
 #include "testkit_cases.h"
 
 static AqProcess *endpoint;
@@ -68,21 +68,21 @@
 {
     AqBuffer answer;
     AqBuffer_Init(&answer);
-    AqAnswer_Build(&answer, "id", "body", 4, 100);
+    AqTestResponse_Build(&answer, "id", "body", 4, 100);
     CU_ASSERT_TRUE(answer.size >= 100);
     const char *bytes = answer.bytes;
     size_t size = answer.size;
-    CU_ASSERT_EQUAL(AqAnswer_Check(bytes, size, "id", "body", 4),
-                    AQ_ANSWER_OWN);
-    CU_ASSERT_EQUAL(AqAnswer_Check(bytes, size, "i", "body", 4),
-                    AQ_ANSWER_FOREIGN);
-    CU_ASSERT_EQUAL(AqAnswer_Check(bytes, size, "id", "bodx", 4),
-                    AQ_ANSWER_FOREIGN);
-    CU_ASSERT_EQUAL(AqAnswer_Check(bytes, size - 1, "id", "body", 4),
-                    AQ_ANSWER_DAMAGED);
+    CU_ASSERT_EQUAL(AqTestResponse_Check(bytes, size, "id", "body", 4),
+                    AQ_RESPONSE_OWN);
+    CU_ASSERT_EQUAL(AqTestResponse_Check(bytes, size, "i", "body", 4),
+                    AQ_RESPONSE_FOREIGN);
+    CU_ASSERT_EQUAL(AqTestResponse_Check(bytes, size, "id", "bodx", 4),
+                    AQ_RESPONSE_FOREIGN);
+    CU_ASSERT_EQUAL(AqTestResponse_Check(bytes, size - 1, "id", "body", 4),
+                    AQ_RESPONSE_DAMAGED);
     answer.bytes[70] = 'y';
-    CU_ASSERT_EQUAL(AqAnswer_Check(bytes, size, "id", "body", 4),
-                    AQ_ANSWER_DAMAGED);
+    CU_ASSERT_EQUAL(AqTestResponse_Check(bytes, size, "id", "body", 4),
+                    AQ_RESPONSE_DAMAGED);
     AqBuffer_Clear(&answer);
 }
 
@@ -99,9 +99,9 @@
     for (int i = 1; i <= 2; i++) {
         CU_ASSERT_TRUE(AqTestHttp_Call(&call.call, &reply, &error));
         CU_ASSERT_EQUAL(reply.status, 200);
-        CU_ASSERT_EQUAL(AqAnswer_Check(reply.body.bytes, reply.body.size,
+        CU_ASSERT_EQUAL(AqTestResponse_Check(reply.body.bytes, reply.body.size,
                                        "own", "payload", 7),
-                        AQ_ANSWER_OWN);
+                        AQ_RESPONSE_OWN);
         CU_ASSERT_TRUE(AqTestHttpReply_Header(&reply, "aq-attempt-id", attempt,
                                               sizeof(attempt)));
         CU_ASSERT_STRING_EQUAL(attempt, "attempt-7");
@@ -124,8 +124,8 @@
     AqTestHttpReply_Header(&reply, "Aq-Attempt-Id", attempt, sizeof(attempt));
     CU_ASSERT_STRING_NOT_EQUAL(attempt, "attempt-7");
     CU_ASSERT_EQUAL(
-        AqAnswer_Check(reply.body.bytes, reply.body.size, "crossed", "", 0),
-        AQ_ANSWER_FOREIGN);
+        AqTestResponse_Check(reply.body.bytes, reply.body.size, "crossed", "", 0),
+        AQ_RESPONSE_FOREIGN);
     AqTestHttpReply_Clear(&reply);
 }
 
@@ -234,9 +234,9 @@
     post(endpoint, "/test/v1/faults", "{\"fail_all\": true}");
     CU_ASSERT_TRUE(AqTestHttp_Call(&call.call, &reply, &error));
     CU_ASSERT_EQUAL(reply.status, 500);
-    CU_ASSERT_EQUAL(AqAnswer_Check(AqBuffer_Text(&reply.body), reply.body.size,
+    CU_ASSERT_EQUAL(AqTestResponse_Check(AqBuffer_Text(&reply.body), reply.body.size,
                                    "failed", "x", 1),
-                    AQ_ANSWER_OWN);
+                    AQ_RESPONSE_OWN);
     AqTestHttpReply_Clear(&reply);
     CU_ASSERT_EQUAL(runs_of("failed"), 1);
     post(endpoint, "/test/v1/faults", "{\"fail_all\": false}");
