--- a/packages/testkit/caller.c
+++ b/packages/testkit/caller.c
@@ -9,8 +9,8 @@
 #include "aq_test_response.h"
 #include "aq_test_http.h"
 
-/* Time after a request's own limit for which the caller still waits for the
- * response.  A daemon responds when the limit expires; one that has not
+/* Time for which the caller still waits for a response after the request's own
+ * time limit.  A daemon responds when the limit expires; one that has not
  * responded within this margin has lost the request. */
 #define RESPONSE_MARGIN_MS 3000
 /* Time limit of a readiness check. */
@@ -20,7 +20,7 @@
 /* Request with its own id, sent in one or two copies. */
 typedef struct {
     char id[96];
-    int open_copies;     /* copies without a result */
+    int open_copies;     /* copies of the request without a result */
     int other_results;   /* copies with a result other than not-run */
     int not_run_results; /* copies with the result not-run */
     bool idempotent;
@@ -41,7 +41,8 @@
 } Transfer;
 
 struct Caller {
-    AqLoopSource source; /* must be the first member, for casts */
+    /* First member, since run_transfers casts the source to its Caller. */
+    AqLoopSource source;
     AqTestLoop *loop;
     const CallerOptions *options;
     CURLM *multi;
@@ -50,9 +51,9 @@
     AqLoopTimer send_timer;
     AqLoopTimer check_timer;
     double next_send_ms; /* monotonic time of the next request */
-    AqTime send_end;     /* monotonic time after which none is sent */
-    uint64_t sequence;   /* number for the id of the next request */
-    int next_daemon;     /* daemon to consider first for the next copy */
+    AqTime send_end;     /* monotonic time after which no request is sent */
+    uint64_t sequence;   /* number in the id of the next request */
+    int next_daemon; /* position of the daemon considered first next time */
     /* Whether each daemon was ready at its last check or connection. */
     bool ready[MAX_DAEMONS];
     /* Whether a readiness check of each daemon is running. */
--- a/packages/testkit/caller.h
+++ b/packages/testkit/caller.h
@@ -23,7 +23,7 @@
     const char *name;   /* part of every request id; borrowed */
     double rate;        /* mean number of requests per second */
     int64_t run_ms;     /* time during which requests are sent */
-    int64_t timeout_ms; /* time limit that each request announces */
+    int64_t timeout_ms; /* time limit in the header of each request */
     int64_t check_ms;   /* interval of the readiness checks; 0 disables them */
     int non_idempotent_percent; /* share of non-idempotent requests */
     int repeat_percent;     /* share of requests sent to two daemons at once */
@@ -54,7 +54,7 @@
     int daemon;     /* number of the daemon that received the copy */
     bool idempotent;
     ResultKind kind;
-    long status; /* HTTP status; 0 without a response */
+    long status; /* HTTP status of the response; 0 when none arrived */
     /* The response has both Retry-After and Aq-Retry-After-Ms. */
     bool has_retry_after;
     double latency_ms;
@@ -63,12 +63,13 @@
 
 /* Counts of one run of the load generator. */
 typedef struct {
-    const CallerOptions *options; /* borrowed */
-    /* Copies of requests, including those that no daemon accepted. */
+    const CallerOptions *options; /* options of the run; borrowed */
+    /* Copies of requests sent, including those that no daemon accepted. */
     uint64_t sent;
-    /* Copies sent to another daemon after a refused connection. */
+    /* Number of times that a copy of a request was sent to another daemon
+     * after a refused connection. */
     uint64_t reconnected;
-    /* Copies whose connection was refused on every attempt. */
+    /* Copies of requests whose connection was refused on every attempt. */
     uint64_t unsent;
     /* Number of results by daemon and kind of result. */
     uint64_t counts[MAX_DAEMONS][RESULT_KIND_COUNT];
--- a/packages/testkit/caller_main.c
+++ b/packages/testkit/caller_main.c
@@ -199,7 +199,7 @@
     argp_parse(&argp, argc, argv, 0, NULL, &arguments);
     if (arguments.options.daemon_count == 0 ||
         arguments.options.service_count == 0) {
-        fprintf(stderr, "aq-caller: --daemon and --service are required\n");
+        fprintf(stderr, "aq-caller: give --daemon and --service\n");
         return 2;
     }
     return run(&arguments) ? 0 : 1;
--- a/packages/testkit/demo.h
+++ b/packages/testkit/demo.h
@@ -9,113 +9,150 @@
 #include "aq_test_loop.h"
 #include "aq_test_process.h"
 
-/* Driver of "make demo": one deployment on loopback, its faults and the
- * check of the invariants. */
+/* Driver of "make demo": runs one deployment on the loopback interface,
+ * injects faults and checks the invariants. */
 
 enum {
     DEMO_DAEMONS = 3,
     DEMO_ENDPOINTS = 12,
     DEMO_POOLS = 2,
     DEMO_ZONES = 3,
-    DEMO_KILLED = 0,  /* daemon that gets SIGKILL */
-    DEMO_STOPPED = 1, /* daemon that gets SIGTERM */
-    DEMO_KEPT = 2,    /* daemon that runs to the end; gets the commands */
-    DEMO_DRAINED = 2  /* VM that the operator drains; pool 0 */
+    DEMO_KILLED = 0,  /* number of the daemon that is sent SIGKILL */
+    DEMO_STOPPED = 1, /* number of the daemon that is sent SIGTERM */
+    /* Number of the daemon that runs to the end of the demo and receives the
+     * operator's commands. */
+    DEMO_KEPT = 2,
+    DEMO_DRAINED = 2 /* number of the VM that the operator drains; in pool 0 */
 };
 
-/* Of 6 VMs per pool, so that one planned stop is allowed. */
+/* Minimum number of serving VMs in each pool.  A pool has 6 VMs, so the budget
+ * permits one planned stop. */
 #define DEMO_MIN_SERVING 5
 
+/* Options of aq-demo. */
 typedef struct {
-    const char *bin;             /* directory of the packages' programs */
-    const char *directory;       /* settings, logs and summaries */
-    const char *daemon_program;  /* NULL: in bin */
-    const char *command_program; /* NULL: in bin */
-    double rate;                 /* requests per second of each caller */
+    const char *bin;       /* build directory that contains the programs */
+    const char *directory; /* directory for settings, logs and summaries */
+    /* Path of the daemon's program; NULL for the one in bin. */
+    const char *daemon_program;
+    /* Path of the command line program; NULL for the one in bin. */
+    const char *command_program;
+    double rate; /* requests per second that each caller sends */
 } DemoOptions;
 
 typedef struct Demo Demo;
 
+/* Child process of the demo. */
 typedef struct {
-    AqProcess *process;
-    AqLoopSource end; /* its end; linked while it is watched */
+    AqProcess *process; /* NULL before the process is started */
+    /* Event source for the end of the process; linked to the loop until the
+     * process has ended. */
+    AqLoopSource end_source;
     Demo *demo;
     bool ended;
-    int status; /* valid when ended */
+    int status; /* exit status; valid when ended is true */
 } DemoProcess;
 
-/* What was seen of the configuration while the load ran. */
+/* Observations of the configuration while the load runs. */
 typedef struct {
-    int lowest[DEMO_POOLS]; /* VMs serving; -1: never read */
-    AqTime drained_at;      /* 0: not yet */
-    uint64_t reads;
-    uint64_t wrong_pool; /* VM records without their pool */
-    uint64_t reverted;   /* drained VM shown as serving 4 s after "accepted" */
-} DemoObserved;
+    /* Lowest number of serving VMs in each pool; -1 before the first read. */
+    int lowest_serving[DEMO_POOLS];
+    /* Monotonic time at which the drained VM was free; 0 before that. */
+    AqTime drained_at;
+    uint64_t reads;      /* VM lists read from daemons */
+    uint64_t wrong_pool; /* VM records that lacked their pool */
+    /* Reads that showed the drained VM as serving more than 4 s after the
+     * drain was accepted. */
+    uint64_t reverted;
+} DemoObservations;
 
 struct Demo {
     DemoOptions options;
     AqTestLoop *loop;
-    AqTime started;
-    AqTime load_started;
+    AqTime started;      /* monotonic time at which the demo started */
+    AqTime load_started; /* monotonic time at which the callers started */
     DemoProcess platform;
     DemoProcess endpoints;
     DemoProcess daemons[DEMO_DAEMONS];
     DemoProcess callers[DEMO_POOLS];
-    DemoProcess drain;  /* the operator's commands */
-    DemoProcess refuse; /* second drain, over the budget */
-    AqTime drain_started;
-    AqTime drain_accepted; /* 0: not yet */
-    AqTime stop_started;
+    DemoProcess drain; /* the operator's drain command */
+    /* Second drain command, which the daemon must refuse because it exceeds
+     * the budget. */
+    DemoProcess second_drain;
+    AqTime drain_started; /* monotonic time at which the drain was started */
+    /* Monotonic time at which the drain was accepted; 0 before that. */
+    AqTime drain_accepted;
+    AqTime stop_started; /* monotonic time at which SIGTERM was sent */
+    /* Monotonic time at which the stopped daemon had ended; 0 before that. */
     AqTime stop_ended;
-    DemoObserved observed;
-    AqError error; /* of the last Demo_Configure that failed */
-    bool finished; /* all callers have ended */
-    bool expired;  /* the time limit was reached */
+    DemoObservations observed;
+    AqError error; /* error of the last Demo_Configure that failed */
+    /* All callers and the stopped daemon have ended, or the time limit was
+     * reached. */
+    bool finished;
+    bool expired; /* the time limit of the demo was reached */
 };
 
-/* demo_common.c */
-/* Name of the pool, and of its service. */
+/* ---- demo_common.c ------------------------------------------------------ */
+
+/* Returns the name of a pool, which is also the name of its service. */
 const char *Demo_PoolName(int pool);
 const char *Demo_ZoneName(int zone);
-/* Pool and zone of a VM; its name is "vm-NN". */
+/* Returns the number of the pool to which a VM belongs. */
 int Demo_PoolOf(int vm);
+/* Returns the number of the zone in which a VM runs. */
 int Demo_ZoneOf(int vm);
+/* Formats the name of a VM, "vm-NN". */
 void Demo_VmName(int vm, char out[16]);
-/* One line of progress with the time since the start. */
+/* Prints one line of progress with the time since the start of the demo. */
 void Demo_Log(const Demo *demo, const char *format, ...)
     __attribute__((format(printf, 2, 3)));
 
-/* demo_setup.c */
+/* ---- demo_setup.c ------------------------------------------------------- */
+
+/* Starts the simulated platform and endpoints and registers the VMs. */
 bool Demo_StartStandIns(Demo *demo, AqError *error);
 bool Demo_StartDaemons(Demo *demo, AqError *error);
-/* Sets pools and VMs through the operators' interface.  May be repeated: the
+/* Configures pools and VMs through the operators' interface.  On failure the
+ * function stores the reason in demo->error and may be called again, since the
  * operation ids stay the same. */
 bool Demo_Configure(Demo *demo);
 bool Demo_StartCallers(Demo *demo, AqError *error);
+/* Starts the operator's command that drains a VM, with a log file of the given
+ * name. */
 bool Demo_StartCommand(Demo *demo, DemoProcess *process, const char *log,
                        const char *vm, AqError *error);
+/* Kills all processes of the demo that are still running. */
 void Demo_StopProcesses(Demo *demo);
-/* Whether a started process has not ended. */
+/* Returns whether a process was started and has not ended. */
 bool Demo_IsRunning(const DemoProcess *process);
 
-/* demo_state.c */
-/* The answer of a state call; a new reference, or NULL. */
+/* ---- demo_state.c ------------------------------------------------------- */
+
+/* Returns the state of one kind that a daemon reports, as a new reference, or
+ * NULL when the daemon does not respond. */
 json_t *Demo_ReadState(Demo *demo, int daemon, const char *kind);
-/* Reads the VMs' records of every running daemon into demo->observed. */
+/* Reads the VM records of every running daemon and updates demo->observed. */
 void Demo_Observe(Demo *demo);
-/* VMs serving according to a daemon, at first; -1 when it does not answer. */
+/* Returns the number of serving VMs that a daemon reports, or -1 when the
+ * daemon does not respond. */
 int Demo_CountServing(Demo *demo, int daemon);
+/* Returns whether a daemon's readiness check succeeds. */
 bool Demo_IsReady(Demo *demo, int daemon);
 
-/* demo_plan.c */
-/* Runs "check" every 50 ms until it is true, at most for ms. */
+/* ---- demo_plan.c -------------------------------------------------------- */
+
+/* Calls check every 50 ms until it returns true or ms milliseconds have
+ * passed; returns whether check succeeded. */
 bool Demo_WaitFor(Demo *demo, bool (*check)(Demo *demo), AqTime ms);
-/* Runs the load and the faults to their end. */
+/* Injects the planned faults while the callers run; returns when the
+ * callers and the stopped daemon have ended or the time limit is reached. */
 void Demo_RunPlan(Demo *demo);
 
-/* demo_report.c */
-/* Prints the table; whether all invariants held. */
+/* ---- demo_report.c ------------------------------------------------------ */
+
+/* Prints the table of results.  Returns whether all invariants held and all
+ * steps of the plan happened. */
 bool Demo_Report(Demo *demo);
 
 #endif
--- a/packages/testkit/demo_main.c
+++ b/packages/testkit/demo_main.c
@@ -7,16 +7,19 @@
 
 #include "demo.h"
 
-/* Until every daemon is ready and sees all VMs serving.  A new VM may have
- * to pass 5 s of health checks first. */
-#define SETTLE_MS 8000
+/* Time limit of each step of the setup, such as all daemons reporting all VMs
+ * as serving.  A new VM may have to pass 5 s of health checks first. */
+#define SETUP_STEP_LIMIT_MS 8000
 
 static const struct argp_option option_table[] = {
-    {"bin", 'b', "DIR", 0, "build/packages, with the programs", 0},
-    {"directory", 'd', "DIR", 0, "for settings, logs and summaries", 0},
+    {"bin", 'b', "DIR", 0,
+     "directory of the programs (default build/packages)", 0},
+    {"directory", 'd', "DIR", 0, "directory for settings, logs and summaries",
+     0},
     {"daemon-program", 'D', "FILE", 0, "amaranthquayd", 0},
     {"command-program", 'C', "FILE", 0, "amaranthquay", 0},
-    {"rate", 'r', "N", 0, "requests per second of each caller (150)", 0},
+    {"rate", 'r', "N", 0, "requests per second of each caller (default 150)",
+     0},
     {0}};
 
 static error_t
@@ -78,35 +81,36 @@
     if (!Demo_StartDaemons(demo, error)) {
         return false;
     }
-    if (!Demo_WaitFor(demo, all_ready, SETTLE_MS)) {
+    if (!Demo_WaitFor(demo, all_ready, SETUP_STEP_LIMIT_MS)) {
         return AqError_Set(error, AQ_ERR_TIMEOUT,
-                           "not every daemon was ready in %d ms; read the "
+                           "not every daemon was ready within %d ms; read the "
                            "logs in %s",
-                           SETTLE_MS, demo->options.directory);
+                           SETUP_STEP_LIMIT_MS, demo->options.directory);
     }
     Demo_Log(demo, "setting %d pools and %d VMs", DEMO_POOLS, DEMO_ENDPOINTS);
-    if (!Demo_WaitFor(demo, Demo_Configure, SETTLE_MS)) {
+    if (!Demo_WaitFor(demo, Demo_Configure, SETUP_STEP_LIMIT_MS)) {
         *error = demo->error;
         return false;
     }
-    if (!Demo_WaitFor(demo, all_serving, SETTLE_MS)) {
-        return AqError_Set(error, AQ_ERR_TIMEOUT,
-                           "not every daemon saw %d VMs serving in %d ms; "
-                           "read the logs in %s",
-                           DEMO_ENDPOINTS, SETTLE_MS, demo->options.directory);
+    if (!Demo_WaitFor(demo, all_serving, SETUP_STEP_LIMIT_MS)) {
+        return AqError_Set(
+            error, AQ_ERR_TIMEOUT,
+            "not every daemon reported %d VMs as serving within %d ms; "
+            "read the logs in %s",
+            DEMO_ENDPOINTS, SETUP_STEP_LIMIT_MS, demo->options.directory);
     }
     Demo_Log(demo, "starting %d callers", DEMO_POOLS);
     return Demo_StartCallers(demo, error);
 }
 
-/* 0: all invariants held; 1: one did not, or a step did not happen; 2: the
- * demo could not be set up. */
+/* Returns the exit status: 0 when all invariants held and all steps happened,
+ * 1 when not, 2 when the demo could not be set up. */
 static int
 run_demo(Demo *demo)
 {
     AqError error;
     if (mkdir(demo->options.directory, 0700) != 0 && errno != EEXIST) {
-        fprintf(stderr, "aq-demo: cannot make %s: %s\n",
+        fprintf(stderr, "aq-demo: cannot create %s: %s\n",
                 demo->options.directory, strerror(errno));
         return 2;
     }
@@ -125,7 +129,7 @@
         option_table,
         parse_option,
         NULL,
-        "Shows amaranthquay under load and faults, and checks it.",
+        "Runs amaranthquay under load and faults and checks the invariants.",
         NULL,
         NULL,
         NULL};
@@ -136,7 +140,7 @@
     demo.started = AqClock_ReadMonotonic();
     demo.loop = AqTestLoop_Create();
     for (int i = 0; i < DEMO_POOLS; i++) {
-        demo.observed.lowest[i] = -1;
+        demo.observed.lowest_serving[i] = -1;
     }
     int status = run_demo(&demo);
     Demo_StopProcesses(&demo);
--- a/packages/testkit/demo_plan.c
+++ b/packages/testkit/demo_plan.c
@@ -5,34 +5,42 @@
 #include "aq_test_http.h"
 #include "demo.h"
 
-#define CHECK_MS 50
-#define OBSERVE_MS 100
-#define PROGRESS_MS 1000
-/* The demo ends by itself within 30 s; the report needs the rest. */
+/* Interval at which Demo_WaitFor calls its check. */
+#define CHECK_INTERVAL_MS 50
+/* Interval at which the state of the daemons is read. */
+#define OBSERVE_INTERVAL_MS 100
+/* Interval of the progress lines. */
+#define PROGRESS_INTERVAL_MS 1000
+/* Time limit of setup and plan.  The whole demo must end within 30 s; the
+ * remaining time is for the report. */
 #define TIME_LIMIT_MS 28500
 
+/* Step of the plan: an operator's command or a fault. */
 typedef struct {
-    AqTime at; /* ms since the load started */
+    AqTime at; /* time of the step in ms after the start of the load */
     void (*run)(Demo *demo);
 } PlanStep;
 
+/* Check that Demo_WaitFor repeats until the check succeeds. */
 typedef struct {
     AqLoopTimer timer;
     Demo *demo;
     bool (*check)(Demo *demo);
-    bool done;
-} Waiting;
+    bool done; /* whether the check has succeeded */
+} PeriodicCheck;
 
 static void
-check_again(void *context)
+run_check(void *context)
 {
-    Waiting *waiting = context;
-    waiting->done = waiting->check(waiting->demo);
-    if (!waiting->done) {
-        AqTestLoop_StartTimer(waiting->demo->loop, &waiting->timer, CHECK_MS);
+    PeriodicCheck *periodic = context;
+    periodic->done = periodic->check(periodic->demo);
+    if (!periodic->done) {
+        AqTestLoop_StartTimer(periodic->demo->loop, &periodic->timer,
+                              CHECK_INTERVAL_MS);
     }
 }
 
+/* Returns the time until the time limit of the demo; 0 after the limit. */
 static AqTime
 time_left(const Demo *demo)
 {
@@ -43,13 +51,13 @@
 bool
 Demo_WaitFor(Demo *demo, bool (*check)(Demo *demo), AqTime ms)
 {
-    Waiting waiting = {.demo = demo, .check = check};
+    PeriodicCheck periodic = {.demo = demo, .check = check};
     AqTime left = time_left(demo);
-    AqLoopTimer_Init(&waiting.timer, check_again, &waiting);
-    AqTestLoop_StartTimer(demo->loop, &waiting.timer, 0);
-    AqTestLoop_RunUntil(demo->loop, &waiting.done, ms < left ? ms : left);
-    AqLoopTimer_Stop(&waiting.timer);
-    return waiting.done;
+    AqLoopTimer_Init(&periodic.timer, run_check, &periodic);
+    AqTestLoop_StartTimer(demo->loop, &periodic.timer, 0);
+    AqTestLoop_RunUntil(demo->loop, &periodic.done, ms < left ? ms : left);
+    AqLoopTimer_Stop(&periodic.timer);
+    return periodic.done;
 }
 
 /* ---- Steps ------------------------------------------------------------- */
@@ -74,8 +82,9 @@
     AqError error;
     Demo_VmName(DEMO_DRAINED, vm);
     Demo_Log(demo, "operator: amaranthquay drain start %s", vm);
-    /* The endpoint records what it receives from now on, and says nothing
-     * about its leave, so that only the drain can stop new work. */
+    /* The endpoint records the requests that it receives from now on.  It does
+     * not announce that it leaves, so that only the drain can stop new
+     * work. */
     post_control(
         &demo->endpoints, "/test/v1/leave",
         json_pack("{s:i s:b}", "endpoint", DEMO_DRAINED, "announce", 0));
@@ -93,7 +102,7 @@
     Demo_VmName(DEMO_DRAINED + DEMO_POOLS, vm);
     Demo_Log(demo, "operator: amaranthquay drain start %s (over the budget)",
              vm);
-    if (!Demo_StartCommand(demo, &demo->refuse, "refuse", vm, &error)) {
+    if (!Demo_StartCommand(demo, &demo->second_drain, "refuse", vm, &error)) {
         Demo_Log(demo, "%s", error.message);
     }
 }
@@ -107,7 +116,7 @@
 }
 
 static void
-take_store_away(Demo *demo)
+start_store_outage(Demo *demo)
 {
     Demo_Log(demo, "the store refuses connections");
     post_control(&demo->platform, "/test/v1/faults",
@@ -115,9 +124,9 @@
 }
 
 static void
-bring_store_back(Demo *demo)
+end_store_outage(Demo *demo)
 {
-    Demo_Log(demo, "the store is back");
+    Demo_Log(demo, "the store accepts connections again");
     post_control(&demo->platform, "/test/v1/faults",
                  json_pack("{s:s}", "down", "none"));
 }
@@ -131,26 +140,31 @@
     AqProcess_Signal(demo->daemons[DEMO_STOPPED].process, SIGTERM, &error);
 }
 
-/* The killed daemon's membership ends 5 s after the kill, which needs the
- * store, and its slots return 4 s later; both before the graceful stop. */
+/* The membership of the killed daemon ends 5 s after the kill, which requires
+ * the store, and its slots become available 4 s later.  Both happen before the
+ * graceful stop. */
 static const PlanStep steps[] = {
-    {2000, start_drain},      {3500, start_second_drain}, {5000, kill_daemon},
-    {11500, take_store_away}, {14000, bring_store_back},  {16000, stop_daemon},
+    {2000, start_drain},       {3500, start_second_drain},
+    {5000, kill_daemon},       {11500, start_store_outage},
+    {14000, end_store_outage}, {16000, stop_daemon},
 };
 
 #define STEP_COUNT (sizeof(steps) / sizeof(steps[0]))
 
-/* ---- Watching ---------------------------------------------------------- */
+/* ---- Running the plan -------------------------------------------------- */
 
+/* Timers of a running plan. */
 typedef struct {
     Demo *demo;
-    AqLoopTimer observe;
-    AqLoopTimer progress;
-    AqLoopTimer next;
-    size_t step;
-    AqLoopTimer limit;
+    AqLoopTimer observe;  /* fires when the daemons' state is to be read */
+    AqLoopTimer progress; /* fires when a progress line is to be printed */
+    AqLoopTimer next;     /* fires when the next step is due */
+    size_t step;          /* position of the next step in "steps" */
+    AqLoopTimer limit;    /* fires at the time limit of the demo */
 } Plan;
 
+/* Adds the counts of a caller to counts: sent, completed, not run and unknown.
+ * Returns 1, or 0 when the caller is not running. */
 static int64_t
 read_counts(const DemoProcess *caller, int64_t counts[4])
 {
@@ -186,7 +200,7 @@
                  (long long)counts[0], (long long)counts[1],
                  (long long)counts[2], (long long)counts[3]);
     }
-    AqTestLoop_StartTimer(demo->loop, &plan->progress, PROGRESS_MS);
+    AqTestLoop_StartTimer(demo->loop, &plan->progress, PROGRESS_INTERVAL_MS);
 }
 
 static void
@@ -207,7 +221,7 @@
         callers = callers || Demo_IsRunning(&demo->callers[i]);
     }
     demo->finished = !callers && demo->stop_ended > 0;
-    AqTestLoop_StartTimer(demo->loop, &plan->observe, OBSERVE_MS);
+    AqTestLoop_StartTimer(demo->loop, &plan->observe, OBSERVE_INTERVAL_MS);
 }
 
 static void
@@ -242,7 +256,7 @@
     AqLoopTimer_Init(&plan.next, run_step, &plan);
     AqLoopTimer_Init(&plan.limit, expire, &plan);
     AqTestLoop_StartTimer(demo->loop, &plan.observe, 0);
-    AqTestLoop_StartTimer(demo->loop, &plan.progress, PROGRESS_MS);
+    AqTestLoop_StartTimer(demo->loop, &plan.progress, PROGRESS_INTERVAL_MS);
     AqTestLoop_StartTimer(demo->loop, &plan.next, steps[0].at);
     AqTestLoop_StartTimer(demo->loop, &plan.limit, time_left(demo));
     AqTestLoop_RunUntil(demo->loop, &demo->finished, TIME_LIMIT_MS);
--- a/packages/testkit/demo_report.c
+++ b/packages/testkit/demo_report.c
@@ -7,46 +7,62 @@
 #include "aq_test_http.h"
 #include "demo.h"
 
-/* Section 1.2, item 6. */
-#define LEAVE_LIMIT_MS 3000
+/* Time after the start of a drain within which new work may still reach the
+ * drained VM: item 6 of section 1.2 of the requirements. */
+#define NEW_WORK_LIMIT_MS 3000
 
+/* Sums over the summaries of all callers. */
 typedef struct {
     int64_t sent;
     int64_t completed;
     int64_t not_run;
-    int64_t unknown;
-    int64_t unknown_idempotent;
-    int64_t unknown_repeats; /* of a claimed id, status 409 */
-    int64_t wrong;
-    int64_t cut;     /* cut, closed or without an answer, not by the kill */
-    int64_t by_kill; /* the same, on the killed daemon */
-    int64_t unsent;
-    int64_t no_retry_after;
-    int64_t told_but_run;
-    double p50; /* ms, of the slower caller */
-    double p99;
-    int summaries;
+    int64_t unknown;            /* responses with an unknown outcome */
+    int64_t unknown_idempotent; /* idempotent requests among "unknown" */
+    /* Repeats of a request id that is already claimed, answered with status
+     * 409. */
+    int64_t unknown_repeats;
+    int64_t wrong; /* responses that belong to another request */
+    /* Responses of the daemons that were not killed that were truncated or did
+     * not arrive. */
+    int64_t lost;
+    /* Responses of the killed daemon that were truncated or did not arrive. */
+    int64_t lost_by_kill;
+    int64_t unsent;         /* requests that every daemon refused */
+    int64_t no_retry_after; /* not-run responses without a retry time */
+    /* Requests that were answered not-run although an endpoint ran them. */
+    int64_t not_run_but_run;
+    double p50_ms; /* median latency of the slower caller */
+    double p99_ms; /* highest 99th percentile latency of a caller */
+    int summaries; /* number of callers that wrote a summary */
 } CallerTally;
 
+/* Sums and maxima over all endpoints. */
 typedef struct {
-    int64_t runs;
-    int64_t twice;      /* non-idempotent ids run more than once */
-    int64_t idempotent; /* idempotent ids run more than once */
-    int64_t late;       /* requests over 3 s after the leave */
-    int64_t last_ms;    /* delay of the last request after the leave; -1 */
-    int64_t over_slots; /* requests refused for want of a slot */
-    int64_t max_slots;
-    int64_t max_connections;
-    json_t *counts; /* id -> runs; new */
+    int64_t runs; /* number of runs of all requests */
+    /* Non-idempotent request ids that ran more than once. */
+    int64_t non_idempotent_repeats;
+    /* Idempotent request ids that ran more than once. */
+    int64_t idempotent_repeats;
+    /* Requests that reached the drained endpoint more than 3 s after the start
+     * of the drain. */
+    int64_t late_requests;
+    /* Time from the start of the drain to the last request that reached the
+     * drained endpoint; -1 without such a request. */
+    int64_t last_delay_ms;
+    int64_t rejected;        /* requests rejected for lack of a free slot */
+    int64_t max_slots;       /* most slots in use at one endpoint */
+    int64_t max_connections; /* most connections open at one endpoint */
+    json_t *counts;          /* request id -> number of runs; owned */
 } EndpointTally;
 
+/* Returns an integer field of a JSON object; 0 when the field is absent. */
 static int64_t
-number(const json_t *object, const char *field)
+int_field(const json_t *object, const char *field)
 {
     return json_integer_value(json_object_get(object, field));
 }
 
-/* ---- What the endpoints saw -------------------------------------------- */
+/* ---- Results of the endpoints ------------------------------------------ */
 
 static void
 tally_endpoint(EndpointTally *tally, const json_t *endpoint)
@@ -55,13 +71,14 @@
     json_t *late;
     json_array_foreach(json_object_get(endpoint, "after_leave"), i, late)
     {
-        int64_t delay = number(late, "delay_ms");
-        tally->late += delay > LEAVE_LIMIT_MS;
-        tally->last_ms = delay > tally->last_ms ? delay : tally->last_ms;
+        int64_t delay = int_field(late, "delay_ms");
+        tally->late_requests += delay > NEW_WORK_LIMIT_MS;
+        tally->last_delay_ms =
+            delay > tally->last_delay_ms ? delay : tally->last_delay_ms;
     }
-    int64_t slots = number(endpoint, "max_slots");
-    int64_t connections = number(endpoint, "max_connections");
-    tally->over_slots += number(endpoint, "not_run");
+    int64_t slots = int_field(endpoint, "max_slots");
+    int64_t connections = int_field(endpoint, "max_connections");
+    tally->rejected += int_field(endpoint, "not_run");
     tally->max_slots = slots > tally->max_slots ? slots : tally->max_slots;
     tally->max_connections = connections > tally->max_connections
                                  ? connections
@@ -76,19 +93,19 @@
     json_t *endpoint;
     const char *id;
     json_t *runs;
-    tally->last_ms = -1;
+    tally->last_delay_ms = -1;
     snprintf(url, sizeof(url), "http://%s/test/v1/runs?ids",
              AqProcess_Address(demo->endpoints.process, "control"));
     json_t *record = AqTestHttp_Json("GET", url, NULL, NULL, NULL, error);
     if (record == NULL) {
         return false;
     }
-    tally->runs = number(record, "total");
+    tally->runs = int_field(record, "total");
     tally->counts = json_incref(json_object_get(record, "counts"));
     json_object_foreach(json_object_get(record, "more_than_once"), id, runs)
     {
-        tally->twice += strncmp(id, "n-", 2) == 0;
-        tally->idempotent += strncmp(id, "i-", 2) == 0;
+        tally->non_idempotent_repeats += strncmp(id, "n-", 2) == 0;
+        tally->idempotent_repeats += strncmp(id, "i-", 2) == 0;
     }
     json_array_foreach(json_object_get(record, "endpoints"), i, endpoint)
     {
@@ -98,7 +115,7 @@
     return true;
 }
 
-/* ---- What the callers saw ---------------------------------------------- */
+/* ---- Results of the callers -------------------------------------------- */
 
 static void
 tally_daemons(CallerTally *tally, const json_t *daemons)
@@ -107,13 +124,13 @@
     json_t *daemon;
     json_array_foreach(daemons, i, daemon)
     {
-        int64_t lost = number(daemon, "cut") + number(daemon, "closed") +
-                       number(daemon, "no_answer");
+        int64_t lost = int_field(daemon, "cut") + int_field(daemon, "closed") +
+                       int_field(daemon, "no_answer");
         if (i == DEMO_KILLED) {
-            tally->by_kill += lost;
+            tally->lost_by_kill += lost;
         }
         else {
-            tally->cut += lost;
+            tally->lost += lost;
         }
     }
 }
@@ -127,22 +144,22 @@
     double p50 = json_number_value(json_object_get(latency, "p50"));
     double p99 = json_number_value(json_object_get(latency, "p99"));
     tally->summaries++;
-    tally->sent += number(summary, "sent");
-    tally->completed += number(summary, "completed");
-    tally->not_run += number(summary, "not_run");
-    tally->unknown += number(summary, "unknown");
-    tally->unknown_idempotent += number(summary, "unknown_idempotent");
+    tally->sent += int_field(summary, "sent");
+    tally->completed += int_field(summary, "completed");
+    tally->not_run += int_field(summary, "not_run");
+    tally->unknown += int_field(summary, "unknown");
+    tally->unknown_idempotent += int_field(summary, "unknown_idempotent");
     tally->unknown_repeats +=
-        number(json_object_get(summary, "statuses"), "409");
-    tally->wrong += number(summary, "wrong");
-    tally->unsent += number(summary, "unsent");
-    tally->no_retry_after += number(summary, "no_retry_after");
-    tally->p50 = p50 > tally->p50 ? p50 : tally->p50;
-    tally->p99 = p99 > tally->p99 ? p99 : tally->p99;
+        int_field(json_object_get(summary, "statuses"), "409");
+    tally->wrong += int_field(summary, "wrong");
+    tally->unsent += int_field(summary, "unsent");
+    tally->no_retry_after += int_field(summary, "no_retry_after");
+    tally->p50_ms = p50 > tally->p50_ms ? p50 : tally->p50_ms;
+    tally->p99_ms = p99 > tally->p99_ms ? p99 : tally->p99_ms;
     tally_daemons(tally, json_object_get(summary, "daemons"));
     json_array_foreach(json_object_get(summary, "not_run_ids"), i, id)
     {
-        tally->told_but_run +=
+        tally->not_run_but_run +=
             json_object_get(counts, json_string_value(id)) != NULL;
     }
 }
@@ -187,9 +204,10 @@
     print_row(name, value, "");
 }
 
-/* A count that an invariant of section 1.2 requires to be 0. */
+/* Prints a count that must be 0 according to an invariant, item "item" of
+ * section 1.2 of the requirements.  Returns whether the count is 0. */
 static bool
-print_none(const char *name, int64_t count, int item)
+print_zero_invariant(const char *name, int64_t count, int item)
 {
     char value[24];
     char verdict[40];
@@ -200,8 +218,9 @@
     return count == 0;
 }
 
-/* A step of the plan that must have happened for the rest to mean
- * anything. */
+/* Prints a step of the plan and the time in ms that it took (-1: no time).
+ * Returns "done".  The invariants are meaningful only when every step
+ * happened. */
 static bool
 print_step(const char *name, bool done, AqTime ms)
 {
@@ -213,6 +232,8 @@
     return done;
 }
 
+/* Prints the lowest capacity of each pool; returns whether no pool had fewer
+ * than DEMO_MIN_SERVING serving VMs. */
 static bool
 print_capacity(const Demo *demo)
 {
@@ -220,7 +241,7 @@
     for (int pool = 0; pool < DEMO_POOLS; pool++) {
         char name[64];
         char value[24];
-        int lowest = demo->observed.lowest[pool];
+        int lowest = demo->observed.lowest_serving[pool];
         bool held = lowest >= DEMO_MIN_SERVING;
         snprintf(name, sizeof(name), "lowest capacity of pool %s (budget %d)",
                  Demo_PoolName(pool), DEMO_MIN_SERVING);
@@ -236,7 +257,7 @@
 static bool
 print_steps(const Demo *demo, const CallerTally *callers)
 {
-    const DemoObserved *observed = &demo->observed;
+    const DemoObservations *observed = &demo->observed;
     const DemoProcess *stopped = &demo->daemons[DEMO_STOPPED];
     bool ok = print_step("drain accepted", demo->drain_accepted > 0,
                          demo->drain_accepted - demo->drain_started);
@@ -244,7 +265,8 @@
                     observed->drained_at - demo->drain_started) &&
          ok;
     ok = print_step("second drain refused (exit status 3)",
-                    demo->refuse.ended && demo->refuse.status == 3, -1) &&
+                    demo->second_drain.ended && demo->second_drain.status == 3,
+                    -1) &&
          ok;
     ok = print_step("graceful stop, exit status 0",
                     stopped->ended && stopped->status == 0,
@@ -265,21 +287,27 @@
 print_invariants(const Demo *demo, const CallerTally *callers,
                  const EndpointTally *endpoints)
 {
-    const DemoObserved *observed = &demo->observed;
+    const DemoObservations *observed = &demo->observed;
     bool ok = print_capacity(demo);
-    ok = print_none("VM records without their pool",
-                    (int64_t)observed->wrong_pool, 2) &&
+    ok = print_zero_invariant("VM records without their pool",
+                              (int64_t)observed->wrong_pool, 2) &&
          ok;
-    ok = print_none("wrong or crossed answer", callers->wrong, 3) && ok;
-    ok = print_none("told not-run but run", callers->told_but_run, 4) && ok;
-    ok = print_none("run twice (non-idempotent)", endpoints->twice, 5) && ok;
-    ok = print_none("new work over 3 s after the drain", endpoints->late, 6) &&
+    ok = print_zero_invariant("wrong or crossed answer", callers->wrong, 3) &&
          ok;
-    ok =
-        print_none("cut off or unanswered (SIGKILL aside)", callers->cut, 7) &&
-        ok;
-    return print_none("configuration reverted or late",
-                      (int64_t)observed->reverted, 8) &&
+    ok = print_zero_invariant("told not-run but run", callers->not_run_but_run,
+                              4) &&
+         ok;
+    ok = print_zero_invariant("run twice (non-idempotent)",
+                              endpoints->non_idempotent_repeats, 5) &&
+         ok;
+    ok = print_zero_invariant("new work over 3 s after the drain",
+                              endpoints->late_requests, 6) &&
+         ok;
+    ok = print_zero_invariant("cut off or unanswered (SIGKILL aside)",
+                              callers->lost, 7) &&
+         ok;
+    return print_zero_invariant("configuration reverted or late",
+                                (int64_t)observed->reverted, 8) &&
            ok;
 }
 
@@ -295,19 +323,20 @@
     print_count("answered outcome-unknown", callers->unknown);
     print_count("  of them idempotent", callers->unknown_idempotent);
     print_count("  of them repeats of a claimed id", callers->unknown_repeats);
-    print_count("no answer because of SIGKILL", callers->by_kill);
+    print_count("no answer because of SIGKILL", callers->lost_by_kill);
     print_count("refused by every daemon (not sent)", callers->unsent);
     print_count("idempotent run more than once (with repeats)",
-                endpoints->idempotent);
+                endpoints->idempotent_repeats);
     print_count("refused by an endpoint without a free slot",
-                endpoints->over_slots);
+                endpoints->rejected);
     print_count("most slots in use at one endpoint (limit 8)",
                 endpoints->max_slots);
     print_count("most connections at one endpoint (limit 64)",
                 endpoints->max_connections);
     print_count("last new work after the drain (ms; -1: none)",
-                endpoints->last_ms);
-    snprintf(value, sizeof(value), "%.1f / %.1f", callers->p50, callers->p99);
+                endpoints->last_delay_ms);
+    snprintf(value, sizeof(value), "%.1f / %.1f", callers->p50_ms,
+             callers->p99_ms);
     print_row("latency p50 / p99 of the slower caller (ms)", value, "");
 }
 
--- a/packages/testkit/demo_setup.c
+++ b/packages/testkit/demo_setup.c
@@ -10,52 +10,61 @@
 #include "aq_json.h"
 #include "aq_test_http.h"
 
+/* Time limit for the start of a process and for a configuration call. */
 #define READY_MS 5000
+/* Time in seconds during which the callers send requests. */
 #define LOAD_SECONDS "19"
-/* Short enough that the last answers come within the demo's time limit. */
-#define TIMEOUT_MS "2500"
+/* Time limit of each request; short enough that the last responses arrive
+ * within the time limit of the demo. */
+#define REQUEST_TIMEOUT_MS "2500"
+/* Token that authenticates the operator to the daemons. */
 #define DEMO_TOKEN "demo-operator-token"
 
-static const char *const auth[] = {"Authorization: Bearer " DEMO_TOKEN,
-                                   "Content-Type: application/json", NULL};
+static const char *const operator_headers[] = {
+    "Authorization: Bearer " DEMO_TOKEN, "Content-Type: application/json",
+    NULL};
 
+/* Formats the path of a file in the demo's directory. */
 static void
-file_in(const Demo *demo, const char *name, char out[512])
+format_path(const Demo *demo, const char *name, char out[512])
 {
     snprintf(out, 512, "%s/%s", demo->options.directory, name);
 }
 
+/* Records the exit status when a process of the demo has ended. */
 static void
-note_end(AqLoopSource *source)
+on_process_end(AqLoopSource *source)
 {
-    DemoProcess *process = AqList_Entry(source, DemoProcess, end);
+    DemoProcess *process = AqList_Entry(source, DemoProcess, end_source);
     AqError error;
     if (!process->ended &&
         AqProcess_WaitExit(process->process, 0, &process->status, &error)) {
         process->ended = true;
-        AqTestLoop_RemoveSource(&process->end);
+        AqTestLoop_RemoveSource(&process->end_source);
     }
 }
 
-/* Starts a program whose log is NAME.log in the demo's directory. */
+/* Starts a program that logs to the file NAME.log in the demo's directory, and
+ * with wait_ready waits until it is ready. */
 static bool
-start(Demo *demo, DemoProcess *process, const char *const *argv,
-      const char *name, bool wait_ready, AqError *error)
+start_process(Demo *demo, DemoProcess *process, const char *const *argv,
+              const char *name, bool wait_ready, AqError *error)
 {
     char log_name[64];
     char log[512];
     snprintf(log_name, sizeof(log_name), "%s.log", name);
-    file_in(demo, log_name, log);
+    format_path(demo, log_name, log);
     unlink(log);
     process->demo = demo;
     process->process = AqProcess_Spawn(argv, log, error);
     if (process->process == NULL) {
         return false;
     }
-    process->end = (AqLoopSource){
-        .fd = AqProcess_EndDescriptor(process->process), .run = note_end};
-    AqList_Init(&process->end.link);
-    AqTestLoop_AddSource(demo->loop, &process->end);
+    process->end_source =
+        (AqLoopSource){.fd = AqProcess_EndDescriptor(process->process),
+                       .run = on_process_end};
+    AqList_Init(&process->end_source.link);
+    AqTestLoop_AddSource(demo->loop, &process->end_source);
     return !wait_ready ||
            AqProcess_WaitReady(process->process, READY_MS, error);
 }
@@ -66,8 +75,9 @@
     return process->process != NULL && !process->ended;
 }
 
+/* Formats the path of a program in the build directory and returns out. */
 static const char *
-program(const Demo *demo, const char *name, char out[512])
+program_path(const Demo *demo, const char *name, char out[512])
 {
     snprintf(out, 512, "%s/%s", demo->options.bin, name);
     return out;
@@ -94,22 +104,25 @@
 {
     char path[512];
     char url[128];
-    const char *const platform[] = {program(demo, "testkit/aq-platform", path),
-                                    "--port=0", "--lag-ms=300", NULL};
-    if (!start(demo, &demo->platform, platform, "platform", true, error)) {
+    const char *const platform[] = {
+        program_path(demo, "testkit/aq-platform", path), "--port=0",
+        "--lag-ms=300", NULL};
+    if (!start_process(demo, &demo->platform, platform, "platform", true,
+                       error)) {
         return false;
     }
     char count[24];
     snprintf(count, sizeof(count), "--count=%d", DEMO_ENDPOINTS);
     const char *const endpoints[] = {
-        program(demo, "testkit/aq-endpoint", path),
+        program_path(demo, "testkit/aq-endpoint", path),
         "--port=0",
         count,
         "--slots=8",
         "--service-ms=20",
         "--distribution=exponential",
         NULL};
-    if (!start(demo, &demo->endpoints, endpoints, "endpoints", true, error)) {
+    if (!start_process(demo, &demo->endpoints, endpoints, "endpoints", true,
+                       error)) {
         return false;
     }
     json_t *vms = json_array();
@@ -159,12 +172,13 @@
     const char *own = demo->options.daemon_program;
     snprintf(name, sizeof(name), "entry-%d", daemon + 1);
     snprintf(file, sizeof(file), "%s.toml", name);
-    file_in(demo, file, settings);
+    format_path(demo, file, settings);
     const char *const argv[] = {
-        own != NULL ? own : program(demo, "daemon/amaranthquayd", path),
+        own != NULL ? own : program_path(demo, "daemon/amaranthquayd", path),
         "--settings", settings, NULL};
     return write_settings(demo, daemon, settings, error) &&
-           start(demo, &demo->daemons[daemon], argv, name, true, error);
+           start_process(demo, &demo->daemons[daemon], argv, name, true,
+                         error);
 }
 
 bool
@@ -200,8 +214,9 @@
     return json_pack("{s:s s:o}", "kind", "vm.set", "args", args);
 }
 
-/* Sends the intents at once, since each is accepted only after the next
- * heartbeats of a majority, and waits for all. */
+/* Sends all intents before it waits for the responses: an intent is accepted
+ * only after the next heartbeats of a majority, so that sending one after the
+ * other would take longer. */
 static bool
 send_intents(const Demo *demo, json_t *const *intents, int count,
              AqError *error)
@@ -216,7 +231,7 @@
         texts[i] = AqJson_Dump(intents[i]);
         AqTestHttpCall call = {.method = "POST",
                                .url = url,
-                               .headers = auth,
+                               .headers = operator_headers,
                                .body = texts[i],
                                .size = strlen(texts[i]),
                                .timeout_ms = READY_MS};
@@ -238,6 +253,8 @@
     return ok;
 }
 
+/* Adds an operation id to each intent, the same id on every call for a pool or
+ * VM, sends the intents and releases the references to them. */
 static bool
 send_and_free(const Demo *demo, json_t **intents, int count, AqError *error)
 {
@@ -290,16 +307,16 @@
     int n = 0;
     snprintf(name, sizeof(name), "caller-%s", Demo_PoolName(pool));
     snprintf(file, sizeof(file), "%s.json", name);
-    file_in(demo, file, output);
+    format_path(demo, file, output);
     unlink(output);
     snprintf(rate, sizeof(rate), "--rate=%.3f", demo->options.rate);
     snprintf(seed, sizeof(seed), "--seed=%d", pool + 1);
-    argv[n++] = program(demo, "testkit/aq-caller", path);
+    argv[n++] = program_path(demo, "testkit/aq-caller", path);
     argv[n++] = "--port=0";
     argv[n++] = rate;
     argv[n++] = seed;
     argv[n++] = "--seconds=" LOAD_SECONDS;
-    argv[n++] = "--timeout-ms=" TIMEOUT_MS;
+    argv[n++] = "--timeout-ms=" REQUEST_TIMEOUT_MS;
     argv[n++] = "--name";
     argv[n++] = Demo_PoolName(pool);
     argv[n++] = "--service";
@@ -311,7 +328,7 @@
         argv[n++] = AqProcess_Address(demo->daemons[i].process, "callers");
     }
     argv[n] = NULL;
-    return start(demo, &demo->callers[pool], argv, name, true, error);
+    return start_process(demo, &demo->callers[pool], argv, name, true, error);
 }
 
 bool
@@ -350,11 +367,11 @@
     char token[512];
     char server[96];
     const char *own = demo->options.command_program;
-    file_in(demo, "token", token);
+    format_path(demo, "token", token);
     snprintf(server, sizeof(server), "http://%s",
              AqProcess_Address(demo->daemons[DEMO_KEPT].process, "operators"));
     const char *const argv[] = {
-        own != NULL ? own : program(demo, "cli/amaranthquay", path),
+        own != NULL ? own : program_path(demo, "cli/amaranthquay", path),
         "--server",
         server,
         "--token-file",
@@ -364,14 +381,14 @@
         vm,
         NULL};
     return write_token(token, error) &&
-           start(demo, process, argv, log, false, error);
+           start_process(demo, process, argv, log, false, error);
 }
 
 void
 Demo_StopProcesses(Demo *demo)
 {
     DemoProcess *all[5 + DEMO_DAEMONS + DEMO_POOLS] = {
-        &demo->drain, &demo->refuse, &demo->platform, &demo->endpoints};
+        &demo->drain, &demo->second_drain, &demo->platform, &demo->endpoints};
     int count = 4;
     for (int i = 0; i < DEMO_DAEMONS; i++) {
         all[count++] = &demo->daemons[i];
@@ -381,7 +398,7 @@
     }
     for (int i = 0; i < count; i++) {
         if (all[i]->process != NULL) {
-            AqTestLoop_RemoveSource(&all[i]->end);
+            AqTestLoop_RemoveSource(&all[i]->end_source);
             AqProcess_Destroy(all[i]->process);
         }
     }
--- a/packages/testkit/demo_state.c
+++ b/packages/testkit/demo_state.c
@@ -5,15 +5,18 @@
 #include "aq_test_http.h"
 #include "demo.h"
 
-/* Shorter than the time between two steps of the plan, which a daemon that
- * does not answer must not hold up. */
+/* Time limit of a read from a daemon.  Shorter than the time between two steps
+ * of the plan, so that a daemon that does not respond delays no step. */
 #define READ_TIMEOUT_MS 300L
-/* Section 1.2, item 8. */
-#define IN_FORCE_MS 4000
+/* Time within which an accepted intent must be in force on every daemon: item
+ * 8 of section 1.2 of the requirements. */
+#define INTENT_IN_FORCE_LIMIT_MS 4000
 
+/* Sends a GET request to a listener of a daemon ("operators" or "callers");
+ * returns false without a response. */
 static bool
-get(const Demo *demo, int daemon, const char *listener, const char *path,
-    AqTestHttpReply *reply)
+get_from_daemon(const Demo *demo, int daemon, const char *listener,
+                const char *path, AqTestHttpReply *reply)
 {
     static const char *const headers[] = {
         "Authorization: Bearer demo-operator-token", NULL};
@@ -36,7 +39,8 @@
     AqError error;
     json_t *value = NULL;
     snprintf(path, sizeof(path), "/admin/v1/state?kind=%s", kind);
-    if (get(demo, daemon, "operators", path, &reply) && reply.status == 200) {
+    if (get_from_daemon(demo, daemon, "operators", path, &reply) &&
+        reply.status == 200) {
         value =
             AqJson_Parse(AqBuffer_Text(&reply.body), reply.body.size, &error);
     }
@@ -48,14 +52,15 @@
 Demo_IsReady(Demo *demo, int daemon)
 {
     AqTestHttpReply reply = {0};
-    bool ready =
-        get(demo, daemon, "callers", "/readyz", &reply) && reply.status == 200;
+    bool ready = get_from_daemon(demo, daemon, "callers", "/readyz", &reply) &&
+                 reply.status == 200;
     AqTestHttpReply_Clear(&reply);
     return ready;
 }
 
-/* The records in an answer: a list, or an object from name to record, bare or
- * in the field "vms", "items" or "records". */
+/* Returns the records in the response to a state call: a list, or an object
+ * that maps names to records.  They are the response itself or its field
+ * "vms", "items" or "records". */
 static const json_t *
 records_of(const json_t *state)
 {
@@ -69,7 +74,8 @@
     return state;
 }
 
-/* The record of one VM, or NULL. */
+/* Returns the record of one VM, or NULL when the state lacks the VM; the
+ * record is owned by state. */
 static const json_t *
 find_vm(const json_t *state, const char *vm)
 {
@@ -99,6 +105,7 @@
     return text != NULL && strcmp(text, value) == 0;
 }
 
+/* Updates the observations of the drained VM from its record. */
 static void
 check_drained(Demo *demo, const json_t *record)
 {
@@ -109,19 +116,21 @@
     if (field_is(record, "state", "drained") &&
         demo->observed.drained_at == 0) {
         demo->observed.drained_at = now;
-        Demo_Log(demo, "the drained VM is free, %lld ms after the command",
+        Demo_Log(demo, "the drained VM is free %lld ms after the command",
                  (long long)(now - demo->drain_started));
     }
-    if (demo->drain_accepted > 0 && now - demo->drain_accepted > IN_FORCE_MS &&
+    if (demo->drain_accepted > 0 &&
+        now - demo->drain_accepted > INTENT_IN_FORCE_LIMIT_MS &&
         field_is(record, "state", "serving")) {
         demo->observed.reverted++;
     }
 }
 
+/* Updates the observations from the VM records of one daemon. */
 static void
 observe_daemon(Demo *demo, const json_t *state)
 {
-    DemoObserved *observed = &demo->observed;
+    DemoObservations *observed = &demo->observed;
     int serving[DEMO_POOLS] = {0};
     for (int vm = 0; vm < DEMO_ENDPOINTS; vm++) {
         char name[16];
@@ -135,9 +144,9 @@
         }
     }
     for (int pool = 0; pool < DEMO_POOLS; pool++) {
-        if (observed->lowest[pool] < 0 ||
-            serving[pool] < observed->lowest[pool]) {
-            observed->lowest[pool] = serving[pool];
+        if (observed->lowest_serving[pool] < 0 ||
+            serving[pool] < observed->lowest_serving[pool]) {
+            observed->lowest_serving[pool] = serving[pool];
         }
     }
     observed->reads++;
--- a/packages/testkit/endpoint.c
+++ b/packages/testkit/endpoint.c
@@ -23,7 +23,7 @@
     bool leaving;
     bool announce;        /* responses announce that the endpoint leaves */
     AqTime leaving_since; /* monotonic time of the last change of "leaving" */
-    /* Requests received since then, as [{id, delay_ms}]. */
+    /* Requests received while the endpoint leaves, as [{id, delay_ms}]. */
     json_t *after_leave;
 };
 
@@ -31,7 +31,7 @@
 typedef struct {
     AqLink link;
     Endpoint *endpoint;
-    AqTestRequest *request; /* NULL when its connection is gone */
+    AqTestRequest *request; /* NULL after the server dropped the request */
     AqLoopTimer timer;      /* fires at the end of the service time */
 } SlotRequest;
 
@@ -112,7 +112,8 @@
     AqTestRequest_Reply(request, 503, text, strlen(text));
 }
 
-/* Responds to a request that was run, as the injected faults demand. */
+/* Responds to a request that was run, in the way that the injected faults
+ * require. */
 static void
 reply_after_run(Endpoint *endpoint, AqTestRequest *request, unsigned status)
 {
--- a/packages/testkit/endpoint.h
+++ b/packages/testkit/endpoint.h
@@ -20,13 +20,17 @@
 /* Moment at which the endpoint closes the connection of a request. */
 typedef enum {
     CLOSE_NONE,
-    /* After the headers have arrived; the request does not run. */
+    /* The connection is closed when the headers have arrived; the request does
+     * not run. */
     CLOSE_BEFORE_READING,
-    /* At the first byte of the request body; the request does not run. */
+    /* The connection is closed at the first byte of the request body; the
+     * request does not run. */
     CLOSE_IN_BODY,
-    /* After the request has run, before its response. */
+    /* The connection is closed after the request has run, before any byte of
+     * the response. */
     CLOSE_BEFORE_RESPONSE,
-    /* After the request has run and half of its response was sent. */
+    /* The connection is closed after the request has run and half of the
+     * response was sent. */
     CLOSE_INSIDE_RESPONSE
 } CloseMode;
 
@@ -55,9 +59,9 @@
 void RunRecord_Clear(RunRecord *record);
 /* Counts one run of the request with this id. */
 void RunRecord_Add(RunRecord *record, const char *id);
-/* Returns {total, ids, more_than_once: {id: runs}} as a new JSON object. "ids"
- * is the number of distinct request ids.  With "all" the object also has
- * "counts", the number of runs by request id. */
+/* Returns {total, ids, more_than_once: {id: runs}} as a new JSON object. The
+ * field "ids" is the number of distinct request ids.  With "all" the object
+ * also has "counts", the number of runs by request id. */
 json_t *RunRecord_Describe(const RunRecord *record, bool all);
 
 /* Data and options that all endpoints of a process have in common. */
@@ -82,8 +86,8 @@
 int Endpoint_Port(const Endpoint *endpoint);
 /* Starts or ends leaving, according to "leaving".  While an endpoint leaves,
  * it records each request in "after_leave" and still runs the request; with
- * "announce" it also adds the header Aq-Leaving to its responses.  Both calls
- * clear the record. */
+ * "announce" it also adds the header Aq-Leaving to its responses.  Starting
+ * and ending clear the record. */
 void Endpoint_SetLeaving(Endpoint *endpoint, bool leaving, bool announce);
 /* Sets the faults that a JSON object names; all others keep their values. */
 bool Endpoint_SetFaults(Endpoint *endpoint, const json_t *body,
--- a/packages/testkit/loop.c
+++ b/packages/testkit/loop.c
@@ -115,7 +115,7 @@
            AqList_Entry(at, AqLoopTimer, link)->due > timer->due) {
         at = at->prev;
     }
-    /* AqList_Prepend with a list element inserts after that element. */
+    /* AqList_Prepend inserts after the list element that it is given. */
     AqList_Prepend(at, &timer->link);
 }
 
--- a/packages/testkit/platform.h
+++ b/packages/testkit/platform.h
@@ -46,7 +46,7 @@
     /* Number of further task and reboot calls that are performed but whose
      * responses are lost. */
     int64_t lose_task_replies;
-    /* A lost response leaves its connection open instead of closing it. */
+    /* The connection of a lost response stays open instead of being closed. */
     bool lose_silently;
     /* Silences the connections that are open when the faults are set; later
      * connections work. */
@@ -78,9 +78,9 @@
     AqLink link;
     Platform *platform;
     AqTestRequest *request;
-    AqLoopTimer timer; /* calls "handle" when it fires */
-    /* Index that a watch passed; the watch is due once the current index is
-     * higher. */
+    AqLoopTimer timer; /* calls "handle" when the timer fires */
+    /* Index in the request of a watch; the watch is due once the current index
+     * is higher. */
     uint64_t index;
     bool is_store_call; /* whether the request is a call to the store */
     /* The change that the watch waits for has occurred, and the timer delays
@@ -124,7 +124,7 @@
     uint64_t (*current_index)(Platform *platform,
                               const AqTestRequest *request),
     void (*handle)(Platform *platform, AqTestRequest *request));
-/* Answers the watches whose data now has a higher index than they passed,
+/* Answers the watches whose data now has a higher index than the watch passed,
  * after the delay that the fault delay_watches_ms sets. */
 void Platform_NotifyWatches(Platform *platform);
 /* Answers all pending store calls with status 503. */
@@ -172,8 +172,7 @@
 
 /* The functions of platform_tasks.c implement the calls to /v1/tasks. */
 
-/* Answers PUT /v1/tasks/ID: starts a task or resumes it from its checkpoint.
- */
+/* Answers PUT /v1/tasks/ID: starts a task, or resumes a checkpointed task. */
 void Tasks_Put(Platform *platform, AqTestRequest *request);
 /* Answers POST /v1/tasks/ID/ACTION: checkpoint, throttle, stop or renew. */
 void Tasks_Act(Platform *platform, AqTestRequest *request);
--- a/packages/testkit/platform_kv.h
+++ b/packages/testkit/platform_kv.h
@@ -9,7 +9,7 @@
  * index counter serves the whole table and grows with each write. */
 typedef struct AqKv AqKv;
 
-/* Key of a table, kept after the key is deleted. */
+/* Key and its value in a table; a deleted key keeps its item. */
 typedef struct {
     char *key;
     char *value;
--- a/packages/testkit/platform_store.c
+++ b/packages/testkit/platform_store.c
@@ -114,7 +114,7 @@
     AqError error;
     if (!parse_cas(request, &cas) || *key == '\0') {
         AqError_Set(&error, AQ_ERR_INVALID,
-                    "bad key or ?cas; name a key and give a whole number");
+                    "invalid key or ?cas; specify a key and a whole number");
         AqTestRequest_ReplyError(request, &error);
         return;
     }
--- a/packages/testkit/platform_tasks.c
+++ b/packages/testkit/platform_tasks.c
@@ -36,11 +36,11 @@
     int64_t memory_mb;
     int64_t accelerators;
     int64_t lease_ms; /* duration of the lease, counted from each renewal */
-    /* Actual run time that the task needed at progress_at to finish, at full
+    /* Run time that the task still needed at the time progress_at, at full
      * speed. */
     int64_t remaining_work_ms;
     AqTime progress_at; /* monotonic time of the last progress update */
-    json_t *usage;      /* usage in the task list; NULL until first reported */
+    json_t *usage; /* usage in the task list; NULL before the first report */
     AqLoopTimer finish; /* fires when the work of the task is done */
     AqLoopTimer lease;  /* fires when the lease expires */
     AqLoopTimer report; /* fires when the usage is reported */
@@ -277,7 +277,8 @@
         return 0;
     }
     if (found != NULL) {
-        /* The task resumes from its checkpoint: the remaining work stays. */
+        /* The task resumes from its checkpoint, with the work that remained.
+         */
         task->remaining_work_ms = found->remaining_work_ms;
         AqList_Remove(&found->link);
         destroy_task(found);
--- a/packages/testkit/platform_vms.c
+++ b/packages/testkit/platform_vms.c
@@ -26,10 +26,10 @@
 
 /* Actual state of a VM that the VM list shows after a lag. */
 typedef struct {
-    AqLoopTimer timer; /* fires when the list shows the state */
+    AqLoopTimer timer; /* fires when the VM list is to show the state */
     AqLink link;       /* in the VM's list of publications */
     Vm *vm;
-    json_t *record; /* the VM's state, as the list will show it */
+    json_t *record; /* state of the VM that the VM list will show */
 } Publication;
 
 static Vm *
@@ -76,8 +76,8 @@
     free(publication);
 }
 
-/* Schedules the current actual state of a VM for the VM list.  States appear
- * in the list in their order, since all have the same lag. */
+/* Schedules the current actual state of a VM for the VM list.  The states
+ * of a VM reach the list in order, since all have the same lag. */
 static void
 schedule_publication(Vm *vm)
 {
--- a/packages/testkit/platform_wait.c
+++ b/packages/testkit/platform_wait.c
@@ -65,7 +65,7 @@
 }
 
 /* Returns the time in ms that the query parameter wait gives, such as 30s,
- * 500ms or 2m; the default without a valid time. */
+ * 500ms or 2m; the default when text contains no valid time. */
 static int64_t
 parse_wait(const char *text)
 {
--- a/packages/testkit/process.c
+++ b/packages/testkit/process.c
@@ -29,7 +29,7 @@
 
 struct AqProcess {
     pid_t pid;
-    int pid_fd; /* becomes readable when the process ends */
+    int pid_fd; /* descriptor that is readable once the process has ended */
     int output; /* read end of the process's standard output */
     bool ended; /* the process has ended and was reaped */
     int status; /* exit status, or 128 + signal; valid when ended is true */
@@ -75,7 +75,8 @@
         return NULL;
     }
     if (pipe2(pipe_fds, O_CLOEXEC) != 0) {
-        AqError_Set(error, AQ_ERR_SYSTEM, "pipe: %s", strerror(errno));
+        AqError_Set(error, AQ_ERR_SYSTEM, "cannot create a pipe: %s",
+                    strerror(errno));
         return NULL;
     }
     AqProcess *process = calloc(1, sizeof(*process));
--- a/packages/testkit/server_private.h
+++ b/packages/testkit/server_private.h
@@ -34,21 +34,24 @@
     Connection *client; /* connection on which the request arrived */
     struct MHD_Connection *connection; /* libmicrohttpd's own handle */
     RequestState state;
-    /* libmicrohttpd does not process the connection until it is resumed. */
+    /* The connection is suspended: libmicrohttpd does not process
+     * the connection until
+     * MHD_resume_connection is called. */
     bool suspended;
-    bool close_in_body;   /* close at the first byte of the request body */
+    bool close_in_body;   /* close the connection in the body */
     bool awaits_response; /* the handler has not responded to the request */
     char *method;
     char *path;
     AqBuffer body;
-    struct MHD_Response *response; /* NULL until the handler responds */
+    struct MHD_Response *response; /* response of the handler; NULL before */
     unsigned status;               /* HTTP status of the response */
     json_t *headers;               /* response headers, name -> value; owned */
     void *user;                    /* data of the request handler; borrowed */
 };
 
 struct AqTestServer {
-    AqLoopSource source; /* must be the first member, for casts */
+    /* First member, since run_server casts the source to its AqTestServer. */
+    AqLoopSource source;
     AqTestLoop *loop;
     const AqTestServerOps *ops;
     void *context; /* first argument of the functions in ops; borrowed */
--- a/packages/testkit/tests/test_caller.c
+++ b/packages/testkit/tests/test_caller.c
@@ -8,55 +8,64 @@
 #include "aq_test_server.h"
 #include "testkit_cases.h"
 
-/* A daemon whose answers go through the ways in which an answer can be right
- * or wrong, in turn. */
+/* Kinds of valid and invalid responses.  The fake daemon sends them in this
+ * order and then starts again. */
 typedef enum {
-    ANSWER_RIGHT,
-    ANSWER_NOT_RUN,
-    ANSWER_NOT_RUN_NO_TIME, /* without Retry-After */
-    ANSWER_UNKNOWN,
-    ANSWER_OTHER_ID,   /* of the header */
-    ANSWER_OTHER_BODY, /* another request's answer under the right id */
-    ANSWER_NO_OUTCOME,
-    ANSWER_DAMAGED,
-    ANSWER_CUT,
-    ANSWER_CLOSED,
-    ANSWER_KINDS
-} AnswerKind;
+    RESPONSE_RIGHT,
+    RESPONSE_NOT_RUN,
+    RESPONSE_NOT_RUN_NO_TIME, /* a not-run response without Retry-After */
+    RESPONSE_UNKNOWN,
+    RESPONSE_OTHER_ID, /* the header Aq-Request-Id names another request */
+    /* The header has the right id, but the body is for another request. */
+    RESPONSE_OTHER_BODY,
+    RESPONSE_NO_OUTCOME,
+    RESPONSE_DAMAGED,
+    RESPONSE_CUT,
+    RESPONSE_CLOSED,
+    RESPONSE_KIND_COUNT
+} ResponseKind;
 
+/* Simulated daemon and the aq-caller process that sends requests to it. */
 typedef struct {
     AqTestLoop *loop;
     AqTestServer *server;
-    AqLoopSource caller_end;
+    AqLoopSource caller_end; /* event source for the end of aq-caller */
     AqProcess *caller;
-    bool ended;
-    int status; /* of the caller */
-    int given[ANSWER_KINDS];
-    unsigned next;
-    unsigned kinds;  /* answers in turn: the first ones of AnswerKind */
-    json_t *not_run; /* id -> whether every copy was not run; new */
-    bool twice;      /* each id is sent twice, both times to this daemon */
-    int stop_after;  /* requests until SIGTERM; 0: never */
+    bool ended; /* whether aq-caller has ended */
+    int status; /* exit status of aq-caller */
+    /* Number of responses sent of each kind. */
+    int response_counts[RESPONSE_KIND_COUNT];
+    unsigned next_response; /* number of the next response, from 0 */
+    /* The daemon sends the first kind_count kinds of ResponseKind. */
+    unsigned kind_count;
+    /* Request id -> whether all copies were answered not-run; owned. */
+    json_t *not_run;
+    /* aq-caller sends each request twice, both times to this daemon. */
+    bool sends_copies;
+    /* Number of requests after which aq-caller is sent SIGTERM; 0: never. */
+    int stop_after;
 } FakeDaemon;
 
+/* Returns the value of the header Aq-Outcome for a kind of response. */
 static const char *
-outcome_of(AnswerKind kind)
+outcome_of(ResponseKind kind)
 {
     switch (kind) {
-    case ANSWER_NOT_RUN:
-    case ANSWER_NOT_RUN_NO_TIME:
+    case RESPONSE_NOT_RUN:
+    case RESPONSE_NOT_RUN_NO_TIME:
         return "not-run";
-    case ANSWER_UNKNOWN:
+    case RESPONSE_UNKNOWN:
         return "unknown";
-    case ANSWER_NO_OUTCOME:
+    case RESPONSE_NO_OUTCOME:
         return "";
     default:
         return "completed";
     }
 }
 
+/* Records the outcome of one copy of a request. */
 static void
-note_not_run(FakeDaemon *daemon, const char *id, bool not_run)
+record_not_run(FakeDaemon *daemon, const char *id, bool not_run)
 {
     const json_t *before = json_object_get(daemon->not_run, id);
     json_object_set_new(daemon->not_run, id,
@@ -64,52 +73,54 @@
 }
 
 static void
-answer_request(void *context, AqTestRequest *request)
+respond(void *context, AqTestRequest *request)
 {
     FakeDaemon *daemon = context;
-    AnswerKind kind = (AnswerKind)(daemon->next++ % daemon->kinds);
+    ResponseKind kind =
+        (ResponseKind)(daemon->next_response++ % daemon->kind_count);
     const char *id = AqTestRequest_Header(request, "Aq-Request-Id");
     const AqBuffer *body = AqTestRequest_Body(request);
-    AqBuffer answer;
+    AqBuffer response;
     if (strcmp(AqTestRequest_Path(request), "/readyz") == 0) {
         AqTestRequest_Reply(request, 200, "", 0);
         return;
     }
-    daemon->given[kind]++;
-    note_not_run(daemon, id, kind == ANSWER_NOT_RUN);
+    daemon->response_counts[kind]++;
+    record_not_run(daemon, id, kind == RESPONSE_NOT_RUN);
     if (daemon->stop_after > 0 && --daemon->stop_after == 0) {
         AqError error;
         AqProcess_Signal(daemon->caller, SIGTERM, &error);
     }
-    AqBuffer_Init(&answer);
-    AqTestResponse_Build(&answer, kind == ANSWER_OTHER_BODY ? "x" : id, body->bytes,
-                   body->size, 200);
-    if (kind == ANSWER_DAMAGED) {
-        answer.bytes[answer.size / 2] ^= 1;
+    AqBuffer_Init(&response);
+    AqTestResponse_Build(&response, kind == RESPONSE_OTHER_BODY ? "x" : id,
+                         body->bytes, body->size, 200);
+    if (kind == RESPONSE_DAMAGED) {
+        response.bytes[response.size / 2] ^= 1;
     }
     AqTestRequest_AddHeader(request, "Aq-Outcome", outcome_of(kind));
     AqTestRequest_AddHeader(request, "Aq-Request-Id",
-                            kind == ANSWER_OTHER_ID ? "x" : id);
-    if (kind == ANSWER_NOT_RUN) {
+                            kind == RESPONSE_OTHER_ID ? "x" : id);
+    if (kind == RESPONSE_NOT_RUN) {
         AqTestRequest_AddHeader(request, "Retry-After", "1");
         AqTestRequest_AddHeader(request, "Aq-Retry-After-Ms", "1000");
     }
-    if (kind == ANSWER_CLOSED) {
+    if (kind == RESPONSE_CLOSED) {
         AqTestRequest_Close(request);
     }
-    else if (kind == ANSWER_CUT) {
-        AqTestRequest_ReplyCut(request, 200, answer.bytes, answer.size);
+    else if (kind == RESPONSE_CUT) {
+        AqTestRequest_ReplyCut(request, 200, response.bytes, response.size);
     }
     else {
-        AqTestRequest_Reply(request, 200, answer.bytes, answer.size);
+        AqTestRequest_Reply(request, 200, response.bytes, response.size);
     }
-    AqBuffer_Clear(&answer);
+    AqBuffer_Clear(&response);
 }
 
-static const AqTestServerOps daemon_ops = {.request = answer_request};
+static const AqTestServerOps daemon_ops = {.request = respond};
 
+/* Records that aq-caller has ended. */
 static void
-note_end(AqLoopSource *source)
+on_caller_end(AqLoopSource *source)
 {
     FakeDaemon *daemon = AqList_Entry(source, FakeDaemon, caller_end);
     int status;
@@ -118,7 +129,9 @@
                     AqProcess_WaitExit(daemon->caller, 0, &status, &error);
 }
 
-/* Runs aq-caller against the fake daemon; its summary. */
+/* Runs aq-caller against the fake daemon and, unless NULL, the daemon at the
+ * address second_daemon.  Returns the summary of aq-caller as a new
+ * reference. */
 static json_t *
 run_caller(FakeDaemon *daemon, const char *seconds, const char *second_daemon)
 {
@@ -134,16 +147,16 @@
     CU_ASSERT_PTR_NOT_NULL_FATAL(daemon->server);
     snprintf(address, sizeof(address), "127.0.0.1:%d",
              AqTestServer_Port(daemon->server));
-    const char *second = daemon->twice ? address : second_daemon;
+    const char *second = daemon->sends_copies ? address : second_daemon;
     daemon->not_run = json_object();
     daemon->caller = start_program(
         caller_program, "--port=0", "--daemon", address, "--rate=300",
-        "--service=s", daemon->twice ? "--repeat=100" : "--repeat=0",
+        "--service=s", daemon->sends_copies ? "--repeat=100" : "--repeat=0",
         "--check-ms=0", "--seconds", seconds, "--output", output,
         second != NULL ? "--daemon" : NULL, second, NULL);
     CU_ASSERT_PTR_NOT_NULL_FATAL(daemon->caller);
     daemon->caller_end = (AqLoopSource){
-        .fd = AqProcess_EndDescriptor(daemon->caller), .run = note_end};
+        .fd = AqProcess_EndDescriptor(daemon->caller), .run = on_caller_end};
     AqList_Init(&daemon->caller_end.link);
     AqTestLoop_AddSource(daemon->loop, &daemon->caller_end);
     CU_ASSERT_TRUE(AqTestLoop_RunUntil(daemon->loop, &daemon->ended, 60000));
@@ -157,29 +170,35 @@
     return summary;
 }
 
-/* Guards against an answer that the caller counts under another heading, so
- * that a broken invariant would not be seen. */
+/* Guards against a response that the caller counts as a different kind of
+ * result, which would hide a broken invariant. */
 static void
 test_classification(void)
 {
-    FakeDaemon daemon = {.kinds = ANSWER_KINDS};
+    FakeDaemon daemon = {.kind_count = RESPONSE_KIND_COUNT};
     json_t *summary = run_caller(&daemon, "0.5", NULL);
-    const int *given = daemon.given;
-    CU_ASSERT_TRUE(given[ANSWER_CLOSED] > 0);
-    CU_ASSERT_EQUAL(int_at(summary, "completed"), given[ANSWER_RIGHT]);
+    const int *response_counts = daemon.response_counts;
+    CU_ASSERT_TRUE(response_counts[RESPONSE_CLOSED] > 0);
+    CU_ASSERT_EQUAL(int_at(summary, "completed"),
+                    response_counts[RESPONSE_RIGHT]);
     CU_ASSERT_EQUAL(int_at(summary, "not_run"),
-                    given[ANSWER_NOT_RUN] + given[ANSWER_NOT_RUN_NO_TIME]);
+                    response_counts[RESPONSE_NOT_RUN] +
+                        response_counts[RESPONSE_NOT_RUN_NO_TIME]);
     CU_ASSERT_EQUAL(int_at(summary, "no_retry_after"),
-                    given[ANSWER_NOT_RUN_NO_TIME]);
+                    response_counts[RESPONSE_NOT_RUN_NO_TIME]);
     CU_ASSERT_EQUAL(json_array_size(json_object_get(summary, "not_run_ids")),
                     (size_t)int_at(summary, "not_run"));
-    CU_ASSERT_EQUAL(int_at(summary, "unknown"), given[ANSWER_UNKNOWN]);
-    CU_ASSERT_EQUAL(int_at(summary, "wrong"), given[ANSWER_OTHER_ID] +
-                                                  given[ANSWER_OTHER_BODY] +
-                                                  given[ANSWER_NO_OUTCOME]);
+    CU_ASSERT_EQUAL(int_at(summary, "unknown"),
+                    response_counts[RESPONSE_UNKNOWN]);
+    CU_ASSERT_EQUAL(int_at(summary, "wrong"),
+                    response_counts[RESPONSE_OTHER_ID] +
+                        response_counts[RESPONSE_OTHER_BODY] +
+                        response_counts[RESPONSE_NO_OUTCOME]);
     CU_ASSERT_EQUAL(int_at(summary, "cut"),
-                    given[ANSWER_CUT] + given[ANSWER_DAMAGED]);
-    CU_ASSERT_EQUAL(int_at(summary, "closed"), given[ANSWER_CLOSED]);
+                    response_counts[RESPONSE_CUT] +
+                        response_counts[RESPONSE_DAMAGED]);
+    CU_ASSERT_EQUAL(int_at(summary, "closed"),
+                    response_counts[RESPONSE_CLOSED]);
     CU_ASSERT_EQUAL(int_at(summary, "in_flight"), 0);
     json_decref(daemon.not_run);
     json_decref(summary);
@@ -190,8 +209,8 @@
 static void
 test_refused_daemon(void)
 {
-    FakeDaemon daemon = {.kinds = 1};
-    /* The discard port, where nothing listens. */
+    FakeDaemon daemon = {.kind_count = 1};
+    /* Nothing listens on port 9, the discard port. */
     json_t *summary = run_caller(&daemon, "0.5", "127.0.0.1:9");
     CU_ASSERT_TRUE(int_at(summary, "sent") > 0);
     CU_ASSERT_EQUAL(int_at(summary, "completed"), int_at(summary, "sent"));
@@ -201,12 +220,13 @@
     json_decref(summary);
 }
 
-/* Guards against an id listed as not run although one of its copies ran, and
- * against one that is left out. */
+/* Guards against a request id that the summary lists as not run although one
+ * of the request's copies ran, and against a request id that is missing from
+ * the list. */
 static void
 test_repeats(void)
 {
-    FakeDaemon daemon = {.kinds = 2, .twice = true};
+    FakeDaemon daemon = {.kind_count = 2, .sends_copies = true};
     json_t *summary = run_caller(&daemon, "0.5", NULL);
     const json_t *listed = json_object_get(summary, "not_run_ids");
     size_t expected = 0;
@@ -230,12 +250,12 @@
     json_decref(summary);
 }
 
-/* Guards against a caller that loses its counts when it is stopped before its
- * time. */
+/* Guards against a caller that loses its counts when SIGTERM stops it before
+ * the end of its run. */
 static void
 test_stopped_caller(void)
 {
-    FakeDaemon daemon = {.kinds = 1, .stop_after = 10};
+    FakeDaemon daemon = {.kind_count = 1, .stop_after = 10};
     json_t *summary = run_caller(&daemon, "600", NULL);
     CU_ASSERT_TRUE(int_at(summary, "sent") >= 10);
     CU_ASSERT_TRUE(int_at(summary, "completed") > 0);
--- a/packages/testkit/tests/test_demo.c
+++ b/packages/testkit/tests/test_demo.c
@@ -7,46 +7,55 @@
 #include "aq_test_http.h"
 #include "demo.h"
 
+/* Time limit for the start of the endpoint. */
 #define READY_MS 20000
 
 static const char *endpoint_program;
 
-/* One way in which a run of the demo can have gone; zero is a good run. */
+/* Simulated course of a run of the demo; a field that is
+ * zero describes a run without that fault. */
 typedef struct {
     const char *name;
-    const char *not_run; /* id that a caller was told not-run, or NULL */
-    int more_runs;       /* of the id n-x, which runs once */
-    int wrong;
+    /* Id of a request that was answered not-run; NULL for none. */
+    const char *not_run;
+    int extra_runs; /* runs of the request n-x after its first run */
+    int wrong;      /* wrong responses that each caller counts */
+    /* Connections that each daemon closed without a response. */
     int closed[DEMO_DAEMONS];
-    int no_answer; /* on the daemon that is kept */
-    int fewer;     /* VMs below the budget of the first pool */
-    int wrong_pool;
-    int reverted;
-    int stop_status;
-    bool second_accepted; /* the drain over the budget */
-    bool not_drained;
-    bool held;
+    int no_answer; /* requests without a response from daemon DEMO_KEPT */
+    /* Number of VMs by which the first pool falls below its budget. */
+    int missing_vms;
+    int wrong_pool;  /* VM records without their pool */
+    int reverted;    /* reads that showed the drained VM as serving */
+    int stop_status; /* exit status of the daemon that got SIGTERM */
+    /* The second drain, which exceeds the budget, is accepted. */
+    bool is_second_drain_accepted;
+    bool is_never_drained; /* the drained VM never becomes free */
+    bool is_success;       /* expected result of Demo_Report */
 } DemoCase;
 
 static const DemoCase cases[] = {
-    {.name = "good", .held = true},
-    {.name = "closed by SIGKILL", .held = true, .closed = {7, 0, 0}},
-    {.name = "not run, told so", .held = true, .not_run = "n-y"},
-    {.name = "not run, but run", .not_run = "n-x"},
-    {.name = "run twice", .more_runs = 1},
-    {.name = "wrong answer", .wrong = 1},
+    {.name = "good", .is_success = true},
+    {.name = "closed by SIGKILL", .is_success = true, .closed = {7, 0, 0}},
+    {.name = "not run, answered not-run",
+     .is_success = true,
+     .not_run = "n-y"},
+    {.name = "run, but answered not-run", .not_run = "n-x"},
+    {.name = "run twice", .extra_runs = 1},
+    {.name = "wrong response", .wrong = 1},
     {.name = "closed by SIGTERM", .closed = {0, 1, 0}},
     {.name = "closed by the kept daemon", .closed = {0, 0, 1}},
-    {.name = "no answer", .no_answer = 1},
-    {.name = "low capacity", .fewer = 1},
-    {.name = "capacity not read", .fewer = DEMO_MIN_SERVING + 1},
+    {.name = "no response", .no_answer = 1},
+    {.name = "low capacity", .missing_vms = 1},
+    {.name = "capacity not read", .missing_vms = DEMO_MIN_SERVING + 1},
     {.name = "VM without its pool", .wrong_pool = 1},
     {.name = "reverted", .reverted = 1},
-    {.name = "over the budget", .second_accepted = true},
+    {.name = "over the budget", .is_second_drain_accepted = true},
     {.name = "failed stop", .stop_status = 1},
-    {.name = "never drained", .not_drained = true},
+    {.name = "never drained", .is_never_drained = true},
 };
 
+/* Writes the summary that a caller of the pool would leave after a run. */
 static void
 write_summary(const char *directory, const char *pool, const DemoCase *run)
 {
@@ -82,6 +91,8 @@
     rmdir(directory);
 }
 
+/* Starts an endpoint and makes it run the request n-x the given number of
+ * times. */
 static AqProcess *
 start_endpoint(int runs)
 {
@@ -105,9 +116,10 @@
     return process;
 }
 
-/* The report on one run. */
+/* Creates the state that a run would leave behind and returns the result of
+ * Demo_Report for it. */
 static bool
-report(const DemoCase *run)
+run_report(const DemoCase *run)
 {
     char directory[] = "/tmp/aq-demo-test-XXXXXX";
     CU_ASSERT_PTR_NOT_NULL_FATAL(mkdtemp(directory));
@@ -115,24 +127,26 @@
         .options = {.directory = directory},
         .drain_started = 1,
         .drain_accepted = 2,
-        .refuse = {.ended = true, .status = run->second_accepted ? 0 : 3},
-        .observed = {
-            .lowest = {DEMO_MIN_SERVING - run->fewer, DEMO_MIN_SERVING},
-            .drained_at = run->not_drained ? 0 : 3,
-            .wrong_pool = (uint64_t)run->wrong_pool,
-            .reverted = (uint64_t)run->reverted}};
+        .second_drain = {.ended = true,
+                         .status = run->is_second_drain_accepted ? 0 : 3},
+        .observed = {.lowest_serving = {DEMO_MIN_SERVING - run->missing_vms,
+                                        DEMO_MIN_SERVING},
+                     .drained_at = run->is_never_drained ? 0 : 3,
+                     .wrong_pool = (uint64_t)run->wrong_pool,
+                     .reverted = (uint64_t)run->reverted}};
     demo.daemons[DEMO_STOPPED].ended = true;
     demo.daemons[DEMO_STOPPED].status = run->stop_status;
-    demo.endpoints.process = start_endpoint(1 + run->more_runs);
-    /* Any running process stands for the daemon that is kept. */
+    demo.endpoints.process = start_endpoint(1 + run->extra_runs);
+    /* The report only checks that the process of daemon DEMO_KEPT is running,
+     * so that the endpoint can take its place. */
     demo.daemons[DEMO_KEPT].process = demo.endpoints.process;
     for (int i = 0; i < DEMO_POOLS; i++) {
         write_summary(directory, Demo_PoolName(i), run);
     }
-    bool held = Demo_Report(&demo);
+    bool is_success = Demo_Report(&demo);
     AqProcess_Destroy(demo.endpoints.process);
     remove_summaries(directory);
-    return held;
+    return is_success;
 }
 
 /* Guards against a demo that ends with success although an invariant did not
@@ -142,7 +156,7 @@
 {
     for (size_t i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
         printf("\n%s:", cases[i].name);
-        CU_ASSERT_EQUAL(report(&cases[i]), cases[i].held);
+        CU_ASSERT_EQUAL(run_report(&cases[i]), cases[i].is_success);
     }
 }
 
--- a/packages/testkit/tests/test_endpoint.c
+++ b/packages/testkit/tests/test_endpoint.c
@@ -20,6 +20,7 @@
     return !stop_program(endpoint);
 }
 
+/* Call to the first endpoint, with the strings that the call refers to. */
 typedef struct {
     char id[64];
     char id_header[96];
@@ -28,7 +29,8 @@
 } EndpointCall;
 
 static void
-prepare(EndpointCall *call, const char *id, const char *path, const char *body)
+prepare_call(EndpointCall *call, const char *id, const char *path,
+             const char *body)
 {
     memset(call, 0, sizeof(*call));
     snprintf(call->id, sizeof(call->id), "%s", id);
@@ -50,7 +52,7 @@
                      NULL);
 }
 
-/* Runs of an id; 0 when it never ran. */
+/* Returns how often the request with this id ran. */
 static int64_t
 runs_of(const char *id)
 {
@@ -61,17 +63,17 @@
     return n;
 }
 
-/* Guards against an answer check that takes a foreign, cut or changed answer
- * for the caller's own. */
+/* Guards against a check that accepts a response to another request, or a
+ * truncated or modified response, as the caller's own. */
 static void
-test_answer_check(void)
+test_response_check(void)
 {
-    AqBuffer answer;
-    AqBuffer_Init(&answer);
-    AqTestResponse_Build(&answer, "id", "body", 4, 100);
-    CU_ASSERT_TRUE(answer.size >= 100);
-    const char *bytes = answer.bytes;
-    size_t size = answer.size;
+    AqBuffer response;
+    AqBuffer_Init(&response);
+    AqTestResponse_Build(&response, "id", "body", 4, 100);
+    CU_ASSERT_TRUE(response.size >= 100);
+    const char *bytes = response.bytes;
+    size_t size = response.size;
     CU_ASSERT_EQUAL(AqTestResponse_Check(bytes, size, "id", "body", 4),
                     AQ_RESPONSE_OWN);
     CU_ASSERT_EQUAL(AqTestResponse_Check(bytes, size, "i", "body", 4),
@@ -80,27 +82,27 @@
                     AQ_RESPONSE_FOREIGN);
     CU_ASSERT_EQUAL(AqTestResponse_Check(bytes, size - 1, "id", "body", 4),
                     AQ_RESPONSE_DAMAGED);
-    answer.bytes[70] = 'y';
+    response.bytes[70] = 'y';
     CU_ASSERT_EQUAL(AqTestResponse_Check(bytes, size, "id", "body", 4),
                     AQ_RESPONSE_DAMAGED);
-    AqBuffer_Clear(&answer);
+    AqBuffer_Clear(&response);
 }
 
-/* Guards against an endpoint whose answer cannot be told from another's, and
- * against runs that are not counted. */
+/* Guards against an endpoint whose response cannot be matched to its request,
+ * and against runs that are not counted. */
 static void
-test_own_answer(void)
+test_own_response(void)
 {
     EndpointCall call;
     AqTestHttpReply reply = {0};
     AqError error = {0};
     char attempt[32] = "";
-    prepare(&call, "own", "/any/path", "payload");
+    prepare_call(&call, "own", "/any/path", "payload");
     for (int i = 1; i <= 2; i++) {
         CU_ASSERT_TRUE(AqTestHttp_Call(&call.call, &reply, &error));
         CU_ASSERT_EQUAL(reply.status, 200);
         CU_ASSERT_EQUAL(AqTestResponse_Check(reply.body.bytes, reply.body.size,
-                                       "own", "payload", 7),
+                                             "own", "payload", 7),
                         AQ_RESPONSE_OWN);
         CU_ASSERT_TRUE(AqTestHttpReply_Header(&reply, "aq-attempt-id", attempt,
                                               sizeof(attempt)));
@@ -110,27 +112,29 @@
     }
 }
 
-/* Guards against a crossed answer that still looks like the caller's own. */
+/* Guards against the injected fault "crossed" that leaves the response
+ * recognizable as the caller's own. */
 static void
-test_crossed_answer(void)
+test_crossed_response(void)
 {
     EndpointCall call;
     AqTestHttpReply reply = {0};
     AqError error = {0};
     char attempt[32] = "";
-    prepare(&call, "crossed", "/", "");
-    post(endpoint, "/test/v1/faults", "{\"crossed\": 1, \"endpoint\": 0}");
+    prepare_call(&call, "crossed", "/", "");
+    post_control(endpoint, "/test/v1/faults",
+                 "{\"crossed\": 1, \"endpoint\": 0}");
     CU_ASSERT_TRUE(AqTestHttp_Call(&call.call, &reply, &error));
     AqTestHttpReply_Header(&reply, "Aq-Attempt-Id", attempt, sizeof(attempt));
     CU_ASSERT_STRING_NOT_EQUAL(attempt, "attempt-7");
-    CU_ASSERT_EQUAL(
-        AqTestResponse_Check(reply.body.bytes, reply.body.size, "crossed", "", 0),
-        AQ_RESPONSE_FOREIGN);
+    CU_ASSERT_EQUAL(AqTestResponse_Check(reply.body.bytes, reply.body.size,
+                                         "crossed", "", 0),
+                    AQ_RESPONSE_FOREIGN);
     AqTestHttpReply_Clear(&reply);
 }
 
-/* Guards against a refusal for want of a slot that ran all the same, and
- * against wrong counts of slots and connections in use at once. */
+/* Guards against a request that is rejected for lack of a free slot but runs
+ * nevertheless, and against wrong maxima of slots and connections in use. */
 static void
 test_not_run(void)
 {
@@ -140,9 +144,10 @@
     AqError error = {0};
     char header[8] = "";
     AqTestHttpClient *client = AqTestHttpClient_Create();
-    prepare(&slow, "slow", "", "");
-    prepare(&refused, "refused", "", "");
-    /* The second endpoint, whose only slot stays in use. */
+    prepare_call(&slow, "slow", "", "");
+    prepare_call(&refused, "refused", "", "");
+    /* The calls go to the second endpoint, so that the first one's only slot
+     * stays free for the other tests. */
     slow.call.url = url_of(endpoint, "endpoint1", "/?service_ms=600000");
     refused.call.url = url_of(endpoint, "endpoint1", "/");
     CU_ASSERT_TRUE(AqTestHttpClient_Start(client, &slow.call, &error));
@@ -165,8 +170,8 @@
     AqTestHttpClient_Destroy(client);
 }
 
-/* Guards against a close at the wrong place: the record of runs must say
- * whether the request had run. */
+/* Guards against a connection closed at the wrong moment: the record of runs
+ * must show whether the request ran before the close. */
 static void
 test_close_modes(void)
 {
@@ -182,11 +187,11 @@
         AqTestHttpReply reply = {0};
         AqError error = {0};
         char faults[96];
-        prepare(&call, cases[i].mode, "/", "some body");
+        prepare_call(&call, cases[i].mode, "/", "some body");
         snprintf(faults, sizeof(faults),
                  "{\"close\": \"%s\", \"close_count\": 1, \"endpoint\": 0}",
                  cases[i].mode);
-        post(endpoint, "/test/v1/faults", faults);
+        post_control(endpoint, "/test/v1/faults", faults);
         CU_ASSERT_FALSE(AqTestHttp_Call(&call.call, &reply, &error));
         CU_ASSERT_EQUAL(error.kind, AQ_ERR_PROTOCOL);
         CU_ASSERT_EQUAL(runs_of(cases[i].mode), cases[i].runs);
@@ -194,11 +199,11 @@
         CU_ASSERT_EQUAL(runs_of(cases[i].mode), cases[i].runs + 1);
         AqTestHttpReply_Clear(&reply);
     }
-    post(endpoint, "/test/v1/faults", "{\"close\": \"none\"}");
+    post_control(endpoint, "/test/v1/faults", "{\"close\": \"none\"}");
 }
 
-/* Guards against a silent connection that closes or answers, and against
- * silence on connections opened later. */
+/* Guards against a silenced connection that is closed or carries a response,
+ * and against silence on connections opened later. */
 static void
 test_silent_connection(void)
 {
@@ -206,11 +211,11 @@
     AqTestHttpReply reply = {0};
     AqError error = {0};
     AqTestHttpClient *client = AqTestHttpClient_Create();
-    prepare(&call, "heard", "/", "x");
+    prepare_call(&call, "heard", "/", "x");
     CU_ASSERT_TRUE(AqTestHttpClient_Call(client, &call.call, &reply, &error));
     AqTestHttpReply_Clear(&reply);
-    post(endpoint, "/test/v1/faults", "{\"silence_open\": true}");
-    prepare(&call, "unheard", "/", "x");
+    post_control(endpoint, "/test/v1/faults", "{\"silence_open\": true}");
+    prepare_call(&call, "unheard", "/", "x");
     call.call.timeout_ms = 100;
     CU_ASSERT_FALSE(AqTestHttpClient_Call(client, &call.call, &reply, &error));
     CU_ASSERT_EQUAL(error.kind, AQ_ERR_TIMEOUT);
@@ -222,28 +227,29 @@
     AqTestHttpClient_Destroy(client);
 }
 
-/* Guards against a worker that fails everything but is not seen to run it,
- * and against a failure that cannot be told from a foreign answer. */
+/* Guards against an endpoint with the fault "fail_all" that does not count the
+ * runs, and against a failure response that cannot be matched to its
+ * request. */
 static void
 test_fail_all(void)
 {
     EndpointCall call;
     AqTestHttpReply reply = {0};
     AqError error = {0};
-    prepare(&call, "failed", "/?service_ms=600000", "x");
-    post(endpoint, "/test/v1/faults", "{\"fail_all\": true}");
+    prepare_call(&call, "failed", "/?service_ms=600000", "x");
+    post_control(endpoint, "/test/v1/faults", "{\"fail_all\": true}");
     CU_ASSERT_TRUE(AqTestHttp_Call(&call.call, &reply, &error));
     CU_ASSERT_EQUAL(reply.status, 500);
-    CU_ASSERT_EQUAL(AqTestResponse_Check(AqBuffer_Text(&reply.body), reply.body.size,
-                                   "failed", "x", 1),
+    CU_ASSERT_EQUAL(AqTestResponse_Check(AqBuffer_Text(&reply.body),
+                                         reply.body.size, "failed", "x", 1),
                     AQ_RESPONSE_OWN);
     AqTestHttpReply_Clear(&reply);
     CU_ASSERT_EQUAL(runs_of("failed"), 1);
-    post(endpoint, "/test/v1/faults", "{\"fail_all\": false}");
+    post_control(endpoint, "/test/v1/faults", "{\"fail_all\": false}");
 }
 
-/* Guards against new work after a leave that is not recorded, and against
- * health checks counted as work. */
+/* Guards against requests that a leaving endpoint receives but does not
+ * record, and against health checks that are recorded as such requests. */
 static void
 test_leaving(void)
 {
@@ -253,13 +259,13 @@
     char header[8] = "";
     AqTestHttpCall health = {.method = "GET",
                              .url = url_of(endpoint, "endpoint0", "/health")};
-    post(endpoint, "/test/v1/leave", "{\"endpoint\": 0}");
+    post_control(endpoint, "/test/v1/leave", "{\"endpoint\": 0}");
     CU_ASSERT_TRUE(AqTestHttp_Call(&health, &reply, &error));
     CU_ASSERT_EQUAL(reply.status, 200);
     CU_ASSERT_TRUE(
         AqTestHttpReply_Header(&reply, "Aq-Leaving", header, sizeof(header)));
     AqTestHttpReply_Clear(&reply);
-    prepare(&call, "late", "/", "");
+    prepare_call(&call, "late", "/", "");
     CU_ASSERT_TRUE(AqTestHttp_Call(&call.call, &reply, &error));
     AqTestHttpReply_Clear(&reply);
     json_t *runs = read_runs();
@@ -269,16 +275,16 @@
     CU_ASSERT_EQUAL(json_array_size(late), 1);
     CU_ASSERT_TRUE(int_at(json_array_get(late, 0), "delay_ms") >= 0);
     json_decref(runs);
-    post(endpoint, "/test/v1/leave", "{\"leaving\": false}");
+    post_control(endpoint, "/test/v1/leave", "{\"leaving\": false}");
 }
 
 void
 add_endpoint_suite(void)
 {
     CU_pSuite suite = CU_add_suite("endpoint", set_up, tear_down);
-    CU_ADD_TEST(suite, test_answer_check);
-    CU_ADD_TEST(suite, test_own_answer);
-    CU_ADD_TEST(suite, test_crossed_answer);
+    CU_ADD_TEST(suite, test_response_check);
+    CU_ADD_TEST(suite, test_own_response);
+    CU_ADD_TEST(suite, test_crossed_response);
     CU_ADD_TEST(suite, test_not_run);
     CU_ADD_TEST(suite, test_close_modes);
     CU_ADD_TEST(suite, test_silent_connection);
--- a/packages/testkit/tests/test_platform.c
+++ b/packages/testkit/tests/test_platform.c
@@ -27,7 +27,8 @@
     return url_of(platform, "platform", path);
 }
 
-/* One call; the reply's status, 0 without one. */
+/* Performs one call to the platform; returns the status of the response, or 0
+ * without a response. */
 static long
 call(const char *method, const char *path, const char *body,
      AqTestHttpReply *out)
@@ -40,6 +41,7 @@
     return AqTestHttp_Call(&call, out, &error) ? out->status : 0;
 }
 
+/* Returns the header X-Consul-Index of a response. */
 static uint64_t
 index_of(const AqTestHttpReply *reply)
 {
@@ -59,7 +61,8 @@
     return index;
 }
 
-/* Writes; whether the store said true. */
+/* Performs a PUT or DELETE on a key; returns the store's result, true when the
+ * write took effect. */
 static bool
 write_key(const char *method, const char *path, const char *body)
 {
@@ -71,8 +74,8 @@
     return done;
 }
 
-/* Guards against a compare-and-swap that lets two writers win, and against
- * indexes that are reused after a delete. */
+/* Guards against a compare-and-swap that succeeds for two writers, and against
+ * modify indexes that are reused after a delete. */
 static void
 test_compare_and_swap(void)
 {
@@ -91,7 +94,8 @@
     CU_ASSERT_TRUE(read_index("/v1/kv/cas/a") > first + 2);
 }
 
-/* Guards against a format that a Consul client cannot read. */
+/* Guards against read responses in a format that a Consul client cannot
+ * parse. */
 static void
 test_read_format(void)
 {
@@ -126,6 +130,7 @@
     return client;
 }
 
+/* Returns the number of watches that wait for a change. */
 static int64_t
 watches_waiting(void)
 {
@@ -136,7 +141,8 @@
     return waiting;
 }
 
-/* Finishes a watch; whether it was answered. */
+/* Waits for the response to a watch and destroys its client; returns whether a
+ * response arrived. */
 static bool
 finish_watch(AqTestHttpClient *client, AqTestHttpReply *reply, AqError *error)
 {
@@ -145,7 +151,7 @@
     return ok;
 }
 
-/* Guards against a blocking query that answers without a change, misses a
+/* Guards against a blocking query that returns without a change, misses a
  * change, or never ends. */
 static void
 test_blocking_query(void)
@@ -171,7 +177,7 @@
 }
 
 /* Guards against a delayed watch that is answered at once, or with the state
- * at the time of the change instead of the newest one. */
+ * at the time of the change instead of the latest state. */
 static void
 test_delayed_watch(void)
 {
@@ -180,7 +186,7 @@
     AqError error = {0};
     write_key("PUT", "/v1/kv/late", "1");
     uint64_t index = read_index("/v1/kv/late");
-    post(platform, "/test/v1/faults", "{\"delay_watches_ms\": 100}");
+    post_control(platform, "/test/v1/faults", "{\"delay_watches_ms\": 100}");
     snprintf(path, sizeof(path), "/v1/kv/late?index=%llu&wait=9s",
              (unsigned long long)index);
     AqTestHttpClient *client = start_watch(path);
@@ -193,16 +199,16 @@
     CU_ASSERT_TRUE(AqClock_ReadMonotonic() - start >= 100);
     CU_ASSERT_EQUAL(index_of(&reply), index + 2);
     AqTestHttpReply_Clear(&reply);
-    post(platform, "/test/v1/faults", "{\"delay_watches_ms\": 0}");
+    post_control(platform, "/test/v1/faults", "{\"delay_watches_ms\": 0}");
 }
 
-/* Guards against a lost reply whose write did not take effect, or that hits
- * more replies than asked for. */
+/* Guards against a lost response whose write did not take effect, and against
+ * a fault that loses more responses than requested. */
 static void
 test_lost_reply(void)
 {
     AqTestHttpReply reply = {0};
-    post(platform, "/test/v1/faults", "{\"lose_replies\": 1}");
+    post_control(platform, "/test/v1/faults", "{\"lose_replies\": 1}");
     CU_ASSERT_EQUAL(call("PUT", "/v1/kv/lost?cas=0", "x", &reply), 0);
     CU_ASSERT_EQUAL(call("GET", "/v1/kv/lost", NULL, &reply), 200);
     AqTestHttpReply_Clear(&reply);
@@ -213,8 +219,8 @@
     json_decref(calls);
 }
 
-/* Guards against an outage that loses data, keeps connections alive or can
- * not be ended. */
+/* Guards against a simulated outage of the store that loses data, keeps
+ * connections open, or cannot be ended. */
 static void
 test_store_down(void)
 {
@@ -222,24 +228,24 @@
     AqError error = {0};
     AqTestHttpCall get = {.method = "GET", .url = store_url("/v1/kv/down")};
     write_key("PUT", "/v1/kv/down", "x");
-    post(platform, "/test/v1/faults", "{\"down\": \"503\"}");
+    post_control(platform, "/test/v1/faults", "{\"down\": \"503\"}");
     CU_ASSERT_EQUAL(call("GET", "/v1/kv/down", NULL, &reply), 503);
     AqTestHttpReply_Clear(&reply);
-    post(platform, "/test/v1/faults", "{\"down\": \"none\"}");
+    post_control(platform, "/test/v1/faults", "{\"down\": \"none\"}");
     AqTestHttpClient *client =
         start_watch("/v1/kv/down?index=1000000&wait=9s");
-    post(platform, "/test/v1/faults", "{\"down\": \"refused\"}");
+    post_control(platform, "/test/v1/faults", "{\"down\": \"refused\"}");
     CU_ASSERT_FALSE(finish_watch(client, &reply, &error));
     CU_ASSERT_EQUAL(error.kind, AQ_ERR_PROTOCOL);
     CU_ASSERT_FALSE(AqTestHttp_Call(&get, &reply, &error));
     CU_ASSERT_EQUAL(error.kind, AQ_ERR_UNAVAILABLE);
-    post(platform, "/test/v1/faults", "{\"down\": \"none\"}");
+    post_control(platform, "/test/v1/faults", "{\"down\": \"none\"}");
     CU_ASSERT_EQUAL(call("GET", "/v1/kv/down", NULL, &reply), 200);
     AqTestHttpReply_Clear(&reply);
 }
 
-/* Guards against a store connection that still answers after it went silent,
- * and against silence on a new one. */
+/* Guards against a silenced store connection that still carries a response,
+ * and against silence on connections opened later. */
 static void
 test_store_silent(void)
 {
@@ -249,7 +255,7 @@
     AqTestHttpClient *client = AqTestHttpClient_Create();
     CU_ASSERT_TRUE(AqTestHttpClient_Call(client, &get, &reply, &error));
     AqTestHttpReply_Clear(&reply);
-    post(platform, "/test/v1/faults", "{\"silence_open\": true}");
+    post_control(platform, "/test/v1/faults", "{\"silence_open\": true}");
     get.timeout_ms = 100;
     CU_ASSERT_FALSE(AqTestHttpClient_Call(client, &get, &reply, &error));
     CU_ASSERT_EQUAL(error.kind, AQ_ERR_TIMEOUT);
@@ -260,8 +266,8 @@
     AqTestHttpClient_Destroy(client);
 }
 
-/* Guards against a slow store that answers at once, and against a write that
- * is forgotten when its caller gave up. */
+/* Guards against a slow store that responds at once, and against a write that
+ * is dropped because its client closed the connection. */
 static void
 test_store_slow(void)
 {
@@ -273,7 +279,7 @@
                           .body = "x",
                           .size = 1};
     uint64_t index = read_index("/v1/kv/slow");
-    post(platform, "/test/v1/faults", "{\"slow_ms\": 80}");
+    post_control(platform, "/test/v1/faults", "{\"slow_ms\": 80}");
     AqTime start = AqClock_ReadMonotonic();
     AqTestHttpClient *client = AqTestHttpClient_Create();
     CU_ASSERT_TRUE(AqTestHttpClient_Start(client, &put, &error));
@@ -281,19 +287,20 @@
     CU_ASSERT_EQUAL(call("GET", "/v1/kv/other", NULL, &reply), 404);
     CU_ASSERT_TRUE(AqClock_ReadMonotonic() - start >= 80);
     AqTestHttpReply_Clear(&reply);
-    post(platform, "/test/v1/faults", "{\"slow_ms\": 0}");
+    post_control(platform, "/test/v1/faults", "{\"slow_ms\": 0}");
     snprintf(path, sizeof(path), "/v1/kv/slow?index=%llu&wait=9s",
              (unsigned long long)index);
     CU_ASSERT_EQUAL(call("GET", path, NULL, &reply), 200);
     AqTestHttpReply_Clear(&reply);
 }
 
-/* Follows the VM list until a VM has a state; false when it never has. */
+/* Watches the VM list until a VM has the given state; returns false when 50
+ * reads did not show the state. */
 static bool
 wait_for_vm(const char *id, const char *state)
 {
     int64_t index = 0;
-    for (int turn = 0; turn < 50; turn++) {
+    for (int attempt = 0; attempt < 50; attempt++) {
         char path[64];
         size_t i;
         json_t *vm;
@@ -318,17 +325,18 @@
     return false;
 }
 
-/* Guards against a reboot that is repeated for one operation, or that never
- * shows in the list. */
+/* Guards against a second reboot for the same operation id, and against a
+ * reboot that the VM list never shows. */
 static void
 test_reboot(void)
 {
-    post(platform, "/test/v1/vms",
-         "[{\"id\": \"v1\", \"rack\": \"r1\", \"zone\": \"z1\", "
-         "\"address\": \"127.0.0.1:1\"}]");
+    post_control(platform, "/test/v1/vms",
+                 "[{\"id\": \"v1\", \"rack\": \"r1\", \"zone\": \"z1\", "
+                 "\"address\": \"127.0.0.1:1\"}]");
     CU_ASSERT_TRUE(wait_for_vm("v1", "live"));
-    /* The first reboot never comes back, so that "down" is not missed. */
-    post(platform, "/test/v1/faults", "{\"failing_reboots\": 1}");
+    /* The VM stays down after the first reboot, so that the test cannot miss
+     * the state "down". */
+    post_control(platform, "/test/v1/faults", "{\"failing_reboots\": 1}");
     json_t *vm = call_json("PUT", store_url("/v1/vms/v1/reboot?op=0"), NULL);
     json_decref(vm);
     CU_ASSERT_TRUE(wait_for_vm("v1", "down"));
@@ -344,12 +352,13 @@
     AqTestHttpReply_Clear(&reply);
 }
 
-/* Follows the task list until a task has a state. */
+/* Watches the task list until a task has the given state and, with "usage",
+ * reports its usage; returns false when 50 reads did not show that. */
 static bool
 wait_for_task(const char *id, const char *state, bool usage)
 {
     int64_t index = 0;
-    for (int turn = 0; turn < 50; turn++) {
+    for (int attempt = 0; attempt < 50; attempt++) {
         char path[64];
         size_t i;
         json_t *task;
@@ -396,27 +405,31 @@
         const char *method;
         const char *path;
         const char *body;
+        /* Expected HTTP status; 0 when body changes a worker instead. */
         long status;
     } cases[] = {
-        {"PUT", "/v1/tasks/none", TASK_BODY, 409}, /* no such worker */
+        /* Worker w1 does not exist yet. */
+        {"PUT", "/v1/tasks/none", TASK_BODY, 409},
         {"POST", "", "{\"id\": \"w1\", \"cores\": 64}", 0},
         {"PUT", "/v1/tasks/t1", TASK_BODY, 201},
         {"PUT", "/v1/tasks/t1", TASK_BODY, 200},
         {"PUT", "/v1/tasks/t1", SHORT_TASK, 409},
-        {"PUT", "/v1/tasks/t2", TASK_BODY, 409}, /* 80 cores of 64 */
+        /* Tasks t1 and t2 need 80 cores, but worker w1 has 64. */
+        {"PUT", "/v1/tasks/t2", TASK_BODY, 409},
         {"PUT", "/v1/tasks/t3", SHORT_TASK, 201},
         {"PUT", "/v1/tasks/t4", LAPSING_TASK, 201},
         {"POST", "/v1/tasks/t1/renew", "{\"lease_ms\": 8000}", 200},
         {"POST", "/v1/tasks/t1/throttle", NULL, 200},
         {"POST", "/v1/tasks/t1/checkpoint", NULL, 200},
-        {"PUT", "/v1/tasks/t1", TASK_BODY, 201}, /* resumed */
+        /* Task t1 resumes from its checkpoint. */
+        {"PUT", "/v1/tasks/t1", TASK_BODY, 201},
         {"POST", "/v1/tasks/t1/stop", NULL, 200},
         {"POST", "/v1/tasks/t1/stop", NULL, 409},
         {"POST", "/v1/tasks/t9/stop", NULL, 404},
     };
     for (size_t i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
         if (cases[i].status == 0) {
-            post(platform, "/test/v1/vms", cases[i].body);
+            post_control(platform, "/test/v1/vms", cases[i].body);
             continue;
         }
         CU_ASSERT_EQUAL(
--- a/packages/testkit/tests/test_testkit.c
+++ b/packages/testkit/tests/test_testkit.c
@@ -5,8 +5,10 @@
 
 #include "testkit_cases.h"
 
-/* Sanitized programs on a loaded machine start within this time. */
+/* Time limit for the start of a program; long enough for sanitized programs on
+ * a loaded machine. */
 #define READY_MS 20000
+/* Time limit for the exit of a program after a signal. */
 #define EXIT_MS 20000
 
 const char *platform_program;
@@ -63,7 +65,7 @@
 }
 
 void
-post(const AqProcess *process, const char *path, const char *body)
+post_control(const AqProcess *process, const char *path, const char *body)
 {
     json_decref(call_json("POST", url_of(process, "control", path), body));
 }
@@ -91,8 +93,8 @@
     return json_integer_value(value);
 }
 
-/* Guards against a helper that waits for ever, reports a running process as
- * ended, or loses the signal that ended it. */
+/* Guards against a process helper that waits forever, reports a running
+ * process as ended, or does not report the signal that ended a process. */
 static void
 test_process_exit(void)
 {
@@ -109,7 +111,8 @@
     AqProcess_Destroy(process);
 }
 
-/* Guards against a program that cannot start being taken for ready. */
+/* Guards against a process helper that reports a program as ready although the
+ * program could not start. */
 static void
 test_process_not_started(void)
 {
--- a/packages/testkit/tests/testkit_cases.h
+++ b/packages/testkit/tests/testkit_cases.h
@@ -8,25 +8,30 @@
 #include "aq_test_http.h"
 #include "aq_test_process.h"
 
-/* Programs under test, from the command line. */
+/* Paths of the programs under test, from the test's command line. */
 extern const char *platform_program;
 extern const char *endpoint_program;
 extern const char *caller_program;
 
-/* Starts a program and waits for its ready line; NULL on failure.  The
- * arguments end with NULL. */
+/* Starts a program with the given arguments, ended by NULL, and waits for its
+ * ready line.  Returns NULL on failure. */
 AqProcess *start_program(const char *program, ...);
-/* "http://ADDRESS:PORT" + path of a name in the ready line; one of eight
- * static buffers. */
+/* Returns the URL of a path on the address that the ready line gives for a
+ * name.  The result is in one of eight static buffers, which are used in
+ * turn. */
 const char *url_of(const AqProcess *process, const char *name,
                    const char *path);
-/* Calls with a JSON body in text form (may be NULL) and a JSON reply; ends
- * the test on failure. */
+/* Sends a JSON text as the request body (NULL for none) and returns the JSON
+ * body of the response as a new reference.  Aborts the test on failure. */
 json_t *call_json(const char *method, const char *url, const char *body);
-/* Sets faults or states of a test interface. */
-void post(const AqProcess *process, const char *path, const char *body);
-/* Sends SIGTERM; whether the process ends with status 0. */
+/* Posts a JSON text to a path of a stand-in's test interface.  Aborts the test
+ * on failure. */
+void post_control(const AqProcess *process, const char *path,
+                  const char *body);
+/* Sends SIGTERM to a process, waits for its end and frees it.  Returns whether
+ * the exit status was 0. */
 bool stop_program(AqProcess *process);
+/* Returns an integer field of a JSON object; the test fails without it. */
 int64_t int_at(const json_t *object, const char *field);
 
 void add_platform_suite(void);
