--- a/packages/testkit/Include/aq_test_server.h
+++ b/packages/testkit/Include/aq_test_server.h
@@ -70,7 +70,7 @@
                                 const char *name);
 
 /* Stores a pointer for the handler's own use with the request.  The pointer
- * is borrowed; it is NULL until it is set. */
+ * is borrowed; AqTestRequest_User returns NULL until this call. */
 void AqTestRequest_SetUser(AqTestRequest *request, void *user);
 void *AqTestRequest_User(const AqTestRequest *request);
 
--- a/packages/testkit/caller.c
+++ b/packages/testkit/caller.c
@@ -15,6 +15,7 @@
 #define RESPONSE_MARGIN_MS 3000
 /* Time limit of a readiness check. */
 #define CHECK_TIMEOUT_MS 1000L
+/* Limit on the descriptors of the loop that one wait includes. */
 #define MAX_WAIT_FDS 64
 
 /* Request with its own id, sent in one or two copies. */
--- a/packages/testkit/demo_report.c
+++ b/packages/testkit/demo_report.c
@@ -22,10 +22,11 @@
      * 409. */
     int64_t unknown_repeats;
     int64_t wrong; /* responses that belong to another request */
-    /* Responses of the daemons that were not killed that were truncated or did
-     * not arrive. */
+    /* Responses that were truncated or did not arrive, from the daemons that
+     * were not killed. */
     int64_t lost;
-    /* Responses of the killed daemon that were truncated or did not arrive. */
+    /* Responses that were truncated or did not arrive, from the killed
+     * daemon. */
     int64_t lost_by_kill;
     int64_t unsent;         /* requests that every daemon refused */
     int64_t no_retry_after; /* not-run responses without a retry time */
--- a/packages/testkit/platform_tasks.c
+++ b/packages/testkit/platform_tasks.c
@@ -277,8 +277,7 @@
         return 0;
     }
     if (found != NULL) {
-        /* The task resumes from its checkpoint, with the work that remained.
-         */
+        /* The task resumes from its checkpoint with the remaining work. */
         task->remaining_work_ms = found->remaining_work_ms;
         AqList_Remove(&found->link);
         destroy_task(found);
