--- a/packages/testkit/Include/aq_test_http.h
+++ b/packages/testkit/Include/aq_test_http.h
@@ -10,7 +10,7 @@
 
 /* HTTP client of tests and of the demo driver, based on libcurl. */
 
-/* HTTP request to send; the caller owns the strings. */
+/* HTTP request to send; the strings are borrowed. */
 typedef struct {
     const char *method;
     const char *url;
@@ -19,7 +19,7 @@
     const char *const *headers;
     const char *body; /* NULL for a request without a body */
     size_t size;      /* size of the body in bytes */
-    long timeout_ms;  /* limit on the whole call; 0 selects 10 s */
+    long timeout_ms;  /* time limit of the whole HTTP call; 0 selects 10 s */
 } AqTestHttpCall;
 
 /* HTTP response that was received. */
@@ -41,15 +41,16 @@
 
 AqTestHttpClient *AqTestHttpClient_Create(void);
 void AqTestHttpClient_Destroy(AqTestHttpClient *client);
-/* Sends the request of a call and returns once it is sent or the call has
- * failed.  A client supports one call at a time.  The strings of the call are
- * borrowed until AqTestHttpClient_Finish returns. */
+/* Sends the request of a call and returns once the request is sent or the call
+ * has failed.  A client supports one call at a time.  The strings of the call
+ * are borrowed until AqTestHttpClient_Finish returns. */
 bool AqTestHttpClient_Start(AqTestHttpClient *client,
                             const AqTestHttpCall *call, AqError *error);
-/* Waits for the response to the started call and moves it to *reply.  Fails
- * with AQ_ERR_UNAVAILABLE when the connection was refused, with AQ_ERR_TIMEOUT
- * when no complete response arrived in time, and with AQ_ERR_PROTOCOL when the
- * connection was closed before the response was complete. */
+/* Waits for the response to the call that AqTestHttpClient_Start sent, and
+ * moves the response to *reply.  Fails with AQ_ERR_UNAVAILABLE when the
+ * connection was refused, with AQ_ERR_TIMEOUT when no complete response
+ * arrived in time, and with AQ_ERR_PROTOCOL when the connection was closed
+ * before the response was complete. */
 bool AqTestHttpClient_Finish(AqTestHttpClient *client, AqTestHttpReply *reply,
                              AqError *error);
 /* Sends a call and waits for the response; fails as AqTestHttpClient_Finish
--- a/packages/testkit/Include/aq_test_loop.h
+++ b/packages/testkit/Include/aq_test_loop.h
@@ -7,15 +7,15 @@
 #include "aq_clock.h"
 #include "aq_list.h"
 
-/* Single-threaded event loop of the stand-ins for file descriptors and
- * timers. */
+/* Single-threaded event loop that watches file descriptors and timers.  The
+ * stand-ins, the load generator, the demo and tests run on such a loop. */
 typedef struct AqTestLoop AqTestLoop;
 
-/* Event source of a loop; the structure is embedded in its owner and linked
- * to the loop. */
+/* Event source that an event loop watches and runs.  The structure is embedded
+ * in the object that uses the source, and linked to the loop. */
 typedef struct AqLoopSource {
     AqLink link;
-    int fd; /* descriptor polled for input; -1 when the source has none */
+    int fd; /* descriptor that the event loop polls for input; -1: none */
     /* Called in every iteration of the loop, whether or not fd is
      * readable. */
     void (*run)(struct AqLoopSource *source);
@@ -24,23 +24,25 @@
     int (*timeout)(struct AqLoopSource *source);
 } AqLoopSource;
 
-/* One-shot timer; the structure is embedded in its owner. */
+/* One-shot timer of an event loop; the structure is embedded in the object
+ * that uses the timer. */
 typedef struct {
     AqLink link;
     AqTime due; /* monotonic time at which fire is called */
     void (*fire)(void *context);
-    void *context; /* argument of fire; borrowed */
+    void *context; /* argument of the function fire; borrowed */
 } AqLoopTimer;
 
-/* Function that replaces poll(): waits until a descriptor in fds is readable
- * or timeout ms have passed (-1: no limit).  A program that uses libcurl waits
- * for libcurl's descriptors in the same call. */
+/* Function that an event loop calls in place of poll(): waits until a
+ * descriptor in fds is readable or timeout ms have passed (-1: no limit).  A
+ * program that uses libcurl waits for libcurl's descriptors in the same call.
+ *  */
 typedef void (*AqLoopWait)(void *context, struct pollfd *fds, unsigned count,
                            int timeout);
 
-/* Creates a loop that SIGTERM and SIGINT stop.  For the whole process,
- * SIGPIPE is ignored and the soft limit of open descriptors is raised to the
- * hard limit. */
+/* Creates an event loop that ends when SIGTERM or SIGINT arrives.  For the
+ * whole process, SIGPIPE is ignored and the soft limit of open descriptors is
+ * raised to the hard limit. */
 AqTestLoop *AqTestLoop_Create(void);
 void AqTestLoop_Destroy(AqTestLoop *loop);
 
@@ -63,8 +65,9 @@
 /* Runs the loop until AqTestLoop_Stop is called or SIGTERM or SIGINT
  * arrives. */
 void AqTestLoop_Run(AqTestLoop *loop);
-/* Runs the loop until *done is true or ms milliseconds have passed, and
- * returns *done.  A stopped loop returns at once. */
+/* Runs the loop until *done is true, ms milliseconds have passed or the loop
+ * is stopped, and returns *done.  Returns at once when the loop was stopped
+ * before. */
 bool AqTestLoop_RunUntil(AqTestLoop *loop, const bool *done, AqTime ms);
 void AqTestLoop_Stop(AqTestLoop *loop);
 
--- a/packages/testkit/Include/aq_test_process.h
+++ b/packages/testkit/Include/aq_test_process.h
@@ -23,15 +23,16 @@
 /* Returns a descriptor that becomes readable when the process ends; the
  * descriptor is owned by the AqProcess. */
 int AqProcess_EndDescriptor(const AqProcess *process);
-/* Waits up to ms milliseconds until the process prints the line
- * "ready NAME=ADDRESS:PORT ..." to its standard output. */
+/* Waits until the process prints the line "ready NAME=ADDRESS:PORT ..." to its
+ * standard output.  Returns false when ms milliseconds pass or the process
+ * ends before that. */
 bool AqProcess_WaitReady(AqProcess *process, int ms, AqError *error);
-/* Returns the "ADDRESS:PORT" that the ready line gives for a name, or NULL
- * when the ready line lacks the name.  The string is owned by the
- * AqProcess. */
+/* Returns the "ADDRESS:PORT" that the process's ready line, "ready
+ * NAME=ADDRESS:PORT ...", gives for a name, or NULL when the line lacks the
+ * name.  The string is owned by the AqProcess. */
 const char *AqProcess_Address(const AqProcess *process, const char *name);
-/* Sends a signal.  Fails with AQ_ERR_NOT_FOUND when the process has
- * ended. */
+/* Sends a signal to the process.  Fails with AQ_ERR_NOT_FOUND when the process
+ * has ended. */
 bool AqProcess_Signal(AqProcess *process, int signal, AqError *error);
 /* Waits up to ms milliseconds for the process to end; with 0 the function
  * only checks whether the process has ended.  Sets *status to the exit
--- a/packages/testkit/caller.c
+++ b/packages/testkit/caller.c
@@ -9,21 +9,24 @@
 #include "aq_test_response.h"
 #include "aq_test_http.h"
 
-/* Time for which the caller still waits for a response after the request's own
- * time limit.  A daemon responds when the limit expires; one that has not
- * responded within this margin has lost the request. */
+/* Time for which the load generator still waits for a response after the
+ * request's own time limit.  A daemon responds when the limit expires; a
+ * daemon that has not responded within this margin has lost the request. */
 #define RESPONSE_MARGIN_MS 3000
-/* Time limit of a readiness check. */
+/* Time limit of a readiness check of a daemon; a daemon that has not responded
+ * by then counts as not ready. */
 #define CHECK_TIMEOUT_MS 1000L
-/* Limit on the descriptors of the loop that one wait includes. */
+/* Limit on the descriptors of the event loop for which one wait polls; further
+ * descriptors are left out. */
 #define MAX_WAIT_FDS 64
 
 /* Request with its own id, sent in one or two copies. */
 typedef struct {
     char id[96];
-    int open_copies;     /* copies of the request without a result */
-    int other_results;   /* copies with a result other than not-run */
-    int not_run_results; /* copies with the result not-run */
+    int open_copies; /* copies of the request that have no result yet */
+    /* copies of the request with a result other than not-run */
+    int other_results;
+    int not_run_results; /* copies of the request with the result not-run */
     bool idempotent;
     AqBuffer body;
 } RequestGroup;
@@ -35,9 +38,12 @@
     CURL *easy;
     struct curl_slist *headers;
     RequestGroup *group; /* NULL for a readiness check */
-    int service;         /* position in the options' services */
-    int daemon;          /* position in the options' daemons */
-    int tries;           /* daemons tried with this copy, this one included */
+    /* position of the called service in options->services */
+    int service;
+    /* position of the called daemon in options->daemons */
+    int daemon;
+    /* number of daemons to which this copy was sent so far */
+    int tries;
     AqTestHttpReply reply;
 } Transfer;
 
@@ -48,16 +54,21 @@
     const CallerOptions *options;
     CURLM *multi;
     AqLink transfers;
-    int in_flight; /* copies of requests without a result */
+    int in_flight; /* copies of requests that have no result yet */
     AqLoopTimer send_timer;
     AqLoopTimer check_timer;
-    double next_send_ms; /* monotonic time of the next request */
-    AqTime send_end;     /* monotonic time after which no request is sent */
-    uint64_t sequence;   /* number in the id of the next request */
-    int next_daemon; /* position of the daemon considered first next time */
-    /* Whether each daemon was ready at its last check or connection. */
+    /* monotonic time in ms at which the next request is sent */
+    double next_send_ms;
+    AqTime send_end;   /* monotonic time after which no request is sent */
+    uint64_t sequence; /* number in the id of the next request */
+    /* Position in options->daemons at which the round-robin search for the
+     * daemon of the next copy starts. */
+    int next_daemon;
+    /* Whether each daemon counts as ready: true at the start, then the result
+     * of the last readiness check by the load generator, and false after a
+     * refused connection. */
     bool ready[MAX_DAEMONS];
-    /* Whether a readiness check of each daemon is running. */
+    /* Whether a readiness check of each daemon is in progress. */
     bool checking[MAX_DAEMONS];
     AqRandom random;
     Summary summary;
@@ -103,7 +114,8 @@
     curl_easy_setopt(easy, CURLOPT_HEADERDATA, &transfer->reply.headers);
     if (!caller->options->reuse_connections) {
         /* libcurl resends a request on its own when a reused connection is
-         * closed before the first byte of the response. */
+         * closed before the first byte of the response.  A fresh connection
+         * prevents that. */
         curl_easy_setopt(easy, CURLOPT_FRESH_CONNECT, 1L);
         curl_easy_setopt(easy, CURLOPT_FORBID_REUSE, 1L);
     }
@@ -132,9 +144,10 @@
 /* ---- Sending ----------------------------------------------------------- */
 
 /* Returns the next daemon in round-robin order that is ready and differs from
- * "other"; failing that, "other" when it is ready, and otherwise any different
- * daemon.  As behind a load balancer, a daemon that is not ready receives no
- * request while another daemon is ready.  An "other" of -1 excludes none. */
+ * "other"; failing that, "other" when "other" is ready, and otherwise any
+ * different daemon.  As behind a load balancer, a daemon that is not ready
+ * receives no request while another daemon is ready.  With -1 for "other" no
+ * daemon is excluded. */
 static int
 choose_daemon(Caller *caller, int other)
 {
@@ -326,17 +339,17 @@
     if (--group->open_copies > 0) {
         return;
     }
-    /* One copy that was not run does not show that the request was not run:
-     * the other copy may have run. */
+    /* A copy with the result not-run does not show that the request was not
+     * run: the other copy may have run. */
     if (group->other_results == 0 && group->not_run_results > 0) {
         Summary_AddNotRun(&caller->summary, group->id);
     }
     destroy_request_group(group);
 }
 
-/* Sends a copy to another daemon after a refused connection, as a load
- * balancer does.  This is safe because nothing was transmitted.  Once every
- * daemon has been tried, the copy counts as unsent. */
+/* Sends a copy of a request to another daemon after a refused connection, as a
+ * load balancer does.  Sending again is safe because nothing was transmitted.
+ * Once every daemon has been tried, the copy counts as unsent. */
 static void
 finish_refused(Transfer *transfer)
 {
@@ -403,7 +416,8 @@
     }
 }
 
-/* Waits for libcurl's descriptors and those of the loop, at most 1 s. */
+/* Waits for libcurl's descriptors and those of the event loop, at most timeout
+ * ms and at most 1 s. */
 static void
 wait_with_curl(void *context, struct pollfd *fds, unsigned count, int timeout)
 {
--- a/packages/testkit/caller.h
+++ b/packages/testkit/caller.h
@@ -12,32 +12,37 @@
 #define MAX_DAEMONS 16
 #define MAX_SERVICES 16
 
-/* Options of the load generator. */
+/* Options of the load generator aq-caller. */
 typedef struct {
     /* "ADDRESS:PORT" of each daemon's listener for callers; borrowed. */
     const char *daemons[MAX_DAEMONS];
     int daemon_count;
     const char *services[MAX_SERVICES]; /* services to call; borrowed */
     int service_count;
-    const char *path;   /* path after the service's name; borrowed */
-    const char *name;   /* part of every request id; borrowed */
-    double rate;        /* mean number of requests per second */
-    int64_t run_ms;     /* time during which requests are sent */
-    int64_t timeout_ms; /* time limit in the header of each request */
-    int64_t check_ms;   /* interval of the readiness checks; 0 disables them */
+    /* part of the request path after /v1/services/NAME; borrowed */
+    const char *path;
+    const char *name; /* part of every request id; borrowed */
+    double rate;      /* mean number of requests sent per second */
+    int64_t run_ms;   /* time during which requests are sent */
+    /* time limit of each request, in the header Aq-Timeout-Ms */
+    int64_t timeout_ms;
+    /* interval of the readiness checks of the daemons; 0: none */
+    int64_t check_ms;
     int non_idempotent_percent; /* share of non-idempotent requests */
     int repeat_percent;     /* share of requests sent to two daemons at once */
     size_t body_bytes;      /* minimum size of a request body */
     bool reuse_connections; /* keep connections open for later requests */
-    uint64_t seed;          /* seed of the random request mix */
+    /* seed of the random send times and kinds of requests */
+    uint64_t seed;
 } CallerOptions;
 
-/* Result of one copy of a request, as the caller observes it. */
+/* Result of one copy of a request, as the load generator observes the copy. */
 typedef enum {
     RESULT_COMPLETED,
     RESULT_NOT_RUN,
     RESULT_UNKNOWN,
-    /* The response belongs to another request or has no valid outcome. */
+    /* The response belongs to another request or has no valid header
+     * Aq-Outcome. */
     RESULT_WRONG,
     /* The response is truncated or damaged. */
     RESULT_CUT,
@@ -48,10 +53,11 @@
     RESULT_KIND_COUNT
 } ResultKind;
 
-/* Response to one copy of a request, or the failure to receive one. */
+/* Response to one copy of a request, or the failure to receive a response. */
 typedef struct {
     const char *id; /* request id; borrowed */
-    int daemon;     /* number of the daemon that received the copy */
+    /* position in options->daemons of the daemon to which the copy was sent */
+    int daemon;
     bool idempotent;
     ResultKind kind;
     long status; /* HTTP status of the response; 0 when none arrived */
@@ -63,24 +69,34 @@
 
 /* Counts of one run of the load generator. */
 typedef struct {
-    const CallerOptions *options; /* options of the run; borrowed */
-    /* Copies of requests sent, including those that no daemon accepted. */
+    const CallerOptions *options; /* options of the load generator; borrowed */
+    /* Number of copies of requests sent, including copies that no daemon
+     * accepted. */
     uint64_t sent;
     /* Number of times that a copy of a request was sent to another daemon
      * after a refused connection. */
     uint64_t reconnected;
-    /* Copies of requests whose connection was refused on every attempt. */
+    /* Number of copies of requests that were never sent, because the
+     * connection was refused on every attempt. */
     uint64_t unsent;
     /* Number of results by daemon and kind of result. */
     uint64_t counts[MAX_DAEMONS][RESULT_KIND_COUNT];
-    /* Idempotent requests whose outcome is unknown. */
+    /* Number of responses with the outcome "unknown" to idempotent requests.
+     *  */
     uint64_t unknown_idempotent;
-    uint64_t no_retry_after; /* not-run responses without a retry time */
-    GArray *latencies; /* latency of each completed request, double in ms */
-    /* HTTP status (0 without a response) -> number of results. */
+    /* Number of responses with the outcome "not-run" that lack the header
+     * Retry-After or Aq-Retry-After-Ms. */
+    uint64_t no_retry_after;
+    /* latency of each completed copy of a request, double in ms */
+    GArray *latencies;
+    /* HTTP status of a result (0 without a response) -> number of results. */
     GHashTable *statuses;
-    json_t *not_run_ids; /* ids of the requests no copy of which has run */
-    json_t *problems;    /* descriptions of the first 20 unexpected results */
+    /* ids of the requests that were answered not-run and no copy of which has
+     * run */
+    json_t *not_run_ids;
+    /* descriptions of the first 20 unexpected results; later ones are only
+     * counted */
+    json_t *problems;
 } Summary;
 
 /* Initializes an empty summary; options is borrowed. */
@@ -90,19 +106,19 @@
 /* Adds the id of a request that was answered not-run and no copy of which has
  * run. */
 void Summary_AddNotRun(Summary *summary, const char *id);
-/* Returns the counts as a new JSON object.  in_flight is the number of copies
- * without a result. */
+/* Returns the summary as a new JSON object.  in_flight is the number of copies
+ * of requests that have no result yet. */
 json_t *Summary_Describe(const Summary *summary, int in_flight);
 
 /* Load generator that sends requests at random times without waiting for
  * earlier responses. */
 typedef struct Caller Caller;
 
-/* Creates a load generator that starts to send at once and stops the loop
- * after the last result.  options and loop are borrowed. */
+/* Creates a load generator that starts to send requests at once and stops the
+ * loop once every request has a result.  options and loop are borrowed. */
 Caller *Caller_Create(AqTestLoop *loop, const CallerOptions *options);
 void Caller_Destroy(Caller *caller);
-/* Returns the summary of the run so far as a new JSON object. */
+/* Returns the summary of the results so far as a new JSON object. */
 json_t *Caller_Describe(const Caller *caller);
 
 #endif
--- a/packages/testkit/caller_main.c
+++ b/packages/testkit/caller_main.c
@@ -9,8 +9,10 @@
 
 typedef struct {
     CallerOptions options;
-    const char *output; /* file for the summary; NULL: standard output */
-    int port;           /* port of the test interface; 0 for any */
+    /* path of the file for the summary; NULL: standard output */
+    const char *output;
+    /* port of aq-caller's test interface; 0 selects a free one */
+    int port;
 } CallerArguments;
 
 static const struct argp_option option_table[] = {
@@ -94,7 +96,7 @@
         return 0;
     }
     if (arg == NULL) {
-        /* The key is one of those that argp itself defines. */
+        /* This option key is one of those that argp itself defines. */
         return ARGP_ERR_UNKNOWN;
     }
     switch (key) {
--- a/packages/testkit/demo.h
+++ b/packages/testkit/demo.h
@@ -31,11 +31,14 @@
 
 /* Options of aq-demo. */
 typedef struct {
-    const char *bin;       /* build directory that contains the programs */
-    const char *directory; /* directory for settings, logs and summaries */
-    /* Path of the daemon's program; NULL for the one in bin. */
+    const char *bin; /* build directory that contains the programs */
+    /* directory for the demo's settings, logs and summaries */
+    const char *directory;
+    /* Path of the daemon's program; NULL for the program in the directory bin.
+     *  */
     const char *daemon_program;
-    /* Path of the command line program; NULL for the one in bin. */
+    /* Path of the command line program; NULL for the program in the directory
+     * bin. */
     const char *command_program;
     double rate; /* requests per second that each caller sends */
 } DemoOptions;
@@ -53,16 +56,19 @@
     int status; /* exit status; valid when ended is true */
 } DemoProcess;
 
-/* Observations of the configuration while the load runs. */
+/* What the demo reads from the daemons while the callers send requests. */
 typedef struct {
-    /* Lowest number of serving VMs in each pool; -1 before the first read. */
+    /* Lowest number of serving VMs that a daemon reported for each pool; -1
+     * before the first report. */
     int lowest_serving[DEMO_POOLS];
-    /* Monotonic time at which the drained VM was free; 0 before that. */
+    /* Monotonic time at which a daemon first reported the drained VM as
+     * drained; 0 before that. */
     AqTime drained_at;
-    uint64_t reads;      /* VM lists read from daemons */
-    uint64_t wrong_pool; /* VM records that lacked their pool */
-    /* Reads that showed the drained VM as serving more than 4 s after the
-     * drain was accepted. */
+    uint64_t reads; /* number of VM lists read from daemons */
+    /* number of VM records read that do not name the VM's pool */
+    uint64_t wrong_pool;
+    /* Number of VM lists read that showed the drained VM as serving more than
+     * 4 s after the drain was accepted. */
     uint64_t reverted;
 } DemoObservations;
 
@@ -76,19 +82,23 @@
     DemoProcess daemons[DEMO_DAEMONS];
     DemoProcess callers[DEMO_POOLS];
     DemoProcess drain; /* the operator's drain command */
-    /* Second drain command, which the daemon must refuse because it exceeds
-     * the budget. */
+    /* Second drain command; the daemon must refuse the command because a
+     * second drain exceeds the budget. */
     DemoProcess second_drain;
-    AqTime drain_started; /* monotonic time at which the drain was started */
-    /* Monotonic time at which the drain was accepted; 0 before that. */
+    /* monotonic time at which the command "drain" was started */
+    AqTime drain_started;
+    /* Monotonic time at which the command "drain" was seen to have succeeded;
+     * 0 before that. */
     AqTime drain_accepted;
-    AqTime stop_started; /* monotonic time at which SIGTERM was sent */
-    /* Monotonic time at which the stopped daemon had ended; 0 before that. */
+    /* monotonic time at which SIGTERM was sent to daemon DEMO_STOPPED */
+    AqTime stop_started;
+    /* Monotonic time at which daemon DEMO_STOPPED was seen to have ended; 0
+     * before that. */
     AqTime stop_ended;
     DemoObservations observed;
     AqError error; /* error of the last Demo_Configure that failed */
-    /* All callers and the stopped daemon have ended, or the time limit was
-     * reached. */
+    /* All callers and daemon DEMO_STOPPED have ended, or the time limit of the
+     * demo was reached. */
     bool finished;
     bool expired; /* the time limit of the demo was reached */
 };
@@ -110,7 +120,8 @@
 
 /* ---- demo_setup.c ------------------------------------------------------- */
 
-/* Starts the simulated platform and endpoints and registers the VMs. */
+/* Starts the simulated platform and endpoints and registers the VMs with the
+ * platform. */
 bool Demo_StartStandIns(Demo *demo, AqError *error);
 bool Demo_StartDaemons(Demo *demo, AqError *error);
 /* Configures pools and VMs through the operators' interface.  On failure the
@@ -129,13 +140,13 @@
 
 /* ---- demo_state.c ------------------------------------------------------- */
 
-/* Returns the state of one kind that a daemon reports, as a new reference, or
- * NULL when the daemon does not respond. */
+/* Returns what a daemon reports for one kind of state, such as "vms", as a new
+ * reference, or NULL when the daemon does not respond with status 200. */
 json_t *Demo_ReadState(Demo *demo, int daemon, const char *kind);
 /* Reads the VM records of every running daemon and updates demo->observed. */
 void Demo_Observe(Demo *demo);
 /* Returns the number of serving VMs that a daemon reports, or -1 when the
- * daemon does not respond. */
+ * daemon does not respond with status 200. */
 int Demo_CountServing(Demo *demo, int daemon);
 /* Returns whether a daemon's readiness check succeeds. */
 bool Demo_IsReady(Demo *demo, int daemon);
@@ -145,8 +156,9 @@
 /* Calls check every 50 ms until it returns true or ms milliseconds have
  * passed; returns whether check succeeded. */
 bool Demo_WaitFor(Demo *demo, bool (*check)(Demo *demo), AqTime ms);
-/* Injects the planned faults while the callers run; returns when the
- * callers and the stopped daemon have ended or the time limit is reached. */
+/* Runs the plan, a sequence of operator's commands and faults, while the
+ * callers send requests.  Returns when the callers and daemon DEMO_STOPPED
+ * have ended or the time limit of the demo is reached. */
 void Demo_RunPlan(Demo *demo);
 
 /* ---- demo_report.c ------------------------------------------------------ */
--- a/packages/testkit/demo_main.c
+++ b/packages/testkit/demo_main.c
@@ -7,8 +7,9 @@
 
 #include "demo.h"
 
-/* Time limit of each step of the setup, such as all daemons reporting all VMs
- * as serving.  A new VM may have to pass 5 s of health checks first. */
+/* Time limit of each step of the demo's setup, such as all daemons reporting
+ * all VMs as serving.  A new VM may have to pass 5 s of health checks first.
+ *  */
 #define SETUP_STEP_LIMIT_MS 8000
 
 static const struct argp_option option_table[] = {
@@ -103,8 +104,9 @@
     return Demo_StartCallers(demo, error);
 }
 
-/* Returns the exit status: 0 when all invariants held and all steps happened,
- * 1 when not, 2 when the demo could not be set up. */
+/* Runs the demo and returns its exit status: 0 when all invariants held and
+ * all steps of the plan happened, 1 when not, 2 when the demo could not be set
+ * up. */
 static int
 run_demo(Demo *demo)
 {
--- a/packages/testkit/demo_plan.c
+++ b/packages/testkit/demo_plan.c
@@ -7,17 +7,17 @@
 
 /* Interval at which Demo_WaitFor calls its check. */
 #define CHECK_INTERVAL_MS 50
-/* Interval at which the state of the daemons is read. */
+/* Interval at which the demo reads the state of the daemons. */
 #define OBSERVE_INTERVAL_MS 100
-/* Interval of the progress lines. */
+/* Interval at which the demo prints a progress line. */
 #define PROGRESS_INTERVAL_MS 1000
-/* Time limit of setup and plan.  The whole demo must end within 30 s; the
- * remaining time is for the report. */
+/* Time limit of the demo's setup and plan together.  The whole demo must end
+ * within 30 s; the remaining time is for the report. */
 #define TIME_LIMIT_MS 28500
 
-/* Step of the plan: an operator's command or a fault. */
+/* Step of the demo's plan: an operator's command or a fault. */
 typedef struct {
-    AqTime at; /* time of the step in ms after the start of the load */
+    AqTime at; /* time in ms from the start of the load to this step */
     void (*run)(Demo *demo);
 } PlanStep;
 
@@ -82,9 +82,9 @@
     AqError error;
     Demo_VmName(DEMO_DRAINED, vm);
     Demo_Log(demo, "operator: amaranthquay drain start %s", vm);
-    /* The endpoint records the requests that it receives from now on.  It does
-     * not announce that it leaves, so that only the drain can stop new
-     * work. */
+    /* The endpoint of the drained VM records the requests that it receives
+     * from now on.  The endpoint does not announce that it leaves, so that
+     * only the drain can stop new work. */
     post_control(
         &demo->endpoints, "/test/v1/leave",
         json_pack("{s:i s:b}", "endpoint", DEMO_DRAINED, "announce", 0));
@@ -140,9 +140,10 @@
     AqProcess_Signal(demo->daemons[DEMO_STOPPED].process, SIGTERM, &error);
 }
 
-/* The membership of the killed daemon ends 5 s after the kill, which requires
- * the store, and its slots become available 4 s later.  Both happen before the
- * graceful stop. */
+/* Steps of the plan in order of time.  The membership of the killed daemon
+ * ends 5 s after the kill, which requires the store; the endpoint slots of
+ * that daemon become available to the other daemons 4 s later.  Both happen
+ * before the graceful stop. */
 static const PlanStep steps[] = {
     {2000, start_drain},       {3500, start_second_drain},
     {5000, kill_daemon},       {11500, start_store_outage},
@@ -153,18 +154,19 @@
 
 /* ---- Running the plan -------------------------------------------------- */
 
-/* Timers of a running plan. */
+/* Timers and next step of the demo's plan while the plan runs. */
 typedef struct {
     Demo *demo;
     AqLoopTimer observe;  /* fires when the daemons' state is to be read */
     AqLoopTimer progress; /* fires when a progress line is to be printed */
-    AqLoopTimer next;     /* fires when the next step is due */
+    AqLoopTimer next;     /* fires when the next step of the plan is due */
     size_t step;          /* position of the next step in "steps" */
     AqLoopTimer limit;    /* fires at the time limit of the demo */
 } Plan;
 
-/* Adds the counts of a caller to counts: sent, completed, not run and unknown.
- * Returns 1, or 0 when the caller is not running. */
+/* Adds the numbers of requests that a caller reports as sent, completed, not
+ * run and unknown to counts, in this order.  Returns 1, or 0 when the caller
+ * is not running. */
 static int64_t
 read_counts(const DemoProcess *caller, int64_t counts[4])
 {
--- a/packages/testkit/demo_report.c
+++ b/packages/testkit/demo_report.c
@@ -16,28 +16,33 @@
     int64_t sent;
     int64_t completed;
     int64_t not_run;
-    int64_t unknown;            /* responses with an unknown outcome */
-    int64_t unknown_idempotent; /* idempotent requests among "unknown" */
-    /* Repeats of a request id that is already claimed, answered with status
-     * 409. */
+    int64_t unknown; /* responses with the outcome "unknown" */
+    /* Responses with the outcome "unknown" to idempotent requests. */
+    int64_t unknown_idempotent;
+    /* Responses with status 409: a copy of a request whose request id is
+     * already claimed. */
     int64_t unknown_repeats;
-    int64_t wrong; /* responses that belong to another request */
+    /* responses that belong to another request or have no valid outcome */
+    int64_t wrong;
     /* Responses that were truncated or did not arrive, from the daemons that
      * were not killed. */
     int64_t lost;
     /* Responses that were truncated or did not arrive, from the killed
      * daemon. */
     int64_t lost_by_kill;
-    int64_t unsent;         /* requests that every daemon refused */
-    int64_t no_retry_after; /* not-run responses without a retry time */
-    /* Requests that were answered not-run although an endpoint ran them. */
+    /* copies of requests whose connections were all refused */
+    int64_t unsent;
+    /* not-run responses without the headers that give a retry time */
+    int64_t no_retry_after;
+    /* Requests that were answered not-run although an endpoint ran the
+     * request. */
     int64_t not_run_but_run;
-    double p50_ms; /* median latency of the slower caller */
+    double p50_ms; /* highest median latency of a caller */
     double p99_ms; /* highest 99th percentile latency of a caller */
-    int summaries; /* number of callers that wrote a summary */
+    int summaries; /* number of callers whose summary file was read */
 } CallerTally;
 
-/* Sums and maxima over all endpoints. */
+/* Sums and maxima over the results of all endpoints. */
 typedef struct {
     int64_t runs; /* number of runs of all requests */
     /* Non-idempotent request ids that ran more than once. */
@@ -50,10 +55,13 @@
     /* Time from the start of the drain to the last request that reached the
      * drained endpoint; -1 without such a request. */
     int64_t last_delay_ms;
-    int64_t rejected;        /* requests rejected for lack of a free slot */
-    int64_t max_slots;       /* most slots in use at one endpoint */
-    int64_t max_connections; /* most connections open at one endpoint */
-    json_t *counts;          /* request id -> number of runs; owned */
+    /* requests that endpoints rejected for lack of a free slot */
+    int64_t rejected;
+    /* highest number of slots in use at one endpoint */
+    int64_t max_slots;
+    /* highest number of connections open at one endpoint */
+    int64_t max_connections;
+    json_t *counts; /* request id -> number of runs; owned */
 } EndpointTally;
 
 /* Returns an integer field of a JSON object; 0 when the field is absent. */
@@ -219,8 +227,8 @@
     return count == 0;
 }
 
-/* Prints a step of the plan and the time in ms that it took (-1: no time).
- * Returns "done".  The invariants are meaningful only when every step
+/* Prints a step of the plan and the time in ms that the step took (-1: no
+ * time).  Returns "done".  The invariants are meaningful only when every step
  * happened. */
 static bool
 print_step(const char *name, bool done, AqTime ms)
@@ -233,8 +241,9 @@
     return done;
 }
 
-/* Prints the lowest capacity of each pool; returns whether no pool had fewer
- * than DEMO_MIN_SERVING serving VMs. */
+/* Prints, for each pool, the lowest number of serving VMs that a daemon
+ * reported.  Returns whether no pool had fewer than DEMO_MIN_SERVING serving
+ * VMs. */
 static bool
 print_capacity(const Demo *demo)
 {
--- a/packages/testkit/demo_setup.c
+++ b/packages/testkit/demo_setup.c
@@ -14,8 +14,8 @@
 #define READY_MS 5000
 /* Time in seconds during which the callers send requests. */
 #define LOAD_SECONDS "19"
-/* Time limit of each request; short enough that the last responses arrive
- * within the time limit of the demo. */
+/* Time limit of each request of the callers; short enough that the last
+ * responses arrive within the time limit of the demo. */
 #define REQUEST_TIMEOUT_MS "2500"
 /* Token that authenticates the operator to the daemons. */
 #define DEMO_TOKEN "demo-operator-token"
@@ -45,7 +45,7 @@
 }
 
 /* Starts a program that logs to the file NAME.log in the demo's directory, and
- * with wait_ready waits until it is ready. */
+ * with wait_ready waits until the program is ready. */
 static bool
 start_process(Demo *demo, DemoProcess *process, const char *const *argv,
               const char *name, bool wait_ready, AqError *error)
@@ -214,9 +214,10 @@
     return json_pack("{s:s s:o}", "kind", "vm.set", "args", args);
 }
 
-/* Sends all intents before it waits for the responses: an intent is accepted
- * only after the next heartbeats of a majority, so that sending one after the
- * other would take longer. */
+/* Sends all intents (configuration changes) and only then waits for the
+ * responses: a daemon accepts an intent only after the next heartbeats of a
+ * majority of the daemons, so that sending one intent after the other would
+ * take longer. */
 static bool
 send_intents(const Demo *demo, json_t *const *intents, int count,
              AqError *error)
@@ -253,8 +254,9 @@
     return ok;
 }
 
-/* Adds an operation id to each intent, the same id on every call for a pool or
- * VM, sends the intents and releases the references to them. */
+/* Adds an operation id to each intent (configuration change), the same id on
+ * every call for a pool or VM.  Sends the intents and releases the references
+ * to the intents. */
 static bool
 send_and_free(const Demo *demo, json_t **intents, int count, AqError *error)
 {
--- a/packages/testkit/demo_state.c
+++ b/packages/testkit/demo_state.c
@@ -13,7 +13,7 @@
 #define INTENT_IN_FORCE_LIMIT_MS 4000
 
 /* Sends a GET request to a listener of a daemon ("operators" or "callers");
- * returns false without a response. */
+ * returns false when no response arrives. */
 static bool
 get_from_daemon(const Demo *demo, int daemon, const char *listener,
                 const char *path, AqTestHttpReply *reply)
@@ -59,8 +59,8 @@
 }
 
 /* Returns the records in the response to a state call: a list, or an object
- * that maps names to records.  They are the response itself or its field
- * "vms", "items" or "records". */
+ * that maps names to records.  The records are the response itself or the
+ * field "vms", "items" or "records" of the response. */
 static const json_t *
 records_of(const json_t *state)
 {
@@ -74,8 +74,8 @@
     return state;
 }
 
-/* Returns the record of one VM, or NULL when the state lacks the VM; the
- * record is owned by state. */
+/* Returns the record of one VM in a state that a daemon reported, or NULL when
+ * the VM is missing; the record is owned by state. */
 static const json_t *
 find_vm(const json_t *state, const char *vm)
 {
@@ -105,7 +105,8 @@
     return text != NULL && strcmp(text, value) == 0;
 }
 
-/* Updates the observations of the drained VM from its record. */
+/* Updates what demo->observed says about the drained VM from the VM's record.
+ *  */
 static void
 check_drained(Demo *demo, const json_t *record)
 {
@@ -126,7 +127,7 @@
     }
 }
 
-/* Updates the observations from the VM records of one daemon. */
+/* Updates demo->observed from the VM records that one daemon reported. */
 static void
 observe_daemon(Demo *demo, const json_t *state)
 {
--- a/packages/testkit/endpoint.c
+++ b/packages/testkit/endpoint.c
@@ -7,7 +7,8 @@
 #include "aq_json.h"
 #include "aq_test_response.h"
 
-/* Limit on a single service time; longer ones are shortened to it. */
+/* Limit on the service time of a request; a longer service time is shortened
+ * to this limit. */
 #define MAX_SERVICE_MS 600000
 
 struct Endpoint {
@@ -16,14 +17,19 @@
     EndpointFaults faults;
     AqLink slot_requests; /* requests that occupy a slot */
     int slots_in_use;
-    int max_slots;            /* maximum number of slots in use so far */
-    unsigned max_connections; /* maximum number of connections so far */
-    uint64_t runs;            /* requests that were run */
-    uint64_t not_run;         /* requests rejected for lack of a free slot */
+    /* highest number of slots in use at the same time so far */
+    int max_slots;
+    /* highest number of connections open at the same time so far */
+    unsigned max_connections;
+    uint64_t runs; /* number of requests that were run */
+    /* number of requests rejected for lack of a free slot */
+    uint64_t not_run;
     bool leaving;
-    bool announce;        /* responses announce that the endpoint leaves */
+    /* responses announce, in a header, that the endpoint leaves */
+    bool announce;
     AqTime leaving_since; /* monotonic time of the last change of "leaving" */
-    /* Requests received while the endpoint leaves, as [{id, delay_ms}]. */
+    /* Requests received while the endpoint leaves, as [{id, delay_ms}];
+     * delay_ms is the time since leaving_since. */
     json_t *after_leave;
 };
 
@@ -54,7 +60,8 @@
 }
 
 /* Returns whether the connection of the current request is to be closed in the
- * given mode, and if so counts the request against close_count. */
+ * given mode.  If so, the request counts as one of the close_count requests
+ * that the fault affects. */
 static bool
 consume_close(Endpoint *endpoint, CloseMode mode)
 {
--- a/packages/testkit/endpoint.h
+++ b/packages/testkit/endpoint.h
@@ -10,10 +10,10 @@
 #include "aq_test_loop.h"
 #include "aq_test_server.h"
 
-/* Distribution of the random service times. */
+/* Distribution of the random service times of requests. */
 typedef enum {
     DISTRIBUTION_FIXED,
-    DISTRIBUTION_UNIFORM, /* between 0 and twice the mean */
+    DISTRIBUTION_UNIFORM, /* service times between 0 and twice the mean */
     DISTRIBUTION_EXPONENTIAL
 } Distribution;
 
@@ -37,15 +37,17 @@
 /* Faults that the test interface injects into an endpoint. */
 typedef struct {
     CloseMode close;
-    /* Number of further requests that the close mode affects; -1 for all. */
+    /* Number of further requests whose connection the fault "close" closes; -1
+     * for all. */
     int64_t close_count;
-    /* Every request is counted as run and answered with status 500 at
-     * once. */
+    /* Every request is counted as run and answered with status 500 at once,
+     * without a service time. */
     bool fail_all;
     bool fail_health; /* health checks are answered with status 500 */
     /* Factor applied to every service time, in permille. */
     int64_t slow_permille;
-    /* Number of further responses that carry another request's content. */
+    /* Number of further responses that carry the ids of another request and
+     * attempt. */
     int64_t crossed;
 } EndpointFaults;
 
@@ -59,9 +61,10 @@
 void RunRecord_Clear(RunRecord *record);
 /* Counts one run of the request with this id. */
 void RunRecord_Add(RunRecord *record, const char *id);
-/* Returns {total, ids, more_than_once: {id: runs}} as a new JSON object. The
- * field "ids" is the number of distinct request ids.  With "all" the object
- * also has "counts", the number of runs by request id. */
+/* Returns {total, ids, more_than_once: {id: runs}} as a new JSON object.  The
+ * field "total" is the number of runs of all requests, "ids" the number of
+ * distinct request ids.  With "all" the object also has "counts", the number
+ * of runs by request id. */
 json_t *RunRecord_Describe(const RunRecord *record, bool all);
 
 /* Data and options that all endpoints of a process have in common. */
@@ -70,9 +73,10 @@
     RunRecord runs;
     AqRandom random;
     int slots;         /* requests that one endpoint runs at the same time */
-    double service_ms; /* mean service time */
-    Distribution distribution; /* distribution of the service times */
-    size_t response_bytes;     /* minimum size of a response body */
+    double service_ms; /* mean service time of a request */
+    /* distribution of the service times of requests */
+    Distribution distribution;
+    size_t response_bytes; /* minimum size of a response body */
 } EndpointCommon;
 
 /* Simulated endpoint that runs requests in a limited number of slots. */
@@ -86,13 +90,15 @@
 int Endpoint_Port(const Endpoint *endpoint);
 /* Starts or ends leaving, according to "leaving".  While an endpoint leaves,
  * it records each request in "after_leave" and still runs the request; with
- * "announce" it also adds the header Aq-Leaving to its responses.  Starting
- * and ending clear the record. */
+ * "announce" it also adds the header Aq-Leaving to its responses.  Each call
+ * empties "after_leave". */
 void Endpoint_SetLeaving(Endpoint *endpoint, bool leaving, bool announce);
-/* Sets the faults that a JSON object names; all others keep their values. */
+/* Sets the faults that a JSON object names.  All other faults keep their
+ * values, except that "close" without "close_count" sets the count to -1. */
 bool Endpoint_SetFaults(Endpoint *endpoint, const json_t *body,
                         AqError *error);
-/* Returns the counts of the endpoint as a new JSON object. */
+/* Returns the port, counters and leaving state of the endpoint as a new JSON
+ * object. */
 json_t *Endpoint_Describe(const Endpoint *endpoint);
 
 #endif
--- a/packages/testkit/endpoint_main.c
+++ b/packages/testkit/endpoint_main.c
@@ -7,13 +7,13 @@
 #include "endpoint.h"
 
 #define MAX_ENDPOINTS 128
-/* Endpoint number that selects all endpoints. */
+/* Value in place of an endpoint number that selects all endpoints. */
 #define ALL_ENDPOINTS (-1)
 
 /* State of an aq-endpoint process. */
 typedef struct {
     EndpointCommon common;
-    AqTestServer *control; /* server of the test interface */
+    AqTestServer *control; /* HTTP server of the test interface */
     Endpoint *endpoints[MAX_ENDPOINTS];
     int count;
     /* Port of the first endpoint; the others use the ports after it.  0
@@ -150,7 +150,7 @@
 {
     EndpointProcess *process = state->input;
     if (arg == NULL) {
-        /* The key is one of those that argp itself defines. */
+        /* This option key is one of those that argp itself defines. */
         return ARGP_ERR_UNKNOWN;
     }
     int64_t number = strtoll(arg, NULL, 10);
--- a/packages/testkit/http.c
+++ b/packages/testkit/http.c
@@ -14,7 +14,8 @@
     CURL *easy;
     struct curl_slist *headers;
     AqTestHttpReply reply; /* response that is being received */
-    bool is_attached;      /* whether multi contains easy */
+    /* whether the libcurl handle easy is part of multi */
+    bool is_attached;
 };
 
 void
@@ -123,9 +124,9 @@
     curl_easy_setopt(easy, CURLOPT_HEADERDATA, &client->reply.headers);
 }
 
-/* Performs pending transfer work.  Returns true when the call has ended or,
- * with until_sent, when the request has been sent; otherwise waits for the
- * next event, at most 1 s, and returns false. */
+/* Performs pending work of the client's transfer.  Returns true when the call
+ * has ended or, with until_sent, when the request has been sent; otherwise
+ * waits for the next event, at most 1 s, and returns false. */
 static bool
 drive_transfer(AqTestHttpClient *client, bool until_sent)
 {
@@ -157,7 +158,7 @@
     return true;
 }
 
-/* Sets the error for a libcurl result code; returns false. */
+/* Sets *error for a libcurl result code; returns false. */
 static bool
 set_curl_error(CURLcode code, AqError *error)
 {
--- a/packages/testkit/loop.c
+++ b/packages/testkit/loop.c
@@ -6,13 +6,15 @@
 #include <sys/signalfd.h>
 #include <unistd.h>
 
-/* Limit on the sources with a descriptor; further ones are not polled. */
+/* Limit on the event sources whose descriptors the loop polls; further sources
+ * are not polled. */
 #define MAX_SOURCES 256
 
 struct AqTestLoop {
     AqLink sources;
     AqLink timers; /* running timers, ordered by due time */
-    AqTime now;    /* monotonic time at which this iteration began */
+    /* monotonic time at which this iteration of the loop began */
+    AqTime now;
     bool stopped;
     int signal_fd; /* signalfd for SIGTERM and SIGINT */
     AqLoopWait wait;
@@ -108,8 +110,8 @@
 {
     AqList_Remove(&timer->link);
     AqLink *at = loop->timers.prev;
-    /* loop->now may be outdated: the caller may have taken some time since the
-     * iteration began. */
+    /* loop->now may be outdated: the calling code may have taken some time
+     * since the iteration of the loop began. */
     timer->due = AqClock_ReadMonotonic() + ms;
     while (at != &loop->timers &&
            AqList_Entry(at, AqLoopTimer, link)->due > timer->due) {
@@ -131,9 +133,9 @@
     loop->stopped = true;
 }
 
-/* Fires the timers that were due when the iteration began.  The fixed time
- * prevents a timer that its own handler restarts from starving the
- * sources. */
+/* Fires the timers that were due when the iteration of the loop began.  Later
+ * ones wait for the next iteration, since a timer that its own handler
+ * restarts could otherwise keep the event sources from running. */
 static void
 fire_timers(AqTestLoop *loop)
 {
@@ -149,8 +151,8 @@
     }
 }
 
-/* Returns the shorter of two timeouts in ms.  A negative "a" means no limit, a
- * negative "b" a time that has passed already. */
+/* Returns the shorter of two timeouts in ms.  A negative "a" means no limit; a
+ * negative "b" means a time that has passed already. */
 static int
 shorter_timeout(int a, AqTime b)
 {
@@ -160,8 +162,8 @@
     return a < 0 || b < a ? (int)b : a;
 }
 
-/* Returns the time in ms until the next timer, source or "end" is due, or -1
- * for no limit. */
+/* Returns the time in ms until the first timer fires, an event source must run
+ * or the monotonic time "end" is reached, or -1 for no limit. */
 static int
 wait_limit(AqTestLoop *loop, AqTime end)
 {
--- a/packages/testkit/platform.h
+++ b/packages/testkit/platform.h
@@ -11,7 +11,8 @@
 /* Interfaces between the source files of aq-platform, which share the
  * structure Platform. */
 
-/* Kinds of calls that are counted separately. */
+/* Kinds of HTTP calls to the simulated platform.  The platform counts the
+ * calls of each kind. */
 typedef enum {
     CALL_KV_GET,
     CALL_KV_LIST,
@@ -29,31 +30,37 @@
     CALL_KIND_COUNT
 } CallKind;
 
-/* Injected outage of the store. */
+/* Outage of the simulated store that the test interface injects. */
 typedef enum {
     STORE_UP,
-    STORE_REFUSED, /* the port of the platform refuses connections */
-    STORE_503      /* store calls are answered with status 503 */
+    /* the platform's port, which VM and task calls share, refuses connections
+     *  */
+    STORE_REFUSED,
+    STORE_503 /* store calls are answered with status 503 */
 } StoreOutage;
 
 /* Faults that the test interface injects into the platform. */
 typedef struct {
     StoreOutage down;
-    int64_t slow_ms; /* delay before each store call is handled */
-    /* Number of further store writes that are performed but whose responses
-     * are lost. */
+    /* time from the arrival of each store call until the platform handles the
+     * call */
+    int64_t slow_ms;
+    /* Number of further store writes that the platform performs without
+     * sending a response. */
     int64_t lose_replies;
-    /* Number of further task and reboot calls that are performed but whose
-     * responses are lost. */
+    /* Number of further task and reboot calls that the platform performs
+     * without sending a response. */
     int64_t lose_task_replies;
-    /* The connection of a lost response stays open instead of being closed. */
+    /* When a fault suppresses a response, the connection stays open instead of
+     * being closed. */
     bool lose_silently;
-    /* Silences the connections that are open when the faults are set; later
-     * connections work. */
+    /* The platform never responds on the connections that are open when the
+     * faults are set; connections opened later work. */
     bool silence_open;
-    /* Delay between a change and the response to a watch for it. */
+    /* Time from a change of watched data to the response to a watch (blocking
+     * query) of the data. */
     int64_t delay_watches_ms;
-    /* Number of further reboots after which the VM stays down. */
+    /* Number of further reboots that fail: the rebooted VM stays down. */
     int64_t failing_reboots;
     /* Actual run time of a task, in permille of its declared run time. */
     int64_t run_permille;
@@ -64,51 +71,59 @@
 
 /* Options of aq-platform. */
 typedef struct {
-    int64_t lag_ms;    /* delay until the VM list shows a change of a VM */
-    int64_t reboot_ms; /* time that a VM is down for a reboot */
-    /* Delay until the task list shows the usage after a change of state. */
+    int64_t lag_ms;    /* time until the VM list shows a change of a VM */
+    int64_t reboot_ms; /* time for which a reboot keeps a VM down */
+    /* Time from a change of a task's state until the task list shows the new
+     * resource usage of the task. */
     int64_t usage_lag_ms;
-    int port; /* port of the platform; 0 for any */
+    int port; /* port of the platform's HTTP server; 0 selects a free one */
 } PlatformOptions;
 
 typedef struct Platform Platform;
 
-/* Request whose response waits for a change, for a timer, or for both. */
+/* HTTP request that is handled later: when a timer fires or, for a watch
+ * (blocking query), when the watched data changes. */
 typedef struct {
     AqLink link;
     Platform *platform;
     AqTestRequest *request;
-    AqLoopTimer timer; /* calls "handle" when the timer fires */
-    /* Index in the request of a watch; the watch is due once the current index
-     * is higher. */
+    AqLoopTimer timer; /* fires when the pending request must be handled */
+    /* Modification index in the query parameter "index" of a watch; the watch
+     * is due once the watched data has a higher modification index. */
     uint64_t index;
-    bool is_store_call; /* whether the request is a call to the store */
-    /* The change that the watch waits for has occurred, and the timer delays
-     * the response. */
+    /* whether the pending request is a call to the store */
+    bool is_store_call;
+    /* The change that the watch waits for has occurred, and the fault
+     * delay_watches_ms delays the response. */
     bool is_due;
-    /* Returns the current index of the watched data; NULL unless the request
-     * is a watch. */
+    /* Returns the current modification index of the data that the request
+     * watches; NULL unless the request is a watch (blocking query). */
     uint64_t (*current_index)(Platform *platform,
                               const AqTestRequest *request);
-    /* Handles the request, which is no longer pending. */
+    /* Handles the request when its wait is over; the PendingRequest has been
+     * freed before. */
     void (*handle)(Platform *platform, AqTestRequest *request);
 } PendingRequest;
 
 struct Platform {
     AqTestLoop *loop;
-    AqTestServer *server;  /* server of the store, VM and task calls */
-    AqTestServer *control; /* server of the test interface */
+    AqTestServer *server;  /* HTTP server of the store, VM and task calls */
+    AqTestServer *control; /* HTTP server of the test interface */
     PlatformOptions options;
     Faults faults;
     uint64_t calls[CALL_KIND_COUNT]; /* number of calls by CallKind */
-    uint64_t rejected; /* store calls answered with an injected 503 */
-    uint64_t lost;     /* responses that an injected fault lost */
-    AqKv *kv;          /* data of the store */
-    AqLink pending;    /* requests that wait for their response */
+    /* number of store calls answered with an injected 503 */
+    uint64_t rejected;
+    /* number of responses not sent because of an injected fault */
+    uint64_t lost;
+    AqKv *kv;       /* keys and values of the simulated store */
+    AqLink pending; /* list of PendingRequest */
     AqLink vms;
-    uint64_t vms_index; /* grows with each change of the VM list */
+    /* modification index of the VM list, incremented by each change */
+    uint64_t vms_index;
     AqLink tasks;
-    uint64_t tasks_index; /* grows with each change of the task list */
+    /* modification index of the task list, incremented by each change */
+    uint64_t tasks_index;
 };
 
 /* Calls handle for the request after ms milliseconds. */
@@ -116,27 +131,29 @@
                     bool is_store_call,
                     void (*handle)(Platform *platform,
                                    AqTestRequest *request));
-/* Answers a read by calling handle: at once when the request has no index
- * parameter, otherwise (a watch) when current_index returns more than that
- * index or the time in the wait parameter is over. */
+/* Answers a read by calling handle: at once when the request has no query
+ * parameter "index", otherwise (a watch) when current_index returns more than
+ * that index or the time in the query parameter "wait" is over. */
 void Platform_AnswerRead(
     Platform *platform, AqTestRequest *request, bool is_store_call,
     uint64_t (*current_index)(Platform *platform,
                               const AqTestRequest *request),
     void (*handle)(Platform *platform, AqTestRequest *request));
-/* Answers the watches whose data now has a higher index than the watch passed,
- * after the delay that the fault delay_watches_ms sets. */
+/* Answers the watches whose data now has a higher modification index than the
+ * request gave, after the delay that the fault delay_watches_ms sets. */
 void Platform_NotifyWatches(Platform *platform);
 /* Answers all pending store calls with status 503. */
 void Platform_RejectStoreCalls(Platform *platform);
-/* Returns whether a request is a blocking query: one with an index above 0. */
+/* Returns whether a request is a watch (blocking query): a request whose query
+ * parameter "index" is above 0. */
 bool Platform_IsWatch(const AqTestRequest *request);
-/* Responds to a write with a JSON value, whose reference it takes over.  When
- * *losses_left is above 0, the function decrements it and loses the response
- * instead. */
+/* Responds to a write call with an HTTP status and a JSON value, and takes
+ * over the reference to value.  When *losses_left is above 0, the function
+ * decrements *losses_left and sends no response. */
 void Platform_ReplyWrite(Platform *platform, AqTestRequest *request,
                          int64_t *losses_left, unsigned status, json_t *value);
-/* Adds the response header X-Consul-Index. */
+/* Adds the header X-Consul-Index, with this modification index, to the
+ * response to the request. */
 void Platform_AddIndex(AqTestRequest *request, uint64_t index);
 
 /* The functions of platform_store.c implement the calls to /v1/kv/. */
@@ -147,27 +164,28 @@
 
 /* The functions of platform_vms.c implement the calls to /v1/vms. */
 
-/* Answers GET /v1/vms, which is also a watch. */
+/* Answers GET /v1/vms: a read or, with the query parameter "index", a watch.
+ *  */
 void Vms_List(Platform *platform, AqTestRequest *request);
-/* Answers PUT /v1/vms/ID/reboot.  A repeated call with the same "op" does not
- * start a second reboot. */
+/* Answers PUT /v1/vms/ID/reboot.  A call with the query parameter "op" of the
+ * VM's last reboot does not start a second reboot. */
 void Vms_Reboot(Platform *platform, AqTestRequest *request);
 /* Answers POST /test/v1/vms: creates or changes VMs. */
 void Vms_Set(Platform *platform, AqTestRequest *request);
 void Vms_Destroy(Platform *platform);
 
-/* VM as a worker that runs tasks. */
+/* Properties of a VM as a worker that runs tasks. */
 typedef struct {
     bool known; /* whether a VM with this id exists */
-    bool live;  /* whether the actual state of the VM is "live" */
-    bool fails; /* every task fails on the worker at its start */
+    bool live;  /* whether the VM is live now, whatever the VM list shows */
+    bool fails; /* every task that is started on the worker fails at once */
     int64_t cores;
     int64_t memory_mb;
     int64_t accelerators;
 } WorkerInfo;
 
-/* Returns the actual state of a VM as a worker, regardless of the lag of the
- * VM list; all fields are zero for an unknown id. */
+/* Returns the current properties of a VM as a worker, including changes that
+ * the VM list does not show yet; all fields are zero for an unknown VM id. */
 WorkerInfo Vms_Worker(Platform *platform, const char *id);
 
 /* The functions of platform_tasks.c implement the calls to /v1/tasks. */
@@ -176,9 +194,11 @@
 void Tasks_Put(Platform *platform, AqTestRequest *request);
 /* Answers POST /v1/tasks/ID/ACTION: checkpoint, throttle, stop or renew. */
 void Tasks_Act(Platform *platform, AqTestRequest *request);
-/* Answers GET /v1/tasks, which is also a watch. */
+/* Answers GET /v1/tasks: a read or, with the query parameter "index", a watch.
+ *  */
 void Tasks_List(Platform *platform, AqTestRequest *request);
-/* Sets the active tasks of a worker that went down to the state "failed". */
+/* Sets the state of the running and throttled tasks on a worker to "failed",
+ * because the worker went down. */
 void Tasks_WorkerDown(Platform *platform, const char *worker);
 void Tasks_Destroy(Platform *platform);
 
--- a/packages/testkit/platform_kv.c
+++ b/packages/testkit/platform_kv.c
@@ -5,8 +5,9 @@
 #include <string.h>
 
 struct AqKv {
-    GTree *items;   /* key -> AqKvItem, including deleted keys */
-    uint64_t index; /* index of the last write; 1 in an unwritten table */
+    GTree *items; /* key -> AqKvItem, including deleted keys */
+    /* modification index after the last write; 1 in an unwritten table */
+    uint64_t index;
 };
 
 static int
@@ -78,7 +79,8 @@
     return true;
 }
 
-/* Marks an item as deleted by the write with this table index. */
+/* Marks an item as deleted by the write that gave the table this modification
+ * index. */
 static void
 mark_deleted(AqKvItem *item, uint64_t index)
 {
@@ -103,8 +105,8 @@
     return true;
 }
 
-/* Returns the first node whose key starts with prefix or sorts after it, or
- * NULL. */
+/* Returns the first node of the table whose key starts with prefix or sorts
+ * after prefix, or NULL. */
 static GTreeNode *
 first_node(AqKv *kv, const char *prefix)
 {
--- a/packages/testkit/platform_kv.h
+++ b/packages/testkit/platform_kv.h
@@ -6,23 +6,24 @@
 #include <stdint.h>
 
 /* Key-value table with the modification indexes of the Consul KV API.  One
- * index counter serves the whole table and grows with each write. */
+ * modification index serves the whole table and grows with each write. */
 typedef struct AqKv AqKv;
 
-/* Key and its value in a table; a deleted key keeps its item. */
+/* Key and value in an AqKv table; a deleted key keeps its item. */
 typedef struct {
     char *key;
     char *value;
     size_t size; /* size of the value in bytes */
-    /* Table index of the write that created the key. */
+    /* Modification index of the table after the write that created the key. */
     uint64_t create_index;
-    /* Table index of the last write to the key or, when the key is not
-     * present, of its deletion. */
+    /* Modification index of the table after the last write to the key or, when
+     * the key is absent, after the deletion of the key. */
     uint64_t modify_index;
     bool present; /* false when the key was deleted */
 } AqKvItem;
 
-/* Value of a cas parameter that makes the write unconditional. */
+/* Value of the parameter cas (compare-and-swap) that makes a write
+ * unconditional. */
 #define AQ_KV_NO_CAS UINT64_MAX
 
 AqKv *AqKv_Create(void);
@@ -31,12 +32,13 @@
 /* Returns the item of a key, or NULL when the key is absent.  The item is
  * valid until the next write to the table. */
 const AqKvItem *AqKv_Get(AqKv *kv, const char *key);
-/* Sets the value of a key to a copy of size bytes.  Returns false without a
- * change when cas is not the key's modify index; an absent key counts as 0. */
+/* Sets the value of a key to a copy of "size" bytes.  Returns false without a
+ * change when cas is neither AQ_KV_NO_CAS nor the key's modify_index; an
+ * absent key has 0. */
 bool AqKv_Put(AqKv *kv, const char *key, const void *value, size_t size,
               uint64_t cas);
-/* Deletes a key.  Returns false without a change when the key exists with a
- * modify index other than cas. */
+/* Deletes a key.  Returns false without a change when the key exists and cas
+ * is neither AQ_KV_NO_CAS nor the key's modify_index. */
 bool AqKv_Delete(AqKv *kv, const char *key, uint64_t cas);
 /* Deletes all keys that start with prefix. */
 void AqKv_DeletePrefix(AqKv *kv, const char *prefix);
@@ -44,11 +46,13 @@
 void AqKv_Each(AqKv *kv, const char *prefix,
                void (*visit)(void *context, const AqKvItem *item),
                void *context);
-/* Returns the index for blocking queries on a key: the key's modify index, or
- * the table's index for a key that was never written.  Never 0. */
+/* Returns the modification index for blocking queries on a key: the key's
+ * modify_index, or the index of the whole table for a key that was never
+ * written.  Never 0. */
 uint64_t AqKv_KeyIndex(AqKv *kv, const char *key);
-/* Returns the index for blocking queries on a prefix: the highest modify index
- * of its keys, or the table's index without such keys.  Never 0. */
+/* Returns the modification index for blocking queries on a prefix: the highest
+ * modify_index of the keys with the prefix, deleted keys included, or the
+ * index of the whole table without such keys.  Never 0. */
 uint64_t AqKv_PrefixIndex(AqKv *kv, const char *prefix);
 
 #endif
--- a/packages/testkit/platform_main.c
+++ b/packages/testkit/platform_main.c
@@ -14,14 +14,17 @@
 
 /* ---- The platform's own port ------------------------------------------ */
 
-/* Call of the VM or task interface and its handler. */
+/* HTTP call of the VM or task interface, and the function that handles the
+ * call. */
 typedef struct {
     const char *method;
-    const char *prefix; /* start of the path */
-    /* End of the path after the id; NULL when prefix is the whole path. */
+    const char *prefix; /* start of the request path */
+    /* End of the request path, after the id of a VM or task; NULL when prefix
+     * is the whole path. */
     const char *suffix;
-    CallKind kind;       /* kind under which the call is counted */
-    CallKind watch_kind; /* kind of the call when it is a watch */
+    CallKind kind; /* kind under which the call is counted */
+    /* kind under which the call is counted when the call is a watch */
+    CallKind watch_kind;
     void (*handle)(Platform *platform, AqTestRequest *request);
 } Route;
 
--- a/packages/testkit/platform_store.c
+++ b/packages/testkit/platform_store.c
@@ -6,8 +6,8 @@
 #include <string.h>
 
 #define KV_PATH "/v1/kv/"
-/* Limit in bytes on a stored value; larger ones are answered with status
- * 413. */
+/* Limit in bytes on a value in the store; a write of a larger value is
+ * answered with status 413. */
 #define MAX_VALUE_BYTES (1024 * 1024)
 
 static const char *
@@ -58,7 +58,8 @@
                            "ModifyIndex", (json_int_t)item->modify_index));
 }
 
-/* Returns the index for blocking queries on the key or prefix of a request. */
+/* Returns the modification index of the key or prefix that a request names,
+ * for a blocking query on this key or prefix. */
 static uint64_t
 current_index(Platform *platform, const AqTestRequest *request)
 {
@@ -89,8 +90,9 @@
     AqTestRequest_ReplyJson(request, 200, items);
 }
 
-/* Reads the query parameter cas, or sets *cas to AQ_KV_NO_CAS without it.
- * Returns false when the parameter is not a number. */
+/* Reads the query parameter "cas" (compare-and-swap), or sets *cas to
+ * AQ_KV_NO_CAS when the parameter is absent.  Returns false when the parameter
+ * is not a number. */
 static bool
 parse_cas(const AqTestRequest *request, uint64_t *cas)
 {
--- a/packages/testkit/platform_tasks.c
+++ b/packages/testkit/platform_tasks.c
@@ -7,10 +7,12 @@
 #include "aq_json.h"
 
 #define TASKS_PATH "/v1/tasks/"
-/* Limit on a lease and on a declared run time: 24 h. */
+/* Limit on the lease and on the declared run time of a task: 24 h.  A call
+ * with a longer time is rejected. */
 #define MAX_DURATION_MS 86400000
 
-/* State of a task; only running and throttled tasks use their worker. */
+/* State of a task; only running and throttled tasks occupy capacity of their
+ * worker. */
 typedef enum {
     TASK_RUNNING,
     TASK_CHECKPOINTED,
@@ -35,15 +37,20 @@
     int64_t cores;
     int64_t memory_mb;
     int64_t accelerators;
-    int64_t lease_ms; /* duration of the lease, counted from each renewal */
+    /* duration of the task's lease, counted from each renewal */
+    int64_t lease_ms;
     /* Run time that the task still needed at the time progress_at, at full
      * speed. */
     int64_t remaining_work_ms;
-    AqTime progress_at; /* monotonic time of the last progress update */
-    json_t *usage; /* usage in the task list; NULL before the first report */
+    /* monotonic time at which remaining_work_ms was last updated */
+    AqTime progress_at;
+    /* resource usage of the task in the task list; NULL before the first
+     * report */
+    json_t *usage;
     AqLoopTimer finish; /* fires when the work of the task is done */
-    AqLoopTimer lease;  /* fires when the lease expires */
-    AqLoopTimer report; /* fires when the usage is reported */
+    AqLoopTimer lease;  /* fires when the lease of the task expires */
+    /* fires when the task list is to show the task's current usage */
+    AqLoopTimer report;
 } Task;
 
 static bool
@@ -94,8 +101,8 @@
     tasks_changed(task->platform);
 }
 
-/* Subtracts the work done since the last progress update from the remaining
- * work. */
+/* Subtracts the work that the task has done since progress_at from
+ * remaining_work_ms, and sets progress_at to the current time. */
 static void
 update_progress(Task *task)
 {
@@ -158,7 +165,7 @@
 }
 
 /* Checks that a worker is live and has enough free capacity for a task;
- * returns false with an error otherwise. */
+ * returns false with an error when not. */
 static bool
 check_capacity(Platform *platform, const char *worker, const Task *task,
                AqError *error)
--- a/packages/testkit/platform_vms.c
+++ b/packages/testkit/platform_vms.c
@@ -8,7 +8,8 @@
 
 #define VMS_PATH "/v1/vms/"
 
-/* Default size of a worker, that of the larger site: 64 cores and 256 GB. */
+/* Default capacity of a VM as a worker, that of the workers at the larger
+ * site: 64 cores and 256 GB of memory. */
 #define DEFAULT_CORES 64
 #define DEFAULT_MEMORY_MB (256 * 1024)
 
@@ -16,20 +17,24 @@
     AqLink link;
     Platform *platform;
     char *id;
-    json_t *actual; /* actual state: {id, address, rack, zone, state} */
-    json_t *listed; /* state in the VM list; NULL until first listed */
+    /* current record of the VM: {id, address, rack, zone, state} */
+    json_t *actual;
+    /* record of the VM in the VM list; NULL until first listed */
+    json_t *listed;
     WorkerInfo worker;
-    AqLink publications;      /* changes that the VM list does not show yet */
-    AqLoopTimer reboot;       /* fires when the reboot is complete */
-    char last_reboot_op[128]; /* operation id of the last reboot */
+    /* changes of the VM that the VM list does not show yet */
+    AqLink publications;
+    AqLoopTimer reboot; /* fires when the reboot of the VM is complete */
+    /* operation id of the VM's last reboot; empty before the first */
+    char last_reboot_op[128];
 } Vm;
 
-/* Actual state of a VM that the VM list shows after a lag. */
+/* Record of a VM that the VM list shows after a lag. */
 typedef struct {
-    AqLoopTimer timer; /* fires when the VM list is to show the state */
+    AqLoopTimer timer; /* fires when the VM list is to show the record */
     AqLink link;       /* in the VM's list of publications */
     Vm *vm;
-    json_t *record; /* state of the VM that the VM list will show */
+    json_t *record; /* record of the VM that the VM list will show */
 } Publication;
 
 static Vm *
@@ -76,8 +81,8 @@
     free(publication);
 }
 
-/* Schedules the current actual state of a VM for the VM list.  The states
- * of a VM reach the list in order, since all have the same lag. */
+/* Makes the VM list show the current record of a VM after the lag of the list.
+ * The records of a VM reach the list in order, since all have the same lag. */
 static void
 schedule_publication(Vm *vm)
 {
--- a/packages/testkit/platform_wait.c
+++ b/packages/testkit/platform_wait.c
@@ -7,9 +7,10 @@
 
 #include "aq_json.h"
 
-/* Consul's default for the query parameter wait. */
+/* Consul's default for the query parameter "wait" of a blocking query. */
 #define DEFAULT_WAIT_MS 300000
-/* Consul's limit on the query parameter wait; longer waits are shortened. */
+/* Consul's limit on the query parameter "wait" of a blocking query; a longer
+ * wait is shortened to this limit. */
 #define MAX_WAIT_MS 600000
 
 static void
@@ -64,8 +65,9 @@
     return index != NULL && strtoull(index, NULL, 10) > 0;
 }
 
-/* Returns the time in ms that the query parameter wait gives, such as 30s,
- * 500ms or 2m; the default when text contains no valid time. */
+/* Returns the time in ms that the text of the query parameter "wait" gives,
+ * such as 30s, 500ms or 2m, up to MAX_WAIT_MS.  Returns DEFAULT_WAIT_MS when
+ * the text contains no valid time. */
 static int64_t
 parse_wait(const char *text)
 {
--- a/packages/testkit/process.c
+++ b/packages/testkit/process.c
@@ -15,13 +15,15 @@
 #include "aq_buffer.h"
 #include "aq_clock.h"
 
-/* Limit on the addresses in a ready line; exceeds the number of endpoints that
- * one aq-endpoint process provides. */
+/* Limit on the addresses recorded from a ready line; further addresses are
+ * ignored.  Exceeds the number of endpoints that one aq-endpoint process
+ * provides. */
 #define MAX_READY_ADDRESSES 256
-/* Exit status of a child that did not start its program. */
+/* Exit status of a child process that could not start its program. */
 #define EXIT_NOT_STARTED 127
 
-/* One "NAME=ADDRESS:PORT" of a ready line. */
+/* One "NAME=ADDRESS:PORT" of the line "ready NAME=ADDRESS:PORT ..." that a
+ * child process prints. */
 typedef struct {
     char name[32];
     char address[64]; /* ADDRESS:PORT */
@@ -32,8 +34,11 @@
     int pid_fd; /* descriptor that is readable once the process has ended */
     int output; /* read end of the process's standard output */
     bool ended; /* the process has ended and was reaped */
-    int status; /* exit status, or 128 + signal; valid when ended is true */
-    AqBuffer pending_output; /* standard output that is not parsed yet */
+    /* exit status of the process, or 128 + signal number; valid when ended is
+     * true */
+    int status;
+    /* standard output of the process that is not parsed yet */
+    AqBuffer pending_output;
     ReadyAddress addresses[MAX_READY_ADDRESSES];
     int address_count;
 };
@@ -142,7 +147,8 @@
     return process->pid_fd;
 }
 
-/* Records the addresses in a ready line; modifies the line. */
+/* Records the addresses in a ready line, "ready NAME=ADDRESS:PORT ...";
+ * modifies the line. */
 static void
 parse_ready(AqProcess *process, char *line)
 {
@@ -160,8 +166,8 @@
     }
 }
 
-/* Removes complete lines from the pending output up to and including the ready
- * line.  Returns whether the ready line was found and parsed. */
+/* Removes complete lines from the process's pending output up to and including
+ * the ready line.  Returns whether the ready line was found and parsed. */
 static bool
 parse_output_lines(AqProcess *process)
 {
--- a/packages/testkit/request.c
+++ b/packages/testkit/request.c
@@ -8,7 +8,7 @@
 /* Response body of which only the first half is sent. */
 typedef struct {
     char *bytes;
-    size_t size; /* announced size of the body in bytes */
+    size_t size; /* size in bytes that the response announces for the body */
 } CutBody;
 
 void
@@ -48,7 +48,8 @@
                                        name);
 }
 
-/* Search for a query parameter by name; value is NULL until it is found. */
+/* Search for a query parameter by name; value is NULL until the parameter is
+ * found. */
 typedef struct {
     const char *name;
     const char *value;
@@ -83,8 +84,8 @@
 }
 
 /* Records the handler's response and new state of a request and resumes a
- * suspended connection.  response may be NULL; it is owned by the request.  On
- * a silent connection the response is never sent. */
+ * suspended connection.  The request owns response, which may be NULL.  On a
+ * silent connection the response is never sent. */
 static void
 respond(AqTestRequest *request, unsigned status, struct MHD_Response *response,
         RequestState state)
--- a/packages/testkit/response.c
+++ b/packages/testkit/response.c
@@ -17,8 +17,8 @@
              AqHash_Bytes(bytes, size));
 }
 
-/* Appends the part of a response that identifies its request: the id and the
- * hash of the request body of size bytes. */
+/* Appends the part of a response that identifies its request: the request id
+ * and the hash of the request body of "size" bytes. */
 static void
 append_head(AqBuffer *out, const char *id, const void *body, size_t size)
 {
--- a/packages/testkit/server.c
+++ b/packages/testkit/server.c
@@ -8,8 +8,8 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* Memory of a connection: holds up to 16 KiB of headers and a part of the
- * body. */
+/* Memory that libmicrohttpd uses for one connection: holds up to 16 KiB of
+ * headers and a part of the body. */
 #define CONNECTION_MEMORY_BYTES (64 * 1024)
 #define MAX_CONNECTIONS 1000
 #define LISTEN_BACKLOG 512
@@ -118,8 +118,8 @@
     return server->port;
 }
 
-/* Queues the response to a request.  Returns MHD_NO, which closes the
- * connection, for a request in the state REQUEST_CLOSING. */
+/* Queues the response to a request with libmicrohttpd.  Returns MHD_NO, which
+ * closes the connection, for a request in the state REQUEST_CLOSING. */
 static enum MHD_Result
 queue_response(AqTestRequest *request)
 {
@@ -287,8 +287,8 @@
                        server->port, strerror(errno));
 }
 
-/* Marks all requests as closing and resumes their connections.  Returns
- * whether any connection was suspended. */
+/* Sets all requests of the server to the state REQUEST_CLOSING and resumes the
+ * suspended connections.  Returns whether any connection was suspended. */
 static bool
 resume_all(AqTestServer *server)
 {
@@ -314,7 +314,7 @@
     }
     /* MHD_stop_daemon aborts the process when a connection is suspended.  The
      * MHD_run that resumes the connections may accept requests that suspend
-     * others, hence the loop. */
+     * other connections, hence the loop. */
     while (resume_all(server)) {
         MHD_run(server->daemon);
     }
--- a/packages/testkit/server_private.h
+++ b/packages/testkit/server_private.h
@@ -11,7 +11,8 @@
     REQUEST_READING,
     /* The request handler has the request and has not responded yet. */
     REQUEST_DISPATCHED,
-    /* The handler has responded; the field "response" is to be queued. */
+    /* The handler has responded; the response is to be queued with
+     * libmicrohttpd. */
     REQUEST_RESPONDED,
     /* The connection of the request is to be closed. */
     REQUEST_CLOSING,
@@ -32,21 +33,25 @@
     AqLink link; /* in the server's list of requests */
     AqTestServer *server;
     Connection *client; /* connection on which the request arrived */
-    struct MHD_Connection *connection; /* libmicrohttpd's own handle */
+    /* libmicrohttpd's handle of the connection */
+    struct MHD_Connection *connection;
     RequestState state;
-    /* The connection is suspended: libmicrohttpd does not process
-     * the connection until
-     * MHD_resume_connection is called. */
+    /* The connection of the request is suspended: libmicrohttpd does not
+     * process the connection until MHD_resume_connection is called. */
     bool suspended;
-    bool close_in_body;   /* close the connection in the body */
-    bool awaits_response; /* the handler has not responded to the request */
+    /* close the connection at the first byte of the body */
+    bool close_in_body;
+    /* the handler has the request and has not responded yet */
+    bool awaits_response;
     char *method;
     char *path;
     AqBuffer body;
-    struct MHD_Response *response; /* response of the handler; NULL before */
-    unsigned status;               /* HTTP status of the response */
-    json_t *headers;               /* response headers, name -> value; owned */
-    void *user;                    /* data of the request handler; borrowed */
+    /* response of the handler; NULL until the handler responds */
+    struct MHD_Response *response;
+    unsigned status; /* HTTP status of the response */
+    json_t *headers; /* response headers, name -> value; owned */
+    /* pointer that the request handler stored; borrowed */
+    void *user;
 };
 
 struct AqTestServer {
@@ -59,7 +64,8 @@
     /* Socket that is bound but never listens, so that the port stays
      * reserved while the server is closed. */
     int reserved_fd;
-    struct MHD_Daemon *daemon; /* NULL while the server is closed */
+    /* libmicrohttpd server; NULL while the test server is closed */
+    struct MHD_Daemon *daemon;
     AqLink connections;
     AqLink requests;
 };
--- a/packages/testkit/tests/test_caller.c
+++ b/packages/testkit/tests/test_caller.c
@@ -8,15 +8,16 @@
 #include "aq_test_server.h"
 #include "testkit_cases.h"
 
-/* Kinds of valid and invalid responses.  The fake daemon sends them in this
- * order and then starts again. */
+/* Kinds of valid and invalid responses.  The simulated daemon sends the kinds
+ * in this order and then starts again with the first. */
 typedef enum {
     RESPONSE_RIGHT,
     RESPONSE_NOT_RUN,
     RESPONSE_NOT_RUN_NO_TIME, /* a not-run response without Retry-After */
     RESPONSE_UNKNOWN,
     RESPONSE_OTHER_ID, /* the header Aq-Request-Id names another request */
-    /* The header has the right id, but the body is for another request. */
+    /* The header Aq-Request-Id is right, but the body is for another request.
+     *  */
     RESPONSE_OTHER_BODY,
     RESPONSE_NO_OUTCOME,
     RESPONSE_DAMAGED,
@@ -38,11 +39,13 @@
     unsigned next_response; /* number of the next response, from 0 */
     /* The daemon sends the first kind_count kinds of ResponseKind. */
     unsigned kind_count;
-    /* Request id -> whether all copies were answered not-run; owned. */
+    /* Request id -> whether all copies of the request were answered not-run;
+     * owned. */
     json_t *not_run;
     /* aq-caller sends each request twice, both times to this daemon. */
     bool sends_copies;
-    /* Number of requests after which aq-caller is sent SIGTERM; 0: never. */
+    /* Number of requests after which aq-caller is sent SIGTERM; 0: not sent.
+     *  */
     int stop_after;
 } FakeDaemon;
 
@@ -63,7 +66,8 @@
     }
 }
 
-/* Records the outcome of one copy of a request. */
+/* Records in daemon->not_run whether one copy of a request was answered
+ * not-run. */
 static void
 record_not_run(FakeDaemon *daemon, const char *id, bool not_run)
 {
@@ -129,9 +133,9 @@
                     AqProcess_WaitExit(daemon->caller, 0, &status, &error);
 }
 
-/* Runs aq-caller against the fake daemon and, unless NULL, the daemon at the
- * address second_daemon.  Returns the summary of aq-caller as a new
- * reference. */
+/* Runs aq-caller for a number of seconds against the simulated daemon and,
+ * unless NULL, the daemon at the address second_daemon.  Returns the summary
+ * of aq-caller as a new reference. */
 static json_t *
 run_caller(FakeDaemon *daemon, const char *seconds, const char *second_daemon)
 {
@@ -170,8 +174,8 @@
     return summary;
 }
 
-/* Guards against a response that the caller counts as a different kind of
- * result, which would hide a broken invariant. */
+/* Guards against a response that aq-caller counts as the wrong kind of result,
+ * which would hide a broken invariant. */
 static void
 test_classification(void)
 {
--- a/packages/testkit/tests/test_demo.c
+++ b/packages/testkit/tests/test_demo.c
@@ -12,21 +12,23 @@
 
 static const char *endpoint_program;
 
-/* Simulated course of a run of the demo; a field that is
- * zero describes a run without that fault. */
+/* Simulated results of a run of the demo, as input of the report; a field that
+ * is zero describes a run without that fault. */
 typedef struct {
     const char *name;
     /* Id of a request that was answered not-run; NULL for none. */
     const char *not_run;
-    int extra_runs; /* runs of the request n-x after its first run */
-    int wrong;      /* wrong responses that each caller counts */
-    /* Connections that each daemon closed without a response. */
+    int extra_runs; /* repeated runs of the request with the id n-x */
+    /* wrong responses that the summary of each caller reports */
+    int wrong;
+    /* Number of connections that each daemon closed without a response. */
     int closed[DEMO_DAEMONS];
     int no_answer; /* requests without a response from daemon DEMO_KEPT */
-    /* Number of VMs by which the first pool falls below its budget. */
+    /* Number of VMs by which the serving VMs of the first pool fall below
+     * DEMO_MIN_SERVING. */
     int missing_vms;
-    int wrong_pool;  /* VM records without their pool */
-    int reverted;    /* reads that showed the drained VM as serving */
+    int wrong_pool;  /* VM records read that do not name the VM's pool */
+    int reverted;    /* VM lists read that showed the drained VM as serving */
     int stop_status; /* exit status of the daemon that got SIGTERM */
     /* The second drain, which exceeds the budget, is accepted. */
     bool is_second_drain_accepted;
@@ -55,7 +57,8 @@
     {.name = "never drained", .is_never_drained = true},
 };
 
-/* Writes the summary that a caller of the pool would leave after a run. */
+/* Writes the summary file that a caller of the pool would leave after a run of
+ * the demo. */
 static void
 write_summary(const char *directory, const char *pool, const DemoCase *run)
 {
@@ -91,8 +94,8 @@
     rmdir(directory);
 }
 
-/* Starts an endpoint and makes it run the request n-x the given number of
- * times. */
+/* Starts an endpoint and makes it run the request with the id n-x the given
+ * number of times. */
 static AqProcess *
 start_endpoint(int runs)
 {
@@ -116,8 +119,8 @@
     return process;
 }
 
-/* Creates the state that a run would leave behind and returns the result of
- * Demo_Report for it. */
+/* Creates the files, endpoint and Demo that a run of the demo would leave
+ * behind, and returns the result of Demo_Report for this run. */
 static bool
 run_report(const DemoCase *run)
 {
@@ -137,8 +140,8 @@
     demo.daemons[DEMO_STOPPED].ended = true;
     demo.daemons[DEMO_STOPPED].status = run->stop_status;
     demo.endpoints.process = start_endpoint(1 + run->extra_runs);
-    /* The report only checks that the process of daemon DEMO_KEPT is running,
-     * so that the endpoint can take its place. */
+    /* Demo_Report only checks that the process of daemon DEMO_KEPT is running,
+     * so that the endpoint's process can take its place. */
     demo.daemons[DEMO_KEPT].process = demo.endpoints.process;
     for (int i = 0; i < DEMO_POOLS; i++) {
         write_summary(directory, Demo_PoolName(i), run);
--- a/packages/testkit/tests/test_endpoint.c
+++ b/packages/testkit/tests/test_endpoint.c
@@ -20,7 +20,8 @@
     return !stop_program(endpoint);
 }
 
-/* Call to the first endpoint, with the strings that the call refers to. */
+/* HTTP call to the first endpoint, with the strings that the call refers to.
+ *  */
 typedef struct {
     char id[64];
     char id_header[96];
@@ -89,7 +90,7 @@
 }
 
 /* Guards against an endpoint whose response cannot be matched to its request,
- * and against runs that are not counted. */
+ * and against runs of requests that are not counted. */
 static void
 test_own_response(void)
 {
@@ -112,8 +113,8 @@
     }
 }
 
-/* Guards against the injected fault "crossed" that leaves the response
- * recognizable as the caller's own. */
+/* Guards against a fault "crossed" without effect: the response must not pass
+ * as the response to the test's own request. */
 static void
 test_crossed_response(void)
 {
@@ -134,7 +135,8 @@
 }
 
 /* Guards against a request that is rejected for lack of a free slot but runs
- * nevertheless, and against wrong maxima of slots and connections in use. */
+ * nevertheless, and against wrong reported maxima of slots and connections in
+ * use. */
 static void
 test_not_run(void)
 {
@@ -146,8 +148,8 @@
     AqTestHttpClient *client = AqTestHttpClient_Create();
     prepare_call(&slow, "slow", "", "");
     prepare_call(&refused, "refused", "", "");
-    /* The calls go to the second endpoint, so that the first one's only slot
-     * stays free for the other tests. */
+    /* The calls go to the second endpoint, so that the only slot of the first
+     * endpoint stays free for the other tests. */
     slow.call.url = url_of(endpoint, "endpoint1", "/?service_ms=600000");
     refused.call.url = url_of(endpoint, "endpoint1", "/");
     CU_ASSERT_TRUE(AqTestHttpClient_Start(client, &slow.call, &error));
--- a/packages/testkit/tests/test_platform.c
+++ b/packages/testkit/tests/test_platform.c
@@ -27,8 +27,8 @@
     return url_of(platform, "platform", path);
 }
 
-/* Performs one call to the platform; returns the status of the response, or 0
- * without a response. */
+/* Performs one HTTP call to the platform; returns the status of the response,
+ * or 0 without a response. */
 static long
 call(const char *method, const char *path, const char *body,
      AqTestHttpReply *out)
@@ -41,7 +41,7 @@
     return AqTestHttp_Call(&call, out, &error) ? out->status : 0;
 }
 
-/* Returns the header X-Consul-Index of a response. */
+/* Returns the value of the header X-Consul-Index of a response. */
 static uint64_t
 index_of(const AqTestHttpReply *reply)
 {
@@ -130,7 +130,8 @@
     return client;
 }
 
-/* Returns the number of watches that wait for a change. */
+/* Returns the number of watches (blocking queries) that the platform has not
+ * answered yet. */
 static int64_t
 watches_waiting(void)
 {
@@ -176,8 +177,9 @@
     AqTestHttpReply_Clear(&reply);
 }
 
-/* Guards against a delayed watch that is answered at once, or with the state
- * at the time of the change instead of the latest state. */
+/* Guards against a watch that is answered at once in spite of the fault
+ * delay_watches_ms, or with the state at the time of the change instead of the
+ * latest state. */
 static void
 test_delayed_watch(void)
 {
@@ -202,8 +204,9 @@
     post_control(platform, "/test/v1/faults", "{\"delay_watches_ms\": 0}");
 }
 
-/* Guards against a lost response whose write did not take effect, and against
- * a fault that loses more responses than requested. */
+/* Guards against a write that does not take effect when a fault suppresses its
+ * response, and against a fault that suppresses more responses than requested.
+ *  */
 static void
 test_lost_reply(void)
 {
@@ -245,7 +248,7 @@
 }
 
 /* Guards against a silenced store connection that still carries a response,
- * and against silence on connections opened later. */
+ * and against silence on store connections opened later. */
 static void
 test_store_silent(void)
 {
@@ -294,8 +297,8 @@
     AqTestHttpReply_Clear(&reply);
 }
 
-/* Watches the VM list until a VM has the given state; returns false when 50
- * reads did not show the state. */
+/* Watches the VM list until the list shows a VM in the given state; returns
+ * false when 50 reads did not show the state. */
 static bool
 wait_for_vm(const char *id, const char *state)
 {
@@ -352,8 +355,9 @@
     AqTestHttpReply_Clear(&reply);
 }
 
-/* Watches the task list until a task has the given state and, with "usage",
- * reports its usage; returns false when 50 reads did not show that. */
+/* Watches the task list until the list shows a task in the given state and,
+ * with "usage", the resource usage of the task.  Returns false when 50 reads
+ * did not show that. */
 static bool
 wait_for_task(const char *id, const char *state, bool usage)
 {
@@ -395,8 +399,8 @@
     "{\"worker\": \"w1\", \"lease_ms\": 10, \"cores\": 1, "                   \
     "\"memory_mb\": 10, \"run_ms\": 60000, \"job\": \"j\"}"
 
-/* Guards against a task that is started twice, runs without a lease, or is
- * placed where it does not fit. */
+/* Guards against a task that is started twice, runs without a lease, or starts
+ * on a worker without enough free capacity. */
 static void
 test_tasks(void)
 {
@@ -405,7 +409,8 @@
         const char *method;
         const char *path;
         const char *body;
-        /* Expected HTTP status; 0 when body changes a worker instead. */
+        /* Expected HTTP status of the call; 0 for an entry whose body is
+         * posted to the test interface to change a worker. */
         long status;
     } cases[] = {
         /* Worker w1 does not exist yet. */
--- a/packages/testkit/tests/testkit_cases.h
+++ b/packages/testkit/tests/testkit_cases.h
@@ -13,25 +13,26 @@
 extern const char *endpoint_program;
 extern const char *caller_program;
 
-/* Starts a program with the given arguments, ended by NULL, and waits for its
- * ready line.  Returns NULL on failure. */
+/* Starts a program with the given arguments, ended by NULL, and waits until
+ * the program prints its ready line.  Returns NULL on failure. */
 AqProcess *start_program(const char *program, ...);
-/* Returns the URL of a path on the address that the ready line gives for a
- * name.  The result is in one of eight static buffers, which are used in
- * turn. */
+/* Returns the URL of a path on the address that the process's ready line,
+ * "ready NAME=ADDRESS:PORT ...", gives for a name.  The result is in one of
+ * eight static buffers, which are used in turn. */
 const char *url_of(const AqProcess *process, const char *name,
                    const char *path);
 /* Sends a JSON text as the request body (NULL for none) and returns the JSON
  * body of the response as a new reference.  Aborts the test on failure. */
 json_t *call_json(const char *method, const char *url, const char *body);
-/* Posts a JSON text to a path of a stand-in's test interface.  Aborts the test
- * on failure. */
+/* Posts a JSON text to a path of the test interface of a stand-in process.
+ * Aborts the test on failure. */
 void post_control(const AqProcess *process, const char *path,
                   const char *body);
 /* Sends SIGTERM to a process, waits for its end and frees it.  Returns whether
  * the exit status was 0. */
 bool stop_program(AqProcess *process);
-/* Returns an integer field of a JSON object; the test fails without it. */
+/* Returns an integer field of a JSON object; the test fails when the field is
+ * absent. */
 int64_t int_at(const json_t *object, const char *field);
 
 void add_platform_suite(void);
