--- a/packages/testkit/Include/aq_test_http.h
+++ b/packages/testkit/Include/aq_test_http.h
@@ -18,11 +18,11 @@
      * headers. */
     const char *const *headers;
     const char *body; /* NULL for a request without a body */
-    size_t size;      /* size of the body in bytes */
+    size_t size;      /* size of the request body in bytes */
     long timeout_ms;  /* time limit of the whole HTTP call; 0 selects 10 s */
 } AqTestHttpCall;
 
-/* HTTP response that was received. */
+/* HTTP response that an AqTestHttpClient received. */
 typedef struct {
     long status;
     AqBuffer headers; /* status line and header lines as received */
@@ -59,7 +59,8 @@
                            const AqTestHttpCall *call, AqTestHttpReply *reply,
                            AqError *error);
 
-/* Performs one call on a new connection, which is closed afterwards. */
+/* Performs one HTTP call on a new connection, which is closed afterwards;
+ * fails as AqTestHttpClient_Finish does. */
 bool AqTestHttp_Call(const AqTestHttpCall *call, AqTestHttpReply *reply,
                      AqError *error);
 /* Sends a JSON body (borrowed; NULL for none) and returns the JSON body of
--- a/packages/testkit/Include/aq_test_loop.h
+++ b/packages/testkit/Include/aq_test_loop.h
@@ -16,7 +16,7 @@
 typedef struct AqLoopSource {
     AqLink link;
     int fd; /* descriptor that the event loop polls for input; -1: none */
-    /* Called in every iteration of the loop, whether or not fd is
+    /* Called in every iteration of the event loop, whether or not fd is
      * readable. */
     void (*run)(struct AqLoopSource *source);
     /* Returns the time in ms after which run must be called, or -1 when run
@@ -28,15 +28,15 @@
  * that uses the timer. */
 typedef struct {
     AqLink link;
-    AqTime due; /* monotonic time at which fire is called */
+    AqTime due; /* monotonic time at which the function fire is called */
     void (*fire)(void *context);
     void *context; /* argument of the function fire; borrowed */
 } AqLoopTimer;
 
 /* Function that an event loop calls in place of poll(): waits until a
  * descriptor in fds is readable or timeout ms have passed (-1: no limit).  A
- * program that uses libcurl waits for libcurl's descriptors in the same call.
- *  */
+ * program that uses libcurl waits for libcurl's descriptors in the same
+ * call. */
 typedef void (*AqLoopWait)(void *context, struct pollfd *fds, unsigned count,
                            int timeout);
 
--- a/packages/testkit/Include/aq_test_response.h
+++ b/packages/testkit/Include/aq_test_response.h
@@ -5,9 +5,10 @@
 
 #include "aq_buffer.h"
 
-/* Body of an endpoint's response: the request id, the hash of the request
- * body and a checksum over the whole response, so that a caller can
- * distinguish an intact response to its own request from any other. */
+/* Body of a simulated endpoint's response: the request id, the hash of the
+ * request body and a checksum over the whole response.  With these a client
+ * can distinguish an intact response to its own request from any other
+ * response. */
 
 /* Result of verifying a response body against one request. */
 typedef enum {
--- a/packages/testkit/Include/aq_test_server.h
+++ b/packages/testkit/Include/aq_test_server.h
@@ -14,7 +14,7 @@
  * server passes a request to the stand-in's handler once the request body is
  * complete; the handler responds at once or later. */
 typedef struct AqTestServer AqTestServer;
-/* HTTP request that a test server received; owned by the server. */
+/* HTTP request that an AqTestServer received; owned by that server. */
 typedef struct AqTestRequest AqTestRequest;
 
 /* Functions that a stand-in provides and its AqTestServer calls. */
@@ -23,7 +23,7 @@
      * the request exactly once, during this call or later. */
     void (*request)(void *context, AqTestRequest *request);
     /* Called when the headers of a request have arrived, before its body.
-     * Returns false to close the connection.  May be NULL. */
+     * Returns false to make the server close the connection.  May be NULL. */
     bool (*headers)(void *context, AqTestRequest *request);
     /* Called after the server has accepted a connection.  May be NULL. */
     void (*connected)(void *context);
--- a/packages/testkit/caller.c
+++ b/packages/testkit/caller.c
@@ -24,7 +24,7 @@
 typedef struct {
     char id[96];
     int open_copies; /* copies of the request that have no result yet */
-    /* copies of the request with a result other than not-run */
+    /* Copies of the request with a result other than not-run. */
     int other_results;
     int not_run_results; /* copies of the request with the result not-run */
     bool idempotent;
@@ -37,12 +37,13 @@
     Caller *caller;
     CURL *easy;
     struct curl_slist *headers;
-    RequestGroup *group; /* NULL for a readiness check */
-    /* position of the called service in options->services */
+    /* Request of which a copy is sent; NULL for a readiness check. */
+    RequestGroup *group;
+    /* Position of the called service in options->services. */
     int service;
-    /* position of the called daemon in options->daemons */
+    /* Position of the called daemon in options->daemons. */
     int daemon;
-    /* number of daemons to which this copy was sent so far */
+    /* Number of daemons to which this copy was sent so far. */
     int tries;
     AqTestHttpReply reply;
 } Transfer;
@@ -57,9 +58,10 @@
     int in_flight; /* copies of requests that have no result yet */
     AqLoopTimer send_timer;
     AqLoopTimer check_timer;
-    /* monotonic time in ms at which the next request is sent */
+    /* Monotonic time in ms at which the next request is sent. */
     double next_send_ms;
-    AqTime send_end;   /* monotonic time after which no request is sent */
+    /* Monotonic time from which on no more requests are sent. */
+    AqTime send_end;
     uint64_t sequence; /* number in the id of the next request */
     /* Position in options->daemons at which the round-robin search for the
      * daemon of the next copy starts. */
--- a/packages/testkit/caller.h
+++ b/packages/testkit/caller.h
@@ -17,22 +17,24 @@
     /* "ADDRESS:PORT" of each daemon's listener for callers; borrowed. */
     const char *daemons[MAX_DAEMONS];
     int daemon_count;
-    const char *services[MAX_SERVICES]; /* services to call; borrowed */
+    /* Names of the services to call; borrowed. */
+    const char *services[MAX_SERVICES];
     int service_count;
-    /* part of the request path after /v1/services/NAME; borrowed */
+    /* Part of the request path after /v1/services/NAME; borrowed. */
     const char *path;
     const char *name; /* part of every request id; borrowed */
     double rate;      /* mean number of requests sent per second */
-    int64_t run_ms;   /* time during which requests are sent */
-    /* time limit of each request, in the header Aq-Timeout-Ms */
+    int64_t run_ms;   /* time during which the load generator sends requests */
+    /* Time limit of each request, in the header Aq-Timeout-Ms. */
     int64_t timeout_ms;
-    /* interval of the readiness checks of the daemons; 0: none */
+    /* Interval of the readiness checks of the daemons; 0: none. */
     int64_t check_ms;
-    int non_idempotent_percent; /* share of non-idempotent requests */
-    int repeat_percent;     /* share of requests sent to two daemons at once */
-    size_t body_bytes;      /* minimum size of a request body */
-    bool reuse_connections; /* keep connections open for later requests */
-    /* seed of the random send times and kinds of requests */
+    int non_idempotent_percent; /* share of requests that are not idempotent */
+    int repeat_percent; /* share of requests sent to two daemons at once */
+    size_t body_bytes;  /* minimum size of a request body */
+    /* Whether connections to daemons stay open for later requests. */
+    bool reuse_connections;
+    /* Seed of the random send times and kinds of requests. */
     uint64_t seed;
 } CallerOptions;
 
@@ -56,12 +58,13 @@
 /* Response to one copy of a request, or the failure to receive a response. */
 typedef struct {
     const char *id; /* request id; borrowed */
-    /* position in options->daemons of the daemon to which the copy was sent */
+    /* Position in options->daemons of the daemon to which the copy was
+     * sent. */
     int daemon;
     bool idempotent;
     ResultKind kind;
     long status; /* HTTP status of the response; 0 when none arrived */
-    /* The response has both Retry-After and Aq-Retry-After-Ms. */
+    /* The response has both headers Retry-After and Aq-Retry-After-Ms. */
     bool has_retry_after;
     double latency_ms;
     const char *detail; /* reason for an unexpected result; may be NULL */
@@ -81,21 +84,21 @@
     uint64_t unsent;
     /* Number of results by daemon and kind of result. */
     uint64_t counts[MAX_DAEMONS][RESULT_KIND_COUNT];
-    /* Number of responses with the outcome "unknown" to idempotent requests.
-     *  */
+    /* Number of responses with the outcome "unknown" to idempotent
+     * requests. */
     uint64_t unknown_idempotent;
     /* Number of responses with the outcome "not-run" that lack the header
      * Retry-After or Aq-Retry-After-Ms. */
     uint64_t no_retry_after;
-    /* latency of each completed copy of a request, double in ms */
+    /* Latency of each completed copy of a request, double in ms. */
     GArray *latencies;
     /* HTTP status of a result (0 without a response) -> number of results. */
     GHashTable *statuses;
-    /* ids of the requests that were answered not-run and no copy of which has
-     * run */
+    /* Ids of the requests that were answered not-run and no copy of which has
+     * run. */
     json_t *not_run_ids;
-    /* descriptions of the first 20 unexpected results; later ones are only
-     * counted */
+    /* Descriptions of the first 20 unexpected results; later ones are only
+     * counted. */
     json_t *problems;
 } Summary;
 
--- a/packages/testkit/caller_main.c
+++ b/packages/testkit/caller_main.c
@@ -9,9 +9,9 @@
 
 typedef struct {
     CallerOptions options;
-    /* path of the file for the summary; NULL: standard output */
+    /* Path of the file for the summary; NULL: standard output. */
     const char *output;
-    /* port of aq-caller's test interface; 0 selects a free one */
+    /* Port of aq-caller's test interface; 0 selects a free one. */
     int port;
 } CallerArguments;
 
--- a/packages/testkit/demo.h
+++ b/packages/testkit/demo.h
@@ -17,43 +17,46 @@
     DEMO_ENDPOINTS = 12,
     DEMO_POOLS = 2,
     DEMO_ZONES = 3,
-    DEMO_KILLED = 0,  /* number of the daemon that is sent SIGKILL */
-    DEMO_STOPPED = 1, /* number of the daemon that is sent SIGTERM */
+    /* Number of the daemon to which the demo sends SIGKILL. */
+    DEMO_KILLED = 0,
+    /* Number of the daemon to which the demo sends SIGTERM. */
+    DEMO_STOPPED = 1,
     /* Number of the daemon that runs to the end of the demo and receives the
      * operator's commands. */
     DEMO_KEPT = 2,
     DEMO_DRAINED = 2 /* number of the VM that the operator drains; in pool 0 */
 };
 
-/* Minimum number of serving VMs in each pool.  A pool has 6 VMs, so the budget
- * permits one planned stop. */
+/* Minimum number of serving VMs in each pool (budget).  A pool has 6 VMs, so
+ * the budget permits one planned stop at a time. */
 #define DEMO_MIN_SERVING 5
 
 /* Options of aq-demo. */
 typedef struct {
-    const char *bin; /* build directory that contains the programs */
-    /* directory for the demo's settings, logs and summaries */
+    const char *bin; /* build directory that contains the programs to start */
+    /* Directory for the demo's settings, logs and summaries. */
     const char *directory;
-    /* Path of the daemon's program; NULL for the program in the directory bin.
-     *  */
+    /* Path of the daemon's program; NULL for the program in the directory
+     * bin. */
     const char *daemon_program;
     /* Path of the command line program; NULL for the program in the directory
      * bin. */
     const char *command_program;
-    double rate; /* requests per second that each caller sends */
+    /* Mean number of requests per second that each caller sends. */
+    double rate;
 } DemoOptions;
 
 typedef struct Demo Demo;
 
 /* Child process of the demo. */
 typedef struct {
-    AqProcess *process; /* NULL before the process is started */
+    AqProcess *process; /* NULL until the demo starts the process */
     /* Event source for the end of the process; linked to the loop until the
      * process has ended. */
     AqLoopSource end_source;
     Demo *demo;
     bool ended;
-    int status; /* exit status; valid when ended is true */
+    int status; /* exit status of the process; valid when ended is true */
 } DemoProcess;
 
 /* What the demo reads from the daemons while the callers send requests. */
@@ -65,7 +68,7 @@
      * drained; 0 before that. */
     AqTime drained_at;
     uint64_t reads; /* number of VM lists read from daemons */
-    /* number of VM records read that do not name the VM's pool */
+    /* Number of VM records read that do not name the VM's pool. */
     uint64_t wrong_pool;
     /* Number of VM lists read that showed the drained VM as serving more than
      * 4 s after the drain was accepted. */
@@ -81,16 +84,16 @@
     DemoProcess endpoints;
     DemoProcess daemons[DEMO_DAEMONS];
     DemoProcess callers[DEMO_POOLS];
-    DemoProcess drain; /* the operator's drain command */
+    DemoProcess drain; /* operator's command that drains VM DEMO_DRAINED */
     /* Second drain command; the daemon must refuse the command because a
      * second drain exceeds the budget. */
     DemoProcess second_drain;
-    /* monotonic time at which the command "drain" was started */
+    /* Monotonic time at which the command "drain" was started. */
     AqTime drain_started;
     /* Monotonic time at which the command "drain" was seen to have succeeded;
      * 0 before that. */
     AqTime drain_accepted;
-    /* monotonic time at which SIGTERM was sent to daemon DEMO_STOPPED */
+    /* Monotonic time at which SIGTERM was sent to daemon DEMO_STOPPED. */
     AqTime stop_started;
     /* Monotonic time at which daemon DEMO_STOPPED was seen to have ended; 0
      * before that. */
@@ -148,7 +151,7 @@
 /* Returns the number of serving VMs that a daemon reports, or -1 when the
  * daemon does not respond with status 200. */
 int Demo_CountServing(Demo *demo, int daemon);
-/* Returns whether a daemon's readiness check succeeds. */
+/* Returns whether a daemon responds to GET /readyz with status 200. */
 bool Demo_IsReady(Demo *demo, int daemon);
 
 /* ---- demo_plan.c -------------------------------------------------------- */
@@ -163,8 +166,8 @@
 
 /* ---- demo_report.c ------------------------------------------------------ */
 
-/* Prints the table of results.  Returns whether all invariants held and all
- * steps of the plan happened. */
+/* Prints the table of the demo's results.  Returns whether all invariants held
+ * and all steps of the plan happened. */
 bool Demo_Report(Demo *demo);
 
 #endif
--- a/packages/testkit/demo_main.c
+++ b/packages/testkit/demo_main.c
@@ -8,8 +8,8 @@
 #include "demo.h"
 
 /* Time limit of each step of the demo's setup, such as all daemons reporting
- * all VMs as serving.  A new VM may have to pass 5 s of health checks first.
- *  */
+ * all VMs as serving.  A new VM may have to pass 5 s of health checks
+ * first. */
 #define SETUP_STEP_LIMIT_MS 8000
 
 static const struct argp_option option_table[] = {
--- a/packages/testkit/demo_plan.c
+++ b/packages/testkit/demo_plan.c
@@ -26,7 +26,7 @@
     AqLoopTimer timer;
     Demo *demo;
     bool (*check)(Demo *demo);
-    bool done; /* whether the check has succeeded */
+    bool done; /* whether the function check has returned true */
 } PeriodicCheck;
 
 static void
@@ -157,11 +157,13 @@
 /* Timers and next step of the demo's plan while the plan runs. */
 typedef struct {
     Demo *demo;
-    AqLoopTimer observe;  /* fires when the daemons' state is to be read */
+    /* Fires when the demo is to read the daemons' state. */
+    AqLoopTimer observe;
     AqLoopTimer progress; /* fires when a progress line is to be printed */
     AqLoopTimer next;     /* fires when the next step of the plan is due */
-    size_t step;          /* position of the next step in "steps" */
-    AqLoopTimer limit;    /* fires at the time limit of the demo */
+    /* Position of the plan's next step in the array "steps". */
+    size_t step;
+    AqLoopTimer limit; /* fires at the time limit of the demo */
 } Plan;
 
 /* Adds the numbers of requests that a caller reports as sent, completed, not
--- a/packages/testkit/demo_report.c
+++ b/packages/testkit/demo_report.c
@@ -11,7 +11,7 @@
  * drained VM: item 6 of section 1.2 of the requirements. */
 #define NEW_WORK_LIMIT_MS 3000
 
-/* Sums over the summaries of all callers. */
+/* Sums and maxima over the summaries of all callers. */
 typedef struct {
     int64_t sent;
     int64_t completed;
@@ -22,7 +22,7 @@
     /* Responses with status 409: a copy of a request whose request id is
      * already claimed. */
     int64_t unknown_repeats;
-    /* responses that belong to another request or have no valid outcome */
+    /* Responses that belong to another request or have no valid outcome. */
     int64_t wrong;
     /* Responses that were truncated or did not arrive, from the daemons that
      * were not killed. */
@@ -30,9 +30,10 @@
     /* Responses that were truncated or did not arrive, from the killed
      * daemon. */
     int64_t lost_by_kill;
-    /* copies of requests whose connections were all refused */
+    /* Copies of requests whose connections were all refused. */
     int64_t unsent;
-    /* not-run responses without the headers that give a retry time */
+    /* Responses with the outcome not-run that lack a header with the retry
+     * time. */
     int64_t no_retry_after;
     /* Requests that were answered not-run although an endpoint ran the
      * request. */
@@ -45,21 +46,21 @@
 /* Sums and maxima over the results of all endpoints. */
 typedef struct {
     int64_t runs; /* number of runs of all requests */
-    /* Non-idempotent request ids that ran more than once. */
+    /* Number of ids of non-idempotent requests that ran more than once. */
     int64_t non_idempotent_repeats;
-    /* Idempotent request ids that ran more than once. */
+    /* Number of ids of idempotent requests that ran more than once. */
     int64_t idempotent_repeats;
-    /* Requests that reached the drained endpoint more than 3 s after the start
-     * of the drain. */
+    /* Number of requests that reached the drained endpoint more than 3 s after
+     * the start of the drain. */
     int64_t late_requests;
     /* Time from the start of the drain to the last request that reached the
      * drained endpoint; -1 without such a request. */
     int64_t last_delay_ms;
-    /* requests that endpoints rejected for lack of a free slot */
+    /* Requests that endpoints rejected for lack of a free slot. */
     int64_t rejected;
-    /* highest number of slots in use at one endpoint */
+    /* Highest number of slots in use at one endpoint. */
     int64_t max_slots;
-    /* highest number of connections open at one endpoint */
+    /* Highest number of connections open at one endpoint. */
     int64_t max_connections;
     json_t *counts; /* request id -> number of runs; owned */
 } EndpointTally;
--- a/packages/testkit/demo_setup.c
+++ b/packages/testkit/demo_setup.c
@@ -10,7 +10,8 @@
 #include "aq_json.h"
 #include "aq_test_http.h"
 
-/* Time limit for the start of a process and for a configuration call. */
+/* Time limit for the start of a child process of the demo and for each
+ * configuration call; either fails after this time. */
 #define READY_MS 5000
 /* Time in seconds during which the callers send requests. */
 #define LOAD_SECONDS "19"
--- a/packages/testkit/demo_state.c
+++ b/packages/testkit/demo_state.c
@@ -5,8 +5,8 @@
 #include "aq_test_http.h"
 #include "demo.h"
 
-/* Time limit of a read from a daemon.  Shorter than the time between two steps
- * of the plan, so that a daemon that does not respond delays no step. */
+/* Time limit of a GET request to a daemon.  Shorter than the time between two
+ * steps of the plan, so that a daemon that does not respond delays no step. */
 #define READ_TIMEOUT_MS 300L
 /* Time within which an accepted intent must be in force on every daemon: item
  * 8 of section 1.2 of the requirements. */
@@ -105,8 +105,8 @@
     return text != NULL && strcmp(text, value) == 0;
 }
 
-/* Updates what demo->observed says about the drained VM from the VM's record.
- *  */
+/* Updates what demo->observed says about the drained VM from the VM's
+ * record. */
 static void
 check_drained(Demo *demo, const json_t *record)
 {
--- a/packages/testkit/endpoint.c
+++ b/packages/testkit/endpoint.c
@@ -15,19 +15,21 @@
     EndpointCommon *common;
     AqTestServer *server;
     EndpointFaults faults;
-    AqLink slot_requests; /* requests that occupy a slot */
+    /* List of SlotRequest, the requests that occupy a slot. */
+    AqLink slot_requests;
     int slots_in_use;
-    /* highest number of slots in use at the same time so far */
+    /* Highest number of slots in use at the same time so far. */
     int max_slots;
-    /* highest number of connections open at the same time so far */
+    /* Highest number of connections open at the same time so far. */
     unsigned max_connections;
     uint64_t runs; /* number of requests that were run */
-    /* number of requests rejected for lack of a free slot */
+    /* Number of requests rejected for lack of a free slot. */
     uint64_t not_run;
     bool leaving;
-    /* responses announce, in a header, that the endpoint leaves */
+    /* Responses announce, in a header, that the endpoint leaves. */
     bool announce;
-    AqTime leaving_since; /* monotonic time of the last change of "leaving" */
+    /* Monotonic time of the last call of Endpoint_SetLeaving. */
+    AqTime leaving_since;
     /* Requests received while the endpoint leaves, as [{id, delay_ms}];
      * delay_ms is the time since leaving_since. */
     json_t *after_leave;
@@ -38,7 +40,8 @@
     AqLink link;
     Endpoint *endpoint;
     AqTestRequest *request; /* NULL after the server dropped the request */
-    AqLoopTimer timer;      /* fires at the end of the service time */
+    /* Fires at the end of the request's service time. */
+    AqLoopTimer timer;
 } SlotRequest;
 
 /* Names of the values of CloseMode in the test interface. */
--- a/packages/testkit/endpoint.h
+++ b/packages/testkit/endpoint.h
@@ -20,17 +20,17 @@
 /* Moment at which the endpoint closes the connection of a request. */
 typedef enum {
     CLOSE_NONE,
-    /* The connection is closed when the headers have arrived; the request does
-     * not run. */
+    /* The endpoint closes the connection when the headers of the request have
+     * arrived; the request does not run. */
     CLOSE_BEFORE_READING,
-    /* The connection is closed at the first byte of the request body; the
-     * request does not run. */
+    /* The endpoint closes the connection at the first byte of the request
+     * body; the request does not run. */
     CLOSE_IN_BODY,
-    /* The connection is closed after the request has run, before any byte of
-     * the response. */
+    /* The endpoint closes the connection after the request has run, before any
+     * byte of the response. */
     CLOSE_BEFORE_RESPONSE,
-    /* The connection is closed after the request has run and half of the
-     * response was sent. */
+    /* The endpoint closes the connection after the request has run and half of
+     * the response was sent. */
     CLOSE_INSIDE_RESPONSE
 } CloseMode;
 
@@ -43,8 +43,9 @@
     /* Every request is counted as run and answered with status 500 at once,
      * without a service time. */
     bool fail_all;
-    bool fail_health; /* health checks are answered with status 500 */
-    /* Factor applied to every service time, in permille. */
+    /* Health checks of the endpoint are answered with status 500. */
+    bool fail_health;
+    /* Factor, in permille, by which every service time is multiplied. */
     int64_t slow_permille;
     /* Number of further responses that carry the ids of another request and
      * attempt. */
@@ -72,9 +73,10 @@
     AqTestLoop *loop;
     RunRecord runs;
     AqRandom random;
-    int slots;         /* requests that one endpoint runs at the same time */
+    /* Maximum number of requests that one endpoint runs at the same time. */
+    int slots;
     double service_ms; /* mean service time of a request */
-    /* distribution of the service times of requests */
+    /* Distribution of the service times of requests. */
     Distribution distribution;
     size_t response_bytes; /* minimum size of a response body */
 } EndpointCommon;
--- a/packages/testkit/endpoint_main.c
+++ b/packages/testkit/endpoint_main.c
@@ -19,7 +19,7 @@
     /* Port of the first endpoint; the others use the ports after it.  0
      * selects free ports. */
     int first_port;
-    int64_t seed; /* seed of the random service times */
+    int64_t seed; /* seed of the random service times of requests */
 } EndpointProcess;
 
 /* ---- Test interface ---------------------------------------------------- */
--- a/packages/testkit/http.c
+++ b/packages/testkit/http.c
@@ -14,7 +14,7 @@
     CURL *easy;
     struct curl_slist *headers;
     AqTestHttpReply reply; /* response that is being received */
-    /* whether the libcurl handle easy is part of multi */
+    /* Whether the libcurl handle easy is part of multi. */
     bool is_attached;
 };
 
--- a/packages/testkit/platform.h
+++ b/packages/testkit/platform.h
@@ -33,17 +33,17 @@
 /* Outage of the simulated store that the test interface injects. */
 typedef enum {
     STORE_UP,
-    /* the platform's port, which VM and task calls share, refuses connections
-     *  */
+    /* The platform's port, which VM and task calls share, refuses
+     * connections. */
     STORE_REFUSED,
-    STORE_503 /* store calls are answered with status 503 */
+    STORE_503 /* calls to the store are answered with status 503 */
 } StoreOutage;
 
 /* Faults that the test interface injects into the platform. */
 typedef struct {
     StoreOutage down;
-    /* time from the arrival of each store call until the platform handles the
-     * call */
+    /* Time from the arrival of each store call until the platform handles the
+     * call. */
     int64_t slow_ms;
     /* Number of further store writes that the platform performs without
      * sending a response. */
@@ -91,7 +91,7 @@
     /* Modification index in the query parameter "index" of a watch; the watch
      * is due once the watched data has a higher modification index. */
     uint64_t index;
-    /* whether the pending request is a call to the store */
+    /* Whether the pending request is a call to the store. */
     bool is_store_call;
     /* The change that the watch waits for has occurred, and the fault
      * delay_watches_ms delays the response. */
@@ -112,21 +112,22 @@
     PlatformOptions options;
     Faults faults;
     uint64_t calls[CALL_KIND_COUNT]; /* number of calls by CallKind */
-    /* number of store calls answered with an injected 503 */
+    /* Number of store calls answered with an injected 503. */
     uint64_t rejected;
-    /* number of responses not sent because of an injected fault */
+    /* Number of responses not sent because of an injected fault. */
     uint64_t lost;
     AqKv *kv;       /* keys and values of the simulated store */
     AqLink pending; /* list of PendingRequest */
     AqLink vms;
-    /* modification index of the VM list, incremented by each change */
+    /* Modification index of the VM list, incremented by each change. */
     uint64_t vms_index;
     AqLink tasks;
-    /* modification index of the task list, incremented by each change */
+    /* Modification index of the task list, incremented by each change. */
     uint64_t tasks_index;
 };
 
-/* Calls handle for the request after ms milliseconds. */
+/* Calls handle for the request after ms milliseconds.  Until then the request
+ * is pending. */
 void Platform_Delay(Platform *platform, AqTestRequest *request, int64_t ms,
                     bool is_store_call,
                     void (*handle)(Platform *platform,
@@ -158,25 +159,25 @@
 
 /* The functions of platform_store.c implement the calls to /v1/kv/. */
 
-/* Returns the kind of a call to the store. */
+/* Returns the kind under which the platform counts a call to the store. */
 CallKind Store_Kind(const AqTestRequest *request);
 void Store_Handle(Platform *platform, AqTestRequest *request);
 
 /* The functions of platform_vms.c implement the calls to /v1/vms. */
 
-/* Answers GET /v1/vms: a read or, with the query parameter "index", a watch.
- *  */
+/* Answers GET /v1/vms: a read or, with the query parameter "index", a
+ * watch. */
 void Vms_List(Platform *platform, AqTestRequest *request);
 /* Answers PUT /v1/vms/ID/reboot.  A call with the query parameter "op" of the
  * VM's last reboot does not start a second reboot. */
 void Vms_Reboot(Platform *platform, AqTestRequest *request);
-/* Answers POST /test/v1/vms: creates or changes VMs. */
+/* Answers POST /test/v1/vms of the test interface: creates or changes VMs. */
 void Vms_Set(Platform *platform, AqTestRequest *request);
 void Vms_Destroy(Platform *platform);
 
 /* Properties of a VM as a worker that runs tasks. */
 typedef struct {
-    bool known; /* whether a VM with this id exists */
+    bool known; /* whether the platform has a VM with the requested id */
     bool live;  /* whether the VM is live now, whatever the VM list shows */
     bool fails; /* every task that is started on the worker fails at once */
     int64_t cores;
@@ -194,8 +195,8 @@
 void Tasks_Put(Platform *platform, AqTestRequest *request);
 /* Answers POST /v1/tasks/ID/ACTION: checkpoint, throttle, stop or renew. */
 void Tasks_Act(Platform *platform, AqTestRequest *request);
-/* Answers GET /v1/tasks: a read or, with the query parameter "index", a watch.
- *  */
+/* Answers GET /v1/tasks: a read or, with the query parameter "index", a
+ * watch. */
 void Tasks_List(Platform *platform, AqTestRequest *request);
 /* Sets the state of the running and throttled tasks on a worker to "failed",
  * because the worker went down. */
--- a/packages/testkit/platform_kv.c
+++ b/packages/testkit/platform_kv.c
@@ -6,7 +6,7 @@
 
 struct AqKv {
     GTree *items; /* key -> AqKvItem, including deleted keys */
-    /* modification index after the last write; 1 in an unwritten table */
+    /* Modification index after the last write; 1 in an unwritten table. */
     uint64_t index;
 };
 
--- a/packages/testkit/platform_main.c
+++ b/packages/testkit/platform_main.c
@@ -22,8 +22,8 @@
     /* End of the request path, after the id of a VM or task; NULL when prefix
      * is the whole path. */
     const char *suffix;
-    CallKind kind; /* kind under which the call is counted */
-    /* kind under which the call is counted when the call is a watch */
+    CallKind kind; /* kind under which the platform counts the call */
+    /* Kind under which the call is counted when the call is a watch. */
     CallKind watch_kind;
     void (*handle)(Platform *platform, AqTestRequest *request);
 } Route;
@@ -37,7 +37,7 @@
 };
 
 /* Returns whether a request has the method and path of a route.  A route with
- * a NULL suffix matches only the whole path. */
+ * a NULL suffix matches only a path that equals its prefix. */
 static bool
 matches(const Route *route, const AqTestRequest *request)
 {
--- a/packages/testkit/platform_tasks.c
+++ b/packages/testkit/platform_tasks.c
@@ -16,7 +16,7 @@
 typedef enum {
     TASK_RUNNING,
     TASK_CHECKPOINTED,
-    TASK_THROTTLED, /* the task runs at half speed */
+    TASK_THROTTLED, /* the task runs at half speed on its worker */
     TASK_STOPPED,
     TASK_FINISHED,
     TASK_FAILED,
@@ -33,23 +33,24 @@
     char *id;
     json_t *request; /* body of the call that started the task */
     TaskState state;
-    bool started; /* whether the task was started */
+    bool started; /* whether the task was ever started on its worker */
     int64_t cores;
     int64_t memory_mb;
     int64_t accelerators;
-    /* duration of the task's lease, counted from each renewal */
+    /* Duration of the task's lease, counted from each renewal. */
     int64_t lease_ms;
-    /* Run time that the task still needed at the time progress_at, at full
-     * speed. */
+    /* Run time in ms, at full speed, that the task still needed at the time
+     * progress_at. */
     int64_t remaining_work_ms;
-    /* monotonic time at which remaining_work_ms was last updated */
+    /* Monotonic time at which remaining_work_ms was last updated. */
     AqTime progress_at;
-    /* resource usage of the task in the task list; NULL before the first
-     * report */
+    /* Resource usage of the task in the task list; NULL before the first
+     * report. */
     json_t *usage;
-    AqLoopTimer finish; /* fires when the work of the task is done */
-    AqLoopTimer lease;  /* fires when the lease of the task expires */
-    /* fires when the task list is to show the task's current usage */
+    /* Fires when remaining_work_ms is used up and the task finishes. */
+    AqLoopTimer finish;
+    AqLoopTimer lease; /* fires when the lease of the task expires */
+    /* Fires when the task list is to show the task's current usage. */
     AqLoopTimer report;
 } Task;
 
@@ -78,7 +79,8 @@
     return NULL;
 }
 
-/* Increments the index of the task list and answers watches of the list. */
+/* Increments the modification index of the task list and answers the watches
+ * (blocking queries) of the list. */
 static void
 tasks_changed(Platform *platform)
 {
--- a/packages/testkit/platform_vms.c
+++ b/packages/testkit/platform_vms.c
@@ -17,15 +17,15 @@
     AqLink link;
     Platform *platform;
     char *id;
-    /* current record of the VM: {id, address, rack, zone, state} */
+    /* Current record of the VM: {id, address, rack, zone, state}. */
     json_t *actual;
-    /* record of the VM in the VM list; NULL until first listed */
+    /* Record of the VM in the VM list; NULL until first listed. */
     json_t *listed;
     WorkerInfo worker;
-    /* changes of the VM that the VM list does not show yet */
+    /* Changes of the VM that the VM list does not show yet. */
     AqLink publications;
     AqLoopTimer reboot; /* fires when the reboot of the VM is complete */
-    /* operation id of the VM's last reboot; empty before the first */
+    /* Operation id of the VM's last reboot; empty before the first. */
     char last_reboot_op[128];
 } Vm;
 
--- a/packages/testkit/process.c
+++ b/packages/testkit/process.c
@@ -32,12 +32,12 @@
 struct AqProcess {
     pid_t pid;
     int pid_fd; /* descriptor that is readable once the process has ended */
-    int output; /* read end of the process's standard output */
+    int output; /* read end of the pipe from the process's standard output */
     bool ended; /* the process has ended and was reaped */
-    /* exit status of the process, or 128 + signal number; valid when ended is
-     * true */
+    /* Exit status of the process, or 128 + signal number; valid when ended is
+     * true. */
     int status;
-    /* standard output of the process that is not parsed yet */
+    /* Standard output of the process that is not parsed yet. */
     AqBuffer pending_output;
     ReadyAddress addresses[MAX_READY_ADDRESSES];
     int address_count;
@@ -103,8 +103,8 @@
     return process;
 }
 
-/* Reaps the process when it has ended and records its exit status.  flags are
- * those of waitpid(). */
+/* Reaps the process when the process has ended, and records the exit status.
+ * flags are those of waitpid(). */
 static void
 reap_process(AqProcess *process, int flags)
 {
--- a/packages/testkit/server_private.h
+++ b/packages/testkit/server_private.h
@@ -5,7 +5,7 @@
 
 #include "aq_test_server.h"
 
-/* Progress of a request on the test server. */
+/* Progress of an HTTP request on an AqTestServer. */
 typedef enum {
     /* The body of the request is not complete yet. */
     REQUEST_READING,
@@ -25,7 +25,7 @@
     AqLink link; /* in the server's list of connections */
     AqTestServer *server;
     int fd; /* connected socket; owned by libmicrohttpd */
-    /* No byte is sent and no request is handled on this connection. */
+    /* The server sends no byte and handles no request on this connection. */
     bool silent;
 } Connection;
 
@@ -33,24 +33,26 @@
     AqLink link; /* in the server's list of requests */
     AqTestServer *server;
     Connection *client; /* connection on which the request arrived */
-    /* libmicrohttpd's handle of the connection */
+    /* libmicrohttpd's handle of the connection. */
     struct MHD_Connection *connection;
     RequestState state;
     /* The connection of the request is suspended: libmicrohttpd does not
      * process the connection until MHD_resume_connection is called. */
     bool suspended;
-    /* close the connection at the first byte of the body */
+    /* Whether the connection is to be closed at the first byte of the request
+     * body. */
     bool close_in_body;
-    /* the handler has the request and has not responded yet */
+    /* The handler has the request and has not responded yet. */
     bool awaits_response;
     char *method;
     char *path;
     AqBuffer body;
-    /* response of the handler; NULL until the handler responds */
+    /* Response of the handler; NULL until the handler responds. */
     struct MHD_Response *response;
-    unsigned status; /* HTTP status of the response */
+    /* HTTP status of the response; valid after the handler responded */
+    unsigned status;
     json_t *headers; /* response headers, name -> value; owned */
-    /* pointer that the request handler stored; borrowed */
+    /* Pointer that the request handler stored; borrowed. */
     void *user;
 };
 
@@ -64,7 +66,7 @@
     /* Socket that is bound but never listens, so that the port stays
      * reserved while the server is closed. */
     int reserved_fd;
-    /* libmicrohttpd server; NULL while the test server is closed */
+    /* libmicrohttpd server; NULL while the test server is closed. */
     struct MHD_Daemon *daemon;
     AqLink connections;
     AqLink requests;
--- a/packages/testkit/tests/test_caller.c
+++ b/packages/testkit/tests/test_caller.c
@@ -16,8 +16,8 @@
     RESPONSE_NOT_RUN_NO_TIME, /* a not-run response without Retry-After */
     RESPONSE_UNKNOWN,
     RESPONSE_OTHER_ID, /* the header Aq-Request-Id names another request */
-    /* The header Aq-Request-Id is right, but the body is for another request.
-     *  */
+    /* The header Aq-Request-Id is right, but the body is for another
+     * request. */
     RESPONSE_OTHER_BODY,
     RESPONSE_NO_OUTCOME,
     RESPONSE_DAMAGED,
@@ -30,13 +30,15 @@
 typedef struct {
     AqTestLoop *loop;
     AqTestServer *server;
-    AqLoopSource caller_end; /* event source for the end of aq-caller */
+    /* Event source for the end of the aq-caller process. */
+    AqLoopSource caller_end;
     AqProcess *caller;
-    bool ended; /* whether aq-caller has ended */
-    int status; /* exit status of aq-caller */
+    bool ended; /* whether the aq-caller process has ended */
+    int status; /* exit status of the aq-caller process */
     /* Number of responses sent of each kind. */
     int response_counts[RESPONSE_KIND_COUNT];
-    unsigned next_response; /* number of the next response, from 0 */
+    /* Number of the next response to send, counted from 0. */
+    unsigned next_response;
     /* The daemon sends the first kind_count kinds of ResponseKind. */
     unsigned kind_count;
     /* Request id -> whether all copies of the request were answered not-run;
@@ -44,8 +46,8 @@
     json_t *not_run;
     /* aq-caller sends each request twice, both times to this daemon. */
     bool sends_copies;
-    /* Number of requests after which aq-caller is sent SIGTERM; 0: not sent.
-     *  */
+    /* Number of requests after which aq-caller is sent SIGTERM; 0: not
+     * sent. */
     int stop_after;
 } FakeDaemon;
 
@@ -208,8 +210,8 @@
     json_decref(summary);
 }
 
-/* Guards against requests that are lost, or counted as closed, when a daemon
- * refuses connections. */
+/* Guards against requests that are lost, or counted with the result "closed",
+ * when a daemon refuses connections. */
 static void
 test_refused_daemon(void)
 {
@@ -254,8 +256,8 @@
     json_decref(summary);
 }
 
-/* Guards against a caller that loses its counts when SIGTERM stops it before
- * the end of its run. */
+/* Guards against an aq-caller process that loses its counts when SIGTERM stops
+ * the process before all requests are sent. */
 static void
 test_stopped_caller(void)
 {
--- a/packages/testkit/tests/test_demo.c
+++ b/packages/testkit/tests/test_demo.c
@@ -19,21 +19,22 @@
     /* Id of a request that was answered not-run; NULL for none. */
     const char *not_run;
     int extra_runs; /* repeated runs of the request with the id n-x */
-    /* wrong responses that the summary of each caller reports */
+    /* Wrong responses that the summary of each caller reports. */
     int wrong;
     /* Number of connections that each daemon closed without a response. */
     int closed[DEMO_DAEMONS];
-    int no_answer; /* requests without a response from daemon DEMO_KEPT */
+    int no_answer; /* requests to daemon DEMO_KEPT that got no response */
     /* Number of VMs by which the serving VMs of the first pool fall below
      * DEMO_MIN_SERVING. */
     int missing_vms;
     int wrong_pool;  /* VM records read that do not name the VM's pool */
     int reverted;    /* VM lists read that showed the drained VM as serving */
-    int stop_status; /* exit status of the daemon that got SIGTERM */
-    /* The second drain, which exceeds the budget, is accepted. */
+    int stop_status; /* exit status of the daemon to which SIGTERM was sent */
+    /* The daemon accepts the second drain, which exceeds the budget. */
     bool is_second_drain_accepted;
-    bool is_never_drained; /* the drained VM never becomes free */
-    bool is_success;       /* expected result of Demo_Report */
+    /* No daemon ever reports the drained VM as drained. */
+    bool is_never_drained;
+    bool is_success; /* expected result of Demo_Report */
 } DemoCase;
 
 static const DemoCase cases[] = {
--- a/packages/testkit/tests/test_endpoint.c
+++ b/packages/testkit/tests/test_endpoint.c
@@ -20,8 +20,8 @@
     return !stop_program(endpoint);
 }
 
-/* HTTP call to the first endpoint, with the strings that the call refers to.
- *  */
+/* HTTP call to the first endpoint, with the strings that the call refers
+ * to. */
 typedef struct {
     char id[64];
     char id_header[96];
@@ -53,7 +53,7 @@
                      NULL);
 }
 
-/* Returns how often the request with this id ran. */
+/* Returns the number of runs of the request with this id. */
 static int64_t
 runs_of(const char *id)
 {
@@ -64,8 +64,8 @@
     return n;
 }
 
-/* Guards against a check that accepts a response to another request, or a
- * truncated or modified response, as the caller's own. */
+/* Guards against AqTestResponse_Check taking a response to another request, or
+ * a truncated or modified response, for the intact response to a request. */
 static void
 test_response_check(void)
 {
@@ -204,8 +204,8 @@
     post_control(endpoint, "/test/v1/faults", "{\"close\": \"none\"}");
 }
 
-/* Guards against a silenced connection that is closed or carries a response,
- * and against silence on connections opened later. */
+/* Guards against a silenced endpoint connection that is closed or carries a
+ * response, and against silence on connections opened later. */
 static void
 test_silent_connection(void)
 {
@@ -251,7 +251,7 @@
 }
 
 /* Guards against requests that a leaving endpoint receives but does not
- * record, and against health checks that are recorded as such requests. */
+ * record, and against health checks that appear in the same record. */
 static void
 test_leaving(void)
 {
--- a/packages/testkit/tests/test_platform.c
+++ b/packages/testkit/tests/test_platform.c
@@ -61,8 +61,8 @@
     return index;
 }
 
-/* Performs a PUT or DELETE on a key; returns the store's result, true when the
- * write took effect. */
+/* Performs a PUT or DELETE on a key of the store; returns the store's result,
+ * true when the write took effect. */
 static bool
 write_key(const char *method, const char *path, const char *body)
 {
@@ -75,7 +75,7 @@
 }
 
 /* Guards against a compare-and-swap that succeeds for two writers, and against
- * modify indexes that are reused after a delete. */
+ * modification indexes that are reused after a delete. */
 static void
 test_compare_and_swap(void)
 {
@@ -142,8 +142,8 @@
     return waiting;
 }
 
-/* Waits for the response to a watch and destroys its client; returns whether a
- * response arrived. */
+/* Waits for the response to a watch (blocking query) and destroys the client
+ * that sent the watch; returns whether a response arrived. */
 static bool
 finish_watch(AqTestHttpClient *client, AqTestHttpReply *reply, AqError *error)
 {
@@ -205,8 +205,8 @@
 }
 
 /* Guards against a write that does not take effect when a fault suppresses its
- * response, and against a fault that suppresses more responses than requested.
- *  */
+ * response, and against a fault that suppresses more responses than
+ * requested. */
 static void
 test_lost_reply(void)
 {
--- a/packages/testkit/tests/test_testkit.c
+++ b/packages/testkit/tests/test_testkit.c
@@ -8,7 +8,7 @@
 /* Time limit for the start of a program; long enough for sanitized programs on
  * a loaded machine. */
 #define READY_MS 20000
-/* Time limit for the exit of a program after a signal. */
+/* Time limit for the exit of a program after the test sent a signal. */
 #define EXIT_MS 20000
 
 const char *platform_program;
@@ -93,8 +93,8 @@
     return json_integer_value(value);
 }
 
-/* Guards against a process helper that waits forever, reports a running
- * process as ended, or does not report the signal that ended a process. */
+/* Guards against AqProcess functions that wait forever, report a running
+ * process as ended, or do not report the signal that ended a process. */
 static void
 test_process_exit(void)
 {
@@ -111,8 +111,8 @@
     AqProcess_Destroy(process);
 }
 
-/* Guards against a process helper that reports a program as ready although the
- * program could not start. */
+/* Guards against AqProcess functions that report a program as ready although
+ * the program could not start. */
 static void
 test_process_not_started(void)
 {
--- a/packages/testkit/tests/testkit_cases.h
+++ b/packages/testkit/tests/testkit_cases.h
@@ -8,7 +8,7 @@
 #include "aq_test_http.h"
 #include "aq_test_process.h"
 
-/* Paths of the programs under test, from the test's command line. */
+/* Paths of the stand-in programs under test, from the test's command line. */
 extern const char *platform_program;
 extern const char *endpoint_program;
 extern const char *caller_program;
