--- a/packages/testkit/server_private.h
+++ b/packages/testkit/server_private.h
@@ -5,46 +5,68 @@
 
 #include "aq_test_server.h"
 
+/* Progress of an HTTP request on an AqTestServer. */
 typedef enum {
-    REQUEST_READING,  /* the body is not complete */
-    REQUEST_HANDED,   /* with the handler, no answer yet */
-    REQUEST_ANSWERED, /* "response" waits to be queued */
-    REQUEST_CLOSING,  /* the connection is to be closed */
-    REQUEST_SILENT    /* never answered */
+    /* The body of the request is not complete yet. */
+    REQUEST_READING,
+    /* The request handler has the request and has not responded yet. */
+    REQUEST_DISPATCHED,
+    /* The handler has responded; the response is to be queued with
+     * libmicrohttpd. */
+    REQUEST_RESPONDED,
+    /* The connection of the request is to be closed. */
+    REQUEST_CLOSING,
+    /* The request is never answered, and its connection stays open. */
+    REQUEST_SILENT
 } RequestState;
 
+/* Open connection of a client to the test server. */
 typedef struct {
-    AqLink link;
+    AqLink link; /* in the server's list of connections */
     AqTestServer *server;
-    int fd;
+    int fd; /* connected socket; owned by libmicrohttpd */
+    /* The server sends no byte and handles no request on this connection. */
     bool silent;
 } Connection;
 
 struct AqTestRequest {
-    AqLink link; /* in server->requests */
+    AqLink link; /* in the server's list of requests */
     AqTestServer *server;
-    Connection *owner;
+    Connection *client; /* connection on which the request arrived */
+    /* libmicrohttpd's handle of the connection. */
     struct MHD_Connection *connection;
     RequestState state;
+    /* The connection of the request is suspended: libmicrohttpd does not
+     * process the connection until MHD_resume_connection is called. */
     bool suspended;
+    /* Whether the connection is to be closed at the first byte of the request
+     * body. */
     bool close_in_body;
-    bool held; /* the handler has it and has not answered */
+    /* The handler has the request and has not responded yet. */
+    bool awaits_response;
     char *method;
     char *path;
     AqBuffer body;
+    /* Response of the handler; NULL until the handler responds. */
     struct MHD_Response *response;
+    /* HTTP status of the response; valid after the handler responded */
     unsigned status;
-    json_t *headers; /* of the answer; new */
-    void *user;      /* borrowed; of the handler */
+    json_t *headers; /* response headers, name -> value; owned */
+    /* Pointer that the request handler stored; borrowed. */
+    void *user;
 };
 
 struct AqTestServer {
-    AqLoopSource source; /* first */
+    /* First member, since run_server casts the source to its AqTestServer. */
+    AqLoopSource source;
     AqTestLoop *loop;
     const AqTestServerOps *ops;
-    void *context;
+    void *context; /* first argument of the functions in ops; borrowed */
     int port;
-    int reserved_fd; /* bound, never listening: keeps the port */
+    /* Socket that is bound but never listens, so that the port stays
+     * reserved while the server is closed. */
+    int reserved_fd;
+    /* libmicrohttpd server; NULL while the test server is closed. */
     struct MHD_Daemon *daemon;
     AqLink connections;
     AqLink requests;
