--- a/cmake/package.cmake
+++ b/cmake/package.cmake
@@ -10,8 +10,9 @@
   target_link_libraries(aq_${name} PUBLIC ${P_DEPENDS})
 endfunction()
 
-# aq_test(NAME SOURCES file... DEPENDS target...)
-# Declares a CUnit program that CTest runs; exits non-zero on a failure.
+# aq_test(NAME SOURCES file... DEPENDS target... [ARGS argument...])
+# Declares the program test_NAME and the CTest test NAME, which runs it with
+# the arguments and passes when its exit status is 0.
 function(aq_test name)
   cmake_parse_arguments(T "" "" "SOURCES;DEPENDS;ARGS" ${ARGN})
   if(NOT AQ_TESTS)
