--- a/packages/daemon/Include/aq_daemon.h
+++ b/packages/daemon/Include/aq_daemon.h
@@ -20,8 +20,9 @@
 
 /* Runs the daemon's event loop; returns when the daemon has stopped. */
 void AqDaemon_Run(AqDaemon *daemon);
-/* Begins a graceful stop of the daemon, which waits for requests in flight, up
- * to a limit.  A second call ends the event loop at once. */
+/* Begins a graceful stop of the daemon, which waits for callers' requests in
+ * flight, at most for the settings' stop_limit_ms.  A second call ends the
+ * event loop at once. */
 void AqDaemon_Stop(AqDaemon *daemon);
 
 /* Returns the event loop, which the daemon owns. */
--- a/packages/daemon/bench/bench_daemon.c
+++ b/packages/daemon/bench/bench_daemon.c
@@ -5,11 +5,16 @@
 #include <string.h>
 #include <time.h>
 
-/* Measures the cost of the daemon with real processes on loopback.  Usage:
+/* Measures daemons in real processes on loopback and prints tables.  Usage:
  *   bench_daemon [--bin DIRECTORY] requests|silent|changes|idle|jobs
  *   bench_daemon [--bin DIRECTORY] case DAEMONS VMS POOLS SLOTS JOBS
- * "case" measures one site (platform, endpoints and daemons) without requests
- * of callers.  The current directory must be writable. */
+ * "requests": requests a second and their latency, through daemons and
+ * directly at the endpoints.  "silent": requests affected by connections that
+ * stay open but carry no more bytes.  "changes": time from an operator's
+ * change until it is in force at all daemons.  "idle", "jobs" and "case": CPU
+ * time, memory and network bytes of daemons without requests of callers, for
+ * several fleet sizes, several numbers of running jobs, or the numbers given.
+ * The current directory must be writable. */
 
 enum {
     ENDPOINTS = 8,
@@ -66,9 +71,9 @@
     for (size_t i = 0; i < sizeof(fleet_sizes) / sizeof(fleet_sizes[0]); i++) {
         run_idle(3, fleet_sizes[i][0], fleet_sizes[i][1], SLOTS, 0);
         run_idle(9, fleet_sizes[i][0], fleet_sizes[i][1], SLOTS, 0);
-        /* With one slot per VM, fewer daemons check the health of each VM; the
-         * difference from the previous row of the table is the cost of the
-         * health checks. */
+        /* With one request slot per VM, fewer daemons check the health of each
+         * VM; the difference from the previous row of the table is the CPU
+         * time and the bytes that the other health checks need. */
         run_idle(9, fleet_sizes[i][0], fleet_sizes[i][1], 1, 0);
     }
     for (size_t i = 0; i < sizeof(daemons) / sizeof(daemons[0]); i++) {
@@ -114,7 +119,7 @@
 run_requests(void)
 {
     static const int daemons[] = {1, 3, 9};
-    /* "way": calls sent directly to the endpoints or through the daemons;
+    /* "way": requests sent directly to the endpoints or through the daemons;
      * p50 and p99: latency of completed requests; "not completed": number of
      * requests that were not run or whose outcome is unknown. */
     printf("| daemons | callers at once | way | kind | requests/s | p50 ms "
--- a/packages/daemon/bench/bench_daemon.h
+++ b/packages/daemon/bench/bench_daemon.h
@@ -5,18 +5,18 @@
 
 /* Parts of bench_daemon; each prints a table of its measurements. */
 
-/* Measures requests per second and latency of calls that go directly to the
- * endpoints, and of calls through "daemons" daemons. */
+/* Measures requests per second and latency of requests sent directly to the
+ * endpoints, and of requests sent through "daemons" daemons. */
 void bench_requests(int daemons);
-/* Measures how many requests are affected when open connections of endpoints
- * become silent, that is, stay open but carry no more bytes. */
+/* Measures how many callers' requests are affected when open connections of
+ * endpoints become silent, that is, stay open but carry no more bytes. */
 void bench_silent(void);
-/* Prints the header of the table to which bench_idle() adds rows: the cost of
- * daemons without requests. */
+/* Prints the header of the table to which bench_idle() adds rows: CPU time,
+ * memory and network bytes of daemons without requests of callers. */
 void bench_idle_header(void);
 void bench_idle(const BenchPlan *plan);
-/* Measures the time from an operator's change until the change is in force at
- * all daemons. */
+/* Measures the time from an operator's change of the fleet document until the
+ * change is in force at all daemons. */
 void bench_changes(const BenchPlan *plan);
 
 /* Returns the monotonic time in microseconds. */
--- a/packages/daemon/bench/bench_idle.c
+++ b/packages/daemon/bench/bench_idle.c
@@ -8,7 +8,8 @@
 enum {
     /* Wait in ms from the time when all daemons are ready, and the jobs
      * submitted, until the measurement.  It covers the guard time of 4 s
-     * (AQ_GUARD_MS) after the start of the daemons, and their first reads. */
+     * (AQ_GUARD_MS), in which a new member may use no endpoint slots, and the
+     * daemons' first reads from the store. */
     SETTLE_MS = 8000,
     MEASURE_MS = 10000,
     TEAMS = 10
@@ -33,8 +34,9 @@
         json_object_get(json_object_get(status, object), name));
 }
 
-/* Reads the CPU time and the resident memory of a process.  schedstat counts
- * the same CPU time as stat, in ns instead of ticks of 10 ms. */
+/* Reads the CPU time and the resident memory of a process.  The file schedstat
+ * counts the same CPU time as the file stat, but in ns, not in ticks of 10 ms
+ * each. */
 static void
 read_process(pid_t pid, Sample *sample)
 {
@@ -107,12 +109,13 @@
     STORE_CALL_KINDS = sizeof(store_call_kinds) / sizeof(store_call_kinds[0])
 };
 
-/* Columns after the numbers of the plan: processor use of a daemon without the
- * planner and of the one with it, in percent of a core; largest resident
- * memory of a daemon; bytes a second per daemon to and from peers; HTTP bytes
- * a second without health checks of a daemon without the planner and of the
- * one with it; health checks a second and their bytes per daemon; store calls
- * of each kind a second by all daemons; size of one VM list. */
+/* Columns after the numbers of daemons, VMs, pools, slots and jobs: processor
+ * use of a daemon without the planner and of the one with it, in percent of a
+ * core; largest resident memory of a daemon; bytes a second per daemon to and
+ * from peers; HTTP bytes a second without health checks of a daemon without
+ * the planner and of the one with it; health checks a second and their bytes
+ * per daemon; store calls of each kind a second by all daemons; size of one VM
+ * list. */
 void
 bench_idle_header(void)
 {
--- a/packages/daemon/bench/bench_requests.c
+++ b/packages/daemon/bench/bench_requests.c
@@ -31,7 +31,8 @@
     Kind kind;
     char url[160];
     double end_us;
-    double *latency_us; /* latencies of completed requests */
+    /* Latencies of the worker's completed requests, in us. */
+    double *latency_us;
     size_t completed;
     size_t not_run;
     /* Number of requests without a response, or with a response whose outcome
@@ -194,7 +195,7 @@
                       .service_ms = 1};
     bench_start(&site, &plan);
     /* The wait covers the guard time of 4 s (AQ_GUARD_MS) after the start of
-     * the daemons. */
+     * the daemons, in which a new member may use no endpoint slots. */
     bench_sleep(6000);
     for (size_t i = 0; i < sizeof(callers) / sizeof(callers[0]); i++) {
         measure(&site, callers[i], true, KIND_IDEMPOTENT);
@@ -243,8 +244,8 @@
                       .slots = 8,
                       .endpoints = 4,
                       .service_ms = 20};
-    /* Columns: numbers of requests in one round; "after 1 s" counts the
-     * completed requests that took more than 1 s. */
+    /* Columns: numbers of requests in one round by kind and outcome; "after 1
+     * s" counts the completed requests that took more than 1 s. */
     printf("| round | idempotent: completed | after 1 s | not run | unknown "
            "| non-idempotent: completed | after 1 s | not run | unknown |\n");
     bench_start(&site, &plan);
--- a/packages/daemon/bench/bench_site.c
+++ b/packages/daemon/bench/bench_site.c
@@ -15,8 +15,8 @@
     VMS_PER_RACK = 4,
     ZONES = 2,
     MAX_KEPT_OPS = 256, /* most operation ids that a fleet document keeps */
-    /* Changes in the tail, that is, since the snapshot, when all daemons have
-     * joined. */
+    /* Number of changes in the tail, that is, since the snapshot, when all
+     * daemons have become members. */
     JOINED_TAIL_CHANGES = 8,
     MAX_TAIL_CHANGES = 16
 };
@@ -170,8 +170,8 @@
     json_decref(set);
 }
 
-/* Commits changes with operation ids as long as a UUID, like those of
- * operators. */
+/* Adds "count" changes to the fleet document, with operation ids as long as a
+ * UUID, like those of operators. */
 static void
 change_budgets(AqFleet *fleet, int count)
 {
@@ -250,8 +250,8 @@
              (long long)AqFleet_Version(fleet));
     put(site, key, snapshot);
     AqFleet_SnapshotWritten(fleet);
-    /* Each daemon that joins adds one change to the tail, and a full tail is
-     * emptied by a new snapshot. */
+    /* Each daemon that joins adds one change to the tail (the changes since
+     * the snapshot), and a full tail is emptied by a new snapshot. */
     change_budgets(fleet, (JOINED_TAIL_CHANGES + MAX_TAIL_CHANGES * 2 -
                            site->plan.daemons) %
                               MAX_TAIL_CHANGES);
--- a/packages/daemon/bench/bench_site.h
+++ b/packages/daemon/bench/bench_site.h
@@ -15,14 +15,14 @@
 enum {
     BENCH_MAX_DAEMONS = 27,
     BENCH_MAX_ENDPOINTS = 8,     /* most endpoint processes of a site */
-    BENCH_PORTS_PER_ENDPOINT = 4 /* listening ports of each process */
+    BENCH_PORTS_PER_ENDPOINT = 4 /* listening ports of each endpoint process */
 };
 
 typedef struct {
     int daemons;
     int vms;
     int pools;
-    int slots;      /* request slots of each VM */
+    int slots;      /* requests that may run on one VM at once */
     int endpoints;  /* endpoint processes */
     int service_ms; /* time in ms for which an endpoint runs a request */
     int jobs;       /* jobs that run during the measurement; 0: none */
@@ -34,7 +34,8 @@
     AqProcess *endpoints[BENCH_MAX_ENDPOINTS];
     AqProcess *daemons[BENCH_MAX_DAEMONS];
     char directory[32];
-    int op_count; /* intents sent so far; makes operation ids unique */
+    /* Operators' intents sent to this site; makes operation ids unique. */
+    int op_count;
 } BenchSite;
 
 /* Directory with the built packages, "build/packages" by default; main() may
@@ -56,7 +57,8 @@
 /* Returns the status page of a daemon as a new reference.  Ends the program on
  * an error. */
 json_t *bench_status(const BenchSite *site, int daemon);
-/* Sends an intent to daemon 0 and returns the HTTP status of the response. */
+/* Sends an operator's intent (requested change) to daemon 0 and returns the
+ * HTTP status of the response. */
 long bench_intent(BenchSite *site, const char *kind, const char *args);
 /* Sends GET or POST to the control port of a simulated service and returns the
  * response as a new reference.  Ends the program on an error. */
--- a/packages/daemon/burn_sync.c
+++ b/packages/daemon/burn_sync.c
@@ -28,7 +28,10 @@
     Daemon *daemon;
     AqBurn *burn;
     AqTimer timer;
-    bool has_read; /* all daemons' counters have been read from the store */
+    /* Whether the request counters of all daemons, from which the error-budget
+     * burn report is made, have been read from the store since this daemon
+     * started. */
+    bool has_read;
     /* This daemon's request counters as JSON while they are being written to
      * the store; otherwise NULL. */
     char *text;
@@ -132,8 +135,8 @@
 }
 
 /* Returns the time between two sendings of this daemon's request counters, of
- * "size" bytes, to the store and the members, so that the rate of all copies
- * stays within BYTES_PER_SECOND. */
+ * "size" bytes, to the store and the members, so that all copies together use
+ * at most BYTES_PER_SECOND. */
 static AqTime
 copy_period(const BurnSync *burn, size_t size)
 {
--- a/packages/daemon/claim_client.c
+++ b/packages/daemon/claim_client.c
@@ -22,11 +22,13 @@
 
 /* The claim of the id of a request that a caller sent to this daemon. */
 typedef struct {
-    AqLink link;      /* in "sent_to_owner" until the claim's owner replies */
+    /* In "sent_to_owner" until the owner of the claim's partition replies. */
+    AqLink link;
     uint64_t request; /* number that the router assigned to the request */
     AqMsgClaim claim;
-    /* Deadline for the reply to the claim of the daemon that owns the claim's
-     * partition; 0 if the claim was not sent to another daemon. */
+    /* Time until which this daemon waits for the verdict on the claim from the
+     * daemon that owns the claim's partition; 0 if the claim was not sent to
+     * another daemon. */
     AqTime requested_until;
     bool decided; /* the claim's verdict was passed to the router */
 } OwnClaim;
@@ -51,10 +53,12 @@
     AqClaims *claims;
     /* Router's request number -> OwnClaim, owned by the table. */
     GHashTable *own;
-    /* Claim number with PEER_BIT -> PeerClaim, owned by the table. */
+    /* Number with PEER_BIT, assigned by this daemon to a peer's claim ->
+     * PeerClaim, owned by the table. */
     GHashTable *peers;
     uint64_t last_peer_number; /* last number assigned to a peer's claim */
-    /* OwnClaims sent to the daemon that owns their partition, oldest first. */
+    /* List of the OwnClaims sent to the daemon that owns their partition,
+     * oldest first. */
     AqLink sent_to_owner;
     AqRandom random;
     AqTimer timer;
@@ -105,8 +109,8 @@
     start_timer(client);
 }
 
-/* Deletes a batch of claims from the store, unless the batch was last written
- * at another store revision than that in "reply". */
+/* Handles the reply to a read of the store key of a batch of claims: deletes
+ * the batch, unless it was written again after that read. */
 static void
 on_key_read(void *context, const AqStoreReply *reply)
 {
@@ -218,8 +222,9 @@
     AqList_Remove(&own->link);
     own->decided = true;
     if (verdict == AQ_CLAIM_UNAVAILABLE && own->requested_until != 0) {
-        /* The daemon that owns the claim's partition may still write the claim
-         * to the store. */
+        /* This daemon sent the claim to the daemon that owns its partition,
+         * which might store the claim later.  The request is refused as not
+         * run; the release lets a repeat of the request claim the id. */
         send_release(client, own);
     }
     AqRouter_ClaimDone(client->daemon->router,
--- a/packages/daemon/commits.c
+++ b/packages/daemon/commits.c
@@ -31,25 +31,28 @@
 typedef struct {
     AqLink link;
     char *op;
-    json_t *intent; /* intent that asked for the change, or NULL */
+    /* Intent (requested change) that led to the change, or NULL. */
+    json_t *intent;
     CommitEvaluate evaluate;
     CommitDone done;
     void *context;
     /* End of the wait until the change is stored or, once it is stored, until
      * a majority of the epoch's members has reported it in force. */
     AqTime deadline;
-    bool maybe_written; /* the change was in a write whose reply was lost */
+    bool maybe_written; /* a store write of the change got no reply */
     int64_t version;    /* fleet document version that contains the change */
 } Commit;
 
 struct Commits {
     Daemon *daemon;
-    AqLink waiting; /* Commits (changes) not stored and not in "batch" */
-    /* Commits (submitted changes) that the current batch evaluates and stores
-     * with one write of the store entry "head". */
+    /* List of the Commits (submitted changes) that are not stored and wait for
+     * the next batch. */
+    AqLink waiting;
+    /* List of the Commits (submitted changes) that the current batch evaluates
+     * and stores with one write of the store entry "head". */
     AqLink batch;
-    /* Commits (submitted changes) that are stored and that a majority of the
-     * epoch's members has not yet reported in force. */
+    /* List of the Commits (submitted changes) that are stored and that a
+     * majority of the epoch's members has not yet reported in force. */
     AqLink confirming;
     /* A batch is in progress: the store entry "head" is being read, changes
      * are being evaluated, or "head" is being written. */
@@ -63,7 +66,9 @@
     /* Fleet document version of the snapshot to remove after the next write of
      * the store entry "head"; 0: none. */
     int64_t old_snapshot_version;
-    AqFleet *next; /* fleet document with the changes in "batch", or NULL */
+    /* Fleet document with the changes in "batch" applied, to be written to the
+     * store; NULL before the evaluation of a batch and after its end. */
+    AqFleet *next;
     AqTimer timer;
     /* Conflicts with writes by other daemons since this daemon's last write of
      * the store entry "head" that succeeded. */
@@ -234,7 +239,8 @@
             Commit *commit = AqList_Entry(at, Commit, link);
             int64_t version = AqFleet_FindOp(next, commit->op);
             /* A change that added no record has no operation id in the fleet
-             * document. */
+             * document, so it waits for the reports of the newest version that
+             * the batch stored. */
             await_confirmation(commits, commit,
                                version > 0 ? version : AqFleet_Version(next));
         }
@@ -322,9 +328,9 @@
                                AqFleet_Version(commits->next));
     }
     json_decref(set);
-    /* The change is refused for good only if the batch is empty, so that the
-     * refusal depends on the stored document alone.  Otherwise the change is
-     * evaluated again in the next batch. */
+    /* The refusal is final only if the batch is empty, so that the refusal
+     * depends on the stored document alone.  Otherwise the change is evaluated
+     * again in the next batch. */
     if (!ok && AqList_IsEmpty(&commits->batch)) {
         finish(commit, COMMIT_REFUSED, &error);
     }
--- a/packages/daemon/daemon.c
+++ b/packages/daemon/daemon.c
@@ -41,8 +41,9 @@
 }
 
 /* A daemon that has just become a member holds no slots of endpoints until the
- * guard period of its epoch has passed.  Daemons that reported ready before
- * that refused half of their requests during an upgrade. */
+ * guard period (AQ_GUARD_MS) of its epoch, the new set of members, has passed.
+ * Daemons that reported ready before that refused half of their requests
+ * during an upgrade. */
 bool
 Daemon_IsReady(const Daemon *daemon)
 {
--- a/packages/daemon/daemon.h
+++ b/packages/daemon/daemon.h
@@ -41,7 +41,7 @@
     DAEMON_LEAVING   /* stopping: the daemon removes itself from the members */
 } DaemonPhase;
 
-/* The state that the modules of one daemon share. */
+/* The data that the modules of one daemon share. */
 typedef struct {
     const AqSettings *settings; /* owned by the caller of AqDaemon_Create */
     uint64_t instance; /* random number, new at each start of the daemon */
--- a/packages/daemon/endpoints.c
+++ b/packages/daemon/endpoints.c
@@ -10,17 +10,19 @@
 
 enum {
     HEALTH_PERIOD_MS = 1000,
-    /* Period of the health checks of a steady endpoint, see is_steady.  This
-     * period plus that of the heartbeats, which report a leaving endpoint to
-     * the other daemons, stays below 3 s. */
+    /* Period of the health checks of a steady endpoint (serving, not leaving,
+     * not ejected and healthy at its last check).  This period plus that of
+     * the heartbeats, which report a leaving endpoint to the other daemons,
+     * stays below 3 s. */
     STEADY_PERIOD_MS = 2000,
-    /* Number of daemons that check one steady endpoint, see is_steady. */
+    /* Number of daemons that check the health of one steady endpoint (serving,
+     * not leaving, not ejected and healthy at its last check). */
     STEADY_CHECKERS = 2,
     HEALTH_TIMEOUT_MS = 1000,
     HEALTH_MAX_RESPONSE_BYTES = 65536,
     CHECK_SLOTS_PERIOD_MS = 100,
-    /* How long a peer's report of a leaving endpoint is valid; the peer
-     * repeats the report in each heartbeat. */
+    /* How long a peer's report that an endpoint is leaving service is valid;
+     * the peer repeats the report in each heartbeat. */
     PEER_LEAVING_MS = 2500
 };
 
@@ -33,11 +35,13 @@
     /* Whether the fleet document that Endpoints_Refresh applies at present
      * lists the endpoint. */
     bool is_in_document;
-    bool reported_leaving; /* the endpoint itself reports that it is leaving */
-    /* A peer's last report that the endpoint is leaving is valid until this
-     * time on the loop's clock. */
+    /* The endpoint itself reports that it is leaving service. */
+    bool reported_leaving;
+    /* A peer's last report that the endpoint is leaving service is valid until
+     * this time on the loop's clock. */
     AqTime peer_leaving_until;
-    bool leaving; /* this daemon's router starts no new requests on it */
+    /* This daemon's router starts no new requests on the endpoint. */
+    bool leaving;
     /* Number of the endpoint's request slots that this daemon's router may
      * use, as last computed by Endpoints_RefreshSlots. */
     int usable;
@@ -56,14 +60,16 @@
     Daemon *daemon;
     GHashTable *by_id;
     AqTimer timer;
-    /* Whether this daemon has held at least half of the endpoints' slots that
-     * are assigned to it, at some time since it became a member with a fresh
-     * fleet document. */
+    /* Whether this daemon is a member that may rely on its fleet document and,
+     * at some time since it became one, has held at least half of the
+     * endpoints' slots that are assigned to it. */
     bool has_slots;
     EndpointsCounts counts;
-    /* Value of AqSlices_IsSteady when Endpoints_RefreshSlots last began. */
+    /* Whether no slot was pending, leased out or leased in (AqSlices_IsSteady)
+     * when Endpoints_RefreshSlots last began. */
     bool was_steady;
-    /* Value of AqMembership_IsFresh when Endpoints_RefreshSlots last began. */
+    /* Whether this daemon could rely on its fleet document
+     * (AqMembership_IsFresh) when Endpoints_RefreshSlots last began. */
     bool was_fresh;
 };
 
@@ -166,9 +172,9 @@
            !AqRouter_IsEjected(e->owner->daemon->router, e->id);
 }
 
-/* Whether this daemon is one of the STEADY_CHECKERS daemons that check a
- * steady endpoint.  Checks by all of 9 daemons cost 4.6% of a core at 900 VMs.
- */
+/* Whether this daemon is one of the STEADY_CHECKERS daemons that check the
+ * health of a steady endpoint.  Health checks by all of 9 daemons used 4.6% of
+ * a core at 900 VMs. */
 static bool
 is_checker(const Endpoint *e, AqTime now)
 {
@@ -361,16 +367,17 @@
     bool member =
         AqMembership_IsMember(daemon->membership, daemon->settings->node_id) &&
         AqMembership_IsFresh(daemon->membership, now);
-    /* "has_slots" stays true while this daemon is a member with a fresh fleet
-     * document: a later epoch takes slots away only until its guard period has
-     * passed, and meanwhile the other daemons lease slots to this one. */
+    /* "has_slots" stays true while this daemon is a member that may rely on
+     * its fleet document: a later epoch (set of members) takes slots away only
+     * until its guard period (AQ_GUARD_MS) has passed, and meanwhile the other
+     * daemons lease slots to this one. */
     endpoints->has_slots =
         member && (endpoints->has_slots || 2 * held >= assigned);
 }
 
 /* Called for each heartbeat received from a peer, 2 (n - 1) times a second
- * with n members.  Skipping the refresh of each of 900 endpoints saves most of
- * the processor time that an idle daemon can avoid. */
+ * with n members.  Skipping the computation of the usable slots of each of 900
+ * endpoints saves most of the processor time that an idle daemon can avoid. */
 void
 Endpoints_CheckSlots(Endpoints *endpoints)
 {
--- a/packages/daemon/endpoints.h
+++ b/packages/daemon/endpoints.h
@@ -20,9 +20,9 @@
  * changed since the last call of Endpoints_RefreshSlots. */
 void Endpoints_CheckSlots(Endpoints *endpoints);
 
-/* Whether this daemon has held at least half of the endpoints' slots that are
- * assigned to it, at some time since it became a member with a fresh fleet
- * document. */
+/* Whether this daemon is a member that may rely on its fleet document and, at
+ * some time since it became one, has held at least half of the endpoints'
+ * slots that are assigned to it. */
 bool Endpoints_HaveSlots(const Endpoints *endpoints);
 
 /* Returns the "IP:port" of an endpoint, or NULL for an unknown id.  The string
@@ -33,11 +33,11 @@
 uint64_t Endpoints_Generation(const Endpoints *endpoints, const char *id);
 void Endpoints_CloseIdle(Endpoints *endpoints, const char *id);
 
-/* Records whether the endpoint itself reports that it is leaving, so that no
- * new attempts of requests start on it. */
+/* Records whether the endpoint itself reports that it is leaving service, so
+ * that no new attempts of requests start on the endpoint. */
 void Endpoints_OnLeaving(Endpoints *endpoints, const char *id, bool leaving);
-/* Records that a peer reports the endpoint as leaving.  The record expires
- * after a few seconds unless a peer repeats the report. */
+/* Records that a peer reports that the endpoint is leaving service.  The
+ * record expires after a few seconds unless a peer repeats the report. */
 void Endpoints_OnPeerLeaving(Endpoints *endpoints, const char *id);
 
 /* Whether the health checks of the endpoint have succeeded without a failure
@@ -45,9 +45,9 @@
 bool Endpoints_HealthyFor(const Endpoints *endpoints, const char *id,
                           int64_t ms);
 
-/* Adds to a heartbeat the leaving endpoints with their requests in flight, the
- * endpoints with more requests in flight than assigned slots, and the queue
- * lengths and idle slots of services. */
+/* Adds to a heartbeat the endpoints that are leaving service, with their
+ * requests in flight, the endpoints with more requests in flight than assigned
+ * slots, and the queue lengths and idle slots of services. */
 void Endpoints_FillHeartbeat(const Endpoints *endpoints, AqMsgHeartbeat *beat);
 
 /* Health checks of endpoints that have ended since the daemon started, and the
--- a/packages/daemon/fleet_sync.c
+++ b/packages/daemon/fleet_sync.c
@@ -28,12 +28,17 @@
  * document, and of the snapshot that the entry names, if that is needed too.
  */
 typedef struct {
-    AqLink link; /* in FleetSync.reads while the read is in progress */
+    /* In FleetSync.reads while this read from the store is in progress. */
+    AqLink link;
     FleetSync *sync;
-    AqTime started; /* when the read began, on the loop's clock */
-    /* A watch of the entry "head", not a FleetSync_Refresh. */
+    /* When this read from the store began, on the loop's clock. */
+    AqTime started;
+    /* Whether this read waits for a change of the store entry "head" (a
+     * watch); false for the read of a FleetSync_Refresh. */
     bool is_watch;
-    FleetSyncDone done; /* callback of FleetSync_Refresh; NULL for a watch */
+    /* Function that the caller of FleetSync_Refresh passed, called when this
+     * read ends; NULL for a watch, which has no caller. */
+    FleetSyncDone done;
     void *context;
     /* Copy of the value of the store entry "head"; NULL before the store has
      * replied. */
@@ -47,7 +52,9 @@
 struct FleetSync {
     Daemon *daemon;
     AqFleet *fleet;
-    AqLink reads; /* HeadReads in progress; FleetSync_Destroy frees them */
+    /* List of the HeadReads (reads from the store) in progress;
+     * FleetSync_Destroy frees them. */
+    AqLink reads;
     /* Store revision of the entry "head" that the last watch returned; the
      * next watch waits for a later one.  0 before the first watch and after a
      * failed watch. */
@@ -56,7 +63,8 @@
     /* Time at which the last successful HeadRead (read from the store)
      * started. */
     AqTime last_contact;
-    /* At least one HeadRead (read from the store) has succeeded. */
+    /* Whether a HeadRead (read from the store) has succeeded since this daemon
+     * started. */
     bool had_contact;
     /* Time of the last request to a peer for the fleet document. */
     AqTime peer_requested_at;
@@ -236,8 +244,8 @@
     HeadRead *read = calloc(1, sizeof(*read));
     read->sync = sync;
     AqList_Append(&sync->reads, &read->link);
-    /* The reply may show the store as it was when this read began, so the
-     * contact with the store is dated back to this time. */
+    /* The reply may show the store as it was when this read began, so a reply
+     * counts as contact with the store at this time and not at its arrival. */
     read->started = AqLoop_Now(sync->daemon->loop);
     return read;
 }
--- a/packages/daemon/jobs_runner.c
+++ b/packages/daemon/jobs_runner.c
@@ -38,10 +38,14 @@
     AqJobs *jobs;
     TaskClient *client;
     AqTimer timer;
-    AqLink intents; /* PendingExchanges whose intents are not stored yet */
-    /* PendingExchanges that request the list of all jobs. */
+    /* List of the operators' HTTP requests whose intents are not stored yet
+     * (PendingExchange). */
+    AqLink intents;
+    /* List of the operators' HTTP requests for all jobs (PendingExchange) that
+     * have no response yet. */
     AqLink listings;
-    bool is_calling_store; /* a store call is in progress */
+    /* A read or write of job documents is in progress. */
+    bool is_calling_store;
     /* Time of the last read of all job documents from the store. */
     AqTime listed_at;
     /* Name of the team whose job document is being written to the store. */
--- a/packages/daemon/operators.h
+++ b/packages/daemon/operators.h
@@ -4,9 +4,9 @@
 #include "daemon.h"
 
 /* Creates the HTTP server for operators.  It accepts intents (requested
- * changes) and serves the fleet's state, this daemon's status and the burn
- * report (error-budget burn rate per service).  Every request needs the bearer
- * token of the settings. */
+ * changes) and serves the records of the fleet document, this daemon's status
+ * and the burn report (error-budget burn rate per service).  Every request
+ * needs the bearer token of the settings. */
 
 Operators *Operators_Create(Daemon *daemon, AqError *error);
 void Operators_Destroy(Operators *operators);
--- a/packages/daemon/peers.c
+++ b/packages/daemon/peers.c
@@ -13,8 +13,8 @@
 
 enum {
     DIAL_RETRY_MS = 500,
-    /* Least time between a heartbeat to the peers and the next one, if that is
-     * sent early. */
+    /* Least time between two heartbeats to the peers, also when the second is
+     * sent early (Peers_TriggerHeartbeat). */
     MIN_HEARTBEAT_INTERVAL_MS = 20,
     /* Longest wait for a dialled connection to be established before it is
      * closed and dialled again. */
--- a/packages/daemon/peers.h
+++ b/packages/daemon/peers.h
@@ -30,8 +30,8 @@
  * which version of the fleet document is in force here. */
 void Peers_TriggerHeartbeat(Peers *peers);
 
-/* Sets the numbers of bytes sent to and received from peers since the daemon
- * started. */
+/* Sets *sent and *received to the numbers of bytes sent to and received from
+ * peers since the daemon started. */
 void Peers_GetTraffic(const Peers *peers, uint64_t *sent, uint64_t *received);
 
 #endif
--- a/packages/daemon/peers_private.h
+++ b/packages/daemon/peers_private.h
@@ -20,7 +20,8 @@
     bool connected;
     /* This daemon must dial the peer; set by Peers_Refresh. */
     bool is_required;
-    AqTime since;    /* when it was established or, until then, dialled */
+    /* When the connection was established or, until then, dialled. */
+    AqTime since;
     AqTime retry_at; /* time from which the peer may be dialled again */
     AqBuffer out;    /* bytes waiting to be sent to the peer */
 } Outgoing;
--- a/packages/daemon/slot_leasing.c
+++ b/packages/daemon/slot_leasing.c
@@ -66,7 +66,7 @@
 typedef struct {
     Daemon *daemon;
     const char *lessee;
-    int remaining_slots; /* slots that are still to be leased to the lessee */
+    int remaining_slots; /* slots not yet leased to the lessee */
 } LessorState;
 
 static void
--- a/packages/daemon/snapshots.c
+++ b/packages/daemon/snapshots.c
@@ -28,8 +28,8 @@
     free(removal);
 }
 
-/* Deletes a snapshot from the store, unless the snapshot was last written at
- * another store revision than that in "reply". */
+/* Handles the reply to a read of a snapshot's store key: deletes the snapshot,
+ * unless it was written again after that read. */
 static void
 on_key_read(void *context, const AqStoreReply *reply)
 {
--- a/packages/daemon/stopping.c
+++ b/packages/daemon/stopping.c
@@ -9,8 +9,8 @@
 
 enum {
     CHECK_PERIOD_MS = 50,
-    /* Longest time for this daemon to leave the epoch (set of members).  After
-     * that the other members remove this daemon. */
+    /* Longest time for this daemon to remove itself from the epoch (set of
+     * members).  After that the other members remove this daemon. */
     LEAVE_TIMEOUT_MS = 8000
 };
 
@@ -21,7 +21,9 @@
     /* Time until which a stop waits for the end of callers' requests in
      * flight. */
     AqTime drain_deadline;
-    AqTime leave_deadline; /* until then a refused removal is retried */
+    /* Time until which the removal of this daemon from the epoch (set of
+     * members), if it was refused, is submitted again. */
+    AqTime leave_deadline;
     int leave_attempts;
 };
 
--- a/packages/daemon/task_client.c
+++ b/packages/daemon/task_client.c
@@ -29,7 +29,8 @@
      * LIST_WAIT_S.  NULL if no call is in progress. */
     AqHttpCall *watch;
     AqTimer retry;
-    AqLink orders; /* Orders to which the platform has not replied */
+    /* List of the Orders to which the platform has not replied. */
+    AqLink orders;
 };
 
 typedef struct {
--- a/packages/daemon/tests/corpus.c
+++ b/packages/daemon/tests/corpus.c
@@ -59,7 +59,7 @@
 }
 
 /* Overwrites a random place of the input with a piece of a random corpus file;
- * the input grows when the piece reaches beyond its end. */
+ * the input grows when the piece reaches beyond the input's end. */
 static void
 splice(Corpus *corpus, CorpusInput *input)
 {
--- a/packages/daemon/tests/fault_site.h
+++ b/packages/daemon/tests/fault_site.h
@@ -5,8 +5,8 @@
 
 #include "site.h"
 
-/* Helpers shared by the fault tests: counters of the endpoints, load and
- * checks. */
+/* Helpers shared by the fault tests: counters of the endpoints, requests of
+ * callers (load) and checks. */
 
 enum {
     FAULT_WAIT_MS = 30000
@@ -35,13 +35,14 @@
 void fault_expect(const SiteResponse *response, long status,
                   const char *outcome, const char *what);
 
-/* Returns the sum of a counter, named by its JSON field, over all endpoints
- * (fault_endpoint_max(): the largest value of an endpoint). */
+/* Returns the sum of a counter of the endpoints, named by its JSON field, over
+ * all endpoints (fault_endpoint_max(): the largest value of one endpoint). */
 int fault_endpoint_sum(Site *site, const char *field);
 int fault_endpoint_max(Site *site, const char *field);
 int fault_endpoint_field(Site *site, int endpoint, const char *field);
-/* Returns the endpoints' response to /test/v1/runs?ids, with the number of
- * runs of each request id, as a new reference. */
+/* Returns the response of the process that runs all endpoints to
+ * /test/v1/runs?ids, with the number of runs of each request id, as a new
+ * reference. */
 json_t *fault_runs(Site *site);
 /* Polls until a counter of one endpoint, or its sum over all endpoints when
  * "endpoint" is -1, is from "low" to "high"; returns false if that does not
@@ -73,25 +74,28 @@
 } FaultLoad;
 
 typedef struct {
-    const char *name;     /* part of this load's request ids and file names */
+    const char *name; /* part of the request ids and file names of aq-caller */
     unsigned daemon_mask; /* bit i is set: daemon i receives requests */
     const char *path;
     int rate_per_s; /* requests that aq-caller sends per second */
     int duration_s;
     int timeout_ms;
-    int non_idempotent_percent; /* share of all requests, in percent */
+    /* Share of non-idempotent requests, in percent. */
+    int non_idempotent_percent;
 } FaultLoadOptions;
 
 void fault_load_start(Site *site, const FaultLoadOptions *options,
                       FaultLoad *load);
-/* Returns a counter of the running load's summary so far. */
+/* Returns one counter, named by its JSON field, of the requests that the
+ * running aq-caller process has sent so far. */
 int fault_load_current(const FaultLoad *load, const char *field);
-/* Waits until the load's process has ended and reads its summary. */
+/* Waits until the aq-caller process of "load" has ended and reads its
+ * results. */
 void fault_load_finish(FaultLoad *load);
 int fault_load_count(const FaultLoad *load, const char *field);
 void fault_load_clear(FaultLoad *load);
-/* Fails the test unless requests were sent and all of them completed with the
- * right response. */
+/* Fails the test unless aq-caller has sent requests and all of them completed
+ * with the right response. */
 void fault_load_check_completed(const FaultLoad *load);
 /* Fails the test when a non-idempotent request ran more than once. */
 void fault_check_at_most_once(Site *site);
--- a/packages/daemon/tests/relay.c
+++ b/packages/daemon/tests/relay.c
@@ -19,7 +19,7 @@
     MAX_CONNECTIONS = 64,
     CHUNK_SIZE = 16384,
     NAME_SIZE = 16,
-    POLL_MS = 20 /* most ms between two checks of queued bytes */
+    POLL_MS = 20 /* most ms between two checks of held or delayed bytes */
 };
 
 /* Bytes that the relay has received and not yet sent completely. */
@@ -37,7 +37,7 @@
 typedef struct {
     int from; /* socket of the dialling daemon; -1: this entry is free */
     int to;
-    /* Id of the dialling daemon; empty until the HELLO arrives. */
+    /* Id of the daemon that dialled; empty until its HELLO frame arrives. */
     char sender[NAME_SIZE];
     bool is_discarded;
     AqLink chunks;
@@ -52,7 +52,8 @@
     bool is_stopping;
     bool has_target;
     struct sockaddr_in target;
-    /* Id of the daemon whose bytes are held; "": none, "*": all. */
+    /* Id of the daemon whose bytes the relay holds back; "": none, "*":
+     * all. */
     char held_sender[NAME_SIZE];
     int delay_ms;
     Connection connections[MAX_CONNECTIONS];
@@ -126,8 +127,8 @@
             strcmp(relay->held_sender, c->sender) == 0);
 }
 
-/* Receives one chunk; returns false when the sender has closed the connection
- * or receiving failed. */
+/* Receives bytes of a connection, at most one chunk; returns false when the
+ * sender has closed the connection or receiving failed. */
 static bool
 read_chunk(const Relay *relay, Connection *c)
 {
@@ -197,8 +198,8 @@
 static int
 poll_timeout_ms(const Relay *relay)
 {
-    /* While chunks are held or delayed, the thread checks them every POLL_MS;
-     * otherwise it waits for an event. */
+    /* While chunks of received bytes are held or delayed, the thread checks
+     * them every POLL_MS; otherwise it waits for an event. */
     for (int i = 0; i < MAX_CONNECTIONS; i++) {
         const Connection *c = &relay->connections[i];
         if (c->from >= 0 && !AqList_IsEmpty(&c->chunks)) {
--- a/packages/daemon/tests/site.h
+++ b/packages/daemon/tests/site.h
@@ -26,12 +26,14 @@
     /* Address of the relay that the other daemons dial instead of daemon i's
      * own peer listener; empty: they dial the listener itself. */
     char advertise[SITE_DAEMONS][32];
-    const char *endpoint_slots; /* request slots per endpoint; NULL: "8" */
+    /* Requests that may run at one endpoint at once; NULL: "8". */
+    const char *endpoint_slots;
     /* Called whenever a daemon has started and listens; may be NULL. */
     void (*on_started)(Site *site, int daemon);
-    int op_count; /* intents sent so far; makes operation ids unique */
-    /* Store revision of the fleet document's head when the test last read the
-     * head from the store. */
+    /* Operators' intents sent to this site; makes operation ids unique. */
+    int op_count;
+    /* Store revision of the entry "head", which describes the newest fleet
+     * document, when the test last read that entry. */
     long long head_revision;
 };
 
@@ -68,8 +70,8 @@
 void site_get(Site *site, int daemon, const char *listener, const char *path,
               SiteResponse *response);
 
-/* Request of a caller: site_send() starts the request, site_finish() waits for
- * the response. */
+/* A caller's HTTP request to a daemon: site_send() starts the request,
+ * site_finish() waits for the response. */
 typedef struct {
     AqTestHttpClient *client;
     char url[256];
@@ -79,20 +81,22 @@
     bool is_started;
 } SiteRequest;
 
-/* Sends an idempotent GET when "id" is NULL, otherwise a non-idempotent POST
- * with "id" as its request id. */
+/* Starts a request to a daemon's listener for callers: an idempotent GET when
+ * "id" is NULL, otherwise a non-idempotent POST with "id" as its request
+ * id. */
 void site_send(Site *site, int daemon, const char *path, const char *id,
                int timeout_ms, SiteRequest *request);
-/* Sends a POST with "id" as its request id; "idempotent" is sent as the
- * Aq-Idempotent header. */
+/* Starts a POST to a daemon's listener for callers, with "id" as its request
+ * id; "idempotent" is sent as the Aq-Idempotent header. */
 void site_send_post(Site *site, int daemon, const char *path, const char *id,
                     bool idempotent, int timeout_ms, SiteRequest *request);
 void site_finish(SiteRequest *request, SiteResponse *response);
 void site_call(Site *site, int daemon, const char *path, const char *id,
                SiteResponse *response);
 
-/* Intent of an operator: site_intent_send() starts the call,
- * site_intent_finish() waits for the response. */
+/* An operator's intent (requested change) and its HTTP request to a daemon:
+ * site_intent_send() starts the request, site_intent_finish() waits for the
+ * response. */
 typedef struct {
     AqTestHttpClient *client;
     char url[128];
@@ -103,8 +107,9 @@
 void site_intent_send(Site *site, int daemon, const char *op, const char *kind,
                       const char *args, SiteIntent *intent);
 long site_intent_finish(SiteIntent *intent, SiteResponse *response);
-/* Sends an intent to daemon "daemon" and waits for the response; returns its
- * HTTP status, or 0 when no response was received. */
+/* Sends an operator's intent (requested change) to daemon "daemon" and waits
+ * for the response; returns its HTTP status, or 0 when no response was
+ * received. */
 long site_intent(Site *site, int daemon, const char *kind, const char *args,
                  SiteResponse *response);
 
@@ -120,15 +125,15 @@
 /* Returns how many times the endpoints ran the request with an id.  Ends the
  * test program when the endpoints' process does not respond. */
 int site_runs(Site *site, const char *id);
-/* Returns the number of requests that run at all endpoints now. */
+/* Returns how many requests run now, summed over all endpoints. */
 int site_running_requests(Site *site);
 
-/* Waits until the head of the fleet document in the store changes, at most
- * 50 ms from the call. */
+/* Waits until the store entry "head", which describes the newest fleet
+ * document, changes, at most 50 ms from the call. */
 void site_wait_change(Site *site);
-/* Polls a path of a daemon's listener until the response has the status;
- * returns false if that does not happen within "ms" milliseconds of the call.
- */
+/* Polls a path of a daemon's listener until the response has the HTTP status
+ * "status"; returns false if that does not happen within "ms" milliseconds of
+ * the call. */
 bool site_wait_status(Site *site, int daemon, const char *listener,
                       const char *path, long status, int ms);
 /* Polls a path of a daemon's listener for operators until the response body
@@ -136,8 +141,9 @@
  * milliseconds of the call. */
 bool site_wait_text(Site *site, int daemon, const char *path, const char *text,
                     int ms);
-/* Polls the endpoints until exactly "count" requests run; returns false if
- * that does not happen within "ms" milliseconds of the call. */
+/* Polls the endpoints until exactly "count" requests run at all endpoints
+ * together; returns false if that does not happen within "ms" milliseconds of
+ * the call. */
 bool site_wait_running(Site *site, int count, int ms);
 
 #endif
--- a/packages/daemon/tests/test_at_most_once.c
+++ b/packages/daemon/tests/test_at_most_once.c
@@ -43,9 +43,9 @@
     }
 }
 
-/* Waits until daemon 0 completes a request.  A daemon that has joined again is
- * ready some seconds before it holds slots; until then it responds "not-run"
- * at once and no fault point is reached. */
+/* Waits until daemon 0 completes a request.  A daemon that has become a member
+ * again reports that it is ready some seconds before it holds slots of
+ * endpoints; until then it responds "not-run" at once and writes no claim. */
 static void
 wait_for_slots(Site *site)
 {
@@ -151,8 +151,8 @@
     }
 }
 
-/* Guards against a second run, and against a wrong outcome, of requests whose
- * daemon is killed. */
+/* Guards against a second run, and against a wrong outcome, of non-idempotent
+ * requests whose daemon is killed. */
 static void
 test_kill(void)
 {
@@ -181,8 +181,8 @@
 }
 
 /* Guards against a daemon that is frozen until the other daemons have removed
- * it from the members, and afterwards sends requests that it had claimed
- * before. */
+ * it from the members, and afterwards sends to endpoints the requests whose
+ * ids it had claimed before. */
 static void
 test_freeze(void)
 {
--- a/packages/daemon/tests/test_configuration.c
+++ b/packages/daemon/tests/test_configuration.c
@@ -30,8 +30,8 @@
 static const RacingIntent racing_intents[RACING_INTENTS] = {
     {"a", 0, 0}, {"b", 0, 0}, {"a", 0, 0}, {"c", 1, 1}};
 
-/* Faults of the simulated platform, which contains the store; round after
- * round uses the next entry. */
+/* Faults of the simulated platform, which contains the store; each round of
+ * the test uses the next entry. */
 static const char *const faults[] = {
     "{\"slow_ms\":60}",
     "{\"slow_ms\":60,\"delay_watches_ms\":700}",
@@ -49,8 +49,9 @@
     return strcmp(state, "draining") == 0 || strcmp(state, "drained") == 0;
 }
 
-/* Checks that every daemon shows an accepted drain within 4 s of "accepted",
- * the time at which the test received the response. */
+/* Checks that every daemon shows an accepted drain of a VM within 4 s of
+ * "accepted", the time at which the test received the response to the
+ * intent. */
 static void
 check_in_force(Site *site, const RacingIntent *racing_intent, AqTime accepted)
 {
@@ -59,8 +60,9 @@
         AqTime began;
         bool shown;
         do {
-            /* The check fails only when the first read that began more than
-             * IN_FORCE_MS after "accepted" still shows the old state. */
+            /* The check fails only when the first read of the VM's state that
+             * began more than IN_FORCE_MS after "accepted" does not show the
+             * drain. */
             began = AqClock_ReadMonotonic();
             shown = is_leaving_service(site, d, racing_intent->vm);
         } while (!shown && began - accepted <= IN_FORCE_MS);
@@ -87,8 +89,8 @@
 {
     int accepted = 0;
     for (int i = 0; i < RACING_INTENTS; i++) {
-        /* A change with status 202, "stored", is in the fleet document as
-         * well. */
+        /* A change with response status 202, "stored", is in the fleet
+         * document as well. */
         if (status[i] == 200 || status[i] == 202) {
             accepted++;
         }
@@ -149,8 +151,8 @@
     CU_ASSERT_TRUE(first != second);
     for (int i = 0; i < RACING_INTENTS; i++) {
         if (status[i] == 200 || status[i] == 202) {
-            /* Guards against a response that accepts a change which never
-             * takes effect. */
+            /* Guards against a response that accepts an operator's change
+             * which never takes effect. */
             fault_check(racing_intents[i].vm == (first ? 0 : 1),
                         "an accepted change takes effect", responses[i].body);
         }
@@ -159,8 +161,9 @@
     undrain_vm(site, first ? 0 : 1);
 }
 
-/* Guards against an exceeded disruption budget, accepted changes that are
- * lost, and daemons that show accepted changes after more than 4 s. */
+/* Guards against more VMs out of service than the disruption budget allows,
+ * accepted changes that are lost, and daemons that show accepted changes after
+ * more than 4 s. */
 static void
 test_race(void)
 {
@@ -186,8 +189,9 @@
     return version;
 }
 
-/* Guards against a drain that is accepted after another operator has raised
- * "min_serving" so that the budget no longer allows the drain. */
+/* Guards against a drain of a VM that is accepted after another operator has
+ * raised "min_serving", the least number of serving VMs, so that the drain is
+ * no longer allowed. */
 static void
 test_budget_race(void)
 {
@@ -265,8 +269,8 @@
 }
 
 /* Waits until all daemons show a VM in pool "a", or all in pool "b", and
- * returns that pool; NULL after FAULT_WAIT_MS.  Every read must show the VM in
- * exactly one known pool: "track", "a" or "b". */
+ * returns that pool; NULL after FAULT_WAIT_MS.  Every response of a daemon
+ * must show the VM in exactly one known pool: "track", "a" or "b". */
 static const char *
 wait_for_pool(Site *site, const char *vm, const char *a, const char *b)
 {
--- a/packages/daemon/tests/test_endpoint_faults.c
+++ b/packages/daemon/tests/test_endpoint_faults.c
@@ -5,8 +5,8 @@
 #include "aq_clock.h"
 #include "fault_site.h"
 
-/* Faults of endpoints: the outcome that the caller receives must agree with
- * the runs that the endpoints counted. */
+/* Faults of endpoints: the outcome of a request that the caller receives must
+ * agree with the runs that the endpoints counted. */
 
 enum {
     CASE_TIMEOUT_MS = 3000,
@@ -27,7 +27,7 @@
     bool idempotent;
     long status;
     const char *outcome;
-    int min_runs; /* fewest runs allowed, summed over the endpoints */
+    int min_runs; /* fewest runs of the request allowed, over all endpoints */
     int max_runs;
 } Case;
 
@@ -163,8 +163,8 @@
         site_finish(&fillers[i], &response);
         CU_ASSERT_EQUAL(response.status, 200);
     }
-    /* The daemon responds with status 409 until the release of the claim is
-     * stored. */
+    /* The daemon responds with status 409 until the release of the request's
+     * claim is stored. */
     AqTime until = AqClock_ReadMonotonic() + FAULT_WAIT_MS;
     do {
         site_call(&site, 2, "/work", "n-refused", &response);
@@ -217,8 +217,8 @@
     site_stop(&site);
 }
 
-/* Guards against an endpoint that fails all requests quickly and therefore
- * attracts the load. */
+/* Guards against an endpoint that fails all requests quickly and, because it
+ * therefore has idle slots, gets most of the requests. */
 static void
 test_fail_fast(void)
 {
@@ -241,7 +241,8 @@
     int runs = fault_endpoint_field(&site, 0, "runs");
     snprintf(seen, sizeof(seen), "%d runs, %d responses of status 500", runs,
              failed);
-    /* Each of the three daemons ejects the endpoint after 5 failures. */
+    /* Each of the three daemons ejects the endpoint (sends it no more
+     * requests) after 5 failed requests. */
     fault_check(runs <= 40 && failed <= 4, "a failing endpoint is ejected",
                 seen);
     fault_load_clear(&load);
@@ -340,7 +341,8 @@
 }
 
 /* Guards against a wrong outcome of requests that are in flight when the
- * endpoints' process is killed, and of requests sent afterwards. */
+ * process that runs all endpoints is killed, and of requests sent
+ * afterwards. */
 static void
 test_killed(void)
 {
--- a/packages/daemon/tests/test_leaving.c
+++ b/packages/daemon/tests/test_leaving.c
@@ -66,8 +66,8 @@
     CU_ASSERT_TRUE(is_listed_leaving(site));
 }
 
-/* Makes endpoint 0 leave service; from then on the endpoint records its new
- * requests. */
+/* Makes endpoint 0 leave service; from then on the endpoint records the
+ * requests that start on it. */
 static void
 leave(Site *site, LeaveMethod method)
 {
@@ -120,9 +120,9 @@
     return n;
 }
 
-/* Guards against requests that start on an endpoint more than 3 s after it
- * began to leave, requests that are cut off, and queued requests that are lost
- * with the endpoint. */
+/* Guards against requests that start on an endpoint more than 3 s after the
+ * endpoint began to leave service, requests that are cut off, and queued
+ * requests that are lost with the endpoint. */
 static void
 run_method(LeaveMethod method)
 {
--- a/packages/daemon/tests/test_limits.c
+++ b/packages/daemon/tests/test_limits.c
@@ -4,8 +4,8 @@
 
 #include "fault_site.h"
 
-/* Limits of requests and connections at an endpoint over all daemons together;
- * the endpoints themselves would accept more. */
+/* Limits of the requests and connections at one endpoint, from all daemons
+ * together; the endpoints themselves would accept more. */
 
 enum {
     MAX_SLOTS = 8,
@@ -40,9 +40,10 @@
     fault_load_clear(load);
 }
 
-/* More load than 4 endpoints with 8 slots serve at 600 ms per request.  The
- * long service time and timeout avoid abandoned attempts: an endpoint
- * continues with the work of such an attempt, which the daemon cannot see. */
+/* More requests a second than 4 endpoints with 8 slots each serve at 600 ms
+ * per request.  The long service time and timeout avoid abandoned attempts: an
+ * endpoint continues with the work of such an attempt, which the daemon cannot
+ * see. */
 static const FaultLoadOptions overload = {.name = "l1",
                                           .daemon_mask = 7,
                                           .path = "/work?service_ms=600",
--- a/packages/daemon/tests/test_links.c
+++ b/packages/daemon/tests/test_links.c
@@ -159,9 +159,9 @@
     return completed == 1;
 }
 
-/* Checks that every daemon still completes idempotent requests, that claims
- * still succeed, and that a request id sent to daemons 0 and 1 runs at most
- * once. */
+/* Checks that every daemon completes idempotent requests, that requests with
+ * claims succeed, and that a request id sent to daemons 0 and 1 runs at most
+ * once, during a fault of the links and after it. */
 static void
 check_service(LinkSite *links, const char *what, int round)
 {
@@ -194,7 +194,8 @@
 {
     set_fault(links, c);
     if (c->fault != LINK_DELAY) {
-        /* The daemon that receives nothing detects the fault first. */
+        /* The daemon that receives no bytes over the link detects the link's
+         * fault first. */
         fault_check(wait_live(links, c->to_daemon1 ? 1 : 0,
                               c->to_daemon1 ? 0 : 1, false),
                     "the fault is detected", c->name);
@@ -211,8 +212,8 @@
     check_service(links, c->name, 100 + round);
 }
 
-/* Guards against a cut, slow or silent link that stops service, makes a
- * request run twice or is never restored. */
+/* Guards against a cut, slow or silent link between two daemons that stops the
+ * service to callers, makes a request run twice or is never restored. */
 static void
 run_cases(size_t first, size_t count)
 {
--- a/packages/daemon/tests/test_process.c
+++ b/packages/daemon/tests/test_process.c
@@ -61,7 +61,7 @@
 }
 
 /* Guards against a second run of a request whose daemon was killed, and
- * against slots of that daemon that never become available again. */
+ * against slots of the killed daemon that the other daemons can never use. */
 static void
 test_kill(void)
 {
@@ -79,7 +79,8 @@
     site_call(&site, 1, "/list", NULL, &response);
     expect(&response, 200, "completed");
     CU_ASSERT_EQUAL(site_runs(&site, "kill-1"), 1);
-    /* The other daemons remove the killed daemon from the membership epoch. */
+    /* The other daemons remove the killed daemon from the epoch (set of
+     * members). */
     CU_ASSERT_TRUE(site_wait_text(&site, 1, "/admin/v1/status",
                                   "\"members\":[{\"id\":\"entry1\"", WAIT_MS));
     site_call(&site, 1, "/pay", "kill-2", &response);
@@ -87,8 +88,9 @@
     site_stop(&site);
 }
 
-/* Guards against a daemon that acts on outdated state after a pause, and
- * against a second run of a request that the daemon held meanwhile. */
+/* Guards against a daemon that acts on an outdated fleet document after its
+ * process was paused, and against a second run of a request that was in flight
+ * at the daemon during the pause. */
 static void
 test_freeze(void)
 {
@@ -101,8 +103,8 @@
     signal_daemon(&site, 0, SIGSTOP);
     site_call(&site, 1, "/pay", "freeze-1", &response);
     expect(&response, 409, "unknown");
-    /* A change is accepted without the paused daemon, which the other daemons
-     * remove from the membership. */
+    /* An operator's change is accepted while daemon 0 is paused, because the
+     * other daemons remove daemon 0 from the members. */
     CU_ASSERT_EQUAL(
         site_intent(&site, 1, "vm.drain", "{\"id\":\"vm0\"}", &response), 200);
     CU_ASSERT_TRUE(site_wait_text(&site, 1, "/admin/v1/status",
@@ -110,7 +112,8 @@
     signal_daemon(&site, 0, SIGCONT);
     site_finish(&request, &response);
     CU_ASSERT_EQUAL(site_runs(&site, "freeze-1"), 1);
-    /* The daemon joins again with the current fleet document. */
+    /* Daemon 0, which was removed from the members while it was paused,
+     * becomes a member again with the current fleet document. */
     CU_ASSERT_TRUE(
         site_wait_status(&site, 0, "callers", "/readyz", 200, WAIT_MS));
     site_get(&site, 0, "operators", "/admin/v1/state?kind=vms", &response);
@@ -118,8 +121,9 @@
     site_stop(&site);
 }
 
-/* Guards against a wrong "not-run" outcome, and against a second run, when the
- * store has carried out a write and its reply is lost. */
+/* Guards against a request that is reported as "not-run" but did run, and
+ * against a second run, when the store has carried out the write of a
+ * request's claim and its reply is lost. */
 static void
 test_lost_reply(void)
 {
@@ -158,8 +162,9 @@
     return at != NULL ? atoll(at + strlen("\"reads\":")) : 0;
 }
 
-/* Guards against store reads without a pause during an outage: each daemon has
- * a few readers, each of which may read once per 100 ms at most. */
+/* Guards against store reads without a pause while the store is down: each
+ * daemon has a few readers of the store, each of which may read at most once
+ * per 100 ms. */
 static void
 check_reads_while_down(Site *site)
 {
@@ -194,8 +199,8 @@
         site_intent(&site, 0, "vm.drain", "{\"id\":\"vm0\"}", &response);
     CU_ASSERT_EQUAL(status, 503);
     check_reads_while_down(&site);
-    /* Messages of the peers show each daemon that its fleet document is up to
-     * date, so that the daemon still serves requests. */
+    /* Although the store is down, the daemon may serve requests: messages of
+     * its peers show that its fleet document is up to date. */
     site_call(&site, 2, "/list", NULL, &response);
     expect(&response, 200, "completed");
     site_platform_faults(&site, "{\"down\":\"none\"}");
@@ -249,8 +254,9 @@
     site_call(&site, 0, "/pay", "crossed-1", &response);
     expect(&response, 502, "unknown");
     CU_ASSERT_EQUAL(site_runs(&site, "crossed-1"), 1);
-    /* Only endpoint 0 has the fault from here on, so that a second attempt
-     * succeeds at another endpoint. */
+    /* From here on only endpoint 0 sends a response that belongs to another
+     * attempt.  The daemon's second attempt of that request succeeds at
+     * another endpoint. */
     site_endpoint_faults(&site, "{\"crossed\":0}");
     site_endpoint_faults(&site, "{\"endpoint\":0,\"crossed\":1}");
     for (int i = 0; i < 8; i++) {
@@ -260,8 +266,9 @@
     site_stop(&site);
 }
 
-/* Guards against a new daemon that is ready before it holds slots and refuses
- * the requests that the load balancer then sends to it. */
+/* Guards against a new daemon that reports that it is ready before it holds
+ * slots of endpoints, and then refuses the requests that the load balancer
+ * sends to it. */
 static void
 test_ready_with_slots(void)
 {
@@ -309,8 +316,8 @@
     site_stop(&site);
 }
 
-/* Guards against a daemon that cannot rejoin after a restart while the store
- * is down. */
+/* Guards against a daemon that cannot become a member again when it restarts
+ * while the store is down. */
 static void
 test_restart_without_store(void)
 {
@@ -393,13 +400,15 @@
     site_stop(&site);
 }
 
-/* Guards against heartbeats that do not show a daemon with a queue the idle
- * slots of its peers, and against slot leases that are not returned. */
+/* Guards against heartbeats that do not show the idle slots of the peers to a
+ * daemon that has queued requests, and against slot leases that are not
+ * returned. */
 static void
 test_slot_leasing(void)
 {
     enum {
-        /* More requests than the about 11 of 32 slots that one daemon has. */
+        /* More requests than the about 11 of the endpoints' 32 slots that one
+         * daemon has. */
         REQUESTS = 20
     };
     Site site;
@@ -457,8 +466,8 @@
 }
 
 /* Guards against snapshots of the fleet document that accumulate in the store,
- * and against the deletion of the snapshot that the document's head refers
- * to. */
+ * and against the deletion of the snapshot that the store entry "head"
+ * names. */
 static void
 test_snapshots(void)
 {
@@ -474,7 +483,8 @@
                         200);
     }
     CU_ASSERT_TRUE(site_count_keys(&site, "aq/fleet/snapshot/") <= 3);
-    /* A daemon that starts now needs the snapshot that the head refers to. */
+    /* A daemon that starts now must read the snapshot that the store entry
+     * "head" names. */
     site_start_daemon(&site, 0, 0);
     CU_ASSERT_TRUE(
         site_wait_status(&site, 0, "callers", "/readyz", 200, WAIT_MS));
--- a/packages/daemon/tests/test_waves.c
+++ b/packages/daemon/tests/test_waves.c
@@ -12,9 +12,9 @@
 
 enum {
     MIN_SERVING = SITE_ENDPOINTS - 1,
-    /* Longest wait in ms, from the start of the wait, for a wave over 4 VMs to
-     * end or for all VMs to serve again.  A wave takes about 8 s per VM on an
-     * idle machine. */
+    /* Longest wait in ms, from the start of the wait, for a maintenance wave
+     * over 4 VMs to end or for all VMs to serve again.  A wave takes about 8 s
+     * per VM on an idle machine. */
     WAVE_TIMEOUT_MS = 150000,
     LOAD_S = 4,
     MAX_TAIL_CHANGES = 16
@@ -57,8 +57,8 @@
 {
     char seen[32];
     int serving = fault_serving(site, daemon);
-    /* -1 means that the daemon did not respond within the call's timeout,
-     * which says nothing about the budget. */
+    /* -1 means that the daemon did not respond within the call's timeout, so
+     * that the number of serving VMs is not known. */
     if (serving >= 0) {
         snprintf(seen, sizeof(seen), "%d serve", serving);
         fault_check(serving >= min_serving, "the budget is kept", seen);
@@ -87,9 +87,9 @@
     fault_check(status == 200, kind, response.body);
 }
 
-/* Sends load to daemons for LOAD_S seconds and meanwhile checks the disruption
- * budget, that is, that at least MIN_SERVING VMs serve according to daemon
- * "reader"; all requests must complete. */
+/* Sends requests of callers to daemons for LOAD_S seconds and meanwhile checks
+ * the disruption budget, that is, that at least MIN_SERVING VMs serve
+ * according to daemon "reader"; all requests must complete. */
 static void
 run_load(Site *site, unsigned daemons, int reader)
 {
@@ -98,7 +98,8 @@
     AqError error;
     int status;
     char name[16];
-    /* A new name gives each load new request ids. */
+    /* A new name gives the requests of each aq-caller process new request
+     * ids. */
     snprintf(name, sizeof(name), "wave%d", ++number);
     const FaultLoadOptions options = {.name = name,
                                       .daemon_mask = daemons,
@@ -131,8 +132,8 @@
     CU_ASSERT_EQUAL(fault_serving(site, reader), SITE_ENDPOINTS);
 }
 
-/* Guards against requests that a wave cuts off, and against a wave that
- * exceeds the disruption budget. */
+/* Guards against requests that a maintenance wave cuts off, and against a wave
+ * that takes more VMs out of service than the disruption budget allows. */
 static void
 test_load(void)
 {
@@ -156,8 +157,8 @@
     return false;
 }
 
-/* Polls until all VMs serve; fails the test when a VM leaves service that
- * served at the first read. */
+/* Polls until all VMs serve; fails the test when a VM leaves service that was
+ * serving at the start of this function. */
 static void
 check_no_new_drain(Site *site, int daemon, const char *what)
 {
@@ -182,8 +183,8 @@
     CU_ASSERT_EQUAL(serving, SITE_ENDPOINTS);
 }
 
-/* Guards against a wave that takes further VMs out of service after the wave
- * was paused or aborted. */
+/* Guards against a maintenance wave that takes further VMs out of service
+ * after the wave was paused or aborted. */
 static void
 test_pause_abort(void)
 {
@@ -224,9 +225,9 @@
     return next;
 }
 
-/* Writes the fleet document's head with one more change.  The write has no
- * effect when another writer was faster; the caller's next round repeats
- * it. */
+/* Writes the store entry "head", which describes the newest fleet document,
+ * with one more change.  The write has no effect when another writer was
+ * faster; the caller's next round repeats it. */
 static void
 write_head(Site *site, const json_t *head, long long revision, const char *vm,
            const json_t *record)
@@ -248,8 +249,8 @@
     json_decref(next);
 }
 
-/* Moves the due time of a rebooting VM into the past, as if the VM's 10
- * minutes for a reboot had passed. */
+/* Moves the due time of a rebooting VM, in the fleet document, into the past,
+ * as if the VM's 10 minutes for a reboot had passed. */
 static void
 expire_reboot(Site *site, const char *vm)
 {
@@ -275,8 +276,9 @@
     g_free(bytes);
     json_decref(items);
     json_object_set_new(record, "due", json_integer(1));
-    /* Nothing is written when the head's list of changes since the snapshot,
-     * the tail, is full: the daemons empty the tail by writing a snapshot. */
+    /* Nothing is written when the tail, the list of changes since the snapshot
+     * in the store entry "head", is full: the daemons empty the tail by
+     * writing a snapshot. */
     if (json_array_size(json_object_get(head, "tail")) < MAX_TAIL_CHANGES) {
         write_head(site, head, revision, vm, record);
     }
@@ -284,8 +286,8 @@
     json_decref(record);
 }
 
-/* Guards against a wave that continues while the VMs that it reboots do not
- * return to service. */
+/* Guards against a maintenance wave that continues while the VMs that it
+ * reboots do not return to service. */
 static void
 test_failing_reboots(void)
 {
@@ -336,9 +338,9 @@
     return -1;
 }
 
-/* Guards against a wave that ends when the daemon with the planner is killed,
- * and against VMs that the next planner reboots twice or leaves out of
- * service. */
+/* Guards against a maintenance wave that ends when the daemon with the planner
+ * is killed, and against VMs that the next planner reboots twice or leaves out
+ * of service. */
 static void
 test_planner_killed(void)
 {
