--- a/packages/testkit/Include/aq_test_http.h
+++ b/packages/testkit/Include/aq_test_http.h
@@ -10,16 +10,18 @@
 
 /* HTTP client of tests and of the demo driver, based on libcurl. */
 
-/* HTTP request to send; the strings are borrowed. */
+/* HTTP request that an AqTestHttpClient sends; the strings are borrowed until
+ * the call has ended. */
 typedef struct {
     const char *method;
     const char *url;
-    /* Request headers as "Name: value", ended by a NULL entry; NULL for no
-     * headers. */
+    /* Request headers as "Name: value", ended by a NULL entry; NULL for a
+     * request without such headers. */
     const char *const *headers;
-    const char *body; /* NULL for a request without a body */
-    size_t size;      /* size of the request body in bytes */
-    long timeout_ms;  /* time limit of the whole HTTP call; 0 selects 10 s */
+    /* Request body of "size" bytes; NULL for a request without a body. */
+    const char *body;
+    size_t size;     /* size of the request body in bytes */
+    long timeout_ms; /* time limit of the HTTP call in ms; 0 selects 10 s */
 } AqTestHttpCall;
 
 /* HTTP response that an AqTestHttpClient received. */
@@ -49,18 +51,25 @@
 /* Waits for the response to the call that AqTestHttpClient_Start sent, and
  * moves the response to *reply.  Fails with AQ_ERR_UNAVAILABLE when the
  * connection was refused, with AQ_ERR_TIMEOUT when no complete response
- * arrived in time, and with AQ_ERR_PROTOCOL when the connection was closed
- * before the response was complete. */
+ * arrived within timeout_ms, and with AQ_ERR_PROTOCOL when the connection was
+ * closed before the response was complete or for any other error of the
+ * transfer. */
 bool AqTestHttpClient_Finish(AqTestHttpClient *client, AqTestHttpReply *reply,
                              AqError *error);
-/* Sends a call and waits for the response; fails as AqTestHttpClient_Finish
- * does. */
+/* Sends the request of a call and waits for the response.  Fails with
+ * AQ_ERR_UNAVAILABLE when the connection was refused, with AQ_ERR_TIMEOUT when
+ * no complete response arrived within timeout_ms, and with AQ_ERR_PROTOCOL
+ * when the connection was closed before the response was complete or for any
+ * other error of the transfer. */
 bool AqTestHttpClient_Call(AqTestHttpClient *client,
                            const AqTestHttpCall *call, AqTestHttpReply *reply,
                            AqError *error);
 
-/* Performs one HTTP call on a new connection, which is closed afterwards;
- * fails as AqTestHttpClient_Finish does. */
+/* Performs one HTTP call on a new connection, which is closed afterwards.
+ * Fails with AQ_ERR_UNAVAILABLE when the connection was refused, with
+ * AQ_ERR_TIMEOUT when no complete response arrived within timeout_ms, and with
+ * AQ_ERR_PROTOCOL when the connection was closed before the response was
+ * complete or for any other error of the transfer. */
 bool AqTestHttp_Call(const AqTestHttpCall *call, AqTestHttpReply *reply,
                      AqError *error);
 /* Sends a JSON body (borrowed; NULL for none) and returns the JSON body of
--- a/packages/testkit/Include/aq_test_loop.h
+++ b/packages/testkit/Include/aq_test_loop.h
@@ -30,7 +30,8 @@
     AqLink link;
     AqTime due; /* monotonic time at which the function fire is called */
     void (*fire)(void *context);
-    void *context; /* argument of the function fire; borrowed */
+    /* Argument of the function fire; borrowed from the owner of the timer. */
+    void *context;
 } AqLoopTimer;
 
 /* Function that an event loop calls in place of poll(): waits until a
--- a/packages/testkit/Include/aq_test_process.h
+++ b/packages/testkit/Include/aq_test_process.h
@@ -27,9 +27,9 @@
  * standard output.  Returns false when ms milliseconds pass or the process
  * ends before that. */
 bool AqProcess_WaitReady(AqProcess *process, int ms, AqError *error);
-/* Returns the "ADDRESS:PORT" that the process's ready line, "ready
- * NAME=ADDRESS:PORT ...", gives for a name, or NULL when the line lacks the
- * name.  The string is owned by the AqProcess. */
+/* Returns the "ADDRESS:PORT" that the process printed for a name in the line
+ * "ready NAME=ADDRESS:PORT ..." on its standard output, or NULL when the line
+ * lacks the name.  The string is owned by the AqProcess. */
 const char *AqProcess_Address(const AqProcess *process, const char *name);
 /* Sends a signal to the process.  Fails with AQ_ERR_NOT_FOUND when the process
  * has ended. */
--- a/packages/testkit/caller.c
+++ b/packages/testkit/caller.c
@@ -13,37 +13,48 @@
  * request's own time limit.  A daemon responds when the limit expires; a
  * daemon that has not responded within this margin has lost the request. */
 #define RESPONSE_MARGIN_MS 3000
-/* Time limit of a readiness check of a daemon; a daemon that has not responded
- * by then counts as not ready. */
+/* Time limit of a readiness check of a daemon by the load generator; a daemon
+ * that has not responded by then counts as not ready. */
 #define CHECK_TIMEOUT_MS 1000L
-/* Limit on the descriptors of the event loop for which one wait polls; further
- * descriptors are left out. */
+/* Limit on the descriptors of the event loop that one call of wait_with_curl
+ * polls; further descriptors are not polled. */
 #define MAX_WAIT_FDS 64
 
-/* Request with its own id, sent in one or two copies. */
+/* Request that the load generator sends: once to one daemon, or as two copies
+ * with the same request id, to two daemons if two are ready. */
 typedef struct {
     char id[96];
-    int open_copies; /* copies of the request that have no result yet */
-    /* Copies of the request with a result other than not-run. */
+    /* Number of copies of the request, sent with the same id, whose result is
+     * not known yet. */
+    int open_copies;
+    /* Number of copies of the request, sent with the same id, that ended with
+     * a result other than RESULT_NOT_RUN. */
     int other_results;
-    int not_run_results; /* copies of the request with the result not-run */
+    /* Number of copies of the request, sent with the same id, that ended with
+     * RESULT_NOT_RUN. */
+    int not_run_results;
     bool idempotent;
     AqBuffer body;
 } RequestGroup;
 
-/* libcurl transfer of one copy of a request, or of a readiness check. */
+/* libcurl transfer between the load generator and one daemon: sends a request,
+ * or one of two copies of a request with the same request id, or makes a
+ * readiness check. */
 typedef struct {
     AqLink link;
     Caller *caller;
     CURL *easy;
     struct curl_slist *headers;
-    /* Request of which a copy is sent; NULL for a readiness check. */
+    /* Request that this transfer sends, shared with the transfer of a second
+     * copy with the same id; NULL for a readiness check. */
     RequestGroup *group;
-    /* Position of the called service in options->services. */
+    /* Position in options->services of the service that the request calls. */
     int service;
-    /* Position of the called daemon in options->daemons. */
+    /* Position in options->daemons of the daemon to which the transfer
+     * connects. */
     int daemon;
-    /* Number of daemons to which this copy was sent so far. */
+    /* Number of connection attempts so far for this request, or for this copy
+     * of the request, including this transfer's own attempt. */
     int tries;
     AqTestHttpReply reply;
 } Transfer;
@@ -55,22 +66,30 @@
     const CallerOptions *options;
     CURLM *multi;
     AqLink transfers;
-    int in_flight; /* copies of requests that have no result yet */
+    /* Number of requests whose result is not known yet; two copies with the
+     * same request id count as two. */
+    int in_flight;
     AqLoopTimer send_timer;
     AqLoopTimer check_timer;
-    /* Monotonic time in ms at which the next request is sent. */
+    /* Monotonic time in ms at which the load generator sends the request that
+     * is next. */
     double next_send_ms;
-    /* Monotonic time from which on no more requests are sent. */
+    /* Monotonic time from which on the load generator sends no more
+     * requests. */
     AqTime send_end;
-    uint64_t sequence; /* number in the id of the next request */
+    /* Number at the end of the id of the next request; two copies of a request
+     * share the number. */
+    uint64_t sequence;
     /* Position in options->daemons at which the round-robin search for the
-     * daemon of the next copy starts. */
+     * daemon of the next request, or of the second copy of a request,
+     * starts. */
     int next_daemon;
-    /* Whether each daemon counts as ready: true at the start, then the result
-     * of the last readiness check by the load generator, and false after a
-     * refused connection. */
+    /* Whether the load generator counts each daemon as ready: true at the
+     * start, then whether the daemon passed the last readiness check, and
+     * false after the daemon refused a connection. */
     bool ready[MAX_DAEMONS];
-    /* Whether a readiness check of each daemon is in progress. */
+    /* Whether the load generator waits for the response to a readiness check,
+     * by daemon. */
     bool checking[MAX_DAEMONS];
     AqRandom random;
     Summary summary;
@@ -145,11 +164,11 @@
 
 /* ---- Sending ----------------------------------------------------------- */
 
-/* Returns the next daemon in round-robin order that is ready and differs from
- * "other"; failing that, "other" when "other" is ready, and otherwise any
- * different daemon.  As behind a load balancer, a daemon that is not ready
- * receives no request while another daemon is ready.  With -1 for "other" no
- * daemon is excluded. */
+/* Returns the position in options->daemons of the next daemon in round-robin
+ * order that is ready and differs from "other"; without one, "other" when
+ * "other" is ready, and otherwise any different daemon.  As behind a load
+ * balancer, a daemon that is not ready receives no request while another
+ * daemon is ready.  With -1 for "other" no daemon is excluded. */
 static int
 choose_daemon(Caller *caller, int other)
 {
@@ -341,17 +360,20 @@
     if (--group->open_copies > 0) {
         return;
     }
-    /* A copy with the result not-run does not show that the request was not
-     * run: the other copy may have run. */
+    /* When two copies of the request were sent with the same id,
+     * RESULT_NOT_RUN for one copy does not show that the request was not run:
+     * the other copy may have run. */
     if (group->other_results == 0 && group->not_run_results > 0) {
         Summary_AddNotRun(&caller->summary, group->id);
     }
     destroy_request_group(group);
 }
 
-/* Sends a copy of a request to another daemon after a refused connection, as a
- * load balancer does.  Sending again is safe because nothing was transmitted.
- * Once every daemon has been tried, the copy counts as unsent. */
+/* Sends a request, or one of its two copies with the same id, to another
+ * daemon after a refused connection, as a load balancer does.  Sending again
+ * is safe because no byte of the request was transmitted.  After as many
+ * refused connections as there are daemons, the request or copy counts as
+ * unsent. */
 static void
 finish_refused(Transfer *transfer)
 {
--- a/packages/testkit/caller.h
+++ b/packages/testkit/caller.h
@@ -14,31 +14,44 @@
 
 /* Options of the load generator aq-caller. */
 typedef struct {
-    /* "ADDRESS:PORT" of each daemon's listener for callers; borrowed. */
+    /* "ADDRESS:PORT" of the listener for callers of each daemon to which the
+     * load generator sends requests; borrowed from the command line of
+     * aq-caller. */
     const char *daemons[MAX_DAEMONS];
     int daemon_count;
-    /* Names of the services to call; borrowed. */
+    /* Names of the services that the load generator calls; borrowed from the
+     * command line of aq-caller. */
     const char *services[MAX_SERVICES];
     int service_count;
-    /* Part of the request path after /v1/services/NAME; borrowed. */
+    /* Part of the path of each request after /v1/services/NAME; borrowed from
+     * the command line or the defaults of aq-caller. */
     const char *path;
-    const char *name; /* part of every request id; borrowed */
-    double rate;      /* mean number of requests sent per second */
-    int64_t run_ms;   /* time during which the load generator sends requests */
-    /* Time limit of each request, in the header Aq-Timeout-Ms. */
+    /* Name of this load generator process, which the ids of all its requests
+     * contain; borrowed from the command line or the defaults of aq-caller. */
+    const char *name;
+    double rate; /* mean number of requests sent per second to all daemons */
+    int64_t run_ms; /* time during which the load generator sends requests */
+    /* Time limit in ms of each request, sent to the daemon in the header
+     * Aq-Timeout-Ms. */
     int64_t timeout_ms;
-    /* Interval of the readiness checks of the daemons; 0: none. */
+    /* Interval in ms at which the load generator checks whether each daemon is
+     * ready; 0: no checks. */
     int64_t check_ms;
-    int non_idempotent_percent; /* share of requests that are not idempotent */
-    int repeat_percent; /* share of requests sent to two daemons at once */
-    size_t body_bytes;  /* minimum size of a request body */
-    /* Whether connections to daemons stay open for later requests. */
+    /* Share in percent of the requests that are marked as not idempotent. */
+    int non_idempotent_percent;
+    /* Share in percent of the requests that the load generator sends as two
+     * copies with the same id at once, to two daemons if two are ready. */
+    int repeat_percent;
+    size_t body_bytes; /* minimum size of a request body in bytes */
+    /* Whether the load generator keeps connections to daemons open for later
+     * requests. */
     bool reuse_connections;
     /* Seed of the random send times and kinds of requests. */
     uint64_t seed;
 } CallerOptions;
 
-/* Result of one copy of a request, as the load generator observes the copy. */
+/* How a request ended for the load generator; when two copies of the request
+ * were sent with the same request id, each copy has its own result. */
 typedef enum {
     RESULT_COMPLETED,
     RESULT_NOT_RUN,
@@ -50,15 +63,18 @@
     RESULT_CUT,
     /* The connection was closed before any byte of a response. */
     RESULT_CLOSED,
-    /* No complete response within 3 s after the request's time limit. */
+    /* No complete response arrived within 3 s after the request's time
+     * limit. */
     RESULT_NO_RESPONSE,
     RESULT_KIND_COUNT
 } ResultKind;
 
-/* Response to one copy of a request, or the failure to receive a response. */
+/* Response of a daemon to a request, or the failure to receive a response.
+ * Two copies of a request, sent with the same request id, have one CallResult
+ * each. */
 typedef struct {
-    const char *id; /* request id; borrowed */
-    /* Position in options->daemons of the daemon to which the copy was
+    const char *id; /* id of the request; owned by the load generator */
+    /* Position in options->daemons of the daemon to which the request was
      * sent. */
     int daemon;
     bool idempotent;
@@ -67,22 +83,28 @@
     /* The response has both headers Retry-After and Aq-Retry-After-Ms. */
     bool has_retry_after;
     double latency_ms;
-    const char *detail; /* reason for an unexpected result; may be NULL */
+    /* Reason why the result is unexpected, a static string; NULL without a
+     * reason. */
+    const char *detail;
 } CallResult;
 
-/* Counts of one run of the load generator. */
+/* Counts of the requests and results of one load generator process since its
+ * start. */
 typedef struct {
-    const CallerOptions *options; /* options of the load generator; borrowed */
-    /* Number of copies of requests sent, including copies that no daemon
-     * accepted. */
+    /* Options of the load generator; borrowed from the caller of
+     * Summary_Init. */
+    const CallerOptions *options;
+    /* Number of requests sent, including requests that no daemon accepted; two
+     * copies with the same request id count as two. */
     uint64_t sent;
-    /* Number of times that a copy of a request was sent to another daemon
-     * after a refused connection. */
+    /* Number of times that the load generator sent a request to another daemon
+     * because the connection to a daemon was refused. */
     uint64_t reconnected;
-    /* Number of copies of requests that were never sent, because the
-     * connection was refused on every attempt. */
+    /* Number of requests that were never sent, because the connection was
+     * refused on every attempt; two copies with the same request id count as
+     * two. */
     uint64_t unsent;
-    /* Number of results by daemon and kind of result. */
+    /* Number of results of requests by daemon and kind of result. */
     uint64_t counts[MAX_DAEMONS][RESULT_KIND_COUNT];
     /* Number of responses with the outcome "unknown" to idempotent
      * requests. */
@@ -90,38 +112,45 @@
     /* Number of responses with the outcome "not-run" that lack the header
      * Retry-After or Aq-Retry-After-Ms. */
     uint64_t no_retry_after;
-    /* Latency of each completed copy of a request, double in ms. */
+    /* Latency in ms, as a double, of each request with RESULT_COMPLETED; two
+     * copies with the same request id have one latency each.  Owned. */
     GArray *latencies;
-    /* HTTP status of a result (0 without a response) -> number of results. */
+    /* HTTP status of a response (0 when none arrived) -> number of results of
+     * requests with this status; owned. */
     GHashTable *statuses;
-    /* Ids of the requests that were answered not-run and no copy of which has
-     * run. */
+    /* Ids of the requests that ended with RESULT_NOT_RUN only: a second copy,
+     * sent with the same request id, had no other result.  Owned. */
     json_t *not_run_ids;
-    /* Descriptions of the first 20 unexpected results; later ones are only
-     * counted. */
+    /* Descriptions of the first 20 unexpected results of requests; later
+     * unexpected results are only counted.  Owned. */
     json_t *problems;
 } Summary;
 
-/* Initializes an empty summary; options is borrowed. */
+/* Initializes a summary whose counts are all 0; options is borrowed until
+ * Summary_Clear is called. */
 void Summary_Init(Summary *summary, const CallerOptions *options);
 void Summary_Clear(Summary *summary);
 void Summary_Add(Summary *summary, const CallResult *result);
-/* Adds the id of a request that was answered not-run and no copy of which has
- * run. */
+/* Adds the id of a request that ended with RESULT_NOT_RUN only: a second copy,
+ * sent with the same request id, had no other result. */
 void Summary_AddNotRun(Summary *summary, const char *id);
-/* Returns the summary as a new JSON object.  in_flight is the number of copies
- * of requests that have no result yet. */
+/* Returns the summary as a new JSON object.  in_flight is the number of
+ * requests whose result is not known yet; two copies with the same request id
+ * count as two. */
 json_t *Summary_Describe(const Summary *summary, int in_flight);
 
 /* Load generator that sends requests at random times without waiting for
  * earlier responses. */
 typedef struct Caller Caller;
 
-/* Creates a load generator that starts to send requests at once and stops the
- * loop once every request has a result.  options and loop are borrowed. */
+/* Creates a load generator that starts to send requests at once, and that
+ * stops the loop once the time options->run_ms has passed and every request
+ * has a result.  options and loop are borrowed until Caller_Destroy is
+ * called. */
 Caller *Caller_Create(AqTestLoop *loop, const CallerOptions *options);
 void Caller_Destroy(Caller *caller);
-/* Returns the summary of the results so far as a new JSON object. */
+/* Returns the counts of the requests that the load generator has sent so far,
+ * and of their results, as a new JSON object. */
 json_t *Caller_Describe(const Caller *caller);
 
 #endif
--- a/packages/testkit/caller_main.c
+++ b/packages/testkit/caller_main.c
@@ -9,7 +9,8 @@
 
 typedef struct {
     CallerOptions options;
-    /* Path of the file for the summary; NULL: standard output. */
+    /* Path of the file to which aq-caller writes its summary; NULL selects
+     * standard output.  Borrowed from the command line. */
     const char *output;
     /* Port of aq-caller's test interface; 0 selects a free one. */
     int port;
--- a/packages/testkit/caller_summary.c
+++ b/packages/testkit/caller_summary.c
@@ -3,8 +3,8 @@
 
 #include "caller.h"
 
-/* Limit on the unexpected results that the summary lists; later ones are only
- * counted. */
+/* Limit on the unexpected results of requests that the summary of a load
+ * generator lists; later unexpected results are only counted. */
 #define MAX_PROBLEM_COUNT 20
 
 static const char *const result_names[RESULT_KIND_COUNT] = {
--- a/packages/testkit/demo.h
+++ b/packages/testkit/demo.h
@@ -9,8 +9,9 @@
 #include "aq_test_loop.h"
 #include "aq_test_process.h"
 
-/* Driver of "make demo": runs one deployment on the loopback interface,
- * injects faults and checks the invariants. */
+/* Driver of "make demo": runs three daemons with simulated endpoints and a
+ * simulated platform on the loopback interface, injects faults and checks the
+ * invariants of section 1.2 of the requirements. */
 
 enum {
     DEMO_DAEMONS = 3,
@@ -33,14 +34,19 @@
 
 /* Options of aq-demo. */
 typedef struct {
-    const char *bin; /* build directory that contains the programs to start */
-    /* Directory for the demo's settings, logs and summaries. */
+    /* Build directory that contains the programs that aq-demo starts; borrowed
+     * from the command line or the defaults of aq-demo. */
+    const char *bin;
+    /* Directory in which the demo writes settings, logs and summary files;
+     * borrowed from the command line or the defaults of aq-demo. */
     const char *directory;
-    /* Path of the daemon's program; NULL for the program in the directory
+    /* Path of the program that the demo starts as each daemon, borrowed from
+     * the command line of aq-demo; NULL for the program in the directory
      * bin. */
     const char *daemon_program;
-    /* Path of the command line program; NULL for the program in the directory
-     * bin. */
+    /* Path of the operator's command line program that the demo starts,
+     * borrowed from the command line of aq-demo; NULL for the program in the
+     * directory bin. */
     const char *command_program;
     /* Mean number of requests per second that each caller sends. */
     double rate;
@@ -48,9 +54,11 @@
 
 typedef struct Demo Demo;
 
-/* Child process of the demo. */
+/* Child process that aq-demo starts, and its exit status. */
 typedef struct {
-    AqProcess *process; /* NULL until the demo starts the process */
+    /* Handle of the child process, owned; NULL until the demo starts the
+     * process. */
+    AqProcess *process;
     /* Event source for the end of the process; linked to the loop until the
      * process has ended. */
     AqLoopSource end_source;
@@ -59,7 +67,8 @@
     int status; /* exit status of the process; valid when ended is true */
 } DemoProcess;
 
-/* What the demo reads from the daemons while the callers send requests. */
+/* What the demo has found in the VM records that the daemons report while the
+ * callers send requests. */
 typedef struct {
     /* Lowest number of serving VMs that a daemon reported for each pool; -1
      * before the first report. */
@@ -100,10 +109,10 @@
     AqTime stop_ended;
     DemoObservations observed;
     AqError error; /* error of the last Demo_Configure that failed */
-    /* All callers and daemon DEMO_STOPPED have ended, or the time limit of the
-     * demo was reached. */
+    /* Whether all callers and daemon DEMO_STOPPED have ended or the time limit
+     * of the demo was reached. */
     bool finished;
-    bool expired; /* the time limit of the demo was reached */
+    bool expired; /* whether the time limit of the demo was reached */
 };
 
 /* ---- demo_common.c ------------------------------------------------------ */
@@ -143,8 +152,9 @@
 
 /* ---- demo_state.c ------------------------------------------------------- */
 
-/* Returns what a daemon reports for one kind of state, such as "vms", as a new
- * reference, or NULL when the daemon does not respond with status 200. */
+/* Returns the JSON records of one kind, such as "vms", that a daemon reports
+ * to operators, as a new reference, or NULL when the daemon does not respond
+ * with status 200 and a JSON body. */
 json_t *Demo_ReadState(Demo *demo, int daemon, const char *kind);
 /* Reads the VM records of every running daemon and updates demo->observed. */
 void Demo_Observe(Demo *demo);
@@ -156,8 +166,9 @@
 
 /* ---- demo_plan.c -------------------------------------------------------- */
 
-/* Calls check every 50 ms until it returns true or ms milliseconds have
- * passed; returns whether check succeeded. */
+/* Calls the function check every 50 ms until check returns true, ms
+ * milliseconds have passed or the time limit of the demo is reached.  Returns
+ * whether check returned true. */
 bool Demo_WaitFor(Demo *demo, bool (*check)(Demo *demo), AqTime ms);
 /* Runs the plan, a sequence of operator's commands and faults, while the
  * callers send requests.  Returns when the callers and daemon DEMO_STOPPED
@@ -166,8 +177,8 @@
 
 /* ---- demo_report.c ------------------------------------------------------ */
 
-/* Prints the table of the demo's results.  Returns whether all invariants held
- * and all steps of the plan happened. */
+/* Prints the table of the demo's counts, invariants and steps.  Returns
+ * whether all invariants held and all steps of the plan happened. */
 bool Demo_Report(Demo *demo);
 
 #endif
--- a/packages/testkit/demo_plan.c
+++ b/packages/testkit/demo_plan.c
@@ -7,7 +7,7 @@
 
 /* Interval at which Demo_WaitFor calls its check. */
 #define CHECK_INTERVAL_MS 50
-/* Interval at which the demo reads the state of the daemons. */
+/* Interval at which the demo reads the VM records of the daemons. */
 #define OBSERVE_INTERVAL_MS 100
 /* Interval at which the demo prints a progress line. */
 #define PROGRESS_INTERVAL_MS 1000
@@ -17,11 +17,12 @@
 
 /* Step of the demo's plan: an operator's command or a fault. */
 typedef struct {
-    AqTime at; /* time in ms from the start of the load to this step */
+    AqTime at; /* time in ms from the start of the callers to this step */
     void (*run)(Demo *demo);
 } PlanStep;
 
-/* Check that Demo_WaitFor repeats until the check succeeds. */
+/* Function check, which Demo_WaitFor calls repeatedly until the function
+ * returns true. */
 typedef struct {
     AqLoopTimer timer;
     Demo *demo;
@@ -40,7 +41,8 @@
     }
 }
 
-/* Returns the time until the time limit of the demo; 0 after the limit. */
+/* Returns the time in ms until the time limit of the demo; 0 after the
+ * limit. */
 static AqTime
 time_left(const Demo *demo)
 {
@@ -157,7 +159,7 @@
 /* Timers and next step of the demo's plan while the plan runs. */
 typedef struct {
     Demo *demo;
-    /* Fires when the demo is to read the daemons' state. */
+    /* Fires when the demo is to read the VM records of the daemons. */
     AqLoopTimer observe;
     AqLoopTimer progress; /* fires when a progress line is to be printed */
     AqLoopTimer next;     /* fires when the next step of the plan is due */
@@ -166,9 +168,9 @@
     AqLoopTimer limit; /* fires at the time limit of the demo */
 } Plan;
 
-/* Adds the numbers of requests that a caller reports as sent, completed, not
- * run and unknown to counts, in this order.  Returns 1, or 0 when the caller
- * is not running. */
+/* Adds to counts the numbers of requests that a caller reports as sent and as
+ * ended with the outcomes completed, not-run and unknown, in this order.
+ * Returns 1, or 0 when the caller is not running. */
 static int64_t
 read_counts(const DemoProcess *caller, int64_t counts[4])
 {
--- a/packages/testkit/demo_report.c
+++ b/packages/testkit/demo_report.c
@@ -7,45 +7,52 @@
 #include "aq_test_http.h"
 #include "demo.h"
 
-/* Time after the start of a drain within which new work may still reach the
- * drained VM: item 6 of section 1.2 of the requirements. */
+/* Time in ms after the start of a drain within which new requests may still
+ * reach the drained VM: item 6 of section 1.2 of the requirements. */
 #define NEW_WORK_LIMIT_MS 3000
 
-/* Sums and maxima over the summaries of all callers. */
+/* Sums and maxima over the summary files of all load generators (callers) of
+ * the demo.  Two copies of a request, sent with the same request id, count as
+ * two requests. */
 typedef struct {
     int64_t sent;
     int64_t completed;
     int64_t not_run;
-    int64_t unknown; /* responses with the outcome "unknown" */
-    /* Responses with the outcome "unknown" to idempotent requests. */
+    int64_t unknown; /* number of responses with the outcome "unknown" */
+    /* Number of responses with the outcome "unknown" to idempotent
+     * requests. */
     int64_t unknown_idempotent;
-    /* Responses with status 409: a copy of a request whose request id is
-     * already claimed. */
+    /* Number of responses with status 409, with which a daemon refuses a
+     * second copy of a request because the request id is already claimed. */
     int64_t unknown_repeats;
-    /* Responses that belong to another request or have no valid outcome. */
+    /* Number of responses that belong to another request or have no valid
+     * outcome. */
     int64_t wrong;
-    /* Responses that were truncated or did not arrive, from the daemons that
-     * were not killed. */
+    /* Number of responses that were truncated or did not arrive, from the
+     * daemons to which the demo sent no SIGKILL. */
     int64_t lost;
-    /* Responses that were truncated or did not arrive, from the killed
-     * daemon. */
+    /* Number of responses that were truncated or did not arrive, from daemon
+     * DEMO_KILLED. */
     int64_t lost_by_kill;
-    /* Copies of requests whose connections were all refused. */
+    /* Number of requests that were never sent, because the daemons refused the
+     * connection on every attempt. */
     int64_t unsent;
-    /* Responses with the outcome not-run that lack a header with the retry
-     * time. */
+    /* Number of responses with the outcome "not-run" that lack the header
+     * Retry-After or Aq-Retry-After-Ms. */
     int64_t no_retry_after;
-    /* Requests that were answered not-run although an endpoint ran the
-     * request. */
+    /* Number of requests to which daemons responded with the outcome "not-run"
+     * although an endpoint ran the request. */
     int64_t not_run_but_run;
-    double p50_ms; /* highest median latency of a caller */
-    double p99_ms; /* highest 99th percentile latency of a caller */
+    double p50_ms; /* highest median latency of a caller's requests in ms */
+    /* Highest 99th percentile of the latencies of a caller's requests in
+     * ms. */
+    double p99_ms;
     int summaries; /* number of callers whose summary file was read */
 } CallerTally;
 
-/* Sums and maxima over the results of all endpoints. */
+/* Sums and maxima over the counters of all simulated endpoints of the demo. */
 typedef struct {
-    int64_t runs; /* number of runs of all requests */
+    int64_t runs; /* number of times that an endpoint ran a request */
     /* Number of ids of non-idempotent requests that ran more than once. */
     int64_t non_idempotent_repeats;
     /* Number of ids of idempotent requests that ran more than once. */
@@ -53,16 +60,20 @@
     /* Number of requests that reached the drained endpoint more than 3 s after
      * the start of the drain. */
     int64_t late_requests;
-    /* Time from the start of the drain to the last request that reached the
-     * drained endpoint; -1 without such a request. */
+    /* Time in ms from the start of the drain to the last request that reached
+     * the drained endpoint; -1 without such a request. */
     int64_t last_delay_ms;
-    /* Requests that endpoints rejected for lack of a free slot. */
+    /* Number of requests that endpoints rejected for lack of a free slot. */
     int64_t rejected;
-    /* Highest number of slots in use at one endpoint. */
+    /* Highest number of slots of one endpoint that were in use at the same
+     * time. */
     int64_t max_slots;
-    /* Highest number of connections open at one endpoint. */
+    /* Highest number of connections to one endpoint that were open at the same
+     * time. */
     int64_t max_connections;
-    json_t *counts; /* request id -> number of runs; owned */
+    /* Request id -> number of times that an endpoint ran the request; owned.
+     */
+    json_t *counts;
 } EndpointTally;
 
 /* Returns an integer field of a JSON object; 0 when the field is absent. */
@@ -228,9 +239,11 @@
     return count == 0;
 }
 
-/* Prints a step of the plan and the time in ms that the step took (-1: no
- * time).  Returns "done".  The invariants are meaningful only when every step
- * happened. */
+/* Prints a row of the report: whether a step of the demo's plan happened
+ * ("done") and how many ms the step took; ms is -1 for a step whose time is
+ * not measured.  Returns "done".  The demo fails when a step did not happen,
+ * because the checks of the invariants, such as that no non-idempotent request
+ * ran twice, then did not cover the fault of that step. */
 static bool
 print_step(const char *name, bool done, AqTime ms)
 {
--- a/packages/testkit/demo_state.c
+++ b/packages/testkit/demo_state.c
@@ -58,9 +58,10 @@
     return ready;
 }
 
-/* Returns the records in the response to a state call: a list, or an object
- * that maps names to records.  The records are the response itself or the
- * field "vms", "items" or "records" of the response. */
+/* Returns the records in a daemon's response to a request for its VMs: a list,
+ * or an object that maps names to records.  The records are the response
+ * itself or the field "vms", "items" or "records" of the response; owned by
+ * state. */
 static const json_t *
 records_of(const json_t *state)
 {
@@ -74,8 +75,8 @@
     return state;
 }
 
-/* Returns the record of one VM in a state that a daemon reported, or NULL when
- * the VM is missing; the record is owned by state. */
+/* Returns the record of one VM in the VM list "state" that a daemon reported,
+ * or NULL when the VM is missing; the record is owned by state. */
 static const json_t *
 find_vm(const json_t *state, const char *vm)
 {
@@ -105,8 +106,8 @@
     return text != NULL && strcmp(text, value) == 0;
 }
 
-/* Updates what demo->observed says about the drained VM from the VM's
- * record. */
+/* Updates the fields drained_at and reverted of demo->observed from the record
+ * of the drained VM that a daemon reported. */
 static void
 check_drained(Demo *demo, const json_t *record)
 {
--- a/packages/testkit/endpoint.c
+++ b/packages/testkit/endpoint.c
@@ -15,23 +15,29 @@
     EndpointCommon *common;
     AqTestServer *server;
     EndpointFaults faults;
-    /* List of SlotRequest, the requests that occupy a slot. */
+    /* List of the requests that occupy a slot of the endpoint, as
+     * SlotRequest. */
     AqLink slot_requests;
     int slots_in_use;
-    /* Highest number of slots in use at the same time so far. */
+    /* Highest number of slots of the endpoint that were in use at the same
+     * time so far. */
     int max_slots;
-    /* Highest number of connections open at the same time so far. */
+    /* Highest number of connections to the endpoint that were open at the same
+     * time so far. */
     unsigned max_connections;
-    uint64_t runs; /* number of requests that were run */
-    /* Number of requests rejected for lack of a free slot. */
+    uint64_t runs; /* number of requests that the endpoint has run */
+    /* Number of requests that the endpoint has rejected for lack of a free
+     * slot. */
     uint64_t not_run;
     bool leaving;
-    /* Responses announce, in a header, that the endpoint leaves. */
+    /* While the endpoint leaves, its responses announce this with the header
+     * Aq-Leaving. */
     bool announce;
     /* Monotonic time of the last call of Endpoint_SetLeaving. */
     AqTime leaving_since;
-    /* Requests received while the endpoint leaves, as [{id, delay_ms}];
-     * delay_ms is the time since leaving_since. */
+    /* Requests that the endpoint has received while leaving, as [{id,
+     * delay_ms}]; delay_ms is the time from leaving_since to the request.
+     * Owned. */
     json_t *after_leave;
 };
 
@@ -39,12 +45,15 @@
 typedef struct {
     AqLink link;
     Endpoint *endpoint;
-    AqTestRequest *request; /* NULL after the server dropped the request */
+    /* Request that occupies the slot, owned by the endpoint's server; NULL
+     * after the server dropped the request. */
+    AqTestRequest *request;
     /* Fires at the end of the request's service time. */
     AqLoopTimer timer;
 } SlotRequest;
 
-/* Names of the values of CloseMode in the test interface. */
+/* Names of the values of CloseMode, in their order, in JSON bodies of the test
+ * interface of aq-endpoint. */
 static const char *const close_names[] = {"none", "before-reading", "in-body",
                                           "before-answer", "inside-answer"};
 
@@ -62,9 +71,9 @@
            strcmp(AqTestRequest_Method(request), "GET") == 0;
 }
 
-/* Returns whether the connection of the current request is to be closed in the
- * given mode.  If so, the request counts as one of the close_count requests
- * that the fault affects. */
+/* Returns whether the endpoint must close the connection of the current
+ * request at the moment that mode names.  If so, the request counts as one of
+ * the close_count requests that the fault "close" affects. */
 static bool
 consume_close(Endpoint *endpoint, CloseMode mode)
 {
--- a/packages/testkit/endpoint.h
+++ b/packages/testkit/endpoint.h
@@ -37,55 +37,63 @@
 /* Faults that the test interface injects into an endpoint. */
 typedef struct {
     CloseMode close;
-    /* Number of further requests whose connection the fault "close" closes; -1
-     * for all. */
+    /* Number of further requests whose connection the endpoint closes because
+     * of the fault "close"; -1: the connections of all further requests. */
     int64_t close_count;
-    /* Every request is counted as run and answered with status 500 at once,
-     * without a service time. */
+    /* The endpoint counts every request as run and responds with status 500 at
+     * once, without a service time. */
     bool fail_all;
     /* Health checks of the endpoint are answered with status 500. */
     bool fail_health;
     /* Factor, in permille, by which every service time is multiplied. */
     int64_t slow_permille;
-    /* Number of further responses that carry the ids of another request and
-     * attempt. */
+    /* Number of further responses that carry the request id "another-request"
+     * and the attempt id "another-attempt" in place of the request's own
+     * ids. */
     int64_t crossed;
 } EndpointFaults;
 
-/* Runs of requests on all endpoints of a process. */
+/* Numbers of runs of requests at all endpoints of one aq-endpoint process.  A
+ * run is one execution of a request by an endpoint. */
 typedef struct {
-    GHashTable *counts; /* request id -> number of runs */
-    uint64_t total;     /* number of runs of all requests */
+    GHashTable *counts; /* request id -> number of runs; owned */
+    uint64_t total;     /* number of runs of all requests together */
 } RunRecord;
 
 void RunRecord_Init(RunRecord *record);
 void RunRecord_Clear(RunRecord *record);
-/* Counts one run of the request with this id. */
+/* Counts one run of the request with this id, that is one execution by an
+ * endpoint. */
 void RunRecord_Add(RunRecord *record, const char *id);
-/* Returns {total, ids, more_than_once: {id: runs}} as a new JSON object.  The
- * field "total" is the number of runs of all requests, "ids" the number of
- * distinct request ids.  With "all" the object also has "counts", the number
- * of runs by request id. */
+/* Returns {total, ids, more_than_once: {id: runs}} as a new JSON object.  A
+ * run is one execution of a request by an endpoint.  The field "total" is the
+ * number of runs of all requests, "ids" the number of distinct request ids
+ * that ran, "more_than_once" the number of runs of each id that ran more than
+ * once.  With "all" the object also has "counts", the number of runs of each
+ * id. */
 json_t *RunRecord_Describe(const RunRecord *record, bool all);
 
-/* Data and options that all endpoints of a process have in common. */
+/* Data and options that all endpoints of one aq-endpoint process have in
+ * common. */
 typedef struct {
     AqTestLoop *loop;
     RunRecord runs;
     AqRandom random;
-    /* Maximum number of requests that one endpoint runs at the same time. */
+    /* Number of slots of each endpoint: the maximum number of requests that an
+     * endpoint runs at the same time. */
     int slots;
-    double service_ms; /* mean service time of a request */
+    double service_ms; /* mean service time of a request in ms */
     /* Distribution of the service times of requests. */
     Distribution distribution;
-    size_t response_bytes; /* minimum size of a response body */
+    size_t response_bytes; /* minimum size of a response body in bytes */
 } EndpointCommon;
 
 /* Simulated endpoint that runs requests in a limited number of slots. */
 typedef struct Endpoint Endpoint;
 
 /* Creates an endpoint that listens on a port of 127.0.0.1; port 0 selects a
- * free one.  common is borrowed.  Returns NULL on error. */
+ * free port.  common is borrowed until Endpoint_Destroy is called.  Returns
+ * NULL on error. */
 Endpoint *Endpoint_Create(EndpointCommon *common, int port, AqError *error);
 void Endpoint_Destroy(Endpoint *endpoint);
 /* Returns the port on which the endpoint listens. */
@@ -99,8 +107,8 @@
  * values, except that "close" without "close_count" sets the count to -1. */
 bool Endpoint_SetFaults(Endpoint *endpoint, const json_t *body,
                         AqError *error);
-/* Returns the port, counters and leaving state of the endpoint as a new JSON
- * object. */
+/* Returns the port and counters of the endpoint, and whether it is leaving, as
+ * a new JSON object. */
 json_t *Endpoint_Describe(const Endpoint *endpoint);
 
 #endif
--- a/packages/testkit/endpoint_main.c
+++ b/packages/testkit/endpoint_main.c
@@ -7,17 +7,18 @@
 #include "endpoint.h"
 
 #define MAX_ENDPOINTS 128
-/* Value in place of an endpoint number that selects all endpoints. */
+/* Value in place of an endpoint number that selects all endpoints of the
+ * aq-endpoint process. */
 #define ALL_ENDPOINTS (-1)
 
 /* State of an aq-endpoint process. */
 typedef struct {
     EndpointCommon common;
-    AqTestServer *control; /* HTTP server of the test interface */
+    AqTestServer *control; /* HTTP server of the test interface; owned */
     Endpoint *endpoints[MAX_ENDPOINTS];
     int count;
-    /* Port of the first endpoint; the others use the ports after it.  0
-     * selects free ports. */
+    /* Port of the first endpoint; the other endpoints use the ports after the
+     * first.  0 selects free ports. */
     int first_port;
     int64_t seed; /* seed of the random service times of requests */
 } EndpointProcess;
--- a/packages/testkit/http.c
+++ b/packages/testkit/http.c
@@ -13,8 +13,10 @@
     CURLM *multi;
     CURL *easy;
     struct curl_slist *headers;
-    AqTestHttpReply reply; /* response that is being received */
-    /* Whether the libcurl handle easy is part of multi. */
+    /* Response to the current call, as far as received. */
+    AqTestHttpReply reply;
+    /* Whether the libcurl handle "easy" was added to the libcurl multi handle
+     * "multi". */
     bool is_attached;
 };
 
@@ -68,7 +70,8 @@
     return client;
 }
 
-/* Ends the current transfer of the client and frees its request headers. */
+/* Removes the libcurl handle of the client's current call from the multi
+ * handle and frees the request headers of the call. */
 static void
 detach_transfer(AqTestHttpClient *client)
 {
--- a/packages/testkit/loop.c
+++ b/packages/testkit/loop.c
@@ -13,7 +13,7 @@
 struct AqTestLoop {
     AqLink sources;
     AqLink timers; /* running timers, ordered by due time */
-    /* Monotonic time at which this iteration of the loop began. */
+    /* Monotonic time at which the current iteration of the loop began. */
     AqTime now;
     bool stopped;
     int signal_fd; /* signalfd for SIGTERM and SIGINT */
--- a/packages/testkit/platform.h
+++ b/packages/testkit/platform.h
@@ -42,8 +42,8 @@
 /* Faults that the test interface injects into the platform. */
 typedef struct {
     StoreOutage down;
-    /* Time from the arrival of each store call until the platform handles the
-     * call. */
+    /* Time in ms from the arrival of each store call until the platform
+     * handles the call. */
     int64_t slow_ms;
     /* Number of further store writes that the platform performs without
      * sending a response. */
@@ -57,8 +57,8 @@
     /* The platform never responds on the connections that are open when the
      * faults are set; connections opened later work. */
     bool silence_open;
-    /* Time from a change of watched data to the response to a watch (blocking
-     * query) of the data. */
+    /* Time in ms from a change of watched data to the response to a watch
+     * (blocking query) of the data. */
     int64_t delay_watches_ms;
     /* Number of further reboots that fail: the rebooted VM stays down. */
     int64_t failing_reboots;
@@ -71,10 +71,11 @@
 
 /* Options of aq-platform. */
 typedef struct {
-    int64_t lag_ms;    /* time until the VM list shows a change of a VM */
-    int64_t reboot_ms; /* time for which a reboot keeps a VM down */
-    /* Time from a change of a task's state until the task list shows the new
-     * resource usage of the task. */
+    /* Time in ms from a change of a VM until the VM list shows the change. */
+    int64_t lag_ms;
+    int64_t reboot_ms; /* time in ms for which a reboot keeps a VM down */
+    /* Time in ms from a change of a task's state until the task list shows the
+     * new resource usage of the task. */
     int64_t usage_lag_ms;
     int port; /* port of the platform's HTTP server; 0 selects a free one */
 } PlatformOptions;
@@ -87,7 +88,8 @@
     AqLink link;
     Platform *platform;
     AqTestRequest *request;
-    AqLoopTimer timer; /* fires when the pending request must be handled */
+    /* Fires when the platform must handle the pending request. */
+    AqLoopTimer timer;
     /* Modification index in the query parameter "index" of a watch; the watch
      * is due once the watched data has a higher modification index. */
     uint64_t index;
@@ -96,8 +98,9 @@
     /* The change that the watch waits for has occurred, and the fault
      * delay_watches_ms delays the response. */
     bool is_due;
-    /* Returns the current modification index of the data that the request
-     * watches; NULL unless the request is a watch (blocking query). */
+    /* Function that returns the current modification index of the data that
+     * the request watches; NULL unless the request is a watch (blocking
+     * query). */
     uint64_t (*current_index)(Platform *platform,
                               const AqTestRequest *request);
     /* Handles the request when its wait is over; the PendingRequest has been
@@ -107,17 +110,22 @@
 
 struct Platform {
     AqTestLoop *loop;
-    AqTestServer *server;  /* HTTP server of the store, VM and task calls */
-    AqTestServer *control; /* HTTP server of the test interface */
+    /* HTTP server of the store, VM and task calls; owned */
+    AqTestServer *server;
+    AqTestServer *control; /* HTTP server of the test interface; owned */
     PlatformOptions options;
     Faults faults;
-    uint64_t calls[CALL_KIND_COUNT]; /* number of calls by CallKind */
-    /* Number of store calls answered with an injected 503. */
+    /* Number of HTTP calls received so far, by CallKind. */
+    uint64_t calls[CALL_KIND_COUNT];
+    /* Number of store calls that the platform has answered with status 503
+     * because of an injected outage. */
     uint64_t rejected;
-    /* Number of responses not sent because of an injected fault. */
+    /* Number of responses that the platform has not sent because of an
+     * injected fault. */
     uint64_t lost;
-    AqKv *kv;       /* keys and values of the simulated store */
-    AqLink pending; /* list of PendingRequest */
+    AqKv *kv; /* keys and values of the simulated store; owned */
+    /* List of the requests that are handled later, as PendingRequest. */
+    AqLink pending;
     AqLink vms;
     /* Modification index of the VM list, incremented by each change. */
     uint64_t vms_index;
@@ -165,8 +173,8 @@
 
 /* The functions of platform_vms.c implement the calls to /v1/vms. */
 
-/* Answers GET /v1/vms: a read or, with the query parameter "index", a
- * watch. */
+/* Answers GET /v1/vms with the VM list: at once or, for a watch (blocking
+ * query), when the list has changed or the watch's wait is over. */
 void Vms_List(Platform *platform, AqTestRequest *request);
 /* Answers PUT /v1/vms/ID/reboot.  A call with the query parameter "op" of the
  * VM's last reboot does not start a second reboot. */
@@ -195,8 +203,8 @@
 void Tasks_Put(Platform *platform, AqTestRequest *request);
 /* Answers POST /v1/tasks/ID/ACTION: checkpoint, throttle, stop or renew. */
 void Tasks_Act(Platform *platform, AqTestRequest *request);
-/* Answers GET /v1/tasks: a read or, with the query parameter "index", a
- * watch. */
+/* Answers GET /v1/tasks with the task list: at once or, for a watch (blocking
+ * query), when the list has changed or the watch's wait is over. */
 void Tasks_List(Platform *platform, AqTestRequest *request);
 /* Sets the state of the running and throttled tasks on a worker to "failed",
  * because the worker went down. */
--- a/packages/testkit/platform_kv.h
+++ b/packages/testkit/platform_kv.h
@@ -19,7 +19,8 @@
     /* Modification index of the table after the last write to the key or, when
      * the key is absent, after the deletion of the key. */
     uint64_t modify_index;
-    bool present; /* false when the key was deleted */
+    /* Whether the table has the key; false once the key was deleted. */
+    bool present;
 } AqKvItem;
 
 /* Value of the parameter cas (compare-and-swap) that makes a write
@@ -30,7 +31,7 @@
 void AqKv_Destroy(AqKv *kv);
 
 /* Returns the item of a key, or NULL when the key is absent.  The item is
- * valid until the next write to the table. */
+ * owned by the table and valid until the next write to the table. */
 const AqKvItem *AqKv_Get(AqKv *kv, const char *key);
 /* Sets the value of a key to a copy of "size" bytes.  Returns false without a
  * change when cas is neither AQ_KV_NO_CAS nor the key's modify_index; an
--- a/packages/testkit/platform_main.c
+++ b/packages/testkit/platform_main.c
@@ -23,7 +23,8 @@
      * is the whole path. */
     const char *suffix;
     CallKind kind; /* kind under which the platform counts the call */
-    /* Kind under which the call is counted when the call is a watch. */
+    /* Kind under which the platform counts the call when the call is a watch
+     * (blocking query). */
     CallKind watch_kind;
     void (*handle)(Platform *platform, AqTestRequest *request);
 } Route;
--- a/packages/testkit/platform_tasks.c
+++ b/packages/testkit/platform_tasks.c
@@ -31,21 +31,23 @@
     AqLink link;
     Platform *platform;
     char *id;
-    json_t *request; /* body of the call that started the task */
+    /* Body of the HTTP call that last started or resumed the task; owned. */
+    json_t *request;
     TaskState state;
     bool started; /* whether the task was ever started on its worker */
     int64_t cores;
     int64_t memory_mb;
     int64_t accelerators;
-    /* Duration of the task's lease, counted from each renewal. */
+    /* Duration of the task's lease in ms, counted from each start, resumption
+     * and renewal of the task. */
     int64_t lease_ms;
     /* Run time in ms, at full speed, that the task still needed at the time
      * progress_at. */
     int64_t remaining_work_ms;
     /* Monotonic time at which remaining_work_ms was last updated. */
     AqTime progress_at;
-    /* Resource usage of the task in the task list; NULL before the first
-     * report. */
+    /* Resource usage of the task as the task list shows it, owned; NULL until
+     * the list first shows a usage. */
     json_t *usage;
     /* Fires when remaining_work_ms is used up and the task finishes. */
     AqLoopTimer finish;
--- a/packages/testkit/platform_vms.c
+++ b/packages/testkit/platform_vms.c
@@ -17,24 +17,29 @@
     AqLink link;
     Platform *platform;
     char *id;
-    /* Current record of the VM: {id, address, rack, zone, state}. */
+    /* Current record of the VM, owned: {id, address, rack, zone, state}. */
     json_t *actual;
-    /* Record of the VM in the VM list; NULL until first listed. */
+    /* Record of the VM in the VM list, owned; NULL until the list first shows
+     * the VM. */
     json_t *listed;
     WorkerInfo worker;
-    /* Changes of the VM that the VM list does not show yet. */
+    /* List of Publication: records of the VM that the VM list does not show
+     * yet. */
     AqLink publications;
     AqLoopTimer reboot; /* fires when the reboot of the VM is complete */
     /* Operation id of the VM's last reboot; empty before the first. */
     char last_reboot_op[128];
 } Vm;
 
-/* Record of a VM that the VM list shows after a lag. */
+/* Record of a VM that the VM list will show once the lag of the list has
+ * passed. */
 typedef struct {
     AqLoopTimer timer; /* fires when the VM list is to show the record */
-    AqLink link;       /* in the VM's list of publications */
+    AqLink link;       /* link in the VM's list of publications */
     Vm *vm;
-    json_t *record; /* record of the VM that the VM list will show */
+    /* Record of the VM that the VM list will show when the timer fires;
+     * owned. */
+    json_t *record;
 } Publication;
 
 static Vm *
--- a/packages/testkit/process.c
+++ b/packages/testkit/process.c
@@ -15,29 +15,34 @@
 #include "aq_buffer.h"
 #include "aq_clock.h"
 
-/* Limit on the addresses recorded from a ready line; further addresses are
- * ignored.  Exceeds the number of endpoints that one aq-endpoint process
- * provides. */
+/* Limit on the addresses recorded from the ready line, the line on standard
+ * output with which a child process says on which addresses it listens;
+ * further addresses are ignored.  Exceeds the number of endpoints that one
+ * aq-endpoint process provides. */
 #define MAX_READY_ADDRESSES 256
 /* Exit status of a child process that could not start its program. */
 #define EXIT_NOT_STARTED 127
 
-/* One "NAME=ADDRESS:PORT" of the line "ready NAME=ADDRESS:PORT ..." that a
- * child process prints. */
+/* One "NAME=ADDRESS:PORT" of the ready line, "ready NAME=ADDRESS:PORT ...":
+ * the line on standard output with which a child process says on which
+ * addresses it listens. */
 typedef struct {
     char name[32];
-    char address[64]; /* ADDRESS:PORT */
+    char address[64]; /* "ADDRESS:PORT" on which the process listens */
 } ReadyAddress;
 
 struct AqProcess {
     pid_t pid;
-    int pid_fd; /* descriptor that is readable once the process has ended */
-    int output; /* read end of the pipe from the process's standard output */
+    /* Descriptor that is readable once the process has ended; owned. */
+    int pid_fd;
+    /* Read end of the pipe from the process's standard output; owned. */
+    int output;
     bool ended; /* the process has ended and was reaped */
     /* Exit status of the process, or 128 + signal number; valid when ended is
      * true. */
     int status;
-    /* Standard output of the process that is not parsed yet. */
+    /* Part of the standard output of the process that was read from the pipe
+     * but not parsed yet. */
     AqBuffer pending_output;
     ReadyAddress addresses[MAX_READY_ADDRESSES];
     int address_count;
@@ -147,8 +152,9 @@
     return process->pid_fd;
 }
 
-/* Records the addresses in a ready line, "ready NAME=ADDRESS:PORT ...";
- * modifies the line. */
+/* Records the addresses in the ready line, "ready NAME=ADDRESS:PORT ...", with
+ * which a child process says on which addresses it listens; modifies the
+ * line. */
 static void
 parse_ready(AqProcess *process, char *line)
 {
@@ -167,7 +173,8 @@
 }
 
 /* Removes complete lines from the process's pending output up to and including
- * the ready line.  Returns whether the ready line was found and parsed. */
+ * the ready line, with which the process says on which addresses it listens.
+ * Returns whether the ready line was found and parsed. */
 static bool
 parse_output_lines(AqProcess *process)
 {
--- a/packages/testkit/request.c
+++ b/packages/testkit/request.c
@@ -8,7 +8,7 @@
 /* Response body of which only the first half is sent. */
 typedef struct {
     char *bytes;
-    size_t size; /* size in bytes that the response announces for the body */
+    size_t size; /* size of the body in bytes that the response announces */
 } CutBody;
 
 void
--- a/packages/testkit/server_private.h
+++ b/packages/testkit/server_private.h
@@ -14,7 +14,7 @@
     /* The handler has responded; the response is to be queued with
      * libmicrohttpd. */
     REQUEST_RESPONDED,
-    /* The connection of the request is to be closed. */
+    /* The server will close the connection of the request. */
     REQUEST_CLOSING,
     /* The request is never answered, and its connection stays open. */
     REQUEST_SILENT
@@ -22,7 +22,7 @@
 
 /* Open connection of a client to the test server. */
 typedef struct {
-    AqLink link; /* in the server's list of connections */
+    AqLink link; /* link in the server's list of connections */
     AqTestServer *server;
     int fd; /* connected socket; owned by libmicrohttpd */
     /* The server sends no byte and handles no request on this connection. */
@@ -30,29 +30,32 @@
 } Connection;
 
 struct AqTestRequest {
-    AqLink link; /* in the server's list of requests */
+    AqLink link; /* link in the server's list of requests */
     AqTestServer *server;
-    Connection *client; /* connection on which the request arrived */
-    /* libmicrohttpd's handle of the connection. */
+    /* Connection on which the request arrived; owned by the server. */
+    Connection *client;
+    /* libmicrohttpd's handle of the connection; owned by libmicrohttpd. */
     struct MHD_Connection *connection;
     RequestState state;
     /* The connection of the request is suspended: libmicrohttpd does not
      * process the connection until MHD_resume_connection is called. */
     bool suspended;
-    /* Whether the connection is to be closed at the first byte of the request
-     * body. */
+    /* Whether the server closes the connection at the first byte of the
+     * request body. */
     bool close_in_body;
     /* The handler has the request and has not responded yet. */
     bool awaits_response;
     char *method;
     char *path;
     AqBuffer body;
-    /* Response of the handler; NULL until the handler responds. */
+    /* Response of the handler to the request, owned; NULL until the handler
+     * responds. */
     struct MHD_Response *response;
-    /* HTTP status of the response; valid after the handler responded */
+    /* HTTP status of the response; valid after the handler responded. */
     unsigned status;
     json_t *headers; /* response headers, name -> value; owned */
-    /* Pointer that the request handler stored; borrowed. */
+    /* Pointer that the request handler stored for its own use; borrowed from
+     * the handler. */
     void *user;
 };
 
@@ -61,12 +64,14 @@
     AqLoopSource source;
     AqTestLoop *loop;
     const AqTestServerOps *ops;
-    void *context; /* first argument of the functions in ops; borrowed */
+    /* First argument of the functions in ops; borrowed from the creator of the
+     * server. */
+    void *context;
     int port;
-    /* Socket that is bound but never listens, so that the port stays
-     * reserved while the server is closed. */
+    /* Socket that is bound to the server's port but never listens, so that the
+     * port stays reserved while the server is closed; owned. */
     int reserved_fd;
-    /* libmicrohttpd server; NULL while the test server is closed. */
+    /* libmicrohttpd server, owned; NULL while the test server is closed. */
     struct MHD_Daemon *daemon;
     AqLink connections;
     AqLink requests;
--- a/packages/testkit/tests/test_caller.c
+++ b/packages/testkit/tests/test_caller.c
@@ -35,16 +35,19 @@
     AqProcess *caller;
     bool ended; /* whether the aq-caller process has ended */
     int status; /* exit status of the aq-caller process */
-    /* Number of responses sent of each kind. */
+    /* Number of responses of each kind that the simulated daemon has sent. */
     int response_counts[RESPONSE_KIND_COUNT];
-    /* Number of the next response to send, counted from 0. */
+    /* Number of the next response that the simulated daemon sends, counted
+     * from 0. */
     unsigned next_response;
     /* The daemon sends the first kind_count kinds of ResponseKind. */
     unsigned kind_count;
-    /* Request id -> whether all copies of the request were answered not-run;
+    /* Request id -> whether the simulated daemon answered the request, and a
+     * second copy with the same id, with the outcome "not-run" each time;
      * owned. */
     json_t *not_run;
-    /* aq-caller sends each request twice, both times to this daemon. */
+    /* Whether aq-caller sends each request twice with the same request id,
+     * both times to this daemon. */
     bool sends_copies;
     /* Number of requests after which aq-caller is sent SIGTERM; 0: not
      * sent. */
@@ -68,8 +71,8 @@
     }
 }
 
-/* Records in daemon->not_run whether one copy of a request was answered
- * not-run. */
+/* Records in daemon->not_run whether the simulated daemon answered a request,
+ * or one of its two copies with the same id, with the outcome "not-run". */
 static void
 record_not_run(FakeDaemon *daemon, const char *id, bool not_run)
 {
@@ -226,9 +229,9 @@
     json_decref(summary);
 }
 
-/* Guards against a request id that the summary lists as not run although one
- * of the request's copies ran, and against a request id that is missing from
- * the list. */
+/* Guards against a request id that the summary of aq-caller lists as not run
+ * although one of the two copies sent with this id ran, and against a request
+ * id that is missing from the list. */
 static void
 test_repeats(void)
 {
--- a/packages/testkit/tests/test_demo.c
+++ b/packages/testkit/tests/test_demo.c
@@ -16,23 +16,30 @@
  * is zero describes a run without that fault. */
 typedef struct {
     const char *name;
-    /* Id of a request that was answered not-run; NULL for none. */
+    /* Id, a static string, of a request that the daemons answered with the
+     * outcome "not-run"; NULL for no such request. */
     const char *not_run;
-    int extra_runs; /* repeated runs of the request with the id n-x */
-    /* Wrong responses that the summary of each caller reports. */
+    /* Number of runs of the request with the id n-x after its first run. */
+    int extra_runs;
+    /* Number of responses that the summary of each caller reports as wrong. */
     int wrong;
     /* Number of connections that each daemon closed without a response. */
     int closed[DEMO_DAEMONS];
-    int no_answer; /* requests to daemon DEMO_KEPT that got no response */
+    /* Number of requests to daemon DEMO_KEPT that got no response. */
+    int no_answer;
     /* Number of VMs by which the serving VMs of the first pool fall below
      * DEMO_MIN_SERVING. */
     int missing_vms;
-    int wrong_pool;  /* VM records read that do not name the VM's pool */
-    int reverted;    /* VM lists read that showed the drained VM as serving */
+    /* Number of VM records read that do not name the VM's pool. */
+    int wrong_pool;
+    /* Number of VM lists read that showed the drained VM as serving more than
+     * 4 s after the drain was accepted. */
+    int reverted;
     int stop_status; /* exit status of the daemon to which SIGTERM was sent */
-    /* The daemon accepts the second drain, which exceeds the budget. */
+    /* Whether the daemon accepts the second drain, which exceeds the budget
+     * (DEMO_MIN_SERVING). */
     bool is_second_drain_accepted;
-    /* No daemon ever reports the drained VM as drained. */
+    /* Whether no daemon ever reports the drained VM as drained. */
     bool is_never_drained;
     bool is_success; /* expected result of Demo_Report */
 } DemoCase;
--- a/packages/testkit/tests/test_platform.c
+++ b/packages/testkit/tests/test_platform.c
@@ -61,8 +61,8 @@
     return index;
 }
 
-/* Performs a PUT or DELETE on a key of the store; returns the store's result,
- * true when the write took effect. */
+/* Performs a PUT or DELETE on a key of the simulated store; returns whether
+ * the store reports that the write took effect. */
 static bool
 write_key(const char *method, const char *path, const char *body)
 {
--- a/packages/testkit/tests/testkit_cases.h
+++ b/packages/testkit/tests/testkit_cases.h
@@ -14,11 +14,12 @@
 extern const char *caller_program;
 
 /* Starts a program with the given arguments, ended by NULL, and waits until
- * the program prints its ready line.  Returns NULL on failure. */
+ * the program prints the line "ready NAME=ADDRESS:PORT ...", which says on
+ * which addresses it listens.  Returns NULL on failure. */
 AqProcess *start_program(const char *program, ...);
-/* Returns the URL of a path on the address that the process's ready line,
- * "ready NAME=ADDRESS:PORT ...", gives for a name.  The result is in one of
- * eight static buffers, which are used in turn. */
+/* Returns the URL of a path on the address that the process printed for a name
+ * in the line "ready NAME=ADDRESS:PORT ..." on its standard output.  The URL
+ * is in one of eight static buffers, which are used in turn. */
 const char *url_of(const AqProcess *process, const char *name,
                    const char *path);
 /* Sends a JSON text as the request body (NULL for none) and returns the JSON
