--- a/packages/daemon/bench/bench_daemon.c
+++ b/packages/daemon/bench/bench_daemon.c
@@ -9,12 +9,13 @@
  *   bench_daemon [--bin DIRECTORY] requests|silent|changes|idle|jobs
  *   bench_daemon [--bin DIRECTORY] case DAEMONS VMS POOLS SLOTS JOBS
  * "requests": requests a second and their latency, through daemons and
- * directly at the endpoints.  "silent": requests affected by connections that
- * stay open but carry no more bytes.  "changes": time from an operator's
- * change until it is in force at all daemons.  "idle", "jobs" and "case": CPU
- * time, memory and network bytes of daemons without requests of callers, for
- * several fleet sizes, several numbers of running jobs, or the numbers given.
- * The current directory must be writable. */
+ * directly at the endpoints.  "silent": numbers of requests that take more
+ * than 1 s, are not run or end with an unknown outcome when open connections
+ * of endpoints carry no more bytes.  "changes": time from an operator's change
+ * until it is in force at all daemons.  "idle", "jobs" and "case": CPU time,
+ * memory and network bytes of daemons without requests of callers, for several
+ * fleet sizes, several numbers of running jobs, or the numbers given.  The
+ * current directory must be writable. */
 
 enum {
     ENDPOINTS = 8,
--- a/packages/daemon/bench/bench_daemon.h
+++ b/packages/daemon/bench/bench_daemon.h
@@ -8,8 +8,9 @@
 /* Measures requests per second and latency of requests sent directly to the
  * endpoints, and of requests sent through "daemons" daemons. */
 void bench_requests(int daemons);
-/* Measures how many callers' requests are affected when open connections of
- * endpoints become silent, that is, stay open but carry no more bytes. */
+/* Measures how many callers' requests take more than 1 s, are not run or end
+ * with an unknown outcome when open connections of endpoints become silent,
+ * that is, stay open but carry no more bytes. */
 void bench_silent(void);
 /* Prints the header of the table to which bench_idle() adds rows: CPU time,
  * memory and network bytes of daemons without requests of callers. */
--- a/packages/daemon/bench/bench_site.h
+++ b/packages/daemon/bench/bench_site.h
@@ -34,7 +34,8 @@
     AqProcess *endpoints[BENCH_MAX_ENDPOINTS];
     AqProcess *daemons[BENCH_MAX_DAEMONS];
     char directory[32];
-    /* Operators' intents sent to this site; makes operation ids unique. */
+    /* Number of operators' intents that the program has sent to this site;
+     * makes operation ids unique. */
     int op_count;
 } BenchSite;
 
--- a/packages/daemon/callers.c
+++ b/packages/daemon/callers.c
@@ -74,7 +74,8 @@
 };
 
 /* Text for a request of which an earlier attempt may have run.  It replaces
- * the text of a reason of the last attempt that alone would mean "not run". */
+ * the text for the last attempt's reason, because that text alone would mean
+ * "not run". */
 static const ReasonText ran_before = {
     502, "an attempt may have run and no further one was possible",
     "ask the service for its result; repeat it only if it is idempotent"};
--- a/packages/daemon/claim_client.c
+++ b/packages/daemon/claim_client.c
@@ -56,9 +56,12 @@
     /* Number with PEER_BIT, assigned by this daemon to a peer's claim ->
      * PeerClaim, owned by the table. */
     GHashTable *peers;
-    uint64_t last_peer_number; /* last number assigned to a peer's claim */
-    /* List of the OwnClaims sent to the daemon that owns their partition,
-     * oldest first. */
+    /* Last number that this daemon assigned to a peer's claim, without
+     * PEER_BIT. */
+    uint64_t last_peer_number;
+    /* List of the OwnClaims (claims of requests that callers sent to this
+     * daemon) for which the daemon that owns their partition has not replied
+     * yet, oldest first. */
     AqLink sent_to_owner;
     AqRandom random;
     AqTimer timer;
@@ -222,9 +225,10 @@
     AqList_Remove(&own->link);
     own->decided = true;
     if (verdict == AQ_CLAIM_UNAVAILABLE && own->requested_until != 0) {
-        /* This daemon sent the claim to the daemon that owns its partition,
-         * which might store the claim later.  The request is refused as not
-         * run; the release lets a repeat of the request claim the id. */
+        /* This daemon sent the claim to the daemon that owns the claim's
+         * partition, and that daemon might store the claim later.  The request
+         * is refused as not run; the release lets a repeat of the request
+         * claim the id. */
         send_release(client, own);
     }
     AqRouter_ClaimDone(client->daemon->router,
--- a/packages/daemon/commits.c
+++ b/packages/daemon/commits.c
@@ -31,7 +31,8 @@
 typedef struct {
     AqLink link;
     char *op;
-    /* Intent (requested change) that led to the change, or NULL. */
+    /* Intent (requested change) from which the change is made; NULL for a
+     * change submitted with Commits_Submit. */
     json_t *intent;
     CommitEvaluate evaluate;
     CommitDone done;
@@ -70,8 +71,9 @@
      * store; NULL before the evaluation of a batch and after its end. */
     AqFleet *next;
     AqTimer timer;
-    /* Conflicts with writes by other daemons since this daemon's last write of
-     * the store entry "head" that succeeded. */
+    /* Number of times that writes of the store entry "head" by this daemon
+     * have conflicted with writes by other daemons since this daemon last
+     * wrote "head" successfully. */
     int conflicts_in_row;
     AqRandom random;
     AqMetric *writes;
--- a/packages/daemon/commits.h
+++ b/packages/daemon/commits.h
@@ -57,9 +57,9 @@
 void Commits_SubmitMember(Commits *commits, json_t *intent, CommitDone done,
                           void *context);
 
-/* Ends the commits of changes that a majority of the epoch's members has
- * reported in force, or for which the wait for these reports has timed out.
- * Called after each received heartbeat. */
+/* Ends each commit whose change a majority of the epoch's members has reported
+ * in force, or whose wait for these reports has timed out.  Called after each
+ * received heartbeat. */
 void Commits_CheckConfirmed(Commits *commits);
 
 #endif
--- a/packages/daemon/daemon.c
+++ b/packages/daemon/daemon.c
@@ -40,10 +40,10 @@
     return FleetSync_Fleet(daemon->sync);
 }
 
-/* A daemon that has just become a member holds no slots of endpoints until the
- * guard period (AQ_GUARD_MS) of its epoch, the new set of members, has passed.
- * Daemons that reported ready before that refused half of their requests
- * during an upgrade. */
+/* A daemon is ready only when it holds slots of endpoints.  A new member holds
+ * none until the guard period (AQ_GUARD_MS) of its epoch, the new set of
+ * members, has passed.  When daemons reported ready before the end of that
+ * period, they refused half of their requests during an upgrade. */
 bool
 Daemon_IsReady(const Daemon *daemon)
 {
--- a/packages/daemon/endpoints.h
+++ b/packages/daemon/endpoints.h
@@ -50,8 +50,8 @@
  * slots, and the queue lengths and idle slots of services. */
 void Endpoints_FillHeartbeat(const Endpoints *endpoints, AqMsgHeartbeat *beat);
 
-/* Health checks of endpoints that have ended since the daemon started, and the
- * bytes of HTTP that these checks sent and received. */
+/* Number of health checks of endpoints that this daemon has completed since it
+ * started, and number of HTTP bytes that these checks sent and received. */
 typedef struct {
     uint64_t checks;
     uint64_t bytes;
--- a/packages/daemon/fleet_sync.c
+++ b/packages/daemon/fleet_sync.c
@@ -69,7 +69,8 @@
     /* Time of the last request to a peer for the fleet document. */
     AqTime peer_requested_at;
     int64_t chunk_version; /* version of the fleet document in "chunks" */
-    /* Part of the fleet document received so far from a peer. */
+    /* Bytes of the fleet document that this daemon has received so far from a
+     * peer, which sends the document in several messages. */
     AqBuffer chunks;
 };
 
--- a/packages/daemon/jobs_runner.c
+++ b/packages/daemon/jobs_runner.c
@@ -28,7 +28,7 @@
     json_t *intent;
     AqExchange *exchange;
     AqTime deadline;
-    /* Whether the intent may be in a write to the store whose reply was lost.
+    /* Whether a write to the store that may contain the intent got no reply.
      */
     bool maybe_written;
 } PendingExchange;
--- a/packages/daemon/planner_runner.c
+++ b/packages/daemon/planner_runner.c
@@ -21,7 +21,8 @@
     AqTimer timer;
     bool committing; /* a commit of the planner's changes is in progress */
     bool removing;   /* the commit of a member's removal is in progress */
-    /* Commits of the planner's changes so far; part of the operation ids. */
+    /* Number of commits of the planner's changes that this daemon has begun
+     * since it started; part of the operation ids. */
     uint64_t steps;
     /* Ids of the VMs to reboot, as last decided by the planner. */
     json_t *reboots;
--- a/packages/daemon/slot_leasing.c
+++ b/packages/daemon/slot_leasing.c
@@ -66,7 +66,9 @@
 typedef struct {
     Daemon *daemon;
     const char *lessee;
-    int remaining_slots; /* slots not yet leased to the lessee */
+    /* Number of slots that may still be leased to the lessee in response to
+     * its request. */
+    int remaining_slots;
 } LessorState;
 
 static void
--- a/packages/daemon/snapshots.h
+++ b/packages/daemon/snapshots.h
@@ -11,8 +11,7 @@
     SNAPSHOT_KEY_SIZE = 64 /* bytes for the store key of a snapshot */
 };
 
-/* Writes the store key of the snapshot of a fleet document version to "key".
- */
+/* Sets "key" to the store key of the snapshot of a fleet document version. */
 void Snapshots_Key(int64_t version, char key[SNAPSHOT_KEY_SIZE]);
 
 /* Deletes from the store the snapshot of document version "version", which the
--- a/packages/daemon/tests/fault_site.h
+++ b/packages/daemon/tests/fault_site.h
@@ -5,8 +5,8 @@
 
 #include "site.h"
 
-/* Helpers shared by the fault tests: counters of the endpoints, requests of
- * callers (load) and checks. */
+/* Functions that all fault tests use: they read counters of the endpoints,
+ * send callers' requests through aq-caller (load) and check results. */
 
 enum {
     FAULT_WAIT_MS = 30000
@@ -17,7 +17,7 @@
     CU_TestFunc run;
 } FaultTest;
 
-/* Tables of fault tests, one for each test file; the last entry of each table
+/* Each of these tables lists the fault tests of one test file; the last entry
  * has a NULL name. */
 extern const FaultTest endpoint_tests[];
 extern const FaultTest limit_tests[];
@@ -58,7 +58,7 @@
 int fault_count_calls(Site *site, const char *kind);
 bool fault_wait_calls(Site *site, const char *kind, int above, int ms);
 
-/* Writes the state of a VM as reported by a daemon to "state"; empty when the
+/* Sets "state" to the state in which a daemon reports the VM; empty when the
  * daemon does not respond or does not list the VM. */
 void fault_vm_state(Site *site, int daemon, int vm, char state[24]);
 /* Returns the number of VMs that serve according to a daemon; -1 when the
--- a/packages/daemon/tests/fuzz_callers.c
+++ b/packages/daemon/tests/fuzz_callers.c
@@ -24,8 +24,12 @@
 typedef struct {
     AqLoop *loop;
     AqHttpServer *server;
-    unsigned parsed_count;  /* requests parsed without an error */
-    unsigned refused_count; /* requests refused with status 400 */
+    /* Number of requests, mutated or valid, that were parsed without an error
+     * since the start of the program. */
+    unsigned parsed_count;
+    /* Number of requests that were refused with status 400 since the start of
+     * the program. */
+    unsigned refused_count;
     int fd;
     bool is_closed;
     size_t received;
--- a/packages/daemon/tests/relay.c
+++ b/packages/daemon/tests/relay.c
@@ -35,7 +35,7 @@
  * this direction only; the relay watches the other only for the end of the
  * connection. */
 typedef struct {
-    int from; /* socket of the dialling daemon; -1: this entry is free */
+    int from; /* socket of the incoming connection; -1: entry is free */
     int to;
     /* Id of the daemon that dialled; empty until its HELLO frame arrives. */
     char sender[NAME_SIZE];
--- a/packages/daemon/tests/site.h
+++ b/packages/daemon/tests/site.h
@@ -30,7 +30,8 @@
     const char *endpoint_slots;
     /* Called whenever a daemon has started and listens; may be NULL. */
     void (*on_started)(Site *site, int daemon);
-    /* Operators' intents sent to this site; makes operation ids unique. */
+    /* Number of operators' intents that the test has sent to this site; makes
+     * operation ids unique. */
     int op_count;
     /* Store revision of the entry "head", which describes the newest fleet
      * document, when the test last read that entry. */
--- a/packages/daemon/tests/test_at_most_once.c
+++ b/packages/daemon/tests/test_at_most_once.c
@@ -5,22 +5,29 @@
 #include "aq_clock.h"
 #include "fault_site.h"
 
-/* Non-idempotent requests whose daemon is killed or frozen, or whose claims'
- * replies from the store are lost, at each point between claiming a request
- * and sending the request to an endpoint.  Design page, section 1.2, items 4
- * and 5. */
+/* Tests of non-idempotent requests.  They guard against a second run, and
+ * against a wrong outcome, of a request that a fault reaches between the claim
+ * of its id and its run at an endpoint: the daemon is killed or frozen, or the
+ * store's replies are lost or late.  Design page, section 1.2, items 4 and 5.
+ */
 
 enum {
-    /* Requests per case; their ids are spread over the claim partitions. */
+    /* Number of requests that the test sends with each fault; their ids are
+     * spread over the claim partitions. */
     BATCH_REQUESTS = 4
 };
 
 typedef enum {
-    /* The store has received the write of a request's claim and has not yet
-     * carried out the write. */
+    /* The test kills or freezes daemon 0 when the store has received the write
+     * of the claim of at least one request and has not yet carried out the
+     * write. */
     CLAIM_REQUESTED,
-    CLAIM_WRITTEN, /* the claim is stored, but the store's reply is lost */
-    REQUEST_SENT   /* a request of the batch runs at an endpoint */
+    /* The test kills or freezes daemon 0 when the claim of at least one
+     * request is stored and the store's reply to that write is lost. */
+    CLAIM_WRITTEN,
+    /* The test kills or freezes daemon 0 when at least one of the
+     * BATCH_REQUESTS requests runs at an endpoint. */
+    REQUEST_SENT
 } FaultPoint;
 
 static const char *const fault_point_names[] = {"claim requested",
@@ -95,8 +102,9 @@
                                "\"lose_silently\":false}");
 }
 
-/* Sends the requests of a batch again, with the same ids, to daemon "daemon".
- * A repeat that receives status 503 was not run and may be sent again. */
+/* Sends the BATCH_REQUESTS requests of "batch" again, with the same ids, to
+ * daemon "daemon".  A repeat that receives status 503 was not run and may be
+ * sent again. */
 static void
 repeat_batch(Site *site, int daemon, Batch *batch)
 {
@@ -180,9 +188,9 @@
     site_stop(&site);
 }
 
-/* Guards against a daemon that is frozen until the other daemons have removed
- * it from the members, and afterwards sends to endpoints the requests whose
- * ids it had claimed before. */
+/* Guards against a daemon that was frozen until the other daemons removed it
+ * from the members, and that then sends to endpoints the requests that it had
+ * claimed before, although another daemon has received repeats of them. */
 static void
 test_freeze(void)
 {
--- a/packages/daemon/tests/test_configuration.c
+++ b/packages/daemon/tests/test_configuration.c
@@ -4,9 +4,10 @@
 #include "aq_clock.h"
 #include "fault_site.h"
 
-/* Operators that change the configuration at several daemons at the same time,
- * while replies of the store are lost and watches are late.  Design page,
- * section 1.2, items 1 and 8. */
+/* Tests of operators' changes that several daemons receive at the same time,
+ * while the store loses replies and delays watches.  They guard against
+ * accepted changes that are lost, come into force late or break the disruption
+ * budget.  Design page, section 1.2, items 1 and 8. */
 
 enum {
     IN_FORCE_MS = 4000,
@@ -241,7 +242,7 @@
     site_stop(&site);
 }
 
-/* Writes the pool of a VM as reported by a daemon to "pool"; empty when the
+/* Sets "pool" to the pool in which a daemon reports the VM; empty when the
  * daemon does not respond. */
 static void
 read_vm_pool(Site *site, int daemon, const char *vm, char pool[24])
--- a/packages/daemon/tests/test_endpoint_faults.c
+++ b/packages/daemon/tests/test_endpoint_faults.c
@@ -5,8 +5,9 @@
 #include "aq_clock.h"
 #include "fault_site.h"
 
-/* Faults of endpoints: the outcome of a request that the caller receives must
- * agree with the runs that the endpoints counted. */
+/* Tests with faults of endpoints.  They guard against an outcome, received by
+ * the caller, that contradicts the number of runs that the endpoints counted
+ * for the request. */
 
 enum {
     CASE_TIMEOUT_MS = 3000,
--- a/packages/daemon/tests/test_leaving.c
+++ b/packages/daemon/tests/test_leaving.c
@@ -4,9 +4,10 @@
 #include "aq_clock.h"
 #include "fault_site.h"
 
-/* An endpoint that leaves service, announced in one of three ways: a drain
- * intent, the platform's VM list or a response of the endpoint.  Design page,
- * section 1.2, item 6. */
+/* Tests of an endpoint that leaves service.  They guard against requests that
+ * start too late on the endpoint, are cut off or are lost, whether a drain
+ * intent, the platform's VM list or a response of the endpoint announces that
+ * it leaves.  Design page, section 1.2, item 6. */
 
 enum {
     MAX_NEW_WORK_DELAY_MS = 3000,
--- a/packages/daemon/tests/test_limits.c
+++ b/packages/daemon/tests/test_limits.c
@@ -4,8 +4,9 @@
 
 #include "fault_site.h"
 
-/* Limits of the requests and connections at one endpoint, from all daemons
- * together; the endpoints themselves would accept more. */
+/* Tests of the limits on concurrent requests and connections at one endpoint.
+ * They guard against daemons that together exceed a limit; the endpoints
+ * themselves would accept more. */
 
 enum {
     MAX_SLOTS = 8,
--- a/packages/daemon/tests/test_links.c
+++ b/packages/daemon/tests/test_links.c
@@ -5,8 +5,10 @@
 #include "fault_site.h"
 #include "relay.h"
 
-/* Faults of the links between daemons 0 and 1; the links of daemon 2 work.
- * Design page, section 10, "peer link cut". */
+/* Tests with faults of the links between daemons 0 and 1, while the links of
+ * daemon 2 work.  They guard against a faulty link that stops the service to
+ * callers or makes a request run twice.  Design page, section 10, "peer link
+ * cut". */
 
 enum {
     IDEMPOTENT_CALLS = 6,
@@ -131,8 +133,8 @@
 }
 
 /* Sends a request with the same id to daemons 0 and 1; returns whether the
- * request completed.  Not-run, and status 409 for an uncertain claim (design
- * page, section 12), are valid responses when the request did not run. */
+ * request completed.  The outcome "not-run", and status 409 for an uncertain
+ * claim (design page, section 12), are valid when the request did not run. */
 static bool
 claim_at_both(Site *site, const char *id, const char *what)
 {
--- a/packages/daemon/tests/test_process.c
+++ b/packages/daemon/tests/test_process.c
@@ -123,7 +123,7 @@
 
 /* Guards against a request that is reported as "not-run" but did run, and
  * against a second run, when the store has carried out the write of a
- * request's claim and its reply is lost. */
+ * request's claim and the store's reply is lost. */
 static void
 test_lost_reply(void)
 {
@@ -254,9 +254,9 @@
     site_call(&site, 0, "/pay", "crossed-1", &response);
     expect(&response, 502, "unknown");
     CU_ASSERT_EQUAL(site_runs(&site, "crossed-1"), 1);
-    /* From here on only endpoint 0 sends a response that belongs to another
-     * attempt.  The daemon's second attempt of that request succeeds at
-     * another endpoint. */
+    /* From here on only endpoint 0 sends responses that belong to another
+     * attempt.  The daemon repeats an idempotent request that gets such a
+     * response, and its second attempt succeeds at another endpoint. */
     site_endpoint_faults(&site, "{\"crossed\":0}");
     site_endpoint_faults(&site, "{\"endpoint\":0,\"crossed\":1}");
     for (int i = 0; i < 8; i++) {
@@ -429,8 +429,8 @@
     site_stop(&site);
 }
 
-/* Guards against a job that is lost between operator and worker, and against
- * an urgent job that starts late. */
+/* Guards against a job that an operator submitted and that never runs, and
+ * against an urgent job that starts late. */
 static void
 test_jobs(void)
 {
--- a/packages/daemon/tests/test_waves.c
+++ b/packages/daemon/tests/test_waves.c
@@ -7,8 +7,10 @@
 #include "aq_clock.h"
 #include "fault_site.h"
 
-/* Maintenance waves over all VMs of a pool, with reboots by the simulated
- * platform.  Design page, sections 1.2 and 7.1. */
+/* Tests of maintenance waves, which reboot all VMs of a pool on the simulated
+ * platform.  They guard against waves that cut off requests, break the
+ * disruption budget or continue when they must stop.  Design page, sections
+ * 1.2 and 7.1. */
 
 enum {
     MIN_SERVING = SITE_ENDPOINTS - 1,
@@ -157,8 +159,8 @@
     return false;
 }
 
-/* Polls until all VMs serve; fails the test when a VM leaves service that was
- * serving at the start of this function. */
+/* Polls until all VMs serve; fails the test when a VM that was serving at the
+ * start of this function leaves service. */
 static void
 check_no_new_drain(Site *site, int daemon, const char *what)
 {
