--- a/packages/testkit/endpoint.h
+++ b/packages/testkit/endpoint.h
@@ -104,7 +104,8 @@
  * empties "after_leave". */
 void Endpoint_SetLeaving(Endpoint *endpoint, bool leaving, bool announce);
 /* Sets the faults that a JSON object names.  All other faults keep their
- * values, except that "close" without "close_count" sets the count to -1. */
+ * values, except that "close" without "close_count" sets the count to -1: the
+ * fault "close" then affects all further requests, without a limit. */
 bool Endpoint_SetFaults(Endpoint *endpoint, const json_t *body,
                         AqError *error);
 /* Returns the port and counters of the endpoint, and whether it is leaving, as
--- a/packages/testkit/platform.h
+++ b/packages/testkit/platform.h
@@ -103,8 +103,11 @@
      * query). */
     uint64_t (*current_index)(Platform *platform,
                               const AqTestRequest *request);
-    /* Handles the request when its wait is over; the PendingRequest has been
-     * freed before. */
+    /* Handles the request when the delay given to Platform_Delay has passed
+     * or, for a watch (blocking query), when the watched data has changed and
+     * the delay delay_watches_ms has passed, or when the time in the query
+     * parameter "wait" has passed without a change.  The PendingRequest has
+     * been freed before. */
     void (*handle)(Platform *platform, AqTestRequest *request);
 } PendingRequest;
 
