--- a/packages/daemon/claim_client.c
+++ b/packages/daemon/claim_client.c
@@ -9,25 +9,35 @@
 #include "peers.h"
 
 enum {
-    /* Round trip between data centres, a batch and a slow store; after this
-     * the claim is written without the owner. */
-    OWNER_LIMIT_MS = 500,
-    MAX_CALLS = 100000
+    /* Longest wait for the verdict of the daemon that owns a claim's
+     * partition; after that this daemon writes the claim to the store itself.
+     * The time covers a round trip between data centres, the owner's batch
+     * period and a slow store. */
+    OWNER_TIMEOUT_MS = 500,
+    /* Greatest number of claims of request ids that peers have sent and that
+     * have no verdict yet.  A claim beyond that number is dropped without a
+     * reply. */
+    MAX_PEER_CLAIMS = 100000
 };
 
-/* The claim of one request of this daemon. */
+/* The claim of the id of a request that a caller sent to this daemon. */
 typedef struct {
-    AqLink link; /* in "asked" while a peer was asked */
-    uint64_t request;
+    /* In "sent_to_owner" until the owner of the claim's partition replies. */
+    AqLink link;
+    uint64_t request; /* number that the router assigned to the request */
     AqMsgClaim claim;
+    /* Time until which this daemon waits for the verdict on the claim from the
+     * daemon that owns the claim's partition; 0 if the claim was not sent to
+     * another daemon. */
     AqTime requested_until;
-    bool decided;
+    bool decided; /* the claim's verdict was passed to the router */
 } OwnClaim;
 
-/* A claim of a peer that this daemon writes. */
+/* A claim of a request id that this daemon writes to the store for a peer. */
 typedef struct {
-    char from[AQ_WIRE_MAX_NAME];
-    uint64_t request; /* the peer's number */
+    char from[AQ_WIRE_MAX_NAME]; /* id of the peer that sent the claim */
+    /* Number that the peer's router assigned to the request. */
+    uint64_t request;
 } PeerClaim;
 
 typedef struct {
@@ -41,15 +51,24 @@
 struct ClaimClient {
     Daemon *daemon;
     AqClaims *claims;
-    GHashTable *own;   /* request -> OwnClaim, owned */
-    GHashTable *peers; /* number -> PeerClaim, owned */
-    uint64_t next_peer_number;
-    AqLink asked;
+    /* Router's request number -> OwnClaim, owned by the table. */
+    GHashTable *own;
+    /* Number with PEER_BIT, assigned by this daemon to a peer's claim ->
+     * PeerClaim, owned by the table. */
+    GHashTable *peers;
+    /* Last number that this daemon assigned to a peer's claim, without
+     * PEER_BIT. */
+    uint64_t last_peer_number;
+    /* List of the OwnClaims (claims of requests that callers sent to this
+     * daemon) for which the daemon that owns their partition has not replied
+     * yet, oldest first. */
+    AqLink sent_to_owner;
     AqRandom random;
     AqTimer timer;
 };
 
-/* Numbers of peers' claims are told apart from request numbers by this bit. */
+/* Bit set in the numbers that this daemon assigns to peers' claims, so that
+ * they differ from the router's numbers of this daemon's own requests. */
 #define PEER_BIT (UINT64_C(1) << 63)
 
 static void start_timer(ClaimClient *client);
@@ -93,9 +112,10 @@
     start_timer(client);
 }
 
-/* The index of the key is known: now it can be deleted. */
+/* Handles the reply to a read of the store key of a batch of claims: deletes
+ * the batch, unless it was written again after that read. */
 static void
-on_found(void *context, const AqStoreReply *reply)
+on_key_read(void *context, const AqStoreReply *reply)
 {
     StoreCall *call = context;
     AqStore *store = call->client->daemon->store;
@@ -114,7 +134,7 @@
         store->ops->remove_all(store, call->key, on_store, call);
     }
     else {
-        store->ops->get(store, call->key, on_found, call);
+        store->ops->get(store, call->key, on_key_read, call);
     }
 }
 
@@ -182,7 +202,7 @@
 }
 
 static void
-answer_peer(ClaimClient *client, uint64_t number, AqClaimVerdict verdict)
+respond_to_peer(ClaimClient *client, uint64_t number, AqClaimVerdict verdict)
 {
     PeerClaim *peer = g_hash_table_lookup(client->peers, &number);
     if (peer == NULL) {
@@ -205,7 +225,10 @@
     AqList_Remove(&own->link);
     own->decided = true;
     if (verdict == AQ_CLAIM_UNAVAILABLE && own->requested_until != 0) {
-        /* The owner that was asked may still write it. */
+        /* This daemon sent the claim to the daemon that owns the claim's
+         * partition, and that daemon might store the claim later.  The request
+         * is refused as not run; the release lets a repeat of the request
+         * claim the id. */
         send_release(client, own);
     }
     AqRouter_ClaimDone(client->daemon->router,
@@ -218,7 +241,7 @@
 {
     ClaimClient *client = context;
     if (request & PEER_BIT) {
-        answer_peer(client, request, verdict);
+        respond_to_peer(client, request, verdict);
     }
     else {
         decide(client, request, verdict);
@@ -233,7 +256,7 @@
 /* ---- Own claims --------------------------------------------------------- */
 
 static void
-submit_here(ClaimClient *client, OwnClaim *own)
+submit_locally(ClaimClient *client, OwnClaim *own)
 {
     AqList_Remove(&own->link);
     AqClaims_Submit(client->claims, AqLoop_Now(client->daemon->loop),
@@ -269,13 +292,13 @@
         msg.as.claim = own->claim;
         if (Peers_Send(client->daemon->peers, owner, &msg)) {
             own->requested_until =
-                AqLoop_Now(client->daemon->loop) + OWNER_LIMIT_MS;
-            AqList_Append(&client->asked, &own->link);
+                AqLoop_Now(client->daemon->loop) + OWNER_TIMEOUT_MS;
+            AqList_Append(&client->sent_to_owner, &own->link);
             start_timer(client);
             return;
         }
     }
-    submit_here(client, own);
+    submit_locally(client, own);
 }
 
 void
@@ -286,8 +309,10 @@
         return;
     }
     if (AqList_IsLinked(&own->link)) {
-        /* The owner may have written it already, or may still do so.  The
-         * release follows the claim on the same connection. */
+        /* The daemon that owns the claim's partition may have written the
+         * claim to the store already, or may still do so.  The release is sent
+         * on the same connection after the claim, so that the owner handles
+         * the release second. */
         AqMsg msg = {.type = AQ_MSG_RELEASE};
         msg.as.claim = own->claim;
         Peers_Send(client->daemon->peers, owner_of(client, own->claim.hash),
@@ -325,12 +350,12 @@
 ClaimClient_OnPeerClaim(ClaimClient *client, const char *from,
                         const AqMsgClaim *claim)
 {
-    if (g_hash_table_size(client->peers) >= MAX_CALLS) {
+    if (g_hash_table_size(client->peers) >= MAX_PEER_CLAIMS) {
         return;
     }
     PeerClaim *peer = calloc(1, sizeof(*peer));
     uint64_t *number = g_new(uint64_t, 1);
-    *number = PEER_BIT | ++client->next_peer_number;
+    *number = PEER_BIT | ++client->last_peer_number;
     strncpy(peer->from, from, sizeof(peer->from) - 1);
     peer->request = claim->request;
     g_hash_table_replace(client->peers, number, peer);
@@ -360,12 +385,14 @@
 {
     ClaimClient *client = context;
     AqTime now = AqLoop_Now(client->daemon->loop);
-    AqList_ForEachSafe(at, after, &client->asked)
+    AqList_ForEachSafe(at, after, &client->sent_to_owner)
     {
         OwnClaim *own = AqList_Entry(at, OwnClaim, link);
         if (own->requested_until <= now) {
-            /* The same nonce: if the owner wrote it, it is found there. */
-            submit_here(client, own);
+            /* The claim keeps its nonce (random number), so that a claim that
+             * the owner of the partition has already written to the store is
+             * recognised as the same claim. */
+            submit_locally(client, own);
         }
     }
     AqClaims_Tick(client->claims, now, AqClock_ReadWall());
@@ -376,10 +403,11 @@
 start_timer(ClaimClient *client)
 {
     AqTime due = AqClaims_NextTick(client->claims);
-    if (!AqList_IsEmpty(&client->asked)) {
-        /* All wait equally long, so the first is due first. */
-        AqTime first =
-            AqList_Entry(client->asked.next, OwnClaim, link)->requested_until;
+    if (!AqList_IsEmpty(&client->sent_to_owner)) {
+        /* All claims sent to an owner have the same time limit for the reply,
+         * so the oldest claim is due first. */
+        AqTime first = AqList_Entry(client->sent_to_owner.next, OwnClaim, link)
+                           ->requested_until;
         due = first < due ? first : due;
     }
     if (due != AQ_TIME_NEVER) {
@@ -404,7 +432,7 @@
         g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, free_own);
     client->peers =
         g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, free);
-    AqList_Init(&client->asked);
+    AqList_Init(&client->sent_to_owner);
     AqRandom_Seed(&client->random, daemon->instance ^ UINT64_C(0x9e3779b9));
     AqTimer_Init(&client->timer, on_timer, client);
     return client;
--- a/packages/daemon/commits.c
+++ b/packages/daemon/commits.c
@@ -10,37 +10,70 @@
 #include "snapshots.h"
 
 enum {
-    COMMIT_LIMIT_MS = 5000,  /* longest time to reach the store */
-    CONFIRM_LIMIT_MS = 2000, /* longest wait for the majority */
+    /* Longest time from the submission of a change until the store has it; the
+     * result is COMMIT_UNAVAILABLE or COMMIT_UNKNOWN after that. */
+    COMMIT_TIMEOUT_MS = 5000,
+    /* Longest wait for a majority of the epoch's members to report that a
+     * stored change is in force; the result is COMMIT_STORED after that. */
+    CONFIRM_TIMEOUT_MS = 2000,
     RETRY_MS = 200,
-    BATCH_LIMIT = 64, /* changes per write of head */
-    CONFLICTS_AT_ONCE = 2,
-    CONFLICT_WAIT_MS = 20
+    /* Greatest number of changes evaluated for one write of the store entry
+     * "head"; further changes wait for the next write. */
+    BATCH_MAX_CHANGES = 64,
+    /* Number of conflicts in a row, in writes of the store entry "head", that
+     * are retried without a wait. */
+    IMMEDIATE_RETRIES = 2,
+    /* Upper bound of the random wait before a write of the store entry "head"
+     * is retried after more conflicts in a row than IMMEDIATE_RETRIES. */
+    CONFLICT_MAX_WAIT_MS = 20
 };
 
 typedef struct {
     AqLink link;
     char *op;
-    json_t *intent; /* of Commits_SubmitIntent, or NULL */
+    /* Intent (requested change) from which the change is made; NULL for a
+     * change submitted with Commits_Submit. */
+    json_t *intent;
     CommitEvaluate evaluate;
     CommitDone done;
     void *context;
+    /* End of the wait until the change is stored or, once it is stored, until
+     * a majority of the epoch's members has reported it in force. */
     AqTime deadline;
-    bool maybe_written; /* was in a write whose reply did not arrive */
-    int64_t version;    /* at which it was stored */
+    bool maybe_written; /* a store write of the change got no reply */
+    int64_t version;    /* fleet document version that contains the change */
 } Commit;
 
 struct Commits {
     Daemon *daemon;
-    AqLink waiting;    /* not in the batch */
-    AqLink batch;      /* in the write that is under way */
-    AqLink confirming; /* stored */
-    bool busy;
+    /* List of the Commits (submitted changes) that are not stored and wait for
+     * the next batch. */
+    AqLink waiting;
+    /* List of the Commits (submitted changes) that the current batch evaluates
+     * and stores with one write of the store entry "head". */
+    AqLink batch;
+    /* List of the Commits (submitted changes) that are stored and that a
+     * majority of the epoch's members has not yet reported in force. */
+    AqLink confirming;
+    /* A batch is in progress: the store entry "head" is being read, changes
+     * are being evaluated, or "head" is being written. */
+    bool is_batch_running;
+    /* Store revision at which the entry "head" was last written, as returned
+     * by the read of "head" with which the current batch (the changes that one
+     * commit stores together) began. */
     uint64_t head_index;
-    int64_t snapshot_version; /* of the snapshot that is being written */
-    int64_t old_snapshot;     /* that it replaces; 0: none */
-    AqFleet *next;            /* the document with the batch applied */
+    /* Fleet document version of the snapshot being written to the store. */
+    int64_t snapshot_version;
+    /* Fleet document version of the snapshot to remove after the next write of
+     * the store entry "head"; 0: none. */
+    int64_t old_snapshot_version;
+    /* Fleet document with the changes in "batch" applied, to be written to the
+     * store; NULL before the evaluation of a batch and after its end. */
+    AqFleet *next;
     AqTimer timer;
+    /* Number of times that writes of the store entry "head" by this daemon
+     * have conflicted with writes by other daemons since this daemon last
+     * wrote "head" successfully. */
     int conflicts_in_row;
     AqRandom random;
     AqMetric *writes;
@@ -99,7 +132,7 @@
 on_timer(void *context)
 {
     Commits *commits = context;
-    if (!commits->busy) {
+    if (!commits->is_batch_running) {
         expire(commits, AqLoop_Now(commits->daemon->loop));
     }
     Commits_CheckConfirmed(commits);
@@ -158,7 +191,8 @@
     }
 }
 
-/* Ends the batch without a result; its changes wait for the next one. */
+/* Ends the current batch, the changes that one commit stores together, without
+ * a result and puts these changes at the front of the list "waiting". */
 static void
 requeue_batch(Commits *commits)
 {
@@ -166,32 +200,33 @@
     move_all(&commits->batch, &commits->waiting);
     AqFleet_Destroy(commits->next);
     commits->next = NULL;
-    commits->busy = false;
+    commits->is_batch_running = false;
     set_timer(commits);
 }
 
 static void
-confirm_later(Commits *commits, Commit *commit, int64_t version)
+await_confirmation(Commits *commits, Commit *commit, int64_t version)
 {
     commit->version = version;
-    commit->deadline = AqLoop_Now(commits->daemon->loop) + CONFIRM_LIMIT_MS;
+    commit->deadline = AqLoop_Now(commits->daemon->loop) + CONFIRM_TIMEOUT_MS;
     AqList_Remove(&commit->link);
     AqList_Append(&commits->confirming, &commit->link);
 }
 
-/* After several conflicts in a row a random wait lets the committers of other
- * daemons get out of step. */
+/* Starts the next batch of changes after a write conflict with another daemon.
+ * After several conflicts in a row the batch starts after a random wait, so
+ * that daemons that commit at the same time stop conflicting. */
 static void
 retry_after_conflict(Commits *commits)
 {
-    if (++commits->conflicts_in_row <= CONFLICTS_AT_ONCE) {
+    if (++commits->conflicts_in_row <= IMMEDIATE_RETRIES) {
         start_batch(commits);
         return;
     }
     AqTimer_Start(
         commits->daemon->loop, &commits->timer,
         AqLoop_Now(commits->daemon->loop) + 1 +
-            (AqTime)AqRandom_Below(&commits->random, CONFLICT_WAIT_MS));
+            (AqTime)AqRandom_Below(&commits->random, CONFLICT_MAX_WAIT_MS));
 }
 
 static void
@@ -205,16 +240,19 @@
         {
             Commit *commit = AqList_Entry(at, Commit, link);
             int64_t version = AqFleet_FindOp(next, commit->op);
-            /* A change without an effect of its own has no operation id. */
-            confirm_later(commits, commit,
-                          version > 0 ? version : AqFleet_Version(next));
+            /* A change that added no record has no operation id in the fleet
+             * document, so it waits for the reports of the newest version that
+             * the batch stored. */
+            await_confirmation(commits, commit,
+                               version > 0 ? version : AqFleet_Version(next));
         }
-        commits->busy = false;
+        commits->is_batch_running = false;
         commits->conflicts_in_row = 0;
-        /* The compare-and-swap has replaced the head that named it. */
-        if (commits->old_snapshot > 0) {
-            Snapshots_Remove(commits->daemon, commits->old_snapshot);
-            commits->old_snapshot = 0;
+        /* The store entry "head" names the new snapshot now, not the old one.
+         */
+        if (commits->old_snapshot_version > 0) {
+            Snapshots_Remove(commits->daemon, commits->old_snapshot_version);
+            commits->old_snapshot_version = 0;
         }
         FleetSync_Install(commits->daemon->sync, next);
         Commits_CheckConfirmed(commits);
@@ -248,22 +286,25 @@
     free(head);
 }
 
-/* The change needs no record of its own: it is stored already, or will be with
- * the batch on which its evaluation rests. */
+/* Handles a change that adds no record because "version" of the fleet document
+ * already has its effect.  If that version is stored, the change waits until a
+ * majority reports the version in force, otherwise for the write of the batch
+ * that creates the version. */
 static void
-needs_no_record(Commits *commits, Commit *commit, int64_t version)
+await_existing_version(Commits *commits, Commit *commit, int64_t version)
 {
     if (version <= AqFleet_Version(Daemon_Fleet(commits->daemon))) {
-        confirm_later(commits, commit, version);
+        await_confirmation(commits, commit, version);
         return;
     }
     AqList_Remove(&commit->link);
     AqList_Append(&commits->batch, &commit->link);
 }
 
-/* Evaluates one change on the document with the earlier ones of the batch
- * applied.  Their write may still fail, so nobody is told a result that
- * depends on them before it is confirmed. */
+/* Evaluates one change on the fleet document with the earlier changes of the
+ * batch (the changes that one commit stores together) applied.  The write of
+ * the earlier changes may still fail, so a result that depends on them is not
+ * reported before the store confirms the write. */
 static void
 evaluate(Commits *commits, Commit *commit)
 {
@@ -271,7 +312,7 @@
     int64_t version = AqFleet_FindOp(commits->next, commit->op);
     AqError_Clear(&error);
     if (version > 0) {
-        needs_no_record(commits, commit, version);
+        await_existing_version(commits, commit, version);
         return;
     }
     json_t *set = json_array();
@@ -285,11 +326,13 @@
         }
     }
     else if (ok) {
-        needs_no_record(commits, commit, AqFleet_Version(commits->next));
+        await_existing_version(commits, commit,
+                               AqFleet_Version(commits->next));
     }
     json_decref(set);
-    /* A refusal waits for the next batch, unless it rests on the stored
-     * document alone. */
+    /* The refusal is final only if the batch is empty, so that the refusal
+     * depends on the stored document alone.  Otherwise the change is evaluated
+     * again in the next batch. */
     if (!ok && AqList_IsEmpty(&commits->batch)) {
         finish(commit, COMMIT_REFUSED, &error);
     }
@@ -301,7 +344,7 @@
     int count = 0;
     AqList_ForEachSafe(at, after, &commits->waiting)
     {
-        if (count++ == BATCH_LIMIT) {
+        if (count++ == BATCH_MAX_CHANGES) {
             break;
         }
         evaluate(commits, AqList_Entry(at, Commit, link));
@@ -316,7 +359,7 @@
     if (AqList_IsEmpty(&commits->batch)) {
         AqFleet_Destroy(commits->next);
         commits->next = NULL;
-        commits->busy = false;
+        commits->is_batch_running = false;
         Commits_CheckConfirmed(commits);
         set_timer(commits);
         return;
@@ -328,14 +371,16 @@
 on_snapshot_written(void *context, const AqStoreReply *reply)
 {
     Commits *commits = context;
-    /* A conflict means that another daemon wrote the same snapshot. */
+    /* A conflict means that another daemon has written the same snapshot. */
     if (reply->status != AQ_STORE_OK && reply->status != AQ_STORE_CONFLICT) {
         requeue_batch(commits);
         return;
     }
     AqFleet *fleet = Daemon_Fleet(commits->daemon);
     if (AqFleet_Version(fleet) != commits->snapshot_version) {
-        /* The watch installed a newer document meanwhile. */
+        /* FleetSync, which watches the store entry "head", has installed a
+         * newer fleet document while the snapshot was written, so the changes
+         * of the batch must be evaluated again. */
         requeue_batch(commits);
         return;
     }
@@ -353,7 +398,7 @@
         return;
     }
     commits->head_index = index;
-    commits->old_snapshot = 0;
+    commits->old_snapshot_version = 0;
     if (!AqFleet_NeedsSnapshot(fleet)) {
         write_batch(commits);
         return;
@@ -363,7 +408,7 @@
     char *text = AqFleet_EncodeSnapshot(fleet);
     commits->snapshot_version = AqFleet_Version(fleet);
     if (AqFleet_SnapshotVersion(fleet) != commits->snapshot_version) {
-        commits->old_snapshot = AqFleet_SnapshotVersion(fleet);
+        commits->old_snapshot_version = AqFleet_SnapshotVersion(fleet);
     }
     Snapshots_Key(commits->snapshot_version, key);
     store->ops->put(store, key, text, strlen(text), 0, on_snapshot_written,
@@ -374,10 +419,10 @@
 static void
 start_batch(Commits *commits)
 {
-    if (commits->busy || AqList_IsEmpty(&commits->waiting)) {
+    if (commits->is_batch_running || AqList_IsEmpty(&commits->waiting)) {
         return;
     }
-    commits->busy = true;
+    commits->is_batch_running = true;
     FleetSync_Refresh(commits->daemon->sync, on_refreshed, commits);
 }
 
@@ -393,9 +438,10 @@
     commit->evaluate = evaluate;
     commit->done = done;
     commit->context = context;
-    commit->deadline = AqLoop_Now(commits->daemon->loop) + COMMIT_LIMIT_MS;
+    commit->deadline = AqLoop_Now(commits->daemon->loop) + COMMIT_TIMEOUT_MS;
     AqList_Append(&commits->waiting, &commit->link);
-    /* The batch starts with the timer, so that "done" never runs here. */
+    /* The timer starts the batch with this change, so that "done" is never
+     * called from inside this function. */
     AqTimer_Start(commits->daemon->loop, &commits->timer,
                   AqLoop_Now(commits->daemon->loop));
     return commit;
@@ -423,8 +469,9 @@
     return AqFleet_Evaluate(fleet, state->intent, wall_ms, set, error);
 }
 
-/* Members change one at a time on top of the epoch in force, so that the
- * majorities of successive epochs intersect. */
+/* Evaluates the addition or removal of one member.  Members change one at a
+ * time, based on the epoch in force, so that the majorities of successive
+ * epochs intersect. */
 static bool
 evaluate_member(void *context, const AqFleet *fleet, int64_t wall_ms,
                 json_t *set, AqError *error)
@@ -436,7 +483,7 @@
         !AqMembership_MayChangeMembers(membership, now)) {
         return AqError_Set(error, AQ_ERR_CONFLICT,
                            "the epoch has not been accepted by a majority "
-                           "yet; ask again later");
+                           "yet; retry later");
     }
     return AqFleet_Evaluate(fleet, state->intent, wall_ms, set, error);
 }
--- a/packages/daemon/operators.h
+++ b/packages/daemon/operators.h
@@ -3,7 +3,9 @@
 
 #include "daemon.h"
 
-/* The operators' listener: intents, state, status and burn report.  Every call
+/* Creates the HTTP server for operators.  It accepts intents (requested
+ * changes) and serves the records of the fleet document, this daemon's status
+ * and the burn report (error-budget burn rate per service).  Every request
  * needs the bearer token of the settings. */
 
 Operators *Operators_Create(Daemon *daemon, AqError *error);
@@ -11,8 +13,11 @@
 
 uint16_t Operators_Port(const Operators *operators);
 
-/* Answers an operator's call.  Takes the reference to "root". */
+/* Responds to an operator's request with the JSON value "root".  Takes over
+ * the reference to "root". */
 void Operators_Respond(AqExchange *exchange, int status, json_t *root);
+/* Responds to an operator's request that was not carried out, with "outcome"
+ * and "reason" as JSON. */
 void Operators_RespondRefused(AqExchange *exchange, int status,
                               const char *outcome, const char *reason);
 
--- a/packages/daemon/task_client.h
+++ b/packages/daemon/task_client.h
@@ -4,16 +4,21 @@
 #include "aq_jobs.h"
 #include "daemon.h"
 
-/* The platform's calls about tasks: orders go out, states come back. */
+/* Client of the platform's task API: sends orders about tasks to the platform
+ * and receives the states of tasks. */
 
 typedef struct TaskClient TaskClient;
 
-/* "jobs" is borrowed. */
+/* "jobs" stays owned by the caller and must outlive the result, which the
+ * caller owns too. */
 TaskClient *TaskClient_Create(Daemon *daemon, AqJobs *jobs);
 void TaskClient_Destroy(TaskClient *client);
 
+/* Sends an order about a task to the platform; the platform's reply to a start
+ * order goes to the AqJobs of "client". */
 void TaskClient_Send(TaskClient *client, const AqTaskOrder *order);
-/* Reports the latest list of tasks to the jobs. */
+/* Passes the state of each task in the platform's latest list to the AqJobs of
+ * "client". */
 void TaskClient_Report(TaskClient *client);
 
 #endif
--- a/packages/fleet/bench/bench.h
+++ b/packages/fleet/bench/bench.h
@@ -1,8 +1,10 @@
 #ifndef FLEET_BENCH_H
 #define FLEET_BENCH_H
 
-/* Evaluation again on a conflict against plain refusal, under 2, 4 and 8
- * concurrent operators; prints a table. */
+/* Prints the rates per second of accepted and refused intents for 2, 4 and 8
+ * concurrent operators: once with daemons that evaluate an intent again after
+ * a conflict, and once with daemons that refuse the intent after a
+ * conflict. */
 void measure_operators(void);
 
 #endif
--- a/packages/fleet/check.c
+++ b/packages/fleet/check.c
@@ -2,8 +2,11 @@
 
 #include <string.h>
 
+/* Fills *error with the kind and name of a record and the invariant "why" that
+ * the record violates; returns false. */
 static bool
-broken(AqError *error, const char *kind, const char *name, const char *why)
+inconsistency(AqError *error, const char *kind, const char *name,
+              const char *why)
 {
     return AqError_Set(error, AQ_ERR_PROTOCOL,
                        "%s \"%s\": %s; restore the document from a snapshot "
@@ -34,56 +37,65 @@
     const char *target = string_or(vm->record, "target", "");
     bool stopped = vm->state == AQ_VM_DRAINING || vm->state == AQ_VM_DRAINED;
     if (vm->record != AqFleet_Get(fleet, AQ_REC_VM, vm->id)) {
-        return broken(error, "VM", vm->id, "the index has an old record");
+        return inconsistency(error, "VM", vm->id,
+                             "the index refers to an outdated record");
     }
     if (AqFleet_Get(fleet, AQ_REC_POOL, name) == NULL ||
         vm->pool != index_pool(fleet, name)) {
-        return broken(error, "VM", vm->id, "its pool does not exist");
+        return inconsistency(error, "VM", vm->id, "its pool does not exist");
     }
-    if (vm->target != NULL && (!stopped || vm->target == vm->pool)) {
-        return broken(error, "VM", vm->id, "it moves without a drain");
+    if (vm->target_pool != NULL && (!stopped || vm->target_pool == vm->pool)) {
+        return inconsistency(error, "VM", vm->id,
+                             "its target pool requires a drain and must be "
+                             "another pool");
     }
-    if ((*target != '\0') != (vm->target != NULL)) {
-        return broken(error, "VM", vm->id, "its target does not exist");
+    if ((*target != '\0') != (vm->target_pool != NULL)) {
+        return inconsistency(error, "VM", vm->id, "its target does not exist");
     }
-    if (vm->drain > fleet->version || vm->done > fleet->version) {
-        return broken(error, "VM", vm->id, "it names a later version");
+    if (vm->drain_version > fleet->version ||
+        vm->last_wave_id > fleet->version) {
+        return inconsistency(
+            error, "VM", vm->id,
+            "it refers to a version later than the document's");
     }
     if ((vm->state == AQ_VM_SERVING) && *vm->wave != '\0') {
-        return broken(error, "VM", vm->id, "it serves and is in a wave");
+        return inconsistency(error, "VM", vm->id,
+                             "it is serving although a wave has stopped it");
     }
     return true;
 }
 
-/* Counts the VMs again and compares with the index. */
+/* Counts the VMs per pool and state; returns false with an error when the VM
+ * and pool index has other counts. */
 static bool
 check_counts(const AqFleet *fleet, AqError *error)
 {
     int n = (int)fleet->pool_order->len;
-    int(*states)[VM_STATES] = g_malloc0_n((size_t)n, sizeof(*states));
+    int(*states)[VM_STATE_COUNT] = g_malloc0_n((size_t)n, sizeof(*states));
     int *incoming = g_new0(int, (size_t)n);
     bool ok =
         json_object_size(fleet->records[AQ_REC_VM]) == fleet->vm_order->len;
     for (guint i = 0; i < fleet->vm_order->len; i++) {
         const VmEntry *vm = fleet->vm_order->pdata[i];
         states[vm->pool->number][vm->state]++;
-        if (vm->target != NULL) {
-            incoming[vm->target->number]++;
+        if (vm->target_pool != NULL) {
+            incoming[vm->target_pool->number]++;
         }
     }
     for (int p = 0; p < n && ok; p++) {
         const PoolEntry *pool = fleet->pool_order->pdata[p];
         int members = 0;
-        for (int s = 0; s < VM_STATES; s++) {
+        for (int s = 0; s < VM_STATE_COUNT; s++) {
             members += states[p][s];
             ok = ok && states[p][s] == pool->by_state[s];
         }
-        ok = ok && members == pool->members && incoming[p] == pool->incoming &&
+        ok = ok && members == pool->vm_count &&
+             incoming[p] == pool->incoming &&
              (int)AqList_Length(&pool->vms) == members;
     }
     g_free(states);
     g_free(incoming);
-    return ok || broken(error, "index", "pools", "the counts disagree");
+    return ok || inconsistency(error, "index", "pools", "the counts disagree");
 }
 
 bool
@@ -91,14 +103,16 @@
 {
     if (AqFleet_Get(fleet, AQ_REC_POOL, SPARE_POOL) == NULL ||
         AqFleet_Get(fleet, AQ_REC_WEIGHTS, WEIGHTS_NAME) == NULL) {
-        return broken(error, "document", "spare, weights",
-                      "a record that always exists is missing");
+        return inconsistency(error, "document", "spare, weights",
+                             "a record that always exists is missing");
     }
-    if (fleet->epoch > fleet->version || fleet->snapshot > fleet->version ||
-        fleet->version - fleet->snapshot !=
+    if (fleet->epoch > fleet->version ||
+        fleet->snapshot_version > fleet->version ||
+        fleet->version - fleet->snapshot_version !=
             (int64_t)json_array_size(fleet->tail)) {
-        return broken(error, "document", "version",
-                      "epoch, snapshot and tail do not fit the version");
+        return inconsistency(
+            error, "document", "version",
+            "epoch, snapshot and tail do not fit the version");
     }
     if (!check_records(fleet, error)) {
         return false;
@@ -113,12 +127,14 @@
 
 /* ---- Steps ------------------------------------------------------------ */
 
-/* States that one commit may bring a VM to, by the state before; section 12.
- * A wave that ends puts its drained VMs back, which is an undrain. */
+/* Whether one commit may change a VM's state from "before" to "after"; design
+ * page, section 12.  The change from drained to serving covers an undrain, the
+ * end of a move, and a wave that ends and returns its drained VMs to
+ * service. */
 static bool
-may_follow(AqVmState before, AqVmState after)
+is_allowed_transition(AqVmState before, AqVmState after)
 {
-    static const unsigned allowed[VM_STATES] = {
+    static const unsigned allowed[VM_STATE_COUNT] = {
         [AQ_VM_SERVING] = 1u << AQ_VM_DRAINING,
         [AQ_VM_DRAINING] = 1u << AQ_VM_DRAINED | 1u << AQ_VM_SERVING,
         [AQ_VM_DRAINED] = 1u << AQ_VM_REBOOTING | 1u << AQ_VM_SERVING,
@@ -131,7 +147,9 @@
            after == AQ_VM_LEAVING || (allowed[before] & 1u << after) != 0;
 }
 
-/* Checks one VM; *stopped tells whether a serving VM was stopped by plan. */
+/* Checks that the change of one VM from "old" to "vm" (NULL: removed) is
+ * allowed.  Sets *stopped to whether the VM was serving and now drains or is
+ * removed. */
 static bool
 check_vm_step(const VmEntry *old, const VmEntry *vm, bool *stopped,
               AqError *error)
@@ -143,21 +161,25 @@
             old->state == AQ_VM_LEAVING) {
             return true;
         }
-        return broken(error, "VM", old->id, "it was removed without a drain");
+        return inconsistency(error, "VM", old->id,
+                             "it was removed without a drain");
     }
-    if (!may_follow(old->state, vm->state)) {
-        return broken(error, "VM", old->id, "its state skipped a step");
+    if (!is_allowed_transition(old->state, vm->state)) {
+        return inconsistency(error, "VM", old->id,
+                             "its state changed by a transition that is not "
+                             "allowed");
     }
     if (strcmp(old->pool->name, vm->pool->name) != 0 &&
         (old->state != AQ_VM_DRAINED || vm->state != AQ_VM_SERVING)) {
-        return broken(error, "VM", old->id,
-                      "its pool changed without a drain");
+        return inconsistency(error, "VM", old->id,
+                             "its pool changed without a drain");
     }
     return true;
 }
 
-/* One commit may stop several VMs of a pool, so the pool is checked as it is
- * after all of them. */
+/* Checks that a pool keeps to its budget (min_serving and max_unavailable).
+ * "pool" is the pool after the commit, since one commit may drain several VMs
+ * of a pool. */
 static bool
 check_budget(const PoolEntry *pool, AqError *error)
 {
@@ -181,16 +203,19 @@
 {
     if (after->version <= before->version) {
         return AqError_Set(error, AQ_ERR_CONFLICT,
-                           "version %lld follows version %lld; a document "
-                           "must never go back: read head again",
+                           "version %lld follows version %lld; the "
+                           "version must grow: read head again",
                            (long long)after->version,
                            (long long)before->version);
     }
     if (after->epoch < before->epoch) {
-        return broken(error, "document", "epoch", "it went back");
+        return inconsistency(error, "document", "epoch",
+                             "it is lower than in the version before");
     }
     if (after->version > before->version + 1) {
-        /* Single commits cannot be told apart any more. */
+        /* More than one commit lies between the documents "before" and
+         * "after", and the document after each single commit is not known, so
+         * the changes of VMs and budgets cannot be checked. */
         return true;
     }
     for (guint i = 0; i < before->vm_order->len; i++) {
--- a/packages/fleet/planner.c
+++ b/packages/fleet/planner.c
@@ -2,11 +2,13 @@
 
 #include <string.h>
 
-/* A VM comes back into service after its checks have passed this long. */
-#define HEALTHY_MS 5000
-/* When no planner saw a rebooting VM go down, it is taken to be back if it
- * is listed live this long after the order.  Longer than the list's lag. */
-#define SETTLE_MS (30 * 1000)
+/* A VM in state checking returns to service once its health checks have
+ * succeeded for this time. */
+#define MIN_HEALTHY_MS 5000
+/* A rebooting VM that this planner has not seen down in the VM list counts as
+ * rebooted when the VM is listed live this long after it entered state
+ * rebooting.  Longer than the delay with which the VM list shows an outage. */
+#define REBOOT_ASSUMED_DONE_MS (30 * 1000)
 
 AqPlanner *
 AqPlanner_Create(void)
@@ -38,11 +40,13 @@
     PoolPlan *pool = &step->pools[vm->pool->number];
     bool served = vm->state == AQ_VM_SERVING;
     bool serves = state == AQ_VM_SERVING;
-    /* A failure counts even when its upsert has to wait for the next step. */
+    /* Counts the VM in its new state even if its upsert no longer fits into
+     * this step: a VM that has failed then at once reduces how many VMs the
+     * pool's budget allows to be drained. */
     pool->serving += serves - served;
     pool->unavailable += served - serves;
     step->is_changed[vm->number] = 1;
-    if (step->upserts >= STEP_UPSERTS) {
+    if (step->upserts >= STEP_UPSERTS_MAX) {
         json_decref(record);
         return false;
     }
@@ -55,7 +59,7 @@
 plan_headroom(const PlanStep *step, const PoolEntry *pool)
 {
     const PoolPlan *plan = &step->pools[pool->number];
-    if ((step->fleet->switches & FLEET_DISABLE_BUDGET) != 0) {
+    if ((step->fleet->disabled & FLEET_DISABLE_BUDGET) != 0) {
         return plan->serving;
     }
     return budget_headroom(plan->serving, plan->unavailable, pool->min_serving,
@@ -90,11 +94,13 @@
     step->hold = true;
 }
 
-/* Follows the VM list; true when the VM changed. */
+/* Changes the state of a VM as its state in the platform's VM list ("listing")
+ * requires; returns whether the VM changed. */
 static bool
-follow_list(PlanStep *step, const VmEntry *vm, Listing listing)
+apply_listing(PlanStep *step, const VmEntry *vm, Listing listing)
 {
-    bool away = vm->state == AQ_VM_FAILED || vm->state == AQ_VM_LEAVING;
+    bool is_out_of_service =
+        vm->state == AQ_VM_FAILED || vm->state == AQ_VM_LEAVING;
     if (!step->list_known) {
         return false;
     }
@@ -105,11 +111,13 @@
         step->hold = true;
         return true;
     }
-    if (listing == LISTED_LIVE && away && step->wall_ms >= vm->retry) {
+    if (listing == LISTED_LIVE && is_out_of_service &&
+        step->wall_ms >= vm->retry_at_ms) {
         plan_put_vm(step, vm, vm_checking(vm, step->wall_ms), AQ_VM_CHECKING);
         return true;
     }
-    /* Rebooting and checking VMs may be down; "due" bounds them. */
+    /* A rebooting or checking VM may be down; VmEntry.deadline_ms
+     * limits for how long. */
     if ((listing == LISTED_DOWN || listing == LISTED_ABSENT) &&
         (vm->state == AQ_VM_SERVING || vm->state == AQ_VM_DRAINING ||
          vm->state == AQ_VM_DRAINED)) {
@@ -119,47 +127,53 @@
     return false;
 }
 
-/* Whether a VM is no longer in the reboot in which it was seen down. */
+/* Whether an entry of AqPlanner.down is obsolete: the VM is no longer in the
+ * reboot during which the VM list showed it down.  For
+ * g_hash_table_foreach_remove. */
 static gboolean
-is_past_reboot(void *id, void *since, void *fleet)
+is_outage_obsolete(void *id, void *since, void *fleet)
 {
     const VmEntry *vm = index_vm(fleet, id);
     return vm == NULL || vm->state != AQ_VM_REBOOTING ||
-           vm->since != *(const int64_t *)since;
+           vm->since_ms != *(const int64_t *)since;
 }
 
-/* Whether a rebooting VM has been down and is listed live again.  The note of
- * the outage is kept: a step is evaluated again before and after a conflict,
- * and must come to the same result. */
+/* Whether a rebooting VM is listed live, either after the VM list has shown it
+ * as not live or REBOOT_ASSUMED_DONE_MS after it entered state rebooting.  The
+ * VM's entry in AqPlanner.down stays, since a planner step is evaluated once
+ * more before its commit and after a conflict, and each evaluation must have
+ * the same result. */
 static bool
-has_rebooted(PlanStep *step, const VmEntry *vm, Listing listing)
+is_back_from_reboot(PlanStep *step, const VmEntry *vm, Listing listing)
 {
     GHashTable *down = step->planner->down;
     const int64_t *seen = g_hash_table_lookup(down, vm->id);
     if (listing == LISTED_LIVE) {
-        if ((seen == NULL || *seen != vm->since) &&
-            step->wall_ms - vm->since < SETTLE_MS) {
+        if ((seen == NULL || *seen != vm->since_ms) &&
+            step->wall_ms - vm->since_ms < REBOOT_ASSUMED_DONE_MS) {
             return false;
         }
         return true;
     }
-    if (step->list_known && (seen == NULL || *seen != vm->since)) {
+    if (step->list_known && (seen == NULL || *seen != vm->since_ms)) {
         int64_t *since = g_new(int64_t, 1);
-        *since = vm->since;
+        *since = vm->since_ms;
         g_hash_table_replace(down, g_strdup(vm->id), since);
     }
     return false;
 }
 
+/* Advances a VM in state rebooting or checking to its next state, if that is
+ * due: checking, serving, or failed after deadline_ms. */
 static void
-follow_reboot(PlanStep *step, const VmEntry *vm, Listing listing)
+advance_reboot(PlanStep *step, const VmEntry *vm, Listing listing)
 {
-    if (step->wall_ms >= vm->due) {
+    if (step->wall_ms >= vm->deadline_ms) {
         put_failed(step, vm, listing);
         return;
     }
     if (vm->state == AQ_VM_REBOOTING) {
-        if (has_rebooted(step, vm, listing)) {
+        if (is_back_from_reboot(step, vm, listing)) {
             plan_put_vm(step, vm, vm_checking(vm, step->wall_ms),
                         AQ_VM_CHECKING);
         }
@@ -168,7 +182,7 @@
         }
     }
     else if ((listing == LISTED_LIVE || !step->list_known) &&
-             step->view->healthy_for(step->context, vm->id, HEALTHY_MS)) {
+             step->view->healthy_for(step->context, vm->id, MIN_HEALTHY_MS)) {
         json_t *next = vm_serving(vm, step->wall_ms);
         plan_wave_result(step, vm, next, true);
         plan_put_vm(step, vm, next, AQ_VM_SERVING);
@@ -184,13 +198,16 @@
     json_object_set_new(next, "due",
                         json_integer(step->wall_ms + WAVE_RETURN_LIMIT_MS));
     if (plan_put_vm(step, vm, next, AQ_VM_REBOOTING)) {
-        /* The reboot itself is asked for once the commit holds. */
+        /* The next planner step requests the reboot from the platform, once
+         * this step's commit has succeeded. */
         plan_wave_add_in_progress(step, vm);
     }
 }
 
+/* Advances a VM in state draining or drained to its next state, if that is
+ * due: drained, rebooting, or serving. */
 static void
-follow_drain(PlanStep *step, const VmEntry *vm)
+advance_drain(PlanStep *step, const VmEntry *vm)
 {
     WavePlan *wave = plan_wave(step, vm->wave);
     if (*vm->wave != '\0' && (wave == NULL || !wave->running)) {
@@ -199,26 +216,27 @@
     }
     if (vm->state == AQ_VM_DRAINING) {
         plan_wave_add_in_progress(step, vm);
-        if (step->view->in_flight(step->context, vm->id, vm->drain) == 0) {
+        if (step->view->in_flight(step->context, vm->id, vm->drain_version) ==
+            0) {
             json_t *next =
                 vm_in_state(vm->record, AQ_VM_DRAINED, step->wall_ms);
             plan_put_vm(step, vm, next, AQ_VM_DRAINED);
         }
     }
-    else if (vm->target != NULL) {
-        json_t *next = vm_in_pool(vm, vm->target->name, step->wall_ms);
+    else if (vm->target_pool != NULL) {
+        json_t *next = vm_in_pool(vm, vm->target_pool->name, step->wall_ms);
         if (plan_put_vm(step, vm, next, AQ_VM_DRAINED)) {
             step->pools[vm->pool->number].unavailable--;
-            step->pools[vm->target->number].serving++;
+            step->pools[vm->target_pool->number].serving++;
         }
     }
-    else if (vm->reboot || *vm->wave != '\0') {
+    else if (vm->is_reboot_planned || *vm->wave != '\0') {
         put_rebooting(step, vm);
     }
 }
 
 static void
-begin(PlanStep *step)
+step_init(PlanStep *step)
 {
     const AqFleet *fleet = step->fleet;
     step->pools = g_new0(PoolPlan, fleet->pool_order->len);
@@ -227,15 +245,17 @@
         const PoolEntry *pool = fleet->pool_order->pdata[i];
         step->pools[i].serving = pool_serving(pool);
         step->pools[i].unavailable = pool_unavailable(pool);
-        step->pools[i].zone = ZONE_NONE;
+        step->pools[i].active_zone = ZONE_NONE;
     }
     plan_waves_load(step);
 }
 
-/* First the VM list and the ends of reboots, which may stop a wave; then the
- * drains, which depend on the state of their wave. */
+/* Advances all VMs.  First applies the VM list to all VMs and advances the
+ * rebooting and checking VMs, since a failure of one of these may stop a
+ * wave.  Then advances the draining and drained VMs: a VM whose wave no longer
+ * runs returns to service. */
 static void
-follow_vms(PlanStep *step)
+advance_vms(PlanStep *step)
 {
     const GPtrArray *vms = step->fleet->vm_order;
     Listing *listings = g_new(Listing, vms->len + 1);
@@ -245,16 +265,16 @@
     }
     for (guint i = 0; i < vms->len; i++) {
         const VmEntry *vm = vms->pdata[i];
-        if (!follow_list(step, vm, listings[i]) &&
+        if (!apply_listing(step, vm, listings[i]) &&
             (vm->state == AQ_VM_REBOOTING || vm->state == AQ_VM_CHECKING)) {
-            follow_reboot(step, vm, listings[i]);
+            advance_reboot(step, vm, listings[i]);
         }
     }
     for (guint i = 0; i < vms->len; i++) {
         const VmEntry *vm = vms->pdata[i];
         if (!step->is_changed[i] &&
             (vm->state == AQ_VM_DRAINING || vm->state == AQ_VM_DRAINED)) {
-            follow_drain(step, vm);
+            advance_drain(step, vm);
         }
     }
     g_free(listings);
@@ -272,13 +292,15 @@
                      .context = context,
                      .set = set,
                      .reboots = reboots};
-    g_hash_table_foreach_remove(planner->down, is_past_reboot, (void *)fleet);
-    begin(&step);
-    follow_vms(&step);
-    /* Without a VM list failed VMs cannot be seen. */
+    g_hash_table_foreach_remove(planner->down, is_outage_obsolete,
+                                (void *)fleet);
+    step_init(&step);
+    advance_vms(&step);
+    /* Without a VM list it is not known which VMs have failed, so the step
+     * begins no drains of VMs. */
     step.hold |= !step.list_known;
     plan_waves_run(&step);
-    if ((fleet->switches & FLEET_DISABLE_PLACEMENT) == 0) {
+    if ((fleet->disabled & FLEET_DISABLE_PLACEMENT) == 0) {
         plan_placement(&step);
     }
     plan_waves_finish(&step);
--- a/packages/scheduler/Include/aq_scheduler.h
+++ b/packages/scheduler/Include/aq_scheduler.h
@@ -28,8 +28,9 @@
  *
  * A new owner reads the stored list of used VMs: those to which an earlier
  * owner of the pool may have sent orders.  The new owner starts no task that
- * an earlier owner may have started until each of these VMs has replied under
- * the new fence or the VM's leases must have expired. */
+ * an earlier owner may have started until each of these VMs has replied to the
+ * new owner or the VM's lease must have expired.  The lease of a VM is the
+ * time until which the VM runs tasks without a renewal. */
 
 typedef struct AqScheduler AqScheduler;
 
@@ -47,12 +48,13 @@
 
 typedef struct {
     char pool[64];
-    /* fencing number of this owner; above those of all earlier owners */
+    /* fencing number of this owner of the pool; above those of all earlier
+     * owners */
     uint64_t fence;
-    /* number of owners that the pool had before this one */
+    /* number of owners that the pool had before the current owner */
     int64_t generation;
-    /* duration of the lease that each start or renewal order grants to its
-     * VM */
+    /* duration of the lease that each start order or renewal order (extends
+     * the lease) grants to its VM */
     AqTime lease_ms;
     /* How long after the scheduler's creation an earlier owner of the pool may
      * still send orders; 0: the earlier owner is known to have ended. */
@@ -61,7 +63,7 @@
 
 /* Calls by which the scheduler sends its orders.  The caller reports the reply
  * to each order with the AqScheduler_On* function of that order, except for
- * "pace", whose reply is not reported. */
+ * "pace" (limit the speed of a run), whose reply is not reported. */
 typedef struct {
     void (*start)(void *context, const AqOrderTarget *target,
                   const AqStartOrder *order);
@@ -73,8 +75,8 @@
                  const AqTaskName *task, int64_t run, int percent);
     void (*request_tickets)(void *context, const AqTaskName *step,
                             const char *const *vms, size_t count);
-    /* A VM replied that it has received orders with a higher fence than this
-     * owner's. */
+    /* A VM replied that it has received orders with a higher fencing number
+     * than that of this owner of the pool: a later owner exists. */
     void (*superseded)(void *context);
 } AqSchedulerActions;
 
@@ -94,8 +96,8 @@
                         const char *record, size_t size, AqTime now,
                         AqError *error);
 void AqScheduler_CancelJob(AqScheduler *scheduler, const char *id, AqTime now);
-/* Removes the job if it is finished and its record is stored; otherwise has no
- * effect. */
+/* Removes the job from the scheduler if the job is finished and its record is
+ * stored; otherwise has no effect. */
 void AqScheduler_RemoveJob(AqScheduler *scheduler, const char *id);
 /* Sets *stage to the job's stage; for a finished job, to the stage in the
  * job's stored record.  False when the job is not known. */
@@ -105,8 +107,8 @@
  * when the record is damaged. */
 bool AqScheduler_ReadStage(const char *record, size_t size, AqJobStage *stage,
                            AqError *error);
-/* Number of jobs of the queue, recurring ones excluded, of which no task has
- * started. */
+/* Returns how many jobs of the queue are not recurring and have started no
+ * task yet. */
 size_t AqScheduler_CountWaiting(const AqScheduler *scheduler,
                                 const char *queue);
 
@@ -119,12 +121,14 @@
 /* Records that the VM's entry in the store has disappeared. */
 void AqScheduler_VmUnlisted(AqScheduler *scheduler, const char *id,
                             AqTime now);
-/* Records that an order took the VM down or to another pool, so that all runs
- * on the VM have ended.  The VM is used again if it replies later. */
+/* Records that the VM's incarnation with this id has ended with all its runs:
+ * the platform has accepted a move or maintenance of the VM, or lists another
+ * incarnation of the VM.  Tasks may start on the VM again if this incarnation
+ * replies later. */
 void AqScheduler_VmEnded(AqScheduler *scheduler, const char *id, AqTime now);
-/* Sets whether the VM is cordoned.  A cordoned VM gets no new tasks; its
- * perpetual tasks move to other VMs as far as their steps' limits on missing
- * tasks allow. */
+/* Sets whether the VM is cordoned.  A cordoned VM gets no new tasks; the
+ * scheduler moves its perpetual tasks to other VMs unless more tasks of a step
+ * would be missing than the step's limit allows. */
 void AqScheduler_SetCordon(AqScheduler *scheduler, const char *id,
                            bool is_cordoned);
 /* Orders the stop of the tasks on the VM, except perpetual ones, so that these
@@ -141,15 +145,15 @@
     /* id that all incarnations of the VM share, or "": not known; borrowed */
     const char *machine;
     bool is_usable; /* tasks may be started on the VM */
-    /* the VM replies to this owner's orders */
+    /* the VM replies to the orders of this owner of the pool */
     bool is_answering;
     /* number of tasks running, starting or stopping on the VM */
     size_t tasks;
     /* number of perpetual tasks among "tasks" */
     size_t perpetual_tasks;
     int64_t cpu_millis;
-    /* when the last task on this VM ended; AQ_TIME_NEVER while the VM has
-     * tasks */
+    /* since when the VM has had no starting, running or stopping tasks;
+     * AQ_TIME_NEVER while it has such tasks */
     AqTime idle_since;
     /* Since when the VM, which may have received orders, has not replied;
      * AQ_TIME_NEVER for a VM that replies or is known to have ended. */
@@ -168,15 +172,16 @@
  * runs, so that the next owner waits for no other VM. */
 void AqScheduler_Close(AqScheduler *scheduler);
 
-/* Returns the version of the list of used VMs: those to which an owner of the
- * pool may have sent orders.  A VM gets its first task only after a version of
- * the list that includes the VM is stored and reported by
- * AqScheduler_UsedVmsSaved(). */
+/* Returns the version of the list of used VMs, which names the VMs to which an
+ * owner of the pool may have sent orders.  A VM gets its first task only after
+ * the caller has stored a version that includes the VM and has reported that
+ * with AqScheduler_UsedVmsSaved(). */
 uint64_t AqScheduler_UsedVmsVersion(const AqScheduler *scheduler);
 void AqScheduler_EncodeUsedVms(const AqScheduler *scheduler, AqBuffer *out);
 void AqScheduler_UsedVmsSaved(AqScheduler *scheduler, uint64_t version);
-/* Adds the VMs of a stored list of used VMs, to which an earlier owner of the
- * pool may have sent orders; false when the list is damaged. */
+/* Adds the VMs in a stored list of used VMs, which are those to which an
+ * earlier owner of the pool may have sent orders; false when the list is
+ * damaged. */
 bool AqScheduler_AddUsedVms(AqScheduler *scheduler, const char *bytes,
                             size_t size, AqTime now);
 
@@ -193,14 +198,15 @@
 void AqScheduler_OnStop(AqScheduler *scheduler, const char *id,
                         const AqTaskName *name, int64_t run,
                         const AqOrderReply *reply, AqTime now);
-/* Handles the VM's reply to a renewal order, which extends the VM's lease.
+/* Handles the VM's reply to a renewal order (extends the VM's lease).
  * "sent_at" is when that order was sent, on the scheduler's clock. */
 void AqScheduler_OnRenewal(AqScheduler *scheduler, const char *id,
                            AqTime sent_at, const AqOrderReply *reply,
                            AqTime now);
-/* Adds a ticket for starts of the step's tasks on the VM "vm", valid for
- * "valid_ms" from "now".  AqScheduler_OnTicketsEnd() ends the request for
- * tickets; its "is_answered" is true when the advice service responded. */
+/* Adds a ticket: the advice service's permission to start tasks of the step on
+ * the VM "vm" until "valid_ms" after "now".  AqScheduler_OnTicketsEnd() ends
+ * the request for tickets; its "is_answered" is true when the advice service
+ * responded. */
 void AqScheduler_OnTicket(AqScheduler *scheduler, const AqTaskName *name,
                           const char *vm, const char *ticket, AqTime valid_ms,
                           AqTime now);
@@ -218,41 +224,47 @@
 } AqJobSave;
 
 /* Fills "saves" with up to "most" records of changed jobs, the job with the
- * oldest change first, and returns their number.  Returns 0 while an earlier
- * save is under way. */
+ * oldest change first, and returns the number of records.  Returns 0 while an
+ * earlier save is under way. */
 size_t AqScheduler_BeginSave(AqScheduler *scheduler, AqJobSave *saves,
                              size_t most);
 void AqScheduler_EndSave(AqScheduler *scheduler, AqJobSave *saves,
                          size_t count, bool is_stored, AqTime now);
-/* Whether a change of some job is not stored yet. */
+/* Whether a change of any job is not stored yet. */
 bool AqScheduler_HasUnsaved(const AqScheduler *scheduler);
 
 /* ---- Time --------------------------------------------------------------- */
 
 /* Sends the orders that are due.  "wall" is Unix ms.  While "may_order" is
  * false no order is sent, since the pool may have another owner.  Returns the
- * latest time for the next call, on the clock of "now". */
+ * time, on the clock of "now", by which the caller must call the function
+ * again. */
 AqTime AqScheduler_Tick(AqScheduler *scheduler, AqTime now, int64_t wall,
                         bool may_order);
 
 typedef struct {
-    int64_t ready_cpu_millis; /* CPU needed by the ready tasks */
-    /* CPU taken by tasks on all VMs of the pool */
+    /* CPU that the ready tasks need, in thousandths of a core */
+    int64_t ready_cpu_millis;
+    /* CPU of all tasks that are starting, running or stopping on the pool's
+     * VMs, in thousandths of a core */
     int64_t used_cpu_millis;
-    /* part of used_cpu_millis that perpetual tasks take */
+    /* part of used_cpu_millis that perpetual tasks take, in thousandths of a
+     * core */
     int64_t perpetual_cpu_millis;
-    int64_t capacity_cpu_millis; /* total CPU of the usable VMs */
-    /* CPU needed if jobs keep being submitted at the recent rate. */
+    /* total CPU of the usable VMs, in thousandths of a core */
+    int64_t capacity_cpu_millis;
+    /* CPU that the pool needs if callers keep submitting jobs at the recent
+     * rate, in thousandths of a core */
     int64_t offered_cpu_millis;
     size_t ready_tasks;
     size_t jobs; /* number of unfinished jobs */
-    /* longest time that a ready task has been ready */
+    /* how long the longest-waiting ready task has been ready to start */
     AqTime longest_wait_ms;
-    /* most VMs that one perpetual step needs because its tasks per VM are
-     * limited */
+    /* largest number of VMs that any one perpetual step (its tasks run until
+     * the job is cancelled) needs, given the step's limit on tasks per VM */
     size_t widest_spread;
-    /* the scheduler knows all live runs that earlier owners may have
-     * started */
+    /* the scheduler knows all live runs that earlier owners of the pool may
+     * have started */
     bool is_recovered;
 } AqSchedulerLoad;
 
@@ -261,20 +273,23 @@
 
 /* Counters since the creation of the scheduler. */
 typedef struct {
-    /* starts of runs that VMs have confirmed */
+    /* runs (executions of a task on a VM) whose start the VM has confirmed */
     uint64_t starts;
     /* start orders that a VM refused or that were not sent */
     uint64_t starts_refused;
-    uint64_t done;   /* tasks that are done */
-    uint64_t failed; /* runs of tasks that failed */
-    /* runs that ended with their VM, the VM's lease or their gang (step whose
-     * tasks run together), or that their VM no longer lists */
+    uint64_t done;   /* tasks completed since the scheduler's creation */
+    uint64_t failed; /* runs (executions of a task on a VM) that failed */
+    /* runs (executions of a task on a VM) that ended with their VM, the VM's
+     * lease or their gang (step whose tasks run together), or that their VM no
+     * longer lists */
     uint64_t lost;
-    uint64_t stalled; /* runs stopped because they made no progress */
-    uint64_t copied;  /* tasks requeued while their run on a silent VM may
-                       * continue */
-    /* changes of the pace of fillers, which are tasks that use only idle
-     * CPU */
+    /* runs that the scheduler stopped because they made no progress */
+    uint64_t stalled;
+    /* tasks that were made ready again while their run on a silent VM may
+     * continue */
+    uint64_t copied;
+    /* orders that changed the speed limit (pace) of a filler, a task that uses
+     * only CPU that others leave */
     uint64_t paced;
 } AqSchedulerCounters;
 
--- a/packages/scheduler/Include/aq_worker_client.h
+++ b/packages/scheduler/Include/aq_worker_client.h
@@ -21,12 +21,15 @@
 } AqTaskName;
 
 enum {
-    AQ_VM_ID_SIZE = 64, /* bytes of a VM's id, with the NUL */
-    /* bytes of a checkpoint, with the NUL; a longer checkpoint is dropped */
+    /* size of the buffer for a VM's id, in bytes with the NUL */
+    AQ_VM_ID_SIZE = 64,
+    /* size of the buffer for a checkpoint, in bytes with the NUL; a longer
+     * checkpoint is dropped */
     AQ_CHECKPOINT_SIZE = 128
 };
 
-/* A VM's entry in the store, as reported by its worker process. */
+/* What a VM's worker process reports about the VM in the VM's entry in the
+ * store. */
 typedef struct {
     char id[AQ_VM_ID_SIZE]; /* id of this incarnation of the VM */
     char address[32];       /* "IP:port" */
@@ -39,7 +42,8 @@
     int64_t cpu_millis;
     int64_t memory_mb;
     int64_t gpus;
-    /* shortest time for which the draining VM stays up; -1: not reported */
+    /* shortest time, from the report, for which the draining VM stays up; -1:
+     * not reported */
     int64_t leaves_ms;
     bool is_draining;
 } AqVmReport;
@@ -52,13 +56,16 @@
     /* refused: a run of the task with this or a higher number was stopped or
      * has ended on the VM */
     AQ_ORDER_OLD_RUN,
-    /* refused: the order's lease deadline has passed on the VM's clock */
+    /* refused: the end of the lease that the order grants to the VM has passed
+     * on the VM's clock */
     AQ_ORDER_LATE,
     /* refused: the VM lacks free resources for the task */
     AQ_ORDER_NO_ROOM,
-    /* refused: the start order had no valid ticket */
+    /* refused: the start order had no valid ticket (permission of the advice
+     * service to start the task on this VM) */
     AQ_ORDER_NO_TICKET,
-    /* the reply came from another incarnation of the VM */
+    /* the reply came from another incarnation of the VM than the one that the
+     * order names */
     AQ_ORDER_OTHER_LIFE,
     /* refused by an unhealthy VM; the order has no effect */
     AQ_ORDER_UNHEALTHY,
@@ -72,13 +79,15 @@
 /* Returns the name of the result; static storage. */
 const char *AqOrderResult_Name(AqOrderResult result);
 
-/* A run of a task that is alive on the VM. */
+/* A run (one execution of a task) that is alive on the VM. */
 typedef struct {
     AqTaskName task;
     int64_t run;
-    /* last checkpoint of the run; "": none; borrowed */
+    /* last checkpoint that the run reported, from which a later run of the
+     * task can continue; "": none; borrowed */
     const char *checkpoint;
-    /* progress of the run, percent; a perpetual task is at work at 100 */
+    /* percent of the task's work that the run has done; a perpetual task
+     * reports 100 once it has started up and is at work */
     int64_t percent;
     /* Tail latency in ms, for a task that serves requests; for other tasks the
      * CPU in use, in thousandths of a core. */
@@ -99,19 +108,21 @@
 } AqEndKind;
 
 typedef struct {
-    /* sequence number of the end; rises with each end in an incarnation of the
-     * VM */
+    /* sequence number of the end of the run; rises with each end of a run in
+     * one incarnation of the VM */
     int64_t number;
     AqTaskName task;
     int64_t run;
     AqEndKind kind;
-    /* last checkpoint of the run; "": none; borrowed */
+    /* last checkpoint that the run reported, from which a later run of the
+     * task can continue; "": none; borrowed */
     const char *checkpoint;
 } AqEndedTask;
 
 typedef struct {
     AqOrderResult result;
-    /* monotonic clock of the VM at its reply; -1: not reported */
+    /* time on the VM's monotonic clock when the VM replied; -1: not
+     * reported */
     AqTime clock_ms;
     /* The live runs and the ended runs on the VM, only in a reply
      * AQ_ORDER_DONE to a renewal order (extension of the VM's lease);
@@ -126,7 +137,8 @@
 
 typedef struct {
     const char *address;
-    const char *vm; /* id of the incarnation that the order is for */
+    /* id of the VM's incarnation to which the order is addressed */
+    const char *vm;
 } AqOrderTarget;
 
 typedef struct {
@@ -136,7 +148,8 @@
     const char *text;
     /* checkpoint from which the run continues; "": none */
     const char *checkpoint;
-    /* ticket of the advice service for this start; "": none */
+    /* the advice service's permission (ticket) to start the task on this VM;
+     * "": the order has none */
     const char *ticket;
     AqTime deadline_ms; /* end of the VM's lease, on the VM's clock */
     uint64_t fence;
@@ -149,7 +162,8 @@
     AqTime deadline_ms; /* end of the VM's lease, on the VM's clock; -1: the
                          * lease stays unchanged */
     uint64_t fence;
-    /* highest AqEndedTask.number of an end that the VM may forget */
+    /* the VM need no longer list ends of runs with an AqEndedTask.number up to
+     * this one in its replies */
     int64_t acked_end;
     /* longest time for which the VM may delay its reply to wait for the end of
      * a run */
@@ -159,9 +173,10 @@
 typedef struct AqWorkerClient AqWorkerClient;
 
 /* Every order ends with one call of "done" from the event loop.  "start"
- * starts a run of a task and "stop" ends it.  "renew" sends an AqRenewalOrder.
- * "pace" limits the run of a filler, which uses only idle CPU, to a percentage
- * of its full speed. */
+ * starts a run (one execution of a task on a VM) and "stop" ends it.  "renew"
+ * sends an AqRenewalOrder, which extends the VM's lease.  "pace" limits the
+ * run of a filler, a task that uses only CPU that others leave, to a
+ * percentage of its full speed. */
 typedef struct {
     void (*start)(AqWorkerClient *calls, const AqOrderTarget *target,
                   const AqStartOrder *order, AqOrderDone done, void *context);
--- a/packages/scheduler/placement.c
+++ b/packages/scheduler/placement.c
@@ -18,7 +18,8 @@
     /* addend of placement_cost(), thousandths of a core, for a VM in a rack
      * other than that of the task's data */
     OTHER_RACK_COST = 10000000,
-    /* run numbers of each task reserved for one owner of the pool */
+    /* how many run numbers of each task are reserved for each owner of the
+     * pool */
     RUNS_PER_OWNER = 100000,
     TICKET_RETRY_MS = 200,
     MAX_TICKET_REQUEST_VMS = 100
@@ -71,7 +72,8 @@
 find_ticket(const AqScheduler *s, const Step *step, const Vm *vm)
 {
     enum {
-        /* Least validity that a ticket must have left, since the start order
+        /* Least time for which a ticket (permission of the advice service to
+         * start a task on one VM) must still be valid, since the start order
          * takes time to arrive. */
         TICKET_MARGIN_MS = 300
     };
@@ -105,8 +107,9 @@
            (!tickets || find_ticket(s, step, vm) != NULL);
 }
 
-/* Cost of running the task on the VM; the VM with the lowest cost is
- * chosen. */
+/* Returns the cost of running the task on the VM, in thousandths of a core:
+ * the VM's free CPU plus addends for unwanted VMs and racks.  The VM with the
+ * lowest cost is chosen. */
 static int64_t
 placement_cost(const AqScheduler *s, const Vm *vm, const Task *task)
 {
@@ -249,8 +252,9 @@
     bool has_placed = false;
     if (!step->spec->is_filler &&
         step->spec->cpu_millis > s->largest_free_cpu_millis) {
-        /* fast exit, since many jobs wait in a full pool: no VM has the CPU
-         * for the step */
+        /* no usable VM has enough free CPU for a task of the step; checked
+         * before the single VMs to save time, since many jobs wait in a full
+         * pool */
         return;
     }
     for (uint32_t i = 0; i < step->spec->task_count && step->ready > 0; i++) {
@@ -260,8 +264,8 @@
         }
         Vm *vm = choose_vm(s, task, NULL);
         if (vm == NULL) {
-            /* no VM fits the step's other tasks either, since they need the
-             * same */
+            /* no VM has room for the step's other tasks either, since each of
+             * them needs the same resources */
             break;
         }
         assign_task(s, vm, task, next_run(s, task->run));
@@ -318,8 +322,8 @@
 {
     for (uint32_t i = 0; i < step->spec->task_count; i++) {
         if (!is_startable(s, &step->tasks[i])) {
-            /* a task of the gang is not ready, or waits before its next
-             * start */
+            /* a task of the gang (step whose tasks run together) is not ready,
+             * or its earliest start time, Task.not_before, has not come */
             return;
         }
     }
@@ -369,11 +373,13 @@
         return;
     }
     enum {
-        /* longest time from one placement of tasks to the next, since pauses
-         * of tasks and VMs end without an event */
+        /* longest time from one placement of tasks to the next; needed since
+         * no event reports the end of a pause in which a task is not started
+         * or a VM gets no tasks */
         PLACEMENT_PERIOD_MS = 100,
         /* least time from one placement of tasks to the next, since a
-         * placement visits all jobs, and ends of runs arrive one by one */
+         * placement visits all jobs, and each end of a run makes a placement
+         * due */
         MIN_PLACEMENT_GAP_MS = 5
     };
     if (s->now < s->earliest_placement_at) {
--- a/packages/scheduler/tests/test_scheduler.c
+++ b/packages/scheduler/tests/test_scheduler.c
@@ -42,7 +42,7 @@
 
 /* Guards against a VM that counts as idle, and so may be moved or rebooted,
  * while the end of a run is recorded only on that VM.  Saves are slow under
- * load; the next owner would run the task a second time. */
+ * load; the next pool owner would run the task a second time. */
 static void
 test_unstored_end_keeps_vm(void)
 {
@@ -61,9 +61,9 @@
     sim_destroy(sim);
 }
 
-/* Guards against a new owner that treats the runs of an earlier owner as
- * stale, since the new owner's run numbers are higher, and starts the tasks of
- * these runs a second time. */
+/* Guards against a new pool owner that treats the runs of an earlier pool
+ * owner as stale, since the new pool owner's run numbers are higher, and
+ * starts the tasks of these runs a second time. */
 static void
 test_takeover_adopts_runs(void)
 {
@@ -78,9 +78,9 @@
     sim_destroy(sim);
 }
 
-/* Guards against a new owner that starts tasks before all VMs to which the
- * earlier owner may have sent orders have replied: one of these VMs is silent
- * and still runs its tasks. */
+/* Guards against a new pool owner that starts tasks before all VMs to which
+ * the earlier pool owner may have sent orders have replied: one of these VMs
+ * is silent and still runs its tasks. */
 static void
 test_takeover_waits_for_silent_vm(void)
 {
@@ -99,7 +99,7 @@
     sim_destroy(sim);
 }
 
-/* Guards against a task that starts a third time because the new owner
+/* Guards against a task that starts a third time because the new pool owner
  * receives the end of the task's second failed run before that of the
  * first. */
 static void
@@ -125,7 +125,7 @@
     }
 }
 
-/* Guards against two runs of a task at a time while an owner that has been
+/* Guards against two runs of a task at a time while a pool owner that has been
  * replaced does not notice its replacement and still sends orders. */
 static void
 test_unaware_previous_owner(void)
@@ -162,8 +162,8 @@
     sim_destroy(sim);
 }
 
-/* Guards against tasks of a crashed VM that wait for the VM's lease to expire
- * although the VM's new incarnation reports that no run is alive there. */
+/* Guards against tasks that wait for the lease of their crashed VM to expire
+ * although the VM's new incarnation reports that no run is alive on the VM. */
 static void
 test_crash_restarts_at_once(void)
 {
@@ -207,9 +207,10 @@
     sim_destroy(sim);
 }
 
-/* Guards against a new owner that waits for an incarnation of a VM that an
- * order has ended: the stored list of used VMs, to which an owner may have
- * sent orders, must not name that incarnation any more. */
+/* Guards against a new pool owner that waits for replies from a VM's
+ * incarnation although the previous pool owner's scheduler knew that this
+ * incarnation had ended: the stored list of used VMs, to which a pool owner
+ * may have sent orders, must no longer name the incarnation. */
 static void
 test_ended_vm_is_not_awaited(void)
 {
@@ -229,7 +230,8 @@
 typedef struct {
     AqScheduler *scheduler;
     AqTime now;
-    /* number of VMs reported to the scheduler as ended */
+    /* number of incarnations of VMs that the test has reported to the
+     * scheduler as ended */
     unsigned ended;
 } EndSilentVisit;
 
@@ -246,10 +248,12 @@
     }
 }
 
-/* Guards against a new owner that waits for the leases of an incarnation of a
- * VM that an order of the previous owner has ended.  The stored list of used
- * VMs, to which an owner may have sent orders, must name the VM's machine, so
- * that the platform's list of VMs can show that the incarnation has ended. */
+/* Guards against a new pool owner that waits for the lease of a VM's
+ * incarnation to expire although that incarnation has ended, for example by an
+ * order of the previous pool owner.  The stored list of used VMs, to which a
+ * pool owner may have sent orders, must have the VM's machine id, by which the
+ * new pool owner sees in the platform's list of VMs that the incarnation has
+ * ended. */
 static void
 test_replaced_vm_is_not_awaited(void)
 {
@@ -275,9 +279,9 @@
     sim_destroy(sim);
 }
 
-/* Guards against tasks that wait, after a hand-over, for a silent VM that does
- * not run them: the previous owner stored the runs of each VM with the list of
- * used VMs, to which an owner may have sent orders. */
+/* Guards against tasks that wait for a silent VM after a hand-over although
+ * that VM does not run them: the previous pool owner stored the runs of each
+ * VM with the list of used VMs, to which a pool owner may have sent orders. */
 static void
 test_hand_over_passes_on_runs(void)
 {
@@ -300,8 +304,9 @@
     sim_destroy(sim);
 }
 
-/* Guards against jobs submitted after a takeover whose tasks wait for a silent
- * VM, although that VM can't be running these tasks. */
+/* Guards against tasks that wait for a silent VM although their job was
+ * submitted after the takeover, so that the silent VM can't be running
+ * them. */
 static void
 test_new_jobs_start_at_once(void)
 {
@@ -337,7 +342,7 @@
     sim_destroy(sim);
 }
 
-/* Guards against an owner that sends orders while it may have lost its
+/* Guards against a pool owner that sends orders while it may have lost its
  * lease. */
 static void
 test_uncertain_owner_sends_no_orders(void)
@@ -440,9 +445,9 @@
 static void
 test_draining_goes_before_cordoned(void)
 {
-    /* Times from the cordon of one VM to the draining of two others: none, and
-     * several at which the stop order for the task on the cordoned VM is under
-     * way. */
+    /* Times from the cordon of one VM until two other VMs begin to drain: 0,
+     * and several at which the stop order for the task on the cordoned VM has
+     * been sent but not confirmed. */
     static const AqTime pauses_ms[] = {0, 5, 10, 15, 20, 25, 30, 40, 60};
     for (size_t i = 0; i < sizeof(pauses_ms) / sizeof(pauses_ms[0]); i++) {
         for (uint64_t seed = 1; seed <= 20; seed++) {
@@ -490,9 +495,10 @@
     sim_destroy(sim);
 }
 
-/* Guards against a filler that runs at full speed while a serving task on the
- * same VM exceeds its latency target, and against a filler that stays slow
- * once the latency is low again. */
+/* Guards against a filler (task that uses only CPU that others leave) that
+ * runs at full speed while a serving task on the same VM exceeds its latency
+ * target, and against a filler that stays slow once the latency is low
+ * again. */
 static void
 test_fillers_are_paced(void)
 {
@@ -526,8 +532,9 @@
 
 /* ---- Offered load ------------------------------------------------------- */
 
-/* Returns the offered load, in thousandths of a core, after 40 jobs have run
- * and eight more were submitted.  Half of the jobs declare the duration
+/* Returns the offered load that the scheduler computes (CPU for the recently
+ * submitted jobs), in thousandths of a core, after 40 jobs have run and eight
+ * more were submitted.  Half of the jobs declare the duration
  * "long_estimate_ms", half "short_estimate_ms"; all tasks actually take 400
  * ms, which the scheduler learns from the first 40 jobs. */
 static int64_t
@@ -559,9 +566,10 @@
     return load.offered_cpu_millis;
 }
 
-/* Guards against a wrong offered load, for which the pool would hold too many
- * VMs, when the declared durations are too long or too short by a factor of
- * four. */
+/* Guards against a scheduler that computes a wrong offered load (CPU for the
+ * recently submitted jobs) when jobs declare durations four times too long or
+ * too short; with too high a load the pool would hold too many VMs.  The load
+ * must be above 70% and below 140% of that for exactly declared durations. */
 static void
 test_misdeclared_durations(void)
 {
@@ -593,8 +601,10 @@
     }
 }
 
-/* Guards against VMs that arrive too late for a burst of jobs: the offered
- * load must not lag behind a rising load, nor exceed a steady one. */
+/* Guards against VMs that arrive too late for a burst (many jobs submitted
+ * within a short time).  The offered load that the scheduler computes, the CPU
+ * for the recently submitted jobs, must be within 10% of a steady load, and 1
+ * to 1.8 times a rising load. */
 static void
 test_offered_load_follows_rise(void)
 {
@@ -612,7 +622,7 @@
     AqScheduler_GetLoad(s, now, &load);
     CU_ASSERT_TRUE(load.offered_cpu_millis > 1800);
     CU_ASSERT_TRUE(load.offered_cpu_millis < 2200);
-    /* The load rises from 2 to 20 cores in 3 s. */
+    /* The CPU that the submitted jobs need rises from 2 to 20 cores in 3 s. */
     for (; now < 13000; now += SUBMIT_INTERVAL_MS) {
         submit_jobs(s, 1 + (unsigned)(now - 10000) / 300, now);
     }
--- a/packages/scheduler/tests/test_scheduler_random.c
+++ b/packages/scheduler/tests/test_scheduler_random.c
@@ -15,7 +15,9 @@
  *
  * "test_scheduler_random FIRST_SEED COUNT" runs other seeds. */
 
-/* In half of the calls, replaces the pool's owner in some way, crashes a VM or
+/* In half of the calls, does one of five things: kills the pool's owner and
+ * starts the next owner; starts the next owner while the current one does not
+ * notice and goes on; hands the pool over to the next owner; crashes a VM; or
  * makes a VM silent. */
 static void
 inject_fault(Sim *sim, AqRandom *random)
--- a/packages/testkit/answer.c
+++ b/packages/testkit/response.c
@@ -1,4 +1,4 @@
-#include "aq_test_answer.h"
+#include "aq_test_response.h"
 
 #include <inttypes.h>
 #include <stdio.h>
@@ -6,7 +6,8 @@
 
 #include "aq_hash.h"
 
-/* "sum=" and 16 hex digits and a newline. */
+/* Size in bytes of the last line of a response: "sum=", 16 hexadecimal digits
+ * and a newline. */
 #define SUM_SIZE 21
 
 static void
@@ -16,6 +17,8 @@
              AqHash_Bytes(bytes, size));
 }
 
+/* Appends the part of a response that identifies its request: the request id
+ * and the hash of the request body of "size" bytes. */
 static void
 append_head(AqBuffer *out, const char *id, const void *body, size_t size)
 {
@@ -24,8 +27,8 @@
 }
 
 void
-AqAnswer_Build(AqBuffer *out, const char *id, const void *body, size_t size,
-               size_t bytes)
+AqTestResponse_Build(AqBuffer *out, const char *id, const void *body,
+                     size_t size, size_t bytes)
 {
     char sum[SUM_SIZE + 1];
     size_t start = out->size;
@@ -39,24 +42,24 @@
     AqBuffer_AppendText(out, sum);
 }
 
-AqAnswerCheck
-AqAnswer_Check(const char *answer, size_t answer_size, const char *id,
-               const void *body, size_t size)
+AqTestResponseCheck
+AqTestResponse_Check(const char *response, size_t response_size,
+                     const char *id, const void *body, size_t size)
 {
     char sum[SUM_SIZE + 1];
     AqBuffer head;
-    if (answer_size <= SUM_SIZE) {
-        return AQ_ANSWER_DAMAGED;
+    if (response_size <= SUM_SIZE) {
+        return AQ_RESPONSE_DAMAGED;
     }
-    size_t summed = answer_size - SUM_SIZE;
-    format_sum(sum, answer, summed);
-    if (memcmp(sum, answer + summed, SUM_SIZE) != 0) {
-        return AQ_ANSWER_DAMAGED;
+    size_t summed = response_size - SUM_SIZE;
+    format_sum(sum, response, summed);
+    if (memcmp(sum, response + summed, SUM_SIZE) != 0) {
+        return AQ_RESPONSE_DAMAGED;
     }
     AqBuffer_Init(&head);
     append_head(&head, id, body, size);
     bool own =
-        head.size <= summed && memcmp(head.bytes, answer, head.size) == 0;
+        head.size <= summed && memcmp(head.bytes, response, head.size) == 0;
     AqBuffer_Clear(&head);
-    return own ? AQ_ANSWER_OWN : AQ_ANSWER_FOREIGN;
+    return own ? AQ_RESPONSE_OWN : AQ_RESPONSE_FOREIGN;
 }
--- a/packages/testkit/server_private.h
+++ b/packages/testkit/server_private.h
@@ -5,46 +5,73 @@
 
 #include "aq_test_server.h"
 
+/* Progress of an HTTP request on an AqTestServer. */
 typedef enum {
-    REQUEST_READING,  /* the body is not complete */
-    REQUEST_HANDED,   /* with the handler, no answer yet */
-    REQUEST_ANSWERED, /* "response" waits to be queued */
-    REQUEST_CLOSING,  /* the connection is to be closed */
-    REQUEST_SILENT    /* never answered */
+    /* The body of the request is not complete yet. */
+    REQUEST_READING,
+    /* The request handler has the request and has not responded yet. */
+    REQUEST_DISPATCHED,
+    /* The handler has responded; the response is to be queued with
+     * libmicrohttpd. */
+    REQUEST_RESPONDED,
+    /* The server will close the connection of the request. */
+    REQUEST_CLOSING,
+    /* The request is never answered, and its connection stays open. */
+    REQUEST_SILENT
 } RequestState;
 
+/* Open connection of a client to the test server. */
 typedef struct {
-    AqLink link;
+    AqLink link; /* link in the server's list of connections */
     AqTestServer *server;
-    int fd;
+    int fd; /* connected socket; owned by libmicrohttpd */
+    /* The server sends no byte and handles no request on this connection. */
     bool silent;
 } Connection;
 
 struct AqTestRequest {
-    AqLink link; /* in server->requests */
+    AqLink link; /* link in the server's list of requests */
     AqTestServer *server;
-    Connection *owner;
+    /* Connection on which the request arrived; owned by the server. */
+    Connection *client;
+    /* libmicrohttpd's handle of the connection; owned by libmicrohttpd. */
     struct MHD_Connection *connection;
     RequestState state;
+    /* The connection of the request is suspended: libmicrohttpd does not
+     * process the connection until MHD_resume_connection is called. */
     bool suspended;
+    /* Whether the server closes the connection at the first byte of the
+     * request body. */
     bool close_in_body;
-    bool held; /* the handler has it and has not answered */
+    /* The handler has the request and has not responded yet. */
+    bool awaits_response;
     char *method;
     char *path;
     AqBuffer body;
+    /* Response of the handler to the request, owned; NULL until the handler
+     * responds. */
     struct MHD_Response *response;
+    /* HTTP status of the response; valid after the handler responded. */
     unsigned status;
-    json_t *headers; /* of the answer; new */
-    void *user;      /* borrowed; of the handler */
+    json_t *headers; /* response headers, name -> value; owned */
+    /* Pointer that the request handler stored for its own use; borrowed from
+     * the handler. */
+    void *user;
 };
 
 struct AqTestServer {
-    AqLoopSource source; /* first */
+    /* First member, since run_server casts the source to its AqTestServer. */
+    AqLoopSource source;
     AqTestLoop *loop;
     const AqTestServerOps *ops;
+    /* First argument of the functions in ops; borrowed from the creator of the
+     * server. */
     void *context;
     int port;
-    int reserved_fd; /* bound, never listening: keeps the port */
+    /* Socket that is bound to the server's port but never listens, so that the
+     * port stays reserved while the server is closed; owned. */
+    int reserved_fd;
+    /* libmicrohttpd server, owned; NULL while the test server is closed. */
     struct MHD_Daemon *daemon;
     AqLink connections;
     AqLink requests;
